--- a/cottonlug/core/cluster/__init__.py
+++ b/cottonlug/core/cluster/__init__.py
@@ -1,5 +1,5 @@
-"""Jobs of steps on upstreams that take orders: the replicated record and the leader's decisions.
+"""Multi-step jobs on upstreams that take orders: replicated records and the leader's decisions.
 
-Nothing here reads a clock, a socket or a file. `records.Records` is the state machine under the
-replicated log; `dispatch.Dispatch` is what one leader decides for as long as its term lasts.
+Nothing here reads a clock, a socket or a file. `records.Records` is the state machine of the
+replicated log; `dispatch.Dispatch` makes the decisions of one leader for the length of its term.
 """
--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -1,8 +1,8 @@
-"""Which jobs are rejected at once, because they would not be served in time.
+"""Admission control: jobs that could not be served in time are rejected at once.
 
-Load pattern: offered work above the room for seconds. Each job that is taken in and given up later
-has waited for nothing, so the wait is estimated from the work that stands before it and from the
-room, and a job that would wait past its use is told when to come back.
+Load pattern: offered work exceeds capacity for seconds. A job that is accepted and abandoned later
+has waited for nothing, so its wait is estimated from the work queued ahead of it and the usable
+cores. A job that would wait until it is of no use is rejected, with the time at which to retry.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 from .lives import Life
 
 USABLE_SHARE = 0.85
-"""Wide tasks leave splinters: 28 of 32 cores hold two tasks of 14."""
+"""Wide tasks fragment capacity: 28 of 32 cores hold two tasks of 14."""
 LEAST_ROOM = 1.0
-"""Cores to reckon with where no upstream takes work at the moment."""
+"""Cores assumed where no upstream accepts work at the moment."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Rejection:
-    """Why a job is not taken, and when its caller should come back."""
+    """Why a job is not accepted, and when its caller should retry."""
 
     reason: str
     retry_after: timedelta
 
 
 def measure_room(lives: Iterable[Life]) -> float:
-    """Return the cores of upstreams that take work, less what splinters cost."""
+    """Return the cores of upstreams that accept work, less the share lost to fragmentation."""
     whole = sum(life.info.capacity.cpu_millis for life in lives)
     return whole / 1000 * USABLE_SHARE
 
 
 def estimate_wait(work_ms: float, room: float) -> timedelta:
-    """Return how long it takes to do some work with this many cores."""
+    """Return how long this many cores take for work in core-milliseconds."""
     return timedelta(milliseconds=work_ms / max(room, LEAST_ROOM))
--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -1,11 +1,11 @@
-"""Tasks that wait for room, by step of a job, in the order in which they are served.
-
-Load pattern: more work than room, after a burst or after seconds without a leader. Served in order
-of arrival, every job would then be late for as long as the backlog lasts. So jobs that can still
-meet their objective go first, the most urgent of them first; late ones use what is left, until even
-a late answer is worth nothing (three times the objective, the bound of the users' rules). To begin
-a job counts as too late earlier than to go on with it: half of those begun at the last moment
-would run longer than declared, and wide ones would find room for some of their tasks only.
+"""Waiting tasks, batched by step of a job and served by urgency.
+
+Load pattern: more work than capacity, after a burst or after seconds without a leader. Served in
+order of arrival, every job would be late for as long as the backlog lasts. So jobs that can still
+meet their objective go first, the most urgent first. Late jobs use what is left, until even a late
+answer is worth nothing (three times the objective, the bound of the users' rules). A job that has
+not begun counts as late earlier than one that has: half of the jobs begun at the last moment would
+run longer than declared, and wide ones would find capacity for some of their tasks only.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Tier(Enum):
-    """How a batch stands to its job's objective."""
+    """Whether a batch can still meet its job's objective."""
 
     ON_TIME = "on_time"
     LATE = "late"
@@ -31,39 +31,39 @@
 
 @dataclass(slots=True, kw_only=True)
 class Batch:
-    """Waiting tasks of one step of one job, and when they must start to be of use."""
+    """Waiting tasks of one step of one job, and the latest times at which they must start."""
 
     job: JobRecord
     occurrence: int
     number: int
     step: StepSpec
     latest_start: timedelta
-    """Begun later, the job may well miss its objective."""
+    """If begun later, the job may well miss its objective."""
     latest_task_start: timedelta
     """Once the job has begun, the latest start of its last task."""
     last_use: timedelta
-    """Started later, the job is worth nothing any more."""
+    """If started later, the job is worth nothing any more."""
     work_ms: float
-    """Expected core-milliseconds of one of the tasks."""
+    """Expected core-milliseconds of each task."""
     waiting: list[int] = field(default_factory=list)
     cpu_millis: int = field(init=False)
-    """What each of the tasks takes of a processor; looked at for every batch with every end."""
+    """CPU need of each task; cached, since every run end reads it for every batch."""
     tier: Tier = Tier.ON_TIME
     has_begun: bool = False
-    """Whether a task of the job has started: to leave off now would waste that."""
+    """Whether a task of the job has started: stopping now would waste its work."""
     care: Care = Care.NONE
-    """Whether its tasks may crash an upstream."""
+    """Precautions where its tasks may crash an upstream."""
     offered_since: timedelta | None = None
-    """When room was first looked for."""
+    """When the scheduler first tried to place the batch."""
     was_offered: bool = False
-    """Whether all upstreams were tried, so that only those with more room than then are left."""
+    """Whether all upstreams were tried, so that only those that gain capacity need be."""
 
     def __post_init__(self) -> None:
         self.cpu_millis = self.step.needs.cpu_millis
 
     @property
     def needs(self) -> Needs:
-        """What each of the tasks takes."""
+        """Resources that each task needs."""
         return self.step.needs
 
     @property
@@ -86,9 +86,9 @@
     def __init__(self) -> None:
         self._tiers: dict[Tier, list[Batch]] = {tier: [] for tier in Tier}
         self.has_empty = False
-        """Whether nothing waits any more in some batch."""
+        """Whether some batch has no waiting tasks left."""
         self._new: list[Batch] = []
-        """Those that no room has been looked for yet."""
+        """Batches that the scheduler has not tried to place yet."""
 
     def __len__(self) -> int:
         return sum(map(len, self._tiers.values()))
@@ -103,14 +103,14 @@
         return list(self._tiers[tier])
 
     def add(self, batch: Batch) -> None:
-        """Put a batch in its place."""
+        """Insert a batch in serving order."""
         key = _by_latest_start if batch.tier is Tier.ON_TIME else _by_last_use
         if not batch.was_offered:
             self._new.append(batch)
         bisect.insort(self._tiers[batch.tier], batch, key=key)
 
     def demote(self, now: timedelta) -> list[Batch]:
-        """Move batches whose time has passed to a later tier, and return these."""
+        """Move batches whose time has passed to a later tier, and return them."""
         on_time, late = self._tiers[Tier.ON_TIME], self._tiers[Tier.LATE]
         moved: list[Batch] = []
         kept: list[Batch] = []
@@ -132,16 +132,16 @@
 
     @property
     def has_new(self) -> bool:
-        """Whether there is a batch that no room has been looked for yet."""
+        """Whether there is a batch that the scheduler has not tried to place yet."""
         return bool(self._new)
 
     def take_new(self) -> list[Batch]:
-        """Return the batches that no room has been looked for yet, which are not new any more."""
+        """Return the batches that were not tried yet, and clear that list."""
         new, self._new = self._new, []
         return [batch for batch in new if batch.waiting and not batch.was_offered]
 
     def drop_empty(self) -> None:
-        """Forget batches in which nothing waits."""
+        """Remove batches without waiting tasks."""
         if not self.has_empty:
             return
         self.has_empty = False
@@ -149,14 +149,14 @@
             self._tiers[tier] = [batch for batch in batches if batch.waiting]
 
     def drop_job(self, job: JobId) -> None:
-        """Forget everything that waits for a job."""
+        """Remove all batches of a job."""
         self._new = [batch for batch in self._new if batch.job.id != job]
         for tier, batches in self._tiers.items():
             if any(batch.job.id == job for batch in batches):
                 self._tiers[tier] = [batch for batch in batches if batch.job.id != job]
 
     def measure_on_time(self, latest_start: timedelta) -> float:
-        """Return the core-milliseconds that go before a job in time with this latest start."""
+        """Return the on-time core-milliseconds ahead of a job with this latest start."""
         ahead = 0.0
         for batch in self._tiers[Tier.ON_TIME]:
             if batch.latest_start > latest_start:
@@ -165,10 +165,10 @@
         return ahead
 
     def measure_work(self) -> float:
-        """Return the core-milliseconds of all that waits and is still of use."""
+        """Return the core-milliseconds of all waiting work that is still of use."""
         useful = (*self._tiers[Tier.ON_TIME], *self._tiers[Tier.LATE])
         return sum(batch.whole_work_ms for batch in useful)
 
     def count_tasks(self) -> int:
-        """Return how many tasks wait."""
+        """Return the number of waiting tasks."""
         return sum(len(batch.waiting) for batch in self)
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -1,4 +1,4 @@
-"""Jobs on their way between two hosts, many to a message, and their answers."""
+"""Batches of jobs sent from one host to another, and of their answers."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 
 class NumberedJob(Value, frozen=True):
-    """A submission; its number rises with each one of its line."""
+    """A submission; `number` rises with each submission on its job channel."""
 
     number: int
     submit: Submit
 
 
 class JobBatch(Value, frozen=True):
-    """Submissions of one host; those that come again are known by their numbers.
+    """Submissions of one host; the receiver recognises repeated ones by their numbers.
 
-    `line` names the host's counting: another process there, or a later connection, has another one.
+    `line` identifies the job channel, within which submissions are numbered: each process at the
+    host, and each later connection, has another one.
     """
 
     caller: str
@@ -27,7 +28,10 @@
 
 
 class AskAnswers(Value, frozen=True):
-    """Ask for the answers of a line; of those counted as `count` all up to `have` have arrived."""
+    """Ask for the answers of a job channel after number `have`: those up to it have arrived.
+
+    `count` identifies the numbering that `have` belongs to; see `AnswerBatch`.
+    """
 
     caller: str
     line: int
@@ -36,7 +40,7 @@
 
 
 class NumberedAnswer(Value, frozen=True):
-    """The answer to the submission of that number."""
+    """The answer to the submission with that number."""
 
     number: int
     answer: Answer
@@ -45,7 +49,7 @@
 class AnswerBatch(Value, frozen=True):
     """Answers in the order in which they were given; `through` is the number of the last.
 
-    `count` names the counting, which another process at the same address begins anew.
+    `count` identifies the numbering, which a new process at the same address begins anew.
     """
 
     count: int = 0
--- a/cottonlug/core/cluster/calls.py
+++ b/cottonlug/core/cluster/calls.py
@@ -1,4 +1,4 @@
-"""What callers, upstreams and operators ask of the cluster, whichever host they reach."""
+"""Calls of callers, upstreams and operators to the cluster, whichever host they reach."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class Contact(Value, frozen=True):
-    """When whoever decides last answered a gateway, in terms that both can vouch for.
+    """When the coordinator last answered a gateway, without reliance on synchronised clocks.
 
-    Whoever decides hands out its own clock with each answer to a greeting, and the gateway returns
-    it with what it sends next. However long that takes, it was sent no earlier than `answered_ms`
-    and `since_ms` say: neither clocks nor the link between the two have to be trusted.
+    The coordinator adds its own clock to each answer to a keep-alive, and the gateway returns it
+    with what it sends next. However long that is in transit, it was sent no earlier than
+    `answered_ms` and `since_ms` say: neither clocks nor the link between the two are trusted.
     """
 
     token: int
-    """Of whoever answered: nobody else counts by that clock."""
+    """Fencing token of the coordinator that answered: no other host uses that clock."""
     answered_ms: int
-    """When the last answer that has arrived was given, on the clock of whoever gave it."""
+    """When the last answer that has arrived was given, on the clock of that coordinator."""
     since_ms: int = 0
-    """How long before it sent this the gateway had that answer."""
+    """How long the gateway had had that answer when it sent this."""
 
 
 class GivenUp(Value, frozen=True):
-    """A submission that its gateway waits for no more; its caller may send the job again."""
+    """A submission that its gateway no longer waits for; its caller may send the job again."""
 
     host: str
     path: str
@@ -49,7 +49,7 @@
 class Submit(Value, frozen=True, tag="submit"):
     """Submit a job; `path` is that of the request, whose end after the prefix is the job's id.
 
-    A job that need not be kept is answered when it has ended; its caller waits for `patience_ms`.
+    A best-effort job is answered when it has ended; its caller waits for `patience_ms`.
     """
 
     host: str
@@ -57,24 +57,24 @@
     spec: JobSpec
     patience_ms: int = 0
     waited_ms: int = 0
-    """For how long the job has been at its gateway: its objective counts from its arrival there."""
+    """How long the job has been at its gateway: its objective counts from its arrival there."""
     gateway: str = ""
-    """Address of the gateway that waits for the answer; empty where that itself decides."""
+    """Address of the gateway that waits for the answer; empty where that acts as leader itself."""
     contact: Contact | None = None
     number: int = 0
-    """Unlike for every submission of its gateway."""
+    """Unique among the submissions of its gateway."""
     may_have_begun: bool = False
     """Whether an earlier try has an unknown outcome: it can no longer be rejected as not run."""
     deputy_term: int = 0
-    """The term in which a deputy may have begun it; only a leader of a later term may go on."""
+    """Term in which an acting leader may have begun it; only leaders of later terms may go on."""
     may_be_of_deputy: bool = False
-    """Whether another gateway has had an earlier try, which may have stood in by then."""
+    """Whether another gateway has had an earlier try, which may have acted as leader by then."""
     suspects: tuple[Suspect, ...] = ()
-    """Tasks under which upstreams have ended, as hosts that decided before have told."""
+    """Tasks under which upstreams have ended, as reported by earlier coordinators."""
 
 
 class Abandon(Value, frozen=True, tag="abandon"):
-    """Nobody waits any more for a job that need not be kept, at the gateway that submitted it."""
+    """Report that nobody waits any more for a best-effort job, at the gateway that submitted it."""
 
     host: str
     path: str
@@ -96,7 +96,7 @@
 
 
 class Beat(Value, frozen=True, tag="beat"):
-    """Pass on an upstream's heartbeat."""
+    """Forward an upstream's heartbeat."""
 
     heartbeat: Heartbeat
 
@@ -107,13 +107,13 @@
     upstream: UpstreamId
     sequence: int
     clock_ms: int | None = None
-    """On the upstream's own steady clock, when it was sent."""
+    """When it was sent, on the upstream's own monotonic clock."""
     age_ms: int = 0
-    """How long before this was told it had come."""
+    """How long before this report it had arrived."""
 
 
 class Heard(Value, frozen=True, tag="heard"):
-    """Tell the leader whose heartbeats a control host has answered since it last told."""
+    """Report to the leader whose heartbeats a control host has answered since its last report."""
 
     desk: str
     """Address of that host for upstreams."""
@@ -121,14 +121,14 @@
 
 
 class Leave(Value, frozen=True, tag="leave"):
-    """Pass on that an upstream leaves now."""
+    """Forward that an upstream leaves now."""
 
     upstream: UpstreamId
-    """Of the life that leaves; without its start where the upstream did not tell it."""
+    """Id of the instance that leaves; without its start time where the upstream did not send it."""
 
 
 class Configure(Value, frozen=True, tag="configure"):
-    """Put a configuration in force, unless a newer one is."""
+    """Activate a configuration, unless a newer one is active."""
 
     configuration: Configuration
 
@@ -140,13 +140,13 @@
 class Evacuate(Value, frozen=True, tag="evacuate"):
     """Begin or end the evacuation of a failure domain.
 
-    The host that takes it in from the operator fills in the last two fields.
+    The host that receives it from the operator fills in the last two fields.
     """
 
     domain: DomainName
     is_evacuated: bool
     base_revision: int = 0
-    """Revision of the domain in that host's log when the order came."""
+    """Revision of the domain in that host's log when the order arrived."""
     order: OrderId = OrderId("")
 
 
@@ -155,27 +155,27 @@
 
 
 class Greet(Value, frozen=True, tag="greet"):
-    """Tell that a gateway lives; ask who leads, and for a roster newer than the one it has."""
+    """Tell that a gateway is alive; ask who leads, and for failover state newer than its own."""
 
     gateway: str = ""
     life: int = 0
-    """Unlike for each process at the gateway's address: a new one waits for nothing of before."""
+    """Unique for each process at the gateway's address: a new one waits for no earlier job."""
     domain: DomainName = DomainName("")
     roster: str = ""
     contact: Contact | None = None
     given_up: tuple[GivenUp, ...] = ()
-    """What the gateway has given up lately: a greeting vouches for all else that it submitted."""
+    """What the gateway has abandoned lately: a keep-alive confirms all its other submissions."""
     is_probe: bool = False
-    """Whether a host that does not lead is only to say that it is alive, and who leads."""
+    """Whether a host that does not lead need only say that it is alive, and who leads."""
 
 
 NO_CONFIGURATION = "no configuration yet"
-"""Detail of an answer by a leader that has had none so far."""
+"""Detail of an answer by a leader that has received no configuration so far."""
 NO_LOG = "a deputy has no log"
-"""Detail of a deputy's answer to a call that only a leader can carry out."""
+"""Detail of an acting leader's answer to a call that only a leader can carry out."""
 
 NOT_IN_TOUCH = "the gateway was not answered lately"
-"""Detail of an answer to a submission that was held up, or that follows no greeting."""
+"""Detail of an answer to a submission that was delayed, or that follows no keep-alive."""
 
 Call = (
     Submit
@@ -194,17 +194,17 @@
 
 
 class GatewayInfo(Value, frozen=True):
-    """A gateway that a leader has heard; `address` is that for calls of its peers."""
+    """A gateway that is known to the leader; `address` is where its peers call it."""
 
     address: str
     domain: DomainName = DomainName("")
 
 
 class Roster(Value, frozen=True):
-    """What a gateway must know to stand in while no leader can be reached.
+    """Failover state: what a gateway must know to act as leader while none can be reached.
 
-    With `base` only what has changed since that version: the configuration where it is another,
-    upstreams that are new or changed, and those that were removed.
+    With `base` it holds only the changes since that version: the configuration where it is another
+    one, upstreams that are new or changed, and those that were removed.
     """
 
     version: str
@@ -213,30 +213,30 @@
     upstreams: tuple[UpstreamRecord, ...]
     gateways: tuple[GatewayInfo, ...]
     keeps_jobs: bool
-    """Whether jobs are under way whose ends must be kept, which a deputy cannot do."""
+    """Whether durable jobs are under way, whose results an acting leader cannot store."""
     base: str = ""
     is_partial: bool = False
-    """Whether more is to be asked for before a gateway can stand in by it."""
+    """Whether more must be asked for before a gateway can act as leader by it."""
     removed: tuple[UpstreamId, ...] = ()
     suspects: tuple[SuspectRecord, ...] = ()
     """Tasks under which upstreams have ended."""
     evacuations: tuple[EvacuationRecord, ...] = ()
     takes_calls: bool = True
-    """Whether upstreams are called; a gateway, to which they send no heartbeat, can only call."""
+    """Whether upstreams accept calls; a gateway gets no heartbeats, so it can only call them."""
 
 
 class Outcome(Enum):
-    """What became of a call."""
+    """Result of a call."""
 
     DONE = "done"
     REJECTED = "rejected"
-    """Not done and never will be; ask again after `retry_after_ms`."""
+    """Not done and never will be; retry after `retry_after_ms`."""
     UNAVAILABLE = "unavailable"
-    """Not done and never will be, for want of a leader or a configuration."""
+    """Not done and never will be, for lack of a leader or a configuration."""
     UNKNOWN = "unknown"
     """It may or may not have been done."""
     GIVEN_UP = "given_up"
-    """It may have been done in part; nobody goes on with it, since that would be of no use."""
+    """It may have been done in part; abandoned, since going on would be of no use."""
     NO_QUEUE = "no_queue"
     NO_JOB = "no_job"
     NO_DOMAIN = "no_domain"
@@ -245,7 +245,7 @@
 
 
 class HeartbeatStart(Value, frozen=True):
-    """One run to be started."""
+    """A run to start."""
 
     task: TaskRef
     run: RunNumber
@@ -254,7 +254,7 @@
 
 
 class HeartbeatOrders(Value, frozen=True):
-    """What the answer to a heartbeat tells an upstream to do."""
+    """Orders to an upstream in the answer to its heartbeat."""
 
     token: int
     last_seen: int
@@ -263,40 +263,40 @@
     starts: tuple[HeartbeatStart, ...] = ()
     stops: tuple[tuple[TaskRef, RunNumber], ...] = ()
     next_after_ms: int | None = None
-    """When to send the next heartbeat, where that is not left to the upstream."""
+    """When to send the next heartbeat; None leaves that to the upstream."""
 
 
 class Answer(Value, frozen=True):
-    """The answer to a call; only the fields that belong to it are set."""
+    """The answer to a call; only the fields that apply to it are set."""
 
     outcome: Outcome
     detail: str = ""
     state: JobState | None = None
     suspects: tuple[Suspect, ...] = ()
-    """Of the job that this answer is about, where it has not ended well."""
+    """Suspects of the job that this answer is about, where it has not succeeded."""
     pending: int | None = None
     retry_after_ms: int | None = None
     document: str | None = None
     evacuations: tuple[EvacuationRecord, ...] | None = None
-    """The failure domains that are evacuated, where this was asked."""
+    """The evacuated failure domains, where these were asked for."""
     leader: str | None = None
-    """Address for calls of entry hosts, where it is known."""
+    """Address of the leader for calls of entry hosts, where it is known."""
     leader_control: str | None = None
     """Address of the leader for upstreams and operators."""
     hosts: tuple[str, ...] = ()
-    """Addresses for calls of all known control hosts."""
+    """Addresses of all known control hosts for calls."""
     max_body_bytes: int | None = None
     roster: Roster | None = None
     is_roster_due: bool = False
-    """Whether there is more to know than `roster`, which another greeting will bring."""
+    """Whether there is more failover state than `roster`, which another keep-alive will bring."""
     contact: Contact | None = None
-    """To be returned with the next greeting, where this answers one."""
+    """To be returned with the next keep-alive, where this answers one."""
     is_deputy: bool = False
-    """Whether the answer is that of a gateway that stands in for a leader."""
+    """Whether the answer is that of a gateway that acts as leader."""
     domain: DomainName | None = None
-    """The failure domain that a deputy stands in for, where it is not for all."""
+    """The failure domain that an acting leader is limited to, where it is."""
     orders: HeartbeatOrders | None = None
-    """For the upstream whose heartbeat this answers, where it takes its orders so."""
+    """Orders for the upstream whose heartbeat this answers, where it receives them that way."""
 
 
 call_decoder: msgspec.json.Decoder[Call] = msgspec.json.Decoder(Call)
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -1,7 +1,7 @@
-"""What one leader decides while its term lasts: which task starts where, what is stopped and seen.
+"""Decisions of one leader during its term: which task starts where, what is stopped and polled.
 
-The record is the replicated truth; all that is kept here besides can be learnt again. The program
-round it delivers events and then takes orders to carry out and commands to propose.
+The records are the replicated truth; all other state here can be learnt again. The surrounding
+program delivers events and then collects orders to carry out and commands to propose.
 """
 
 from __future__ import annotations
@@ -59,15 +59,15 @@
 
 STOP_RETRY = timedelta(milliseconds=50)
 SWEEP_EVERY = timedelta(milliseconds=100)
-"""How often all upstreams are gone through; in between only those of which something was heard, or
-for which something is due by the clock."""
+"""Interval of the scan of all upstreams; in between, only those are processed from which something
+was received, or for which a timer is due."""
 AVOID_AFTER_REFUSAL = timedelta(milliseconds=300)
 LONGEST_LIST = 500
-"""A look lists at most that many ends; a full list may hide more."""
+"""A poll lists at most this many ended runs; a full list may hide more."""
 
 
 class Dispatch:
-    """The decisions of one leader."""
+    """Scheduling decisions of one leader."""
 
     def __init__(
         self,
@@ -108,12 +108,12 @@
             term=self._term, lives=self._lives, jobs=self._jobs, settlement=self._settlement
         )
         self.may_be_stood_in_for: Callable[[], bool] = lambda: True
-        """Whether a gateway that is out of touch may stand in for this host."""
+        """Whether a gateway without contact to this host may act as leader."""
         self._registry = Registry(term=self._term, lives=self._lives)
         self._wakes = Wakes()
         self._sweep_due = now
 
-    # What it knows
+    # State and events
 
     @property
     def jobs(self) -> OpenJobs:
@@ -122,37 +122,37 @@
 
     @property
     def lives(self) -> dict[UpstreamId, Life]:
-        """Lives of upstreams by id."""
+        """Instances of upstreams by id."""
         return self._lives.by_id
 
     @property
     def counts(self) -> DispatchCounts:
-        """What was done in this term."""
+        """Counters of this term."""
         return self._term.counts
 
     @property
     def is_fenced_off(self) -> bool:
-        """Whether an upstream has taken orders under a higher token."""
+        """Whether an upstream has accepted orders under a higher fencing token."""
         return self._term.is_fenced_off
 
     def forgive_fence(self) -> None:
-        """Forget the higher token, since a later term is asked for."""
+        """Forget the higher fencing token, since a later term is being requested."""
         self._term.is_fenced_off = False
 
     def find_rejection(
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
     ) -> Rejection | None:
-        """Return why a job is not taken at the moment that has waited elsewhere, or None."""
+        """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
         return self._filler.find_rejection(queue, spec, waited, now)
 
     def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Learn that an upstream lives, what it has to give, and whether it is leaving."""
+        """Record that an upstream is alive, its capacity, and whether it is leaving."""
         self._registry.take_heartbeat(heartbeat, now)
 
     def take_heard(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Learn that another host has answered a heartbeat in which nothing was new."""
+        """Record a heartbeat without news that another host has answered."""
         self._registry.take_heard(upstream, sequence, clock_ms, at)
 
     def take_leave(self, upstream: UpstreamId) -> None:
@@ -160,14 +160,14 @@
         self._registry.take_leave(upstream)
 
     def note_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
-        """Learn whether an order would reach an upstream at once."""
+        """Record whether an order would reach an upstream at once."""
         life = self._lives.by_id.get(upstream)
         if life is not None:
             life.is_listening = is_listening
 
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
-        """Take a job that need not be kept; what another host started of it goes on."""
-        # What runs at an upstream out of sight ends when its lease does.
+        """Accept a best-effort job; runs of it that another host started go on."""
+        # What runs at an upstream that cannot be reached ends with its lease.
         is_new = self._settlement.is_settled and not submission.may_have_begun
         of_deputies = submission.may_be_of_deputy
         is_unsure = not is_new and self._settlement.is_unsure(of_deputies=of_deputies)
@@ -193,14 +193,14 @@
                 self._lives.touch(life)
 
     def is_given_up(self, id: JobId) -> bool:
-        """Whether a task of a job is not to be started again, for upstreams that have crashed."""
+        """Whether a task of a job is not to be started again, since upstreams crashed under it."""
         return any(each.counts.is_given_up for each in self._jobs.suspicion.list_suspects(id))
 
     def join(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
 
-        Not from the gateway of the first: had it been at another host since, this one would have
-        given the job up. It only repeats what had no answer here.
+        One from the gateway of the first says nothing new: had that been at another host since,
+        this one would have abandoned the job. It only repeats what had no answer here.
         """
         job = self._jobs.jobs.get(id)
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
@@ -213,9 +213,9 @@
         self._settlement.note_unsure()
 
     def abandon(self, id: JobId, gateway: str, now: timedelta) -> None:
-        """Give up a job that need not be kept, since its gateway waits for it no more.
+        """Abandon a best-effort job, since its gateway no longer waits for it.
 
-        One that has come again through another gateway in the meantime is left alone.
+        One that was submitted again through another gateway in the meantime goes on.
         """
         job = self._jobs.jobs.get(id)
         if job is not None and job.gateway == gateway:
@@ -227,7 +227,7 @@
             self._jobs.close_if_ended(job.record.id, now)
 
     def cancel(self, id: JobId, now: timedelta) -> bool:
-        """End a job that need not be kept by its caller's wish; False where there is none."""
+        """Cancel a best-effort job for its caller; return False where there is none."""
         job = self._jobs.jobs.get(id)
         if job is None or not job.record.spec.best_effort:
             return False
@@ -236,7 +236,7 @@
         return True
 
     def abandon_silent(self, is_heard: Callable[[str], bool], now: timedelta) -> None:
-        """Give up the jobs of gateways that are not heard: they may have gone to another host."""
+        """Abandon the jobs of silent gateways, which may have sent them to another host."""
         heard: dict[str, bool] = {"": True}
         for job in list(self._jobs.jobs.values()):
             if job.gateway not in heard:
@@ -246,13 +246,13 @@
                 self._give_up(job, now)
 
     def abandon_gateway(self, gateway: str, now: timedelta) -> None:
-        """Give up all that a gateway has submitted: it began anew, and waits for none of it."""
+        """Abandon all jobs of a gateway that has restarted and waits for none of them."""
         for job in list(self._jobs.jobs.values()):
             if job.gateway == gateway:
                 self._give_up(job, now)
 
     def take_applied(self, command: Command, now: timedelta) -> None:
-        """Act on a command that the record has just carried out."""
+        """Act on a command that was just applied to the records."""
         if isinstance(command, AcceptJob):
             job = self._term.records.jobs.get(command.job)
             if job is not None and job.is_open and job.id not in self._jobs.jobs:
@@ -279,7 +279,7 @@
                 self._drop(upstream)
 
     def _take_evacuation(self, command: SetEvacuation, now: timedelta) -> None:
-        """Start nothing more in a domain, or take its upstreams back."""
+        """Start nothing more in a domain, or use its upstreams again."""
         runs = self._lives.set_evacuated(command.domain, now)
         record = self._term.records.evacuations.get(command.domain)
         self._term.note(
@@ -293,7 +293,7 @@
         life = self._lives.by_id.get(upstream)
         self._lives.drop(upstream)
         if life is not None:
-            # The log has counted its end, or it has left: its tasks wait for that no more.
+            # The log has counted its end, or it has left: its tasks need not wait for that.
             self._jobs.release(self._jobs.suspicion.forget(life))
 
     def take_start_answer(
@@ -303,7 +303,7 @@
         clock_ms: int | None,
         now: timedelta,
     ) -> None:
-        """Learn what became of a start."""
+        """Process the outcome of a start."""
         life = self._lives.by_id.get(order.upstream.id)
         if life is None:
             return
@@ -327,10 +327,10 @@
             return
         if outcome is StartOutcome.UNKNOWN:
             self._term.counts.unknown_starts += 1
-            # The next look tells whether it runs; it is stopped only where that does not list it.
+            # The next poll shows whether it runs; it is stopped only if that does not list it.
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
-            # A look under way tells sooner whether the upstream answers.
+            # A poll under way shows sooner whether the upstream answers.
             life.avoid_until = now + order.patience
             return
         self._term.counts.refused_starts += 1
@@ -343,7 +343,7 @@
         self._jobs.requeue(order.task, order.run, life.info.id)
 
     def _find_avoided(self, life: Life, outcome: StartOutcome) -> timedelta:
-        """Return how long nothing is started at an upstream after a refusal."""
+        """Return how long to start nothing at an upstream after a refusal."""
         if outcome is not StartOutcome.NO_ROOM:
             return AVOID_AFTER_REFUSAL
         self._term.counts.starts_without_room += 1
@@ -353,7 +353,7 @@
     def take_stop_answer(
         self, order: StopOrder, failure: CallFailure | None, now: timedelta
     ) -> None:
-        """Learn whether a stop has arrived."""
+        """Process whether a stop has arrived."""
         life = self._lives.by_id.get(order.upstream.id)
         if life is None:
             return
@@ -369,7 +369,7 @@
         run.stop_is_out = False
         if failure is None:
             run.stopped_at = now
-            # The next look shows whether it is gone; until then its task starts nowhere.
+            # The next poll shows whether it is gone; until then its task starts nowhere.
             life.probe_due = now
         else:
             run.stop_due = now + STOP_RETRY
@@ -381,7 +381,7 @@
         sent_at: timedelta,
         now: timedelta,
     ) -> None:
-        """Learn what runs and what has ended at an upstream."""
+        """Process the answer to a poll: what runs and what has ended at an upstream."""
         life = self._lives.by_id.get(order.upstream.id)
         if life is None:
             return
@@ -426,7 +426,7 @@
             self._drop_vanished(life, reply, sent_at, now)
 
     def tick(self, now: timedelta) -> None:
-        """Do everything that is due and fill free room; take orders and proposals afterwards."""
+        """Do everything that is due and start tasks; collect orders and proposals afterwards."""
         is_sweep = now >= self._sweep_due
         self._jobs.open_due(self._settlement.first_phase, now)
         self._settlement.settle(now)
@@ -441,14 +441,14 @@
         for id, life in {each.info.id: each for each in changed}.items():
             self._watcher.look(life, now)
             if self._watcher.is_calm(life, now) and (self._wakes.has(id) or not life.runs):
-                # Nothing is due before its lease ends, and that moment only moves away.
+                # Nothing is due before its lease ends, and renewals only postpone that.
                 continue
             self._wakes.set(id, self._watcher.find_wake(life, now))
         if is_sweep:
             self._sweep(now)
 
     def _take_due(self, now: timedelta) -> list[Life]:
-        """Return the lives of which something was heard, and those for which something is due."""
+        """Return the instances from which something was received, or whose timer is due."""
         for id in self._wakes.take_due(now):
             life = self._lives.by_id.get(id)
             if life is not None:
@@ -456,7 +456,7 @@
         return self._lives.take_touched()
 
     def _sweep(self, now: timedelta) -> None:
-        """Forget what is long over."""
+        """Cordon or forget silent upstreams, and forget what ended long ago."""
         self._sweep_due = now + SWEEP_EVERY
         self._watcher.cordon(now)
         self._watcher.forget_silent(now, may_be_used=self.may_be_stood_in_for)
@@ -466,21 +466,21 @@
         self._ends.forget_orphans(now)
 
     def take_orders(self) -> list[Order]:
-        """Return what is to be sent to upstreams."""
+        """Return the orders to be sent to upstreams, and clear the list."""
         orders, self._term.orders = self._term.orders, []
         return orders
 
     def take_proposals(self) -> list[Command]:
-        """Return what is to be put into the log."""
+        """Return the commands to be put into the log, and clear the list."""
         proposals, self._term.proposals = self._term.proposals, []
         return proposals
 
     def _drop_vanished(
         self, life: Life, reply: LookReply, sent_at: timedelta, now: timedelta
     ) -> None:
-        """Give up runs that were stopped before this look was sent and are not there.
+        """Requeue runs that were stopped before this poll was sent and are not listed.
 
-        One whose start had no answer, and which is not there, may still begin: it is stopped.
+        One whose start had no answer, and which is not listed, may still begin: it is stopped.
         """
         there = {(report.task, report.run) for report in reply.running}
         for key, run in list(life.runs.items()):
