--- a/bench/callers.py
+++ b/bench/callers.py
@@ -64,7 +64,7 @@
     step = StepSpec(count=tasks, needs=Needs(cpu_millis=CPU_MILLIS), estimate_ms=int(real_ms))
     payload = f"{real_ms:.0f} ".ljust(size, "x")
     spec = JobSpec(payload=payload, steps=(step,), best_effort=True)
-    return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, patience_ms=1_500)
+    return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, wait_timeout_ms=1_500)
 
 
 async def call_all(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -27,7 +27,14 @@
 """Of the usual load, which takes two thirds of the room: twice as much makes a backlog."""
 SECONDS = 3
 SEED = 1
-ENTRIES = ("tick", "submit", "take_look", "take_start_answer", "take_stop_answer", "take_heartbeat")
+ENTRIES = (
+    "tick",
+    "submit",
+    "handle_poll_answer",
+    "handle_start_answer",
+    "handle_stop_answer",
+    "handle_heartbeat",
+)
 
 
 @contextmanager
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -26,7 +26,7 @@
 import uvloop
 
 from cottonlug.config.options import Address
-from cottonlug.core.cluster.calls import Answer, Call, Greet, Submit, call_decoder
+from cottonlug.core.cluster.calls import Answer, Call, KeepAlive, Submit, call_decoder
 from cottonlug.core.cluster.identity import name_life
 from cottonlug.core.cluster.lives import choose_terms
 from cottonlug.core.cluster.model import (
@@ -133,7 +133,7 @@
         )
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
-            self.leading.dispatch.take_heartbeat(heartbeat, clock.monotonic())
+            self.leading.dispatch.handle_heartbeat(heartbeat, clock.monotonic())
         self._lines = JobLines(
             answer=self.leading.answer, clock=clock, find_slack=lambda submit: 1.0
         )
@@ -152,7 +152,7 @@
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
-        assert isinstance(call, Greet), "its tag says so"
+        assert isinstance(call, KeepAlive), "its tag says so"
         return _reply(self._add_host(self.leading.answer_greeting(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
--- a/bench/load.py
+++ b/bench/load.py
@@ -276,7 +276,7 @@
             queue,
             may_have_begun=may_have_begun,
             # Its caller has sent it but once, so that nothing of a new job can be at work.
-            settle_after=SETTLE_AFTER if may_have_begun else timedelta(),
+            reconcile_after=SETTLE_AFTER if may_have_begun else timedelta(),
             waited=waited,
         )
 
--- a/bench/shortage.py
+++ b/bench/shortage.py
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from cottonlug.core.cluster import backlog, filler, open_jobs
+from cottonlug.core.cluster import backlog, scheduler, open_jobs
 from cottonlug.core.cluster.backlog import Batch, Tier
-from cottonlug.core.cluster.filler import Filler
+from cottonlug.core.cluster.scheduler import Scheduler
 
 from . import load
 from .load import Kind, Run, Submitted, build_queue, iterate_arrived
@@ -40,20 +40,20 @@
 """Share of its objective within which a caller that is refused can still act."""
 
 
-def _reject_late(self: Filler, now: timedelta) -> None:
+def _reject_late(self: Scheduler, now: timedelta) -> None:
     """Reject what can no longer be in time at once, while something waits that can."""
     shed(self, now)
     waiting = self._jobs.backlog
     if not waiting.list_tier(Tier.ON_TIME):
         return
-    wait = filler.estimate_wait(waiting.measure_work(), self._lives.measure_room(now))
+    wait = scheduler.estimate_wait(waiting.measure_work(), self._lives.measure_room(now))
     for batch in waiting.list_tier(Tier.LATE):
         job = self._jobs.jobs.get(batch.job.id)
         if job is not None and not job.has_begun:
             self._jobs.reject(job, "cannot be in time", wait, now)
 
 
-shed = Filler._shed
+shed = Scheduler._shed
 
 
 def _by_newest(batch: Batch) -> timedelta:
@@ -66,10 +66,10 @@
     moved = [each for each in on_time if _is_too_late(each, now)]
     if moved:
         self._tiers[Tier.ON_TIME] = [each for each in on_time if not _is_too_late(each, now)]
-    while late and late[0].last_use < now:
+    while late and late[0].latest_useful_start < now:
         moved.append(late.pop(0))
     for batch in moved:
-        batch.tier = Tier.LATE if batch.last_use >= now else Tier.HOPELESS
+        batch.tier = Tier.LATE if batch.latest_useful_start >= now else Tier.HOPELESS
         self.add(batch)
     return moved
 
@@ -81,14 +81,14 @@
 Change = tuple[Any, str, Any]
 VARIANTS: dict[str, tuple[Change, ...]] = {
     "latest start first (stands)": (),
-    "no estimate at the door": ((Filler, "find_rejection", lambda self, *rest: None),),
-    "late ones rejected at once": ((Filler, "_shed", _reject_late),),
+    "no estimate at the door": ((Scheduler, "find_rejection", lambda self, *rest: None),),
+    "late ones rejected at once": ((Scheduler, "_shed", _reject_late),),
     "newest first": (
         (backlog, "_by_latest_start", _by_newest),
         (backlog.Backlog, "demote", _demote_all),
     ),
-    "0.2 of the wait kept for longer runs": ((open_jobs, "START_MARGIN", 0.2),),
-    "0.6 of the wait kept for longer runs": ((open_jobs, "START_MARGIN", 0.6),),
+    "0.2 of the wait kept for longer runs": ((open_jobs, "START_MARGIN_SHARE", 0.2),),
+    "0.6 of the wait kept for longer runs": ((open_jobs, "START_MARGIN_SHARE", 0.6),),
 }
 
 
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -11,17 +11,17 @@
     admission,
     backlog,
     crashes,
-    filler,
+    scheduler,
     forecast,
-    guards,
+    upstream_health,
     life_table,
     lives,
     open_jobs,
-    patience,
+    response_timeout,
     progress,
-    rooms,
+    capacity_index,
     suspicion,
-    tempo,
+    throughput,
     watcher,
 )
 
@@ -54,11 +54,11 @@
 
 
 def _add_by_arrival(self: Any, batch: backlog.Batch) -> None:
-    batch.last_use = batch.latest_start + timedelta(days=9)
+    batch.latest_useful_start = batch.latest_start + timedelta(days=9)
     backlog.Backlog.add_unchanged(self, batch)  # type: ignore[attr-defined]
 
 
-def _spread_nothing(self: Any, tasks: int) -> timedelta:
+def _estimate_no_delay(self: Any, tasks: int) -> timedelta:
     return NO_TIME
 
 
@@ -66,17 +66,17 @@
     return next((life for life in choice if life.has_room(batch.needs)), None)
 
 
-def _set_aside_without_trial(self: Any, now: timedelta) -> bool:
-    is_new = guards.Health.set_aside_unchanged(self, now)  # type: ignore[attr-defined]
-    self.is_on_trial = False
+def _suspend_without_probation(self: Any, now: timedelta) -> bool:
+    is_new = upstream_health.UpstreamHealth.suspend_unchanged(self, now)  # type: ignore[attr-defined]
+    self.is_on_probation = False
     return bool(is_new)
 
 
 def _find_one_pool(self: Any, life: lives.Life) -> Any:
-    return self._pools.setdefault(life.info.service, {}).setdefault("", rooms._Pool())
+    return self._pools.setdefault(life.info.service, {}).setdefault("", capacity_index._Pool())
 
 
-guards.Health.set_aside_unchanged = guards.Health._set_aside  # type: ignore[attr-defined]
+upstream_health.UpstreamHealth.suspend_unchanged = upstream_health.UpstreamHealth._suspend  # type: ignore[attr-defined]
 backlog.Backlog.add_unchanged = backlog.Backlog.add  # type: ignore[attr-defined]
 
 NO_CHANGE = "as_it_is"
@@ -87,52 +87,56 @@
         (backlog.Backlog, "demote", lambda self, now: []),
         (backlog, "_by_latest_start", lambda batch: batch.job.id),
     ),
-    "no_start_margin": replacing((open_jobs, "START_MARGIN", 0.0)),
-    "no_spread_of_wide_jobs": replacing((tempo.Tempo, "spread", _spread_nothing)),
-    "no_shedding": replacing((filler.Filler, "_shed", lambda self, now: None)),
+    "no_start_margin": replacing((open_jobs, "START_MARGIN_SHARE", 0.0)),
+    "no_spread_of_wide_jobs": replacing(
+        (throughput.Throughput, "estimate_start_delay", _estimate_no_delay)
+    ),
+    "no_shedding": replacing((scheduler.Scheduler, "_shed", lambda self, now: None)),
     "no_rejection_at_the_door": replacing(
-        (filler.Filler, "find_rejection", lambda self, *rest: None)
+        (scheduler.Scheduler, "find_rejection", lambda self, *rest: None)
     ),
-    "first_fit": replacing((filler, "choose_life", _first_fit)),
+    "first_fit": replacing((scheduler, "choose_instance", _first_fit)),
     "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
     "no_moves": replacing((watcher, "MOST_MOVES", 0)),
-    "nobody_set_aside": replacing((life_table, "MOST_SET_ASIDE", -1.0)),
-    "no_trial": replacing((guards.Health, "_set_aside", _set_aside_without_trial)),
+    "nobody_set_aside": replacing((life_table, "MAX_SUSPENDED_SHARE", -1.0)),
+    "no_trial": replacing((upstream_health.UpstreamHealth, "_suspend", _suspend_without_probation)),
     "nobody_blamed": replacing(
         (suspicion.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
         (crashes.CrashCounts, "is_given_up", False),
     ),
-    "in_any_domain": replacing((rooms.Rooms, "_find_pool", _find_one_pool)),
+    "in_any_domain": replacing((capacity_index.CapacityIndex, "_find_pool", _find_one_pool)),
     "no_cordon": replacing((watcher.Watcher, "cordon", lambda self, now: None)),
-    "patience_not_learnt": replacing((patience, "SHORTEST", patience.LONGEST)),
+    "patience_not_learnt": replacing(
+        (response_timeout, "MIN_RESPONSE_TIMEOUT", response_timeout.MAX_RESPONSE_TIMEOUT)
+    ),
 }
 
 FIGURES: dict[str, Variant] = {
-    "failures_in_a_row_2": replacing((guards, "FAILURES_IN_A_ROW", 2)),
-    "failures_in_a_row_6": replacing((guards, "FAILURES_IN_A_ROW", 6)),
-    "most_set_aside_0.17": replacing((life_table, "MOST_SET_ASIDE", 0.17)),
-    "most_set_aside_0.68": replacing((life_table, "MOST_SET_ASIDE", 0.68)),
+    "failures_in_a_row_2": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 2)),
+    "failures_in_a_row_6": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 6)),
+    "most_set_aside_0.17": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.17)),
+    "most_set_aside_0.68": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.68)),
     "pause_1_to_3_s": replacing(
-        (guards, "FIRST_PAUSE", timedelta(seconds=1)),
-        (guards, "LONGEST_PAUSE", timedelta(seconds=3)),
+        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=1)),
+        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=3)),
     ),
     "pause_4_to_12_s": replacing(
-        (guards, "FIRST_PAUSE", timedelta(seconds=4)),
-        (guards, "LONGEST_PAUSE", timedelta(seconds=12)),
+        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=4)),
+        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=12)),
     ),
     "usable_share_0.43": replacing((admission, "USABLE_SHARE", 0.43)),
     "usable_share_1.7": replacing((admission, "USABLE_SHARE", 1.7)),
-    "start_margin_0.2": replacing((open_jobs, "START_MARGIN", 0.2)),
-    "start_margin_0.8": replacing((open_jobs, "START_MARGIN", 0.8)),
-    "stands_still_after_0.25": replacing((progress, "STANDS_STILL_AFTER", 0.25)),
-    "stands_still_after_1.0": replacing((progress, "STANDS_STILL_AFTER", 1.0)),
+    "start_margin_0.2": replacing((open_jobs, "START_MARGIN_SHARE", 0.2)),
+    "start_margin_0.8": replacing((open_jobs, "START_MARGIN_SHARE", 0.8)),
+    "stands_still_after_0.25": replacing((progress, "STALLED_AFTER_SHARE", 0.25)),
+    "stands_still_after_1.0": replacing((progress, "STALLED_AFTER_SHARE", 1.0)),
     "patience_12_to_40_ms": replacing(
-        (patience, "SHORTEST", timedelta(milliseconds=12)),
-        (patience, "LONGEST", timedelta(milliseconds=40)),
+        (response_timeout, "MIN_RESPONSE_TIMEOUT", timedelta(milliseconds=12)),
+        (response_timeout, "MAX_RESPONSE_TIMEOUT", timedelta(milliseconds=40)),
     ),
     "patience_50_to_160_ms": replacing(
-        (patience, "SHORTEST", timedelta(milliseconds=50)),
-        (patience, "LONGEST", timedelta(milliseconds=160)),
+        (response_timeout, "MIN_RESPONSE_TIMEOUT", timedelta(milliseconds=50)),
+        (response_timeout, "MAX_RESPONSE_TIMEOUT", timedelta(milliseconds=160)),
     ),
 }
 
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..core.cluster.reports import USUAL_REPORTS, ReportTerms
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.ids import DomainName, HostId
 from .loading import load_settings
 from .logs import LogSettings, read_log_section, read_name
@@ -72,7 +72,7 @@
     drain_limit: timedelta
     urgent_port: int | None = None
     """Port of all hosts, this one among them, for what must not wait behind jobs."""
-    reports: ReportTerms = USUAL_REPORTS
+    reports: ReportTerms = DEFAULT_REPORT_TERMS
     log: LogSettings
 
 
@@ -89,7 +89,7 @@
     drain_limit: timedelta
     urgent_port: int | None = None
     """Port of all hosts, this one among them, for what must not wait behind jobs."""
-    reports: ReportTerms = USUAL_REPORTS
+    reports: ReportTerms = DEFAULT_REPORT_TERMS
     log: LogSettings
 
 
@@ -113,8 +113,8 @@
     "longest_lease": Option(read_span, timedelta(seconds=1)),
     "caller_retry": Option(read_span, timedelta(milliseconds=1_300)),
     "drain_limit": Option(read_span, timedelta(seconds=5)),
-    "heartbeat_every": Option(read_span, USUAL_REPORTS.every),
-    "shrink_borne": Option(read_span, USUAL_REPORTS.borne),
+    "heartbeat_every": Option(read_span, DEFAULT_REPORT_TERMS.interval),
+    "shrink_borne": Option(read_span, DEFAULT_REPORT_TERMS.shrink_tolerance),
     "log": Option(read_log_section, LogSettings()),
 }
 _CONTROL: Options = {
@@ -148,7 +148,7 @@
     **rest: object,
 ) -> dict[str, Any]:
     """Return the fields of settings for what the options of both kinds of host say."""
-    reports = ReportTerms(every=heartbeat_every, borne=shrink_borne)
+    reports = ReportTerms(interval=heartbeat_every, shrink_tolerance=shrink_borne)
     return {"seeds": _move_seeds(seeds, peer_port), "reports": reports, **rest}
 
 
--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -15,7 +15,7 @@
 
 USABLE_SHARE = 0.85
 """Wide tasks fragment capacity: 28 of 32 cores hold two tasks of 14."""
-LEAST_ROOM = 1.0
+MIN_CORES = 1.0
 """Cores assumed where no upstream accepts work at the moment."""
 
 
@@ -27,12 +27,12 @@
     retry_after: timedelta
 
 
-def measure_room(lives: Iterable[Life]) -> float:
+def measure_usable_cores(lives: Iterable[Life]) -> float:
     """Return the cores of upstreams that accept work, less the share lost to fragmentation."""
     whole = sum(life.info.capacity.cpu_millis for life in lives)
     return whole / 1000 * USABLE_SHARE
 
 
-def estimate_wait(work_ms: float, room: float) -> timedelta:
+def estimate_wait(core_ms: float, room: float) -> timedelta:
     """Return how long this many cores take for work in core-milliseconds."""
-    return timedelta(milliseconds=work_ms / max(room, LEAST_ROOM))
+    return timedelta(milliseconds=core_ms / max(room, MIN_CORES))
--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -35,15 +35,15 @@
 
     job: JobRecord
     occurrence: int
-    number: int
+    step_number: int
     step: StepSpec
     latest_start: timedelta
     """If begun later, the job may well miss its objective."""
     latest_task_start: timedelta
     """Once the job has begun, the latest start of its last task."""
-    last_use: timedelta
+    latest_useful_start: timedelta
     """If started later, the job is worth nothing any more."""
-    work_ms: float
+    core_ms: float
     """Expected core-milliseconds of each task."""
     waiting: list[int] = field(default_factory=list)
     cpu_millis: int = field(init=False)
@@ -51,11 +51,11 @@
     tier: Tier = Tier.ON_TIME
     has_begun: bool = False
     """Whether a task of the job has started: stopping now would waste its work."""
-    care: Care = Care.NONE
+    restriction: Care = Care.NONE
     """Precautions where its tasks may crash an upstream."""
-    offered_since: timedelta | None = None
+    first_tried_at: timedelta | None = None
     """When the scheduler first tried to place the batch."""
-    was_offered: bool = False
+    was_tried: bool = False
     """Whether all upstreams were tried, so that only those that gain capacity need be."""
 
     def __post_init__(self) -> None:
@@ -67,17 +67,17 @@
         return self.step.needs
 
     @property
-    def whole_work_ms(self) -> float:
+    def total_core_ms(self) -> float:
         """Expected core-milliseconds of all waiting tasks."""
-        return self.work_ms * len(self.waiting)
+        return self.core_ms * len(self.waiting)
 
 
 def _by_latest_start(batch: Batch) -> timedelta:
     return batch.latest_start
 
 
-def _by_last_use(batch: Batch) -> timedelta:
-    return batch.last_use
+def _by_latest_useful_start(batch: Batch) -> timedelta:
+    return batch.latest_useful_start
 
 
 class Backlog:
@@ -104,8 +104,8 @@
 
     def add(self, batch: Batch) -> None:
         """Insert a batch in serving order."""
-        key = _by_latest_start if batch.tier is Tier.ON_TIME else _by_last_use
-        if not batch.was_offered:
+        key = _by_latest_start if batch.tier is Tier.ON_TIME else _by_latest_useful_start
+        if not batch.was_tried:
             self._new.append(batch)
         bisect.insort(self._tiers[batch.tier], batch, key=key)
 
@@ -123,7 +123,7 @@
             self.add(batch)
             moved.append(batch)
         on_time[:0] = kept
-        while late and late[0].last_use < now:
+        while late and late[0].latest_useful_start < now:
             batch = late.pop(0)
             batch.tier = Tier.HOPELESS
             self.add(batch)
@@ -135,10 +135,10 @@
         """Whether there is a batch that the scheduler has not tried to place yet."""
         return bool(self._new)
 
-    def take_new(self) -> list[Batch]:
+    def pop_new(self) -> list[Batch]:
         """Return the batches that were not tried yet, and clear that list."""
         new, self._new = self._new, []
-        return [batch for batch in new if batch.waiting and not batch.was_offered]
+        return [batch for batch in new if batch.waiting and not batch.was_tried]
 
     def drop_empty(self) -> None:
         """Remove batches without waiting tasks."""
@@ -155,19 +155,19 @@
             if any(batch.job.id == job for batch in batches):
                 self._tiers[tier] = [batch for batch in batches if batch.job.id != job]
 
-    def measure_on_time(self, latest_start: timedelta) -> float:
+    def measure_work_ahead(self, latest_start: timedelta) -> float:
         """Return the on-time core-milliseconds ahead of a job with this latest start."""
         ahead = 0.0
         for batch in self._tiers[Tier.ON_TIME]:
             if batch.latest_start > latest_start:
                 break
-            ahead += batch.whole_work_ms
+            ahead += batch.total_core_ms
         return ahead
 
     def measure_work(self) -> float:
         """Return the core-milliseconds of all waiting work that is still of use."""
         useful = (*self._tiers[Tier.ON_TIME], *self._tiers[Tier.LATE])
-        return sum(batch.whole_work_ms for batch in useful)
+        return sum(batch.total_core_ms for batch in useful)
 
     def count_tasks(self) -> int:
         """Return the number of waiting tasks."""
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -23,7 +23,7 @@
     """
 
     caller: str
-    line: int
+    channel: int = msgspec.field(name="line")
     jobs: tuple[NumberedJob, ...]
 
 
@@ -34,7 +34,7 @@
     """
 
     caller: str
-    line: int
+    channel: int = msgspec.field(name="line")
     count: int = 0
     have: int = 0
 
--- a/cottonlug/core/cluster/calls.py
+++ b/cottonlug/core/cluster/calls.py
@@ -38,7 +38,7 @@
     """How long the gateway had had that answer when it sent this."""
 
 
-class GivenUp(Value, frozen=True):
+class AbandonedSubmission(Value, frozen=True):
     """A submission that its gateway no longer waits for; its caller may send the job again."""
 
     host: str
@@ -55,7 +55,7 @@
     host: str
     path: str
     spec: JobSpec
-    patience_ms: int = 0
+    wait_timeout_ms: int = msgspec.field(name="patience_ms", default=0)
     waited_ms: int = 0
     """How long the job has been at its gateway: its objective counts from its arrival there."""
     gateway: str = ""
@@ -65,9 +65,9 @@
     """Unique among the submissions of its gateway."""
     may_have_begun: bool = False
     """Whether an earlier try has an unknown outcome: it can no longer be rejected as not run."""
-    deputy_term: int = 0
+    acting_leader_term: int = msgspec.field(name="deputy_term", default=0)
     """Term in which an acting leader may have begun it; only leaders of later terms may go on."""
-    may_be_of_deputy: bool = False
+    may_be_of_acting_leader: bool = msgspec.field(name="may_be_of_deputy", default=False)
     """Whether another gateway has had an earlier try, which may have acted as leader by then."""
     suspects: tuple[Suspect, ...] = ()
     """Tasks under which upstreams have ended, as reported by earlier coordinators."""
@@ -95,13 +95,13 @@
     path: str
 
 
-class Beat(Value, frozen=True, tag="beat"):
+class ForwardHeartbeat(Value, frozen=True, tag="beat"):
     """Forward an upstream's heartbeat."""
 
     heartbeat: Heartbeat
 
 
-class HeardUpstream(Value, frozen=True):
+class ReportedHeartbeat(Value, frozen=True):
     """A heartbeat that another control host has answered."""
 
     upstream: UpstreamId
@@ -112,15 +112,15 @@
     """How long before this report it had arrived."""
 
 
-class Heard(Value, frozen=True, tag="heard"):
+class ReportHeartbeats(Value, frozen=True, tag="heard"):
     """Report to the leader whose heartbeats a control host has answered since its last report."""
 
-    desk: str
+    responder: str = msgspec.field(name="desk")
     """Address of that host for upstreams."""
-    upstreams: tuple[HeardUpstream, ...] = ()
+    upstreams: tuple[ReportedHeartbeat, ...] = ()
 
 
-class Leave(Value, frozen=True, tag="leave"):
+class ForwardLeave(Value, frozen=True, tag="leave"):
     """Forward that an upstream leaves now."""
 
     upstream: UpstreamId
@@ -154,16 +154,16 @@
     """Ask which failure domains are evacuated."""
 
 
-class Greet(Value, frozen=True, tag="greet"):
+class KeepAlive(Value, frozen=True, tag="greet"):
     """Tell that a gateway is alive; ask who leads, and for failover state newer than its own."""
 
     gateway: str = ""
-    life: int = 0
+    instance: int = msgspec.field(name="life", default=0)
     """Unique for each process at the gateway's address: a new one waits for no earlier job."""
     domain: DomainName = DomainName("")
-    roster: str = ""
+    failover_version: str = msgspec.field(name="roster", default="")
     contact: Contact | None = None
-    given_up: tuple[GivenUp, ...] = ()
+    abandoned: tuple[AbandonedSubmission, ...] = msgspec.field(name="given_up", default=())
     """What the gateway has abandoned lately: a keep-alive confirms all its other submissions."""
     is_probe: bool = False
     """Whether a host that does not lead need only say that it is alive, and who leads."""
@@ -174,7 +174,7 @@
 NO_LOG = "a deputy has no log"
 """Detail of an acting leader's answer to a call that only a leader can carry out."""
 
-NOT_IN_TOUCH = "the gateway was not answered lately"
+NO_RECENT_CONTACT = "the gateway was not answered lately"
 """Detail of an answer to a submission that was delayed, or that follows no keep-alive."""
 
 Call = (
@@ -182,14 +182,14 @@
     | Abandon
     | AskState
     | Cancel
-    | Beat
-    | Heard
-    | Leave
+    | ForwardHeartbeat
+    | ReportHeartbeats
+    | ForwardLeave
     | Configure
     | AskConfiguration
     | Evacuate
     | AskEvacuations
-    | Greet
+    | KeepAlive
 )
 
 
@@ -200,7 +200,7 @@
     domain: DomainName = DomainName("")
 
 
-class Roster(Value, frozen=True):
+class FailoverState(Value, frozen=True):
     """Failover state: what a gateway must know to act as leader while none can be reached.
 
     With `base` it holds only the changes since that version: the configuration where it is another
@@ -212,7 +212,7 @@
     configuration: Configuration | None
     upstreams: tuple[UpstreamRecord, ...]
     gateways: tuple[GatewayInfo, ...]
-    keeps_jobs: bool
+    has_durable_jobs: bool = msgspec.field(name="keeps_jobs")
     """Whether durable jobs are under way, whose results an acting leader cannot store."""
     base: str = ""
     is_partial: bool = False
@@ -221,7 +221,7 @@
     suspects: tuple[SuspectRecord, ...] = ()
     """Tasks under which upstreams have ended."""
     evacuations: tuple[EvacuationRecord, ...] = ()
-    takes_calls: bool = True
+    accepts_calls: bool = msgspec.field(name="takes_calls", default=True)
     """Whether upstreams accept calls; a gateway gets no heartbeats, so it can only call them."""
 
 
@@ -235,7 +235,7 @@
     """Not done and never will be, for lack of a leader or a configuration."""
     UNKNOWN = "unknown"
     """It may or may not have been done."""
-    GIVEN_UP = "given_up"
+    ABANDONED = "given_up"
     """It may have been done in part; abandoned, since going on would be of no use."""
     NO_QUEUE = "no_queue"
     NO_JOB = "no_job"
@@ -286,12 +286,12 @@
     hosts: tuple[str, ...] = ()
     """Addresses of all known control hosts for calls."""
     max_body_bytes: int | None = None
-    roster: Roster | None = None
-    is_roster_due: bool = False
+    failover_state: FailoverState | None = msgspec.field(name="roster", default=None)
+    has_more_failover_state: bool = msgspec.field(name="is_roster_due", default=False)
     """Whether there is more failover state than `roster`, which another keep-alive will bring."""
     contact: Contact | None = None
     """To be returned with the next keep-alive, where this answers one."""
-    is_deputy: bool = False
+    is_acting_leader: bool = msgspec.field(name="is_deputy", default=False)
     """Whether the answer is that of a gateway that acts as leader."""
     domain: DomainName | None = None
     """The failure domain that an acting leader is limited to, where it is."""
--- a/cottonlug/core/cluster/rooms.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -44,32 +44,32 @@
         self.free_cpu -= entry[0]
 
 
-class Rooms:
+class CapacityIndex:
     """The lives that take work, with the least room first."""
 
     def __init__(self, *, lives: LifeTable) -> None:
         self._lives = lives
         self._pools: dict[ServiceName, dict[DomainName, _Pool]] = {}
         self._entries: dict[UpstreamId, _Entry] = {}
-        self._is_fresh = False
-        self._all_used: set[ServiceName] = set()
+        self._is_current = False
+        self._ignores_suspension: set[ServiceName] = set()
         """Services of which too many upstreams are set aside to do without these."""
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Have all lives gone through again: by the clock, too, some take work that did not."""
-        self._is_fresh = False
+        self._is_current = False
 
     def refresh_if_due(self, now: timedelta) -> bool:
         """Go through all lives again where that is due; return whether it was."""
-        if self._is_fresh:
+        if self._is_current:
             return False
-        self._is_fresh = True
+        self._is_current = True
         self._entries = {}
         self._pools = {}
-        self._all_used = set()
+        self._ignores_suspension = set()
         for service, working in self._lives.find_working(now).items():
-            if any(self._is_set_aside(life, now) for life in working):
-                self._all_used.add(service)
+            if any(self._is_suspended(life, now) for life in working):
+                self._ignores_suspension.add(service)
             entries = [(life.free_cpu, life.number, life) for life in working]
             # Each goes to the end of its pool.
             for entry in sorted(entries):
@@ -81,8 +81,8 @@
         id, service = life.info.id, life.info.service
         old = self._entries.get(id)
         takes_work = self._is_known(life) and self._lives.takes_work(life, now)
-        if takes_work and service not in self._all_used:
-            takes_work = not self._is_set_aside(life, now)
+        if takes_work and service not in self._ignores_suspension:
+            takes_work = not self._is_suspended(life, now)
         if old is not None:
             if takes_work and old[0] == life.free_cpu:
                 return
@@ -91,12 +91,12 @@
         if takes_work:
             self._add((life.free_cpu, life.number, life))
 
-    def find_most(self, service: ServiceName) -> int:
+    def find_max_free_cpu(self, service: ServiceName) -> int:
         """Return the most room that any upstream of a service has left, in core-thousandths."""
         pools = self._pools.get(service, {}).values()
         return max((pool.entries[-1][0] for pool in pools if pool.entries), default=0)
 
-    def iterate_from(
+    def iterate_instances(
         self, service: ServiceName, cpu: int, now: timedelta, first: DomainName | None
     ) -> Iterator[Life]:
         """Yield the lives of a service with at least so much room, the least first in each domain.
@@ -131,5 +131,5 @@
     def _is_known(self, life: Life) -> bool:
         return self._lives.by_id.get(life.info.id) is life
 
-    def _is_set_aside(self, life: Life, now: timedelta) -> bool:
-        return self._lives.get_health(life).is_set_aside(now)
+    def _is_suspended(self, life: Life, now: timedelta) -> bool:
+        return self._lives.get_health(life).is_suspended(now)
--- a/cottonlug/core/cluster/reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-LONGEST_ELECTION = timedelta(milliseconds=700)
+MAX_ELECTION_TIME = timedelta(milliseconds=700)
 """How long there may have been no leader when a new one begins that has known the last one."""
-MISSED_AFTER = timedelta(milliseconds=400)
-TOLD_WITHIN = timedelta(milliseconds=500)
+MISSED_HEARTBEAT_DELAY = timedelta(milliseconds=400)
+PROPAGATION_TIME = timedelta(milliseconds=500)
 """A heartbeat that comes later than its interval by the first counts as missed; all who may decide
 next know of that by the second: a commit and a greeting of a gateway come between."""
-FIRST_AVOIDED = timedelta(milliseconds=50)
+FIRST_REFUSAL_BACKOFF = timedelta(milliseconds=50)
 """After a refusal for want of room: the next look may show what runs there."""
-MOST_DOUBLED = 4
+MAX_BACKOFF_DOUBLINGS = 4
 """An upstream that has refused five times in a row is tried again each 0.8 s, or once it has said
 something new of itself: that comes with its next heartbeat, within 1.5 s."""
 
@@ -28,36 +28,36 @@
 class ReportTerms:
     """How soon an upstream tells that its capacity has changed, and what is borne until then."""
 
-    every: timedelta = timedelta(milliseconds=1_500)
+    interval: timedelta = timedelta(milliseconds=1_500)
     """The interval of its heartbeats."""
-    borne: timedelta = timedelta(seconds=3)
+    shrink_tolerance: timedelta = timedelta(seconds=3)
     """How long after a capacity has shrunk starts by the old one are borne, besides an interval."""
 
     @property
     def valid_for(self) -> timedelta:
         """How long a report holds at an upstream that guards nothing."""
-        return self.every + self.borne
+        return self.interval + self.shrink_tolerance
 
     @property
     def missed_after(self) -> timedelta:
         """How old a report is once a heartbeat was missed."""
-        return self.every + MISSED_AFTER
+        return self.interval + MISSED_HEARTBEAT_DELAY
 
-    def find_known_until(self, led_at: timedelta) -> timedelta:
+    def find_valid_until(self, led_at: timedelta) -> timedelta:
         """Return until when capacities in a record hold that was up to date at a moment.
 
         It says of which upstreams a heartbeat was missed; all others, if they had changed by then
         without being heard, had done so within an interval.
         """
-        return led_at + self.borne - TOLD_WITHIN
+        return led_at + self.shrink_tolerance - PROPAGATION_TIME
 
 
-USUAL_REPORTS = ReportTerms()
+DEFAULT_REPORT_TERMS = ReportTerms()
 
 
-def find_avoided(refusals: int) -> timedelta:
+def find_refusal_backoff(refusals: int) -> timedelta:
     """Return how long nothing is started at an upstream that has just refused for want of room.
 
     `refusals` in a row say that its room has shrunk, and that no heartbeat has told it yet.
     """
-    return FIRST_AVOIDED * (1 << min(refusals - 1, MOST_DOUBLED))
+    return FIRST_REFUSAL_BACKOFF * (1 << min(refusals - 1, MAX_BACKOFF_DOUBLINGS))
--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -9,7 +9,7 @@
 from .model import (
     Capacity,
     Configuration,
-    EndReport,
+    RunEndReport,
     JobId,
     JobSpec,
     OrderId,
@@ -44,7 +44,7 @@
 
     upstream: UpstreamId
     through: int
-    ends: tuple[EndReport, ...]
+    ends: tuple[RunEndReport, ...]
     at_ms: int
 
 
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -26,7 +26,7 @@
     UncordonUpstream,
 )
 from .ends import Ends
-from .filler import Filler
+from .scheduler import Scheduler
 from .life_table import LifeTable
 from .lives import LeaseTerms, Life
 from .model import (
@@ -34,7 +34,7 @@
     JobId,
     JobSpec,
     JobState,
-    LookReply,
+    PollReply,
     Queue,
 )
 from .open_job import OpenJob, Submission, TaskPhase
@@ -50,19 +50,19 @@
 )
 from .records import JobRecord, Records, end_job
 from .registry import Registry
-from .reports import USUAL_REPORTS, ReportTerms, find_avoided
+from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms, find_refusal_backoff
 from .settlement import Settlement
 from .suspicion import Suspicion
 from .term import DispatchCounts, Note, Term, WallTime
-from .wakes import Wakes
+from .upstream_timers import UpstreamTimers
 from .watcher import Watcher
 
 STOP_RETRY = timedelta(milliseconds=50)
-SWEEP_EVERY = timedelta(milliseconds=100)
+SCAN_INTERVAL = timedelta(milliseconds=100)
 """Interval of the scan of all upstreams; in between, only those are processed from which something
 was received, or for which a timer is due."""
-AVOID_AFTER_REFUSAL = timedelta(milliseconds=300)
-LONGEST_LIST = 500
+REFUSAL_BACKOFF = timedelta(milliseconds=300)
+MAX_LISTED_ENDS = 500
 """A poll lists at most this many ended runs; a full list may hide more."""
 
 
@@ -81,7 +81,7 @@
         on_end: Callable[[JobId], None],
         domain: DomainName | None = None,
         keeps_log: bool = True,
-        reports: ReportTerms = USUAL_REPORTS,
+        reports: ReportTerms = DEFAULT_REPORT_TERMS,
         known_until: timedelta = timedelta(),
     ) -> None:
         self._term = Term(
@@ -102,16 +102,16 @@
         self._jobs = OpenJobs(term=self._term, lives=self._lives, suspicion=suspicion)
         self._watcher = Watcher(term=self._term, lives=self._lives, jobs=self._jobs)
         self._adopter = Adopter(term=self._term, lives=self._lives, jobs=self._jobs)
-        self._filler = Filler(term=self._term, lives=self._lives, jobs=self._jobs)
+        self._filler = Scheduler(term=self._term, lives=self._lives, jobs=self._jobs)
         self._settlement = Settlement(term=self._term, lives=self._lives, jobs=self._jobs)
         self._ends = Ends(
             term=self._term, lives=self._lives, jobs=self._jobs, settlement=self._settlement
         )
-        self.may_be_stood_in_for: Callable[[], bool] = lambda: True
+        self.may_have_acting_leader: Callable[[], bool] = lambda: True
         """Whether a gateway without contact to this host may act as leader."""
         self._registry = Registry(term=self._term, lives=self._lives)
-        self._wakes = Wakes()
-        self._sweep_due = now
+        self._timers = UpstreamTimers()
+        self._scan_due = now
 
     # State and events
 
@@ -145,21 +145,21 @@
         """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
         return self._filler.find_rejection(queue, spec, waited, now)
 
-    def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record that an upstream is alive, its capacity, and whether it is leaving."""
         self._registry.take_heartbeat(heartbeat, now)
 
-    def take_heard(
+    def handle_reported_heartbeat(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
         """Record a heartbeat without news that another host has answered."""
         self._registry.take_heard(upstream, sequence, clock_ms, at)
 
-    def take_leave(self, upstream: UpstreamId) -> None:
+    def handle_leave(self, upstream: UpstreamId) -> None:
         """Send no more work to an upstream."""
         self._registry.take_leave(upstream)
 
-    def note_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
+    def set_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
         """Record whether an order would reach an upstream at once."""
         life = self._lives.by_id.get(upstream)
         if life is not None:
@@ -169,34 +169,34 @@
         """Accept a best-effort job; runs of it that another host started go on."""
         # What runs at an upstream that cannot be reached ends with its lease.
         is_new = self._settlement.is_settled and not submission.may_have_begun
-        of_deputies = submission.may_be_of_deputy
+        of_deputies = submission.may_be_of_acting_leader
         is_unsure = not is_new and self._settlement.is_unsure(of_deputies=of_deputies)
         self._jobs.rejections.pop(record.id, None)
-        self._jobs.given_up.discard(record.id)
+        self._jobs.abandoned.discard(record.id)
         phase = TaskPhase.UNKNOWN if is_unsure else TaskPhase.QUEUED
         self._jobs.open(record, phase, now, submission.waited)
         job = self._jobs.jobs[record.id]
         job.gateway = submission.gateway
         job.home = submission.home
-        job.vouched_until = submission.vouched_until
-        job.may_be_of_deputy = submission.may_be_of_deputy
+        job.confirmed_until = submission.confirmed_until
+        job.may_be_of_acting_leader = submission.may_be_of_acting_leader
         job.has_begun = job.has_begun or submission.may_have_begun
         if is_unsure:
-            job.settle_at = now + submission.settle_after
+            job.reconcile_at = now + submission.reconcile_after
             self._settlement.note_unsure()
         self._ends.claim(record, now)
-        if not self._lives.may_have_orphans and record.id not in self._jobs.left_behind:
+        if not self._lives.may_have_orphans and record.id not in self._jobs.closed_while_running:
             return
         for life in self._lives.by_id.values():
             for run in [each for each in life.runs.values() if each.task.job == record.id]:
                 self._adopter.adopt_orphan(job, life, run)
                 self._lives.touch(life)
 
-    def is_given_up(self, id: JobId) -> bool:
+    def has_quarantined_task(self, id: JobId) -> bool:
         """Whether a task of a job is not to be started again, since upstreams crashed under it."""
         return any(each.counts.is_given_up for each in self._jobs.suspicion.list_suspects(id))
 
-    def join(self, id: JobId, submission: Submission, now: timedelta) -> None:
+    def merge_submission(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
 
         One from the gateway of the first says nothing new: had that been at another host since,
@@ -205,11 +205,13 @@
         job = self._jobs.jobs.get(id)
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
             return
-        job.may_be_of_deputy = job.may_be_of_deputy or submission.may_be_of_deputy
-        if not self._settlement.is_unsure(of_deputies=job.may_be_of_deputy):
+        job.may_be_of_acting_leader = (
+            job.may_be_of_acting_leader or submission.may_be_of_acting_leader
+        )
+        if not self._settlement.is_unsure(of_deputies=job.may_be_of_acting_leader):
             return
-        job.settle_at = max(job.settle_at, now + submission.settle_after)
-        self._jobs.doubt(job)
+        job.reconcile_at = max(job.reconcile_at, now + submission.reconcile_after)
+        self._jobs.mark_unknown(job)
         self._settlement.note_unsure()
 
     def abandon(self, id: JobId, gateway: str, now: timedelta) -> None:
@@ -219,9 +221,9 @@
         """
         job = self._jobs.jobs.get(id)
         if job is not None and job.gateway == gateway:
-            self._give_up(job, now)
+            self._abandon_best_effort(job, now)
 
-    def _give_up(self, job: OpenJob, now: timedelta) -> None:
+    def _abandon_best_effort(self, job: OpenJob, now: timedelta) -> None:
         if job.record.spec.best_effort:
             end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
             self._jobs.close_if_ended(job.record.id, now)
@@ -232,26 +234,26 @@
         if job is None or not job.record.spec.best_effort:
             return False
         self._jobs.ended[id] = (JobState.CANCELLED, now)
-        self._give_up(job, now)
+        self._abandon_best_effort(job, now)
         return True
 
-    def abandon_silent(self, is_heard: Callable[[str], bool], now: timedelta) -> None:
+    def abandon_silent_gateways(self, is_heard: Callable[[str], bool], now: timedelta) -> None:
         """Abandon the jobs of silent gateways, which may have sent them to another host."""
         heard: dict[str, bool] = {"": True}
         for job in list(self._jobs.jobs.values()):
             if job.gateway not in heard:
                 heard[job.gateway] = is_heard(job.gateway)
-            if not heard[job.gateway] and now >= job.vouched_until:
+            if not heard[job.gateway] and now >= job.confirmed_until:
                 self._term.note("gateway_silent", {"gateway": job.gateway, "job": job.record.id})
-                self._give_up(job, now)
+                self._abandon_best_effort(job, now)
 
     def abandon_gateway(self, gateway: str, now: timedelta) -> None:
         """Abandon all jobs of a gateway that has restarted and waits for none of them."""
         for job in list(self._jobs.jobs.values()):
             if job.gateway == gateway:
-                self._give_up(job, now)
+                self._abandon_best_effort(job, now)
 
-    def take_applied(self, command: Command, now: timedelta) -> None:
+    def handle_applied_command(self, command: Command, now: timedelta) -> None:
         """Act on a command that was just applied to the records."""
         if isinstance(command, AcceptJob):
             job = self._term.records.jobs.get(command.job)
@@ -267,18 +269,18 @@
             if command.upstream in self._lives.by_id:
                 self._lives.by_id[command.upstream].draining = True
         elif isinstance(command, SetEvacuation):
-            self._take_evacuation(command, now)
+            self._handle_evacuation(command, now)
         elif isinstance(command, UncordonUpstream):
             self._watcher.uncordon(command.upstream)
         elif isinstance(command, NoteCrash):
-            self._drop(command.upstream)
+            self._drop_instance(command.upstream)
             suspects = (*command.blamed, *command.others, *command.unanswered)
             self._jobs.fail_crashing(suspects, now)
         elif isinstance(command, RemoveUpstreams):
             for upstream in command.upstreams:
-                self._drop(upstream)
+                self._drop_instance(upstream)
 
-    def _take_evacuation(self, command: SetEvacuation, now: timedelta) -> None:
+    def _handle_evacuation(self, command: SetEvacuation, now: timedelta) -> None:
         """Start nothing more in a domain, or use its upstreams again."""
         runs = self._lives.set_evacuated(command.domain, now)
         record = self._term.records.evacuations.get(command.domain)
@@ -289,14 +291,14 @@
         if record.is_evacuated:
             self._filler.reject_evacuated(now)
 
-    def _drop(self, upstream: UpstreamId) -> None:
+    def _drop_instance(self, upstream: UpstreamId) -> None:
         life = self._lives.by_id.get(upstream)
         self._lives.drop(upstream)
         if life is not None:
             # The log has counted its end, or it has left: its tasks need not wait for that.
             self._jobs.release(self._jobs.suspicion.forget(life))
 
-    def take_start_answer(
+    def handle_start_answer(
         self,
         order: StartOrder,
         outcome: StartOutcome,
@@ -338,19 +340,19 @@
             "start_refused",
             {"upstream": life.info.id, "job": order.task.job, "reason": outcome.value},
         )
-        life.avoid_until = now + self._find_avoided(life, outcome)
+        life.avoid_until = now + self._find_backoff(life, outcome)
         life.remove_run((order.task, order.run))
         self._jobs.requeue(order.task, order.run, life.info.id)
 
-    def _find_avoided(self, life: Life, outcome: StartOutcome) -> timedelta:
+    def _find_backoff(self, life: Life, outcome: StartOutcome) -> timedelta:
         """Return how long to start nothing at an upstream after a refusal."""
         if outcome is not StartOutcome.NO_ROOM:
-            return AVOID_AFTER_REFUSAL
+            return REFUSAL_BACKOFF
         self._term.counts.starts_without_room += 1
         life.refusals += 1
-        return find_avoided(life.refusals)
+        return find_refusal_backoff(life.refusals)
 
-    def take_stop_answer(
+    def handle_stop_answer(
         self, order: StopOrder, failure: CallFailure | None, now: timedelta
     ) -> None:
         """Process whether a stop has arrived."""
@@ -374,10 +376,10 @@
         else:
             run.stop_due = now + STOP_RETRY
 
-    def take_look(
+    def handle_poll_answer(
         self,
         order: LookOrder,
-        reply: LookReply | CallFailure,
+        reply: PollReply | CallFailure,
         sent_at: timedelta,
         now: timedelta,
     ) -> None:
@@ -422,61 +424,61 @@
         for report in reply.running:
             self._adopter.take_running(life, report, now)
         self._watcher.judge_runs(life, now)
-        if len(reply.ended) < LONGEST_LIST:
+        if len(reply.ended) < MAX_LISTED_ENDS:
             self._drop_vanished(life, reply, sent_at, now)
 
     def tick(self, now: timedelta) -> None:
         """Do everything that is due and start tasks; collect orders and proposals afterwards."""
-        is_sweep = now >= self._sweep_due
+        is_full_scan = now >= self._scan_due
         self._jobs.open_due(self._settlement.first_phase, now)
         self._settlement.settle(now)
-        due = self._take_due(now)
-        lives = list(self._lives.by_id.values()) if is_sweep else due
+        due = self._pop_due_instances(now)
+        lives = list(self._lives.by_id.values()) if is_full_scan else due
         for life in lives:
             self._watcher.lapse(life, now)
             self._watcher.stop_runs(life, now)
         if self._term.may_start:
-            self._filler.fill(now, None if is_sweep else lives)
+            self._filler.fill(now, None if is_full_scan else lives)
         changed = (*lives, *self._lives.take_touched())
         for id, life in {each.info.id: each for each in changed}.items():
             self._watcher.look(life, now)
-            if self._watcher.is_calm(life, now) and (self._wakes.has(id) or not life.runs):
+            if self._watcher.is_calm(life, now) and (self._timers.has(id) or not life.runs):
                 # Nothing is due before its lease ends, and renewals only postpone that.
                 continue
-            self._wakes.set(id, self._watcher.find_wake(life, now))
-        if is_sweep:
-            self._sweep(now)
+            self._timers.set(id, self._watcher.find_wake(life, now))
+        if is_full_scan:
+            self._scan_all(now)
 
-    def _take_due(self, now: timedelta) -> list[Life]:
+    def _pop_due_instances(self, now: timedelta) -> list[Life]:
         """Return the instances from which something was received, or whose timer is due."""
-        for id in self._wakes.take_due(now):
+        for id in self._timers.pop_due(now):
             life = self._lives.by_id.get(id)
             if life is not None:
                 self._lives.touch(life)
         return self._lives.take_touched()
 
-    def _sweep(self, now: timedelta) -> None:
+    def _scan_all(self, now: timedelta) -> None:
         """Cordon or forget silent upstreams, and forget what ended long ago."""
-        self._sweep_due = now + SWEEP_EVERY
+        self._scan_due = now + SCAN_INTERVAL
         self._watcher.cordon(now)
-        self._watcher.forget_silent(now, may_be_used=self.may_be_stood_in_for)
+        self._watcher.forget_silent(now, may_be_used=self.may_have_acting_leader)
         self._registry.doubt_capacities(now)
         self._lives.look_for_orphans()
         self._jobs.forget_ended(now)
         self._ends.forget_orphans(now)
 
-    def take_orders(self) -> list[Order]:
+    def pop_orders(self) -> list[Order]:
         """Return the orders to be sent to upstreams, and clear the list."""
         orders, self._term.orders = self._term.orders, []
         return orders
 
-    def take_proposals(self) -> list[Command]:
+    def pop_proposals(self) -> list[Command]:
         """Return the commands to be put into the log, and clear the list."""
         proposals, self._term.proposals = self._term.proposals, []
         return proposals
 
     def _drop_vanished(
-        self, life: Life, reply: LookReply, sent_at: timedelta, now: timedelta
+        self, life: Life, reply: PollReply, sent_at: timedelta, now: timedelta
     ) -> None:
         """Requeue runs that were stopped before this poll was sent and are not listed.
 
--- a/cottonlug/core/cluster/ends.py
+++ b/cottonlug/core/cluster/ends.py
@@ -9,7 +9,7 @@
 from .commands import NoteEnds
 from .life_table import LifeTable
 from .lives import Life
-from .model import EndKind, EndReport, JobId
+from .model import RunEndKind, RunEndReport, JobId
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
@@ -28,10 +28,10 @@
         self._lives = lives
         self._jobs = jobs
         self._settlement = settlement
-        self._orphans: dict[JobId, list[EndReport]] = {}
+        self._orphans: dict[JobId, list[RunEndReport]] = {}
         """Ends of jobs that are not known, but may be submitted again."""
 
-    def take_listed(self, life: Life, ended: tuple[EndReport, ...], now: timedelta) -> None:
+    def take_listed(self, life: Life, ended: tuple[RunEndReport, ...], now: timedelta) -> None:
         """Take note of ends that an upstream has listed, here or through the log."""
         new = tuple(end for end in ended if end.number > max(life.proposed, life.noted))
         if not new:
@@ -39,14 +39,14 @@
         awaits_record = life.proposed > life.noted
         life.proposed = new[-1].number
         self._term.counts.ends += len(new)
-        self._jobs.tempo.take_ends(len(new), now)
-        kept: list[EndReport] = []
+        self._jobs.throughput.record_run_ends(len(new), now)
+        kept: list[RunEndReport] = []
         for end in new:
             run = life.remove_run((end.task, end.run))
             if run is not None:
                 self._look_for_another(life, run, end)
                 self._judge(life, run, end, now)
-            self._jobs.mark_noting(end, life.info.id)
+            self._jobs.mark_recording(end, life.info.id)
             if end.task.job in self._term.records.jobs:
                 kept.append(end)
             else:
@@ -83,18 +83,18 @@
         if self._orphans and not self._lives.is_grace(now):
             self._orphans.clear()
 
-    def _look_for_another(self, life: Life, run: Run, end: EndReport) -> None:
+    def _look_for_another(self, life: Life, run: Run, end: RunEndReport) -> None:
         """Learn from a stop that is not ours that another host decides, with a higher token.
 
         It may have begun the task again by now.
         """
-        if end.how is EndKind.STOPPED and not run.stop_wanted:
+        if end.how is RunEndKind.STOPPED and not run.stop_wanted:
             self._term.is_fenced_off = True
             self._term.note(
                 "run_stopped_elsewhere", {"upstream": life.info.id, "job": end.task.job}
             )
 
-    def _judge(self, life: Life, run: Run, end: EndReport, now: timedelta) -> None:
+    def _judge(self, life: Life, run: Run, end: RunEndReport, now: timedelta) -> None:
         """Learn from the end of a run how fast its kind is, and how well its upstream."""
         health = self._lives.get_health(life)
         job = self._jobs.jobs.get(end.task.job)
@@ -118,15 +118,15 @@
         if job.record.spec.long_running:
             # How long a task lasts says nothing of its upstream.
             return
-        if end.how is EndKind.DONE:
+        if end.how is RunEndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
-            job.learn_pace(end.task.step, life.info.id, taken)
-            if health.take_done(taken / expected, now):
+            job.record_run_time(end.task.step, life.info.id, taken)
+            if health.record_success(taken / expected, now):
                 self._term.note("upstream_slow", {"upstream": life.info.id})
-        elif end.how is EndKind.FAILED and health.take_failure(now):
+        elif end.how is RunEndKind.FAILED and health.record_failure(now):
             self._term.note("upstream_failing", {"upstream": life.info.id})
 
-    def _note_here(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
+    def _note_here(self, end: RunEndReport, upstream: UpstreamId, now: timedelta) -> None:
         """Take note of an end that need not be kept."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
@@ -135,7 +135,9 @@
         elif self._lives.is_grace(now):
             self._orphans.setdefault(end.task.job, []).append(end)
 
-    def _take_noted_end(self, end: EndReport, upstream: UpstreamId | None, now: timedelta) -> None:
+    def _take_noted_end(
+        self, end: RunEndReport, upstream: UpstreamId | None, now: timedelta
+    ) -> None:
         job = self._jobs.jobs.get(end.task.job)
         if job is None:
             return
@@ -155,10 +157,10 @@
             del job.tasks[end.task]
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
-        elif task.phase is TaskPhase.NOTING and task.is_unknown:
+        elif task.phase is TaskPhase.RECORDING and task.is_unknown:
             # An end of one run says nothing of a later one at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
             self._settlement.note_unsure()
-        elif task.phase is TaskPhase.NOTING and task.noted == (upstream, end.run):
+        elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
             # An older end, noted meanwhile, must not free a task whose later run has ended well.
             self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.place])
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -9,8 +9,8 @@
 
 LEARNING_RATE = 0.05
 """Weight of the newest run: a queue's mean follows within some twenty runs."""
-LEAST_MS = 1.0
-LATE_FACTOR = 3
+MIN_RUN_TIME_MS = 1.0
+USEFUL_FACTOR = 3
 """An answer after more than this many times the objective is worth nothing (the users' rules)."""
 
 
@@ -25,8 +25,8 @@
 
     def learn(self, queue: QueueKey, step: StepSpec, taken: timedelta) -> None:
         """Learn from a run that ended as done."""
-        taken_ms = max(taken / timedelta(milliseconds=1), LEAST_MS)
-        ratio = math.log(taken_ms / max(step.estimate_ms, LEAST_MS))
+        taken_ms = max(taken / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
+        ratio = math.log(taken_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
         known = self._ratios.get(queue, 0.0)
         self._ratios[queue] = known + LEARNING_RATE * (ratio - known)
         self._factors[queue] = math.exp(self._ratios[queue])
@@ -34,25 +34,25 @@
     def predict(self, queue: QueueKey, step: StepSpec) -> timedelta:
         """Return how long a task of a step will run."""
         factor = self._factors.get(queue, 1.0)
-        return timedelta(milliseconds=max(step.estimate_ms, LEAST_MS) * factor)
+        return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * factor)
 
-    def find_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
+    def predict_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
         """Return how long the longest chain of steps takes that begins with one step."""
         longest = timedelta()
         for number in range(first + 1, len(steps)):
             if first in steps[number].depends_on:
-                longest = max(longest, self.find_chain(queue, steps, number))
+                longest = max(longest, self.predict_chain(queue, steps, number))
         return self.predict(queue, steps[first]) + longest
 
     def find_objective(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
         """Return how long a job may take to meet its objective."""
         target = timedelta(milliseconds=queue.target_latency_ms)
-        return self.find_longest_chain(queue, steps) * queue.stretch + target
+        return self.predict_critical_path(queue, steps) * queue.stretch + target
 
-    def find_longest_chain(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
+    def predict_critical_path(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
         """Return how long the longest chain of steps takes."""
         roots = [number for number, step in enumerate(steps) if not step.depends_on]
-        chains = (self.find_chain(queue.key, steps, root) for root in roots)
+        chains = (self.predict_chain(queue.key, steps, root) for root in roots)
         return max(chains, default=timedelta())
 
 
@@ -61,8 +61,8 @@
     return Forecast().find_objective(queue, spec.steps)
 
 
-def find_last_use(queue: Queue, spec: JobSpec) -> timedelta:
+def find_latest_useful_start(queue: Queue, spec: JobSpec) -> timedelta:
     """Return how long after its arrival a job may begin to be of any use, by declared run times."""
     declared = Forecast()
     objective = declared.find_objective(queue, spec.steps)
-    return objective * LATE_FACTOR - declared.find_longest_chain(queue, spec.steps)
+    return objective * USEFUL_FACTOR - declared.predict_critical_path(queue, spec.steps)
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -5,8 +5,8 @@
 from datetime import timedelta
 
 from ..ids import DomainName, UpstreamId
-from .admission import measure_room
-from .guards import MOST_SET_ASIDE, Health
+from .admission import measure_usable_cores
+from .upstream_health import MAX_SUSPENDED_SHARE, UpstreamHealth
 from .identity import get_name, is_earlier
 from .lives import Life
 from .model import JobId, RunNumber, ServiceName, TaskRef, UpstreamInfo
@@ -35,7 +35,7 @@
         self._by_address: dict[str, UpstreamId] = {}
         self._newest: dict[str, UpstreamId] = {}
         """The newest life under each name."""
-        self._health: dict[UpstreamId, Health] = {}
+        self._health: dict[UpstreamId, UpstreamHealth] = {}
         for record in term.records.upstreams.values():
             life = self.add(record.info, record.noted, record.draining, term.began_at)
             life.sequence = record.sequence
@@ -134,7 +134,7 @@
         for life in lives:
             if life.is_evacuated and not is_evacuated:
                 # Its next heartbeat tells whether that is so.
-                life.cold_until = now + self._term.reports.every
+                life.cold_until = now + self._term.reports.interval
             life.is_evacuated = is_evacuated
             self.touch(life)
         self._room = None
@@ -148,11 +148,11 @@
         there = [life for life in lives if not (life.is_over or life.draining or life.is_foreign)]
         return bool(there) and all(life.is_evacuated for life in there)
 
-    def get_health(self, life: Life) -> Health:
+    def get_health(self, life: Life) -> UpstreamHealth:
         """Return how the runs at a life have gone."""
         health = self._health.get(life.info.id)
         if health is None:
-            health = self._health[life.info.id] = Health()
+            health = self._health[life.info.id] = UpstreamHealth()
         return health
 
     def find_working(self, now: timedelta) -> dict[ServiceName, list[Life]]:
@@ -162,14 +162,14 @@
             if self.takes_work(life, now):
                 by_service.setdefault(life.info.service, []).append(life)
         for service, lives in by_service.items():
-            well = [life for life in lives if not self.get_health(life).is_set_aside(now)]
-            if len(well) >= len(lives) * (1.0 - MOST_SET_ASIDE):
+            well = [life for life in lives if not self.get_health(life).is_suspended(now)]
+            if len(well) >= len(lives) * (1.0 - MAX_SUSPENDED_SHARE):
                 by_service[service] = well
         return by_service
 
     def takes_work(self, life: Life, now: timedelta) -> bool:
         """Whether a life takes work at all, be it set aside or not."""
-        life.is_on_trial = self.get_health(life).is_on_trial
+        life.is_on_trial = self.get_health(life).is_on_probation
         return life.takes_work(now) and not self._may_be_full(life, now)
 
     def _may_be_full(self, life: Life, now: timedelta) -> bool:
@@ -205,7 +205,7 @@
 
     def list_changes(self, life: Life) -> list[timedelta]:
         """Return the moments at which a life takes work, or ceases to, by the clock alone."""
-        moments = [life.avoid_until, self.get_health(life).set_aside_until]
+        moments = [life.avoid_until, self.get_health(life).suspended_until]
         if life.reported_at is not None and life.info.service in self._list_unguarded():
             moments.append(life.reported_at + self._term.reports.valid_for)
         return moments
@@ -220,7 +220,7 @@
         if self._room is not None and now < self._room[0]:
             return self._room[1]
         is_new = self.is_grace(now)
-        room = measure_room(
+        room = measure_usable_cores(
             life
             for life in self.by_id.values()
             if life.takes_work(now) or (is_new and _may_take_work(life))
--- a/cottonlug/core/cluster/lives.py
+++ b/cottonlug/core/cluster/lives.py
@@ -11,7 +11,7 @@
 from .crashes import NO_WORK, AtWork
 from .model import Capacity, Needs, RunNumber, TaskRef, UpstreamInfo
 from .orders import Run
-from .patience import Patience
+from .response_timeout import ResponseTimeout
 
 RunKey = tuple[TaskRef, RunNumber]
 
@@ -110,7 +110,7 @@
     """What was at work when its lease lapsed, until it is known whether it has crashed."""
     lapse_at: timedelta = timedelta()
     """From when on nothing can run there unless a lease is renewed."""
-    patience: Patience = field(default_factory=Patience)
+    patience: ResponseTimeout = field(default_factory=ResponseTimeout)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
     _used_memory: int = 0
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -147,7 +147,7 @@
         return self in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
 
-class EndKind(Enum):
+class RunEndKind(Enum):
     """How a run ended at its upstream."""
 
     DONE = "done"
@@ -177,13 +177,13 @@
     labels: tuple[str, ...] = ()
 
 
-class EndReport(Value, frozen=True):
+class RunEndReport(Value, frozen=True):
     """The end of one run as listed by its upstream, where ends are numbered from 1."""
 
     number: int
     task: TaskRef
     run: RunNumber
-    how: EndKind
+    how: RunEndKind
     checkpoint: str = ""
 
 
@@ -196,12 +196,12 @@
     percent: int = 0
 
 
-class LookReply(Value, frozen=True):
+class PollReply(Value, frozen=True):
     """What an upstream holds at the moment; `clock_ms` is on its own clock."""
 
     clock_ms: int
     running: tuple[RunReport, ...]
-    ended: tuple[EndReport, ...]
+    ended: tuple[RunEndReport, ...]
 
 
 class Heartbeat(Value, frozen=True):
@@ -215,5 +215,5 @@
     """Whether what it says of its capacity cannot be read, so that it counts as having none."""
     cold_left_ms: int = 0
     """How much longer tasks take longer there than usual, as after its start."""
-    held: LookReply | None = None
+    held: PollReply | None = None
     """What it holds, where its orders come with the answers to its heartbeats."""
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -20,7 +20,7 @@
     """Waits for earlier steps."""
     QUEUED = "queued"
     RUNNING = "running"
-    NOTING = "noting"
+    RECORDING = "noting"
     """Its run has ended; the record has yet to take note."""
     UNKNOWN = "unknown"
     """An earlier leader may have started it."""
@@ -38,7 +38,7 @@
     is_unknown: bool = False
     """Whether another run of it, of another host that decides, may be at work somewhere; also of
     one whose run was adopted: see `Settlement`."""
-    noted: tuple[UpstreamId, RunNumber] | None = None
+    unrecorded_end: tuple[UpstreamId, RunNumber] | None = None
     """Whose end the record has yet to take note of, while it is `NOTING`."""
 
     def runs_as(self, run: RunNumber, upstream: UpstreamId) -> bool:
@@ -63,32 +63,32 @@
     """Address of the gateway that waits for its end, if one does."""
     home: DomainName | None = None
     """Where its tasks had best run: the failure domain of that gateway, or of its first task."""
-    vouched_until: timedelta = timedelta()
+    confirmed_until: timedelta = timedelta()
     """So long its gateway waits for it, as its submission says, heard or not."""
-    may_be_of_deputy: bool = False
+    may_be_of_acting_leader: bool = False
     """Whether a deputy may have begun it, of whose starts no leader knows."""
-    settle_at: timedelta = timedelta()
+    reconcile_at: timedelta = timedelta()
     """Until then its unknown tasks may run at an upstream out of sight."""
     next_occurrence: int = 0
     """The first occurrence that was not due yet."""
     due_at: dict[int, timedelta] = field(default_factory=dict)
     """When each occurrence was due; the objective counts from there."""
-    paces: dict[tuple[int, UpstreamId], timedelta] = field(default_factory=dict)
+    run_times: dict[tuple[int, UpstreamId], timedelta] = field(default_factory=dict)
     """How long a task of a step takes at an upstream, as its progress or its end has shown."""
 
-    def is_unsure(self) -> bool:
+    def has_unknown_tasks(self) -> bool:
         """Whether it waits for upstreams out of sight."""
         return any(task.phase is TaskPhase.UNKNOWN for task in self.tasks.values())
 
-    def learn_pace(self, step: int, upstream: UpstreamId, total: timedelta) -> None:
+    def record_run_time(self, step: int, upstream: UpstreamId, total: timedelta) -> None:
         """Remember how long a task of a step takes at an upstream."""
-        self.paces[(step, upstream)] = total
+        self.run_times[(step, upstream)] = total
 
-    def find_sibling_pace(self, step: int, upstream: UpstreamId) -> timedelta | None:
+    def find_sibling_run_time(self, step: int, upstream: UpstreamId) -> timedelta | None:
         """Return what a task of a step takes at the fastest of the other upstreams."""
         others = (
             total
-            for (number, life), total in self.paces.items()
+            for (number, life), total in self.run_times.items()
             if number == step and life != upstream
         )
         return min(others, default=None)
@@ -102,10 +102,10 @@
     home: DomainName | None = None
     """The failure domain of that gateway."""
     may_have_begun: bool
-    vouched_until: timedelta = timedelta()
-    may_be_of_deputy: bool = False
+    confirmed_until: timedelta = timedelta()
+    may_be_of_acting_leader: bool = False
     """Whether that host may be one that stood in for a leader."""
-    settle_after: timedelta
+    reconcile_after: timedelta
     """How long what another host began may go on at an upstream out of sight."""
     waited: timedelta = timedelta()
     """For how long the job has been at its gateway."""
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -10,18 +10,18 @@
 from .admission import Rejection
 from .backlog import Backlog, Batch
 from .crashes import Care
-from .forecast import LATE_FACTOR, Forecast
+from .forecast import USEFUL_FACTOR, Forecast
 from .life_table import LifeTable
-from .model import EndKind, EndReport, JobId, JobState, Queue, RunNumber, TaskRef
+from .model import RunEndKind, RunEndReport, JobId, JobState, Queue, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
 from .suspicion import Suspicion
-from .tempo import Tempo
+from .throughput import Throughput
 from .term import Term
 
-KEEP_ENDED = timedelta(seconds=10)
+ENDED_JOB_RETENTION = timedelta(seconds=10)
 """How long the end of a job that need not be kept is remembered, for a late second submission."""
-START_MARGIN = 0.4
+START_MARGIN_SHARE = 0.4
 """Share of the wait that the objective allows which is kept for run times beyond the declared ones:
 they scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
 NEVER_LATE = timedelta.max
@@ -36,27 +36,27 @@
         self.jobs: dict[JobId, OpenJob] = {}
         self.backlog = Backlog()
         self.forecast = Forecast()
-        self.tempo = Tempo()
+        self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
         self.rejections: dict[JobId, Rejection] = {}
         """Why jobs were given up that had not begun."""
-        self.left_behind: dict[JobId, timedelta] = {}
+        self.closed_while_running: dict[JobId, timedelta] = {}
         """Jobs that were closed while runs of them were still at work, and when."""
-        self.given_up: set[JobId] = set()
+        self.abandoned: set[JobId] = set()
         """Jobs that were given up although something of them may have run."""
-        self.has_unsure = True
+        self.may_have_unknown_tasks = True
         """Whether tasks may have become unknown since this was last looked at."""
-        self._kept: set[JobId] = set()
+        self._durable: set[JobId] = set()
         """Open jobs that must be kept."""
         self._timed: dict[JobId, OpenJob] = {}
         """Timed jobs with occurrences that are not due yet."""
         self._term = term
         self._lives = lives
-        self._forget_at = term.began_at + KEEP_ENDED
+        self._forget_at = term.began_at + ENDED_JOB_RETENTION
         for record in term.records.jobs.values():
             if record.is_open:
                 self.open(record, TaskPhase.UNKNOWN, term.began_at, self.find_age(record))
-                self.jobs[record.id].settle_at = term.lapsed_at
+                self.jobs[record.id].reconcile_at = term.lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
         """Return how long ago a kept job arrived; clocks of hosts may differ a little."""
@@ -72,7 +72,7 @@
         job = OpenJob(record=record, opened_at=now - age, objective=objective)
         self.jobs[record.id] = job
         if not record.spec.best_effort:
-            self._kept.add(record.id)
+            self._durable.add(record.id)
         self._term.note(
             "job_taken",
             {
@@ -149,15 +149,17 @@
         if not self.suspicion.may_suspect_any():
             self._queue(job, occurrence, number, indexes, Care.NONE)
             return
-        by_care: dict[Care, list[int]] = {}
+        by_restriction: dict[Care, list[int]] = {}
         for index in indexes:
-            care = self.suspicion.find_care(TaskRef(job.record.id, occurrence, number, index))
-            by_care.setdefault(care, []).append(index)
-        for care, alike in by_care.items():
-            self._queue(job, occurrence, number, alike, care)
+            restriction = self.suspicion.find_care(
+                TaskRef(job.record.id, occurrence, number, index)
+            )
+            by_restriction.setdefault(restriction, []).append(index)
+        for restriction, alike in by_restriction.items():
+            self._queue(job, occurrence, number, alike, restriction)
 
     def _queue(
-        self, job: OpenJob, occurrence: int, number: int, indexes: list[int], care: Care
+        self, job: OpenJob, occurrence: int, number: int, indexes: list[int], restriction: Care
     ) -> None:
         step = job.record.spec.steps[number]
         for index in indexes:
@@ -165,26 +167,26 @@
             job.tasks[ref].phase = TaskPhase.QUEUED
         due_at = job.due_at[occurrence]
         queue = job.record.queue
-        chain = self.forecast.find_chain(queue.key, job.record.spec.steps, number)
+        chain = self.forecast.predict_chain(queue.key, job.record.spec.steps, number)
         predicted_ms = self.forecast.predict(queue.key, step) / timedelta(milliseconds=1)
-        longest_wait = find_longest_wait(queue, job.objective, chain)
+        longest_wait = find_max_wait(queue, job.objective, chain)
         batch = Batch(
             job=job.record,
             occurrence=occurrence,
-            number=number,
+            step_number=number,
             step=step,
-            latest_start=due_at + longest_wait - self.tempo.spread(len(indexes)),
+            latest_start=due_at + longest_wait - self.throughput.estimate_start_delay(len(indexes)),
             latest_task_start=due_at + job.objective - chain,
             has_begun=job.has_begun,
-            last_use=due_at + job.objective * LATE_FACTOR - chain,
-            work_ms=predicted_ms * step.needs.cpu_millis / 1000,
-            care=care,
+            latest_useful_start=due_at + job.objective * USEFUL_FACTOR - chain,
+            core_ms=predicted_ms * step.needs.cpu_millis / 1000,
+            restriction=restriction,
             waiting=indexes,
         )
         if job.record.spec.long_running:
             # It is to be at work again within seconds, however full the service is.
             batch.latest_start = due_at
-            batch.latest_task_start = batch.last_use = NEVER_LATE
+            batch.latest_task_start = batch.latest_useful_start = NEVER_LATE
             batch.has_begun = True
         self.backlog.add(batch)
 
@@ -196,7 +198,7 @@
             return
         if task.is_unknown:
             task.phase = TaskPhase.UNKNOWN
-            self.has_unsure = True
+            self.may_have_unknown_tasks = True
             return
         self.queue(job, ref.occurrence, ref.step, [ref.place])
 
@@ -236,13 +238,13 @@
     def unqueue(self, ref: TaskRef) -> None:
         """Take a task out of the backlog."""
         for batch in self.backlog:
-            key = (batch.job.id, batch.occurrence, batch.number)
+            key = (batch.job.id, batch.occurrence, batch.step_number)
             if key == (ref.job, ref.occurrence, ref.step) and ref.place in batch.waiting:
                 batch.waiting.remove(ref.place)
                 self.backlog.has_empty |= not batch.waiting
         self.backlog.drop_empty()
 
-    def mark_noting(self, end: EndReport, upstream: UpstreamId) -> None:
+    def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
         """Hold a task whose run has ended there until note is taken of it."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
@@ -250,16 +252,16 @@
             return
         is_current = task.runs_as(end.run, upstream)
         # A run that was given up with its lease may have ended well before that.
-        is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is EndKind.DONE
+        is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is RunEndKind.DONE
         if is_done_after_all:
             self.unqueue(end.task)
         if is_current or is_done_after_all or task.phase is TaskPhase.UNKNOWN:
             task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
-            task.phase = TaskPhase.NOTING
+            task.phase = TaskPhase.RECORDING
             task.run = RunNumber(max(task.run, end.run))
-            task.noted = (upstream, end.run)
+            task.unrecorded_end = (upstream, end.run)
 
-    def doubt(self, job: OpenJob) -> None:
+    def mark_unknown(self, job: OpenJob) -> None:
         """Hold the tasks of a job that wait for room: another host may have begun them.
 
         So are those that run here, should they have to begin again.
@@ -285,7 +287,7 @@
         if job is None or job.record.is_open:
             return
         del self.jobs[id]
-        self._kept.discard(id)
+        self._durable.discard(id)
         self._timed.pop(id, None)
         if job.record.spec.best_effort and job.record.state is not JobState.CANCELLED:
             # A job that was given up may be submitted again, and then runs again.
@@ -295,7 +297,7 @@
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.RUNNING and task.life is not None:
                 self._lives.want_stop(task.life, ref, task.run)
-                self.left_behind[id] = now
+                self.closed_while_running[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
             # Its caller may send it again, to another host that decides.
             self._lives.dispute(id)
@@ -326,10 +328,10 @@
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
-    def give_up(self, job: OpenJob, now: timedelta) -> None:
+    def abandon(self, job: OpenJob, now: timedelta) -> None:
         """End a job of which something may have run, and which would end too late for any use."""
         self._term.counts.given_up_jobs += 1
-        self.given_up.add(job.record.id)
+        self.abandoned.add(job.record.id)
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
@@ -337,12 +339,14 @@
         """Forget how jobs ended long enough ago."""
         if now < self._forget_at:
             return
-        self._forget_at = now + KEEP_ENDED
-        limit = now - KEEP_ENDED
+        self._forget_at = now + ENDED_JOB_RETENTION
+        limit = now - ENDED_JOB_RETENTION
         self.ended = {id: end for id, end in self.ended.items() if end[1] >= limit}
         self.rejections.clear()
-        self.given_up.clear()
-        self.left_behind = {id: at for id, at in self.left_behind.items() if at >= limit}
+        self.abandoned.clear()
+        self.closed_while_running = {
+            id: at for id, at in self.closed_while_running.items() if at >= limit
+        }
 
     def find_ended(self, id: JobId) -> JobState | None:
         """Return how a job that need not be kept ended a short while ago."""
@@ -356,7 +360,7 @@
     def is_ending(self, id: JobId) -> bool:
         """Whether all that is left of a job runs or has ended, so that it may end at any moment."""
         job = self.jobs.get(id)
-        last = (TaskPhase.RUNNING, TaskPhase.NOTING)
+        last = (TaskPhase.RUNNING, TaskPhase.RECORDING)
         if job is None or id in self._timed:
             return False
         return all(task.phase in last for task in job.tasks.values())
@@ -377,17 +381,17 @@
             if not job.has_begun and job.record.queue.key == (host, prefix)
         )
 
-    def keeps_any(self) -> bool:
+    def has_durable_jobs(self) -> bool:
         """Whether a job is open that must be kept."""
-        return bool(self._kept)
+        return bool(self._durable)
 
     def count_jobs(self) -> int:
         """Return how many jobs are open."""
         return len(self.jobs)
 
 
-def find_longest_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
+def find_max_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
     """Return how long a step may wait for its start, with a margin for longer run times."""
     slack = objective - chain
     for_run_times = slack - timedelta(milliseconds=queue.target_latency_ms)
-    return slack - max(for_run_times, timedelta()) * START_MARGIN
+    return slack - max(for_run_times, timedelta()) * START_MARGIN_SHARE
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from .model import Needs, RunNumber, TaskRef, UpstreamInfo
-from .patience import LONGEST
+from .response_timeout import MAX_RESPONSE_TIMEOUT
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -20,7 +20,7 @@
     payload: str
     checkpoint: str
     expires_ms: int
-    patience: timedelta = LONGEST
+    patience: timedelta = MAX_RESPONSE_TIMEOUT
     """How long its answer is waited for."""
 
 
@@ -31,7 +31,7 @@
     upstream: UpstreamInfo
     task: TaskRef
     run: RunNumber
-    patience: timedelta = LONGEST
+    patience: timedelta = MAX_RESPONSE_TIMEOUT
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,7 +50,7 @@
     """How long until a run there is expected to end; zero where one should have ended."""
     is_probe: bool = False
     """Whether it is sent beside a parked one, to learn at once what became of a run."""
-    patience: timedelta = LONGEST
+    patience: timedelta = MAX_RESPONSE_TIMEOUT
     """How long its answer is waited for, beyond `wait`."""
 
 
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -8,8 +8,8 @@
 from .lives import Life
 
 
-def choose_life(
-    batch: Batch, lives: Iterable[Life], *, is_in_order: bool = False, needs_empty: bool = False
+def choose_instance(
+    batch: Batch, lives: Iterable[Life], *, is_sorted: bool = False, needs_empty: bool = False
 ) -> Life | None:
     """Return the life that a task fits best: near its data, then with the least room left over.
 
@@ -29,7 +29,7 @@
         score = (is_far, 0 if life.is_listening else 1, life.free_cpu)
         if best_score is None or score < best_score:
             best, best_score = life, score
-            if is_in_order and score[:2] == (0, 0):
+            if is_sorted and score[:2] == (0, 0):
                 break
     return best
 
@@ -43,6 +43,6 @@
     same = sum(
         1
         for run in life.runs.values()
-        if run.task[:3] == (batch.job.id, batch.occurrence, batch.number)
+        if run.task[:3] == (batch.job.id, batch.occurrence, batch.step_number)
     )
     return same < step.max_per_upstream
--- a/cottonlug/core/cluster/progress.py
+++ b/cottonlug/core/cluster/progress.py
@@ -12,69 +12,69 @@
 
 from .orders import Run
 
-STANDS_STILL_AFTER = 0.5
+STALLED_AFTER_SHARE = 0.5
 """Share of the expected time without any progress that shows a run standing still: at the slowest
 that declared times explain (three times the mean, 2.7 sigma), it would get on by 16 percent."""
-LEAST_WATCH = timedelta(milliseconds=60)
+MIN_OBSERVATION = timedelta(milliseconds=60)
 """A younger run says nothing: its start and the answer take a few milliseconds each."""
-RESUME_SLACK = timedelta(seconds=1)
+RESUME_ALLOWANCE = timedelta(seconds=1)
 """A run from a checkpoint is first restored (0.1 to 0.6 s on the users' platform)."""
 SLOW_FACTOR = 3.5
 """So much longer than declared, or than its siblings, is not the task's own doing."""
-SLOW_WATCH = timedelta(milliseconds=100)
+MIN_SLOW_OBSERVATION = timedelta(milliseconds=100)
 """Progress is told in whole percent: the pace of a younger run is off by too much."""
-LEAST_GAIN = 5
+MIN_GAIN_PERCENT = 5
 """Percent of progress from which on a pace can be told."""
-WORTH_MOVING = 1.5
+MOVE_FACTOR = 1.5
 """A run is moved if what is left of it takes that many times what a new one takes."""
-CHECKPOINTS = (0.75, 1.6)
+CHECK_SHARES = (0.75, 1.6)
 """When a run's progress is asked for, in shares of its expected time: early enough that a task of a
 fifth of a second that stands still is in time elsewhere; later ones come with the leases."""
 
 
-class Pace(Enum):
+class ProgressRate(Enum):
     """How a run gets on."""
 
-    FINE = "fine"
-    STANDS_STILL = "stands_still"
+    NORMAL = "fine"
+    STALLED = "stands_still"
     SLOW = "slow"
 
 
-def find_total(run: Run) -> timedelta | None:
+def estimate_run_time(run: Run) -> timedelta | None:
     """Return how long a run takes in all at its pace so far, or None where that cannot be told."""
     gain = run.percent - run.first_percent
-    if run.seen_at is None or gain < LEAST_GAIN:
+    if run.seen_at is None or gain < MIN_GAIN_PERCENT:
         return None
     return (run.seen_at - run.since) * 100 / gain
 
 
-def judge_pace(run: Run, expected: timedelta, sibling: timedelta | None) -> Pace:
+def classify_progress(run: Run, expected: timedelta, sibling: timedelta | None) -> ProgressRate:
     """Return how a run gets on; `sibling` is what another task of its step takes elsewhere."""
     if run.seen_at is None:
-        return Pace.FINE
-    if _stands_still(run, run.seen_at, expected):
-        return Pace.STANDS_STILL
-    total = find_total(run)
-    if total is None or run.seen_at - run.since < max(SLOW_WATCH, expected):
-        return Pace.FINE
+        return ProgressRate.NORMAL
+    if _is_stalled(run, run.seen_at, expected):
+        return ProgressRate.STALLED
+    total = estimate_run_time(run)
+    if total is None or run.seen_at - run.since < max(MIN_SLOW_OBSERVATION, expected):
+        return ProgressRate.NORMAL
     usual = max(expected, sibling or expected)
     left = total * (100 - run.percent) / 100
-    is_slow = total > usual * SLOW_FACTOR and left > usual * WORTH_MOVING
-    return Pace.SLOW if is_slow else Pace.FINE
+    is_slow = total > usual * SLOW_FACTOR and left > usual * MOVE_FACTOR
+    return ProgressRate.SLOW if is_slow else ProgressRate.NORMAL
 
 
-def _stands_still(run: Run, seen_at: timedelta, expected: timedelta) -> bool:
+def _is_stalled(run: Run, seen_at: timedelta, expected: timedelta) -> bool:
     """Whether a run has got on by nothing for too long, as its upstream last said."""
-    limit = max(expected * STANDS_STILL_AFTER, LEAST_WATCH)
+    limit = max(expected * STALLED_AFTER_SHARE, MIN_OBSERVATION)
     if run.resumes:
-        limit += RESUME_SLACK
+        limit += RESUME_ALLOWANCE
     return seen_at - run.advanced_at >= limit
 
 
 def find_next_check(run: Run, expected: timedelta, now: timedelta) -> timedelta | None:
     """Return when a run's progress should next be known, or None once nothing more is due."""
-    for share in CHECKPOINTS:
-        due = run.since + max(expected * share, LEAST_WATCH)
+    for share in CHECK_SHARES:
+        due = run.since + max(expected * share, MIN_OBSERVATION)
         if due > now:
             return due
     return None
--- a/cottonlug/core/cluster/queues.py
+++ b/cottonlug/core/cluster/queues.py
@@ -18,7 +18,7 @@
         """Return the queue with exactly this host and prefix."""
         return self._by_key.get(key)
 
-    def find(self, host: str, path: str) -> tuple[Queue, JobId] | None:
+    def find_queue(self, host: str, path: str) -> tuple[Queue, JobId] | None:
         """Return the queue with the longest prefix that a path begins with, and what follows it."""
         name = host.rpartition(":")[0] if ":" in host else host
         for queue in self._by_host.get(name, []):
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -44,8 +44,8 @@
 from .identity import find_birth, get_name
 from .model import (
     Configuration,
-    EndKind,
-    EndReport,
+    RunEndKind,
+    RunEndReport,
     JobId,
     JobSpec,
     JobState,
@@ -315,7 +315,7 @@
             self.put_in_force(command.configuration)
 
 
-def note_end(job: JobRecord, end: EndReport, at_ms: int) -> None:
+def note_end(job: JobRecord, end: RunEndReport, at_ms: int) -> None:
     """Take note of the end of one run in the record of its job."""
     if not job.is_open:
         return
@@ -326,12 +326,12 @@
     if task.is_done or job.spec.long_running:
         # A task that lasts is begun again however it ends.
         return
-    if end.how is EndKind.DONE:
+    if end.how is RunEndKind.DONE:
         task.is_done = True
         job.done_count += 1
         if job.done_count == job.task_count:
             end_job(job, JobState.COMPLETED, at_ms)
-    elif end.how is EndKind.FAILED:
+    elif end.how is RunEndKind.FAILED:
         task.failed_runs += 1
         if task.failed_runs >= job.queue.max_attempts:
             end_job(job, JobState.FAILED, at_ms)
--- a/cottonlug/core/cluster/patience.py
+++ b/cottonlug/core/cluster/response_timeout.py
@@ -12,17 +12,17 @@
 
 from datetime import timedelta
 
-LONGEST = timedelta(milliseconds=80)
+MAX_RESPONSE_TIMEOUT = timedelta(milliseconds=80)
 """Also before anything was learnt. Answers take a few milliseconds; a lost packet is sent again
 after 200 ms, by when a short task is late anyway."""
-SHORTEST = timedelta(milliseconds=25)
+MIN_RESPONSE_TIMEOUT = timedelta(milliseconds=25)
 """An event loop that is held up by a sync of its disk (9 ms) or a wide job may take that long."""
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
-DEVIATIONS = 4
+DEVIATION_FACTOR = 4
 
 
-class Patience:
+class ResponseTimeout:
     """The time that answers of one upstream take."""
 
     def __init__(self) -> None:
@@ -37,8 +37,11 @@
         self._deviation += (abs(taken - self._mean) - self._deviation) * DEVIATION_WEIGHT
         self._mean += (taken - self._mean) * MEAN_WEIGHT
 
-    def find_limit(self) -> timedelta:
+    def find_timeout(self) -> timedelta:
         """Return after how long an answer is given up."""
         if self._mean is None:
-            return LONGEST
-        return min(max(self._mean + self._deviation * DEVIATIONS, SHORTEST), LONGEST)
+            return MAX_RESPONSE_TIMEOUT
+        return min(
+            max(self._mean + self._deviation * DEVIATION_FACTOR, MIN_RESPONSE_TIMEOUT),
+            MAX_RESPONSE_TIMEOUT,
+        )
--- a/cottonlug/core/cluster/rosters.py
+++ b/cottonlug/core/cluster/rosters.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from ..ids import DomainName, UpstreamId
-from .calls import GatewayInfo, Roster
+from .calls import GatewayInfo, FailoverState
 from .commands import (
     AddUpstream,
     Command,
@@ -110,7 +110,7 @@
         *,
         keeps_jobs: bool,
         known: str,
-    ) -> Roster | None:
+    ) -> FailoverState | None:
         """Return what is to be sent next to a gateway that has the version `known`, or None."""
         if known == self.version:
             return None
@@ -124,7 +124,7 @@
         if configuration is not None:
             # Nobody reads a configuration back from a gateway.
             configuration = msgspec.structs.replace(configuration, document="")
-        return Roster(
+        return FailoverState(
             version=f"{self._term}.{number}" + (f">{after}" if after is not None else ""),
             base="" if position is None else known,
             is_partial=after is not None or number < self._number,
@@ -133,10 +133,10 @@
             upstreams=tuple(records.upstreams[id] for id in ids if id in records.upstreams),
             removed=tuple(id for id in ids if id not in records.upstreams),
             gateways=gateways,
-            keeps_jobs=keeps_jobs,
+            has_durable_jobs=keeps_jobs,
             suspects=tuple(records.suspects.values()),
             evacuations=records.evacuations.records,
-            takes_calls=self._takes_calls,
+            accepts_calls=self._takes_calls,
         )
 
     def is_large(self, records: Records, known: str) -> bool:
@@ -183,14 +183,14 @@
         return _Position(number=int(number), after=UpstreamId(after) if has_cursor else None)
 
 
-def find_own_domain(roster: Roster, own: str) -> DomainName | None:
+def find_own_domain(roster: FailoverState, own: str) -> DomainName | None:
     """Return the domain that a deputy stands in for alone, or None where one does for all."""
     if len(roster.upstreams) <= MOST_FOR_ONE_DEPUTY:
         return None
     return next((each.domain for each in roster.gateways if each.address == own), None)
 
 
-def merge_roster(known: Roster | None, received: Roster) -> Roster | None:
+def merge_roster(known: FailoverState | None, received: FailoverState) -> FailoverState | None:
     """Return the roster after what was received, or None where that does not follow on `known`."""
     if not received.base:
         return received
--- a/cottonlug/core/cluster/filler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -7,35 +7,35 @@
 from .admission import Rejection, estimate_wait
 from .backlog import Batch, Tier
 from .crashes import HELD_FOR, LEFT_ALONE_FOR, Care
-from .forecast import LATE_FACTOR
+from .forecast import USEFUL_FACTOR
 from .life_table import LifeTable
 from .lives import Life
 from .model import JobSpec, Queue, RunNumber, ServiceName, TaskRef
 from .open_job import TaskPhase
-from .open_jobs import OpenJobs, find_longest_wait
+from .open_jobs import OpenJobs, find_max_wait
 from .orders import Run, RunPhase, StartOrder
-from .placement import choose_life
+from .placement import choose_instance
 from .records import JobRecord
-from .rooms import Rooms
+from .capacity_index import CapacityIndex
 from .term import Term
 
-EVACUATED = "all upstreams of the service are in evacuated failure domains"
+ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
 """An evacuation lasts from seconds to hours: often enough for the former, seldom enough for the
 latter."""
-NOTHING_WAITS = 1 << 62
+NO_DEMAND = 1 << 62
 """More room than any upstream has: no change of one is worth looking for room again."""
 
 
-class Filler:
+class Scheduler:
     """Starts tasks."""
 
     def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
         self._term = term
         self._lives = lives
         self._jobs = jobs
-        self._rooms = Rooms(lives=lives)
-        self._least_needed = 0
+        self._capacity = CapacityIndex(lives=lives)
+        self._min_cpu_needed = 0
         """No batch for which no room was found needs less than this, in core-thousandths."""
 
     def fill(self, now: timedelta, changed: list[Life] | None) -> None:
@@ -45,64 +45,64 @@
         a batch that found no room is tried again only where one of these has enough.
         """
         for life in changed or ():
-            self._rooms.update(life, now)
+            self._capacity.update(life, now)
         if changed is None:
-            self._rooms.forget()
+            self._capacity.invalidate()
         backlog = self._jobs.backlog
         if not len(backlog):
             return
         backlog.demote(now)
-        if self._rooms.refresh_if_due(now):
-            self._offer(None, now)
-        elif backlog.has_new or _find_most(changed) >= self._least_needed:
-            self._offer(changed, now)
+        if self._capacity.refresh_if_due(now):
+            self._schedule_backlog(None, now)
+        elif backlog.has_new or _find_max_free_cpu(changed) >= self._min_cpu_needed:
+            self._schedule_backlog(changed, now)
         self._shed(now)
 
-    def _offer(self, changed: list[Life] | None, now: timedelta) -> None:
+    def _schedule_backlog(self, changed: list[Life] | None, now: timedelta) -> None:
         """Offer room to all batches, but not those again that need more than any life that changed.
 
         `changed` is None where any life may have changed.
         """
         backlog = self._jobs.backlog
         if changed is None:
-            self._offer_all(now)
+            self._schedule_all(now)
         else:
-            self._offer_changed(changed, now)
-            for batch in backlog.take_new():
-                self._offer_batch(batch, now)
+            self._schedule_changed(changed, now)
+            for batch in backlog.pop_new():
+                self._schedule_batch(batch, now)
         backlog.drop_empty()
 
-    def _offer_all(self, now: timedelta) -> None:
+    def _schedule_all(self, now: timedelta) -> None:
         backlog = self._jobs.backlog
-        backlog.take_new()
+        backlog.pop_new()
         for batch in backlog:
-            self._offer_batch(batch, now)
+            self._schedule_batch(batch, now)
         waiting = (batch.cpu_millis for batch in backlog if batch.waiting)
-        self._least_needed = min(waiting, default=NOTHING_WAITS)
+        self._min_cpu_needed = min(waiting, default=NO_DEMAND)
 
-    def _offer_changed(self, changed: list[Life], now: timedelta) -> None:
+    def _schedule_changed(self, changed: list[Life], now: timedelta) -> None:
         """Offer the room of some lives to the batches in their order, until none fits any more."""
-        most = _find_most(changed)
-        if most < self._least_needed:
+        most = _find_max_free_cpu(changed)
+        if most < self._min_cpu_needed:
             return
         for batch in self._jobs.backlog:
-            if batch.cpu_millis > most and batch.was_offered:
+            if batch.cpu_millis > most and batch.was_tried:
                 continue
-            if self._offer_batch(batch, now):
-                most = _find_most(changed)
-            if most < self._least_needed:
+            if self._schedule_batch(batch, now):
+                most = _find_max_free_cpu(changed)
+            if most < self._min_cpu_needed:
                 return
 
-    def _offer_batch(self, batch: Batch, now: timedelta) -> bool:
+    def _schedule_batch(self, batch: Batch, now: timedelta) -> bool:
         """Start tasks of one batch as long as any fits; return whether any did."""
-        batch.was_offered = True
-        self._least_needed = min(self._least_needed, batch.cpu_millis)
-        if self._is_held(batch, now):
+        batch.was_tried = True
+        self._min_cpu_needed = min(self._min_cpu_needed, batch.cpu_millis)
+        if self._is_delayed(batch, now):
             return False
         service = self._find_service(batch.job)
-        if batch.cpu_millis > self._rooms.find_most(service):
+        if batch.cpu_millis > self._capacity.find_max_free_cpu(service):
             return False
-        return self._fill_batch(batch, service, now)
+        return self._start_batch(batch, service, now)
 
     def _shed(self, now: timedelta) -> None:
         """Give up, at once, jobs for which there was no room while they could be of use."""
@@ -115,7 +115,7 @@
             if job is None or not batch.job.spec.best_effort:
                 continue
             if job.has_begun:
-                self._jobs.give_up(job, now)
+                self._jobs.abandon(job, now)
             else:
                 self._jobs.reject(job, "cannot be served in time", wait, now)
 
@@ -127,19 +127,19 @@
             return None
         if self._lives.is_evacuated(queue.service):
             self._term.counts.evacuated_rejections += 1
-            return Rejection(reason=EVACUATED, retry_after=EVACUATED_RETRY)
+            return Rejection(reason=ALL_EVACUATED, retry_after=EVACUATED_RETRY)
         objective = self._jobs.forecast.find_objective(queue, spec.steps)
-        chain = self._jobs.forecast.find_chain(queue.key, spec.steps, 0)
-        latest_start = now - waited + find_longest_wait(queue, objective, chain)
-        work_ms = self._jobs.backlog.measure_on_time(latest_start)
-        if not work_ms and waited <= objective * LATE_FACTOR:
+        chain = self._jobs.forecast.predict_chain(queue.key, spec.steps, 0)
+        latest_start = now - waited + find_max_wait(queue, objective, chain)
+        core_ms = self._jobs.backlog.measure_work_ahead(latest_start)
+        if not core_ms and waited <= objective * USEFUL_FACTOR:
             # Nothing goes before it, whatever room there is.
             return None
         room = self._lives.measure_room(now)
         if room <= 0.0:
             return None
-        wait = estimate_wait(work_ms, room)
-        if waited + wait <= objective * LATE_FACTOR:
+        wait = estimate_wait(core_ms, room)
+        if waited + wait <= objective * USEFUL_FACTOR:
             return None
         return Rejection(reason="the work before it takes too long", retry_after=wait)
 
@@ -148,14 +148,14 @@
         evacuated: dict[ServiceName, bool] = {}
         for job in list(self._jobs.jobs.values()):
             spec = job.record.spec
-            if job.has_begun or job.is_unsure() or not spec.best_effort or spec.is_timed:
+            if job.has_begun or job.has_unknown_tasks() or not spec.best_effort or spec.is_timed:
                 continue
             service = self._find_service(job.record)
             if service not in evacuated:
                 evacuated[service] = self._lives.is_evacuated(service)
             if evacuated[service]:
                 self._term.counts.evacuated_rejections += 1
-                self._jobs.reject(job, EVACUATED, EVACUATED_RETRY, now)
+                self._jobs.reject(job, ALL_EVACUATED, EVACUATED_RETRY, now)
 
     def _find_service(self, job: JobRecord) -> ServiceName:
         """Return the service that the job's queue is sent to now."""
@@ -163,30 +163,32 @@
         queue = queues.get(job.queue.key) if queues is not None else None
         return (queue or job.queue).service
 
-    def _is_held(self, batch: Batch, now: timedelta) -> bool:
+    def _is_delayed(self, batch: Batch, now: timedelta) -> bool:
         """Whether the tasks of a batch had better not be started yet."""
-        if batch.care is Care.NONE:
+        if batch.restriction is Care.NONE:
             return False
-        if batch.offered_since is None:
-            batch.offered_since = now
-        is_early = now < batch.offered_since + HELD_FOR
-        return batch.care is Care.BARRED or (batch.care is Care.HELD and is_early)
+        if batch.first_tried_at is None:
+            batch.first_tried_at = now
+        is_early = now < batch.first_tried_at + HELD_FOR
+        return batch.restriction is Care.BARRED or (batch.restriction is Care.HELD and is_early)
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
         """Whether the tasks of a batch go only where nothing runs."""
-        since = batch.offered_since
-        if batch.care is Care.NONE or since is None:
+        since = batch.first_tried_at
+        if batch.restriction is Care.NONE or since is None:
             return False
-        return now < since + LEFT_ALONE_FOR + (HELD_FOR if batch.care is Care.HELD else timedelta())
+        return now < since + LEFT_ALONE_FOR + (
+            HELD_FOR if batch.restriction is Care.HELD else timedelta()
+        )
 
-    def _fill_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
+    def _start_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
         """Start tasks of a batch as long as any fits; return whether any did."""
         has_started = False
         job = self._jobs.jobs[batch.job.id]
         while batch.waiting:
-            lives = self._rooms.iterate_from(service, batch.cpu_millis, now, job.home)
-            life = choose_life(
-                batch, lives, is_in_order=True, needs_empty=self._needs_empty(batch, now)
+            lives = self._capacity.iterate_instances(service, batch.cpu_millis, now, job.home)
+            life = choose_instance(
+                batch, lives, is_sorted=True, needs_empty=self._needs_empty(batch, now)
             )
             if life is None:
                 break
@@ -196,7 +198,7 @@
         return has_started
 
     def _start(self, batch: Batch, index: int, life: Life, now: timedelta) -> None:
-        ref = TaskRef(batch.job.id, batch.occurrence, batch.number, index)
+        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, index)
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
         expires_ms = life.grant(now)
@@ -210,14 +212,14 @@
         job.home = job.home or life.info.domain
         run = Run(task=ref, run=task.run, needs=batch.needs, phase=RunPhase.STARTING, since=now)
         run.resumes = bool(known.checkpoint)
-        run.is_alone = batch.care is not Care.NONE
+        run.is_alone = batch.restriction is not Care.NONE
         life.add_run(run)
-        self._rooms.update(life, now)
+        self._capacity.update(life, now)
         self._lives.touch(life)
         life.look_due = min(life.look_due, now)
         self._term.counts.starts += 1
         # A first start is routine; one beside which another run may be at work is always told.
-        is_again = last_run > 0 or job.settle_at > timedelta()
+        is_again = last_run > 0 or job.reconcile_at > timedelta()
         self._term.note(
             "run_started_again" if is_again else "run_started",
             {
@@ -237,11 +239,11 @@
             payload=batch.job.spec.payload,
             checkpoint=known.checkpoint,
             expires_ms=expires_ms,
-            patience=life.patience.find_limit(),
+            patience=life.patience.find_timeout(),
         )
         self._term.orders.append(order)
 
 
-def _find_most(lives: list[Life] | None) -> int:
+def _find_max_free_cpu(lives: list[Life] | None) -> int:
     """Return the most room that any of some lives has, in core-thousandths."""
     return max((life.free_cpu for life in lives or ()), default=0)
--- a/cottonlug/core/cluster/settlement.py
+++ b/cottonlug/core/cluster/settlement.py
@@ -32,7 +32,7 @@
 
     def note_unsure(self) -> None:
         """Look again whether tasks are unknown."""
-        self._jobs.has_unsure = True
+        self._jobs.may_have_unknown_tasks = True
 
     def settle(self, now: timedelta) -> None:
         """Once nothing unknown can run any more, queue what an earlier leader left open."""
@@ -42,12 +42,12 @@
             self._term.note(
                 "term_settled", {"term": self._term.number, "unseen": len(self._lives.unseen)}
             )
-        if not self._jobs.has_unsure:
+        if not self._jobs.may_have_unknown_tasks:
             return
-        self._jobs.has_unsure = False
+        self._jobs.may_have_unknown_tasks = False
         is_unsure = {each: self.is_unsure(of_deputies=each) for each in (False, True)}
         for job in self._jobs.jobs.values():
-            if now >= job.settle_at or not is_unsure[job.may_be_of_deputy]:
+            if now >= job.reconcile_at or not is_unsure[job.may_be_of_acting_leader]:
                 self._jobs.queue_unknown(job)
-            elif job.is_unsure():
-                self._jobs.has_unsure = True
+            elif job.has_unknown_tasks():
+                self._jobs.may_have_unknown_tasks = True
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -12,7 +12,7 @@
 from .model import JobId, RunNumber
 from .orders import Order
 from .records import Records
-from .reports import USUAL_REPORTS, ReportTerms
+from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 
 Note = Callable[[str, dict[str, str | int]], None]
 """Called for each decision worth a log line, with its name and inputs."""
@@ -75,7 +75,7 @@
     counts: DispatchCounts = field(default_factory=DispatchCounts)
     orders: list[Order] = field(default_factory=list)
     proposals: list[Command] = field(default_factory=list)
-    reports: ReportTerms = USUAL_REPORTS
+    reports: ReportTerms = DEFAULT_REPORT_TERMS
     known_until: timedelta = timedelta()
     """Until then the capacities in the record can be counted on without a report to this leader."""
     is_fenced_off: bool = False
--- a/cottonlug/core/cluster/tempo.py
+++ b/cottonlug/core/cluster/throughput.py
@@ -6,25 +6,25 @@
 
 LEARNING_RATE = 0.05
 """Weight of the newest end: the mean follows a burst within some twenty ends."""
-LONGEST_INTERVAL = timedelta(milliseconds=5)
+MAX_INTERVAL = timedelta(milliseconds=5)
 """Longer ones say that little runs, not that room is slow to come free."""
 
 
-class Tempo:
+class Throughput:
     """Mean interval between the ends of runs while there is work."""
 
     def __init__(self) -> None:
         self._last_end: timedelta | None = None
-        self._interval = LONGEST_INTERVAL
+        self._interval = MAX_INTERVAL
 
-    def take_ends(self, count: int, now: timedelta) -> None:
+    def record_run_ends(self, count: int, now: timedelta) -> None:
         """Learn that so many runs have ended."""
         if self._last_end is not None:
-            newest = min((now - self._last_end) / count, LONGEST_INTERVAL)
+            newest = min((now - self._last_end) / count, MAX_INTERVAL)
             for _ in range(count):
                 self._interval += (newest - self._interval) * LEARNING_RATE
         self._last_end = now
 
-    def spread(self, tasks: int) -> timedelta:
+    def estimate_start_delay(self, tasks: int) -> timedelta:
         """Return how long it takes until that many tasks have found room, one after the other."""
         return self._interval * tasks
--- a/cottonlug/core/cluster/guards.py
+++ b/cottonlug/core/cluster/upstream_health.py
@@ -11,68 +11,70 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-FAILURES_IN_A_ROW = 3
+MAX_CONSECUTIVE_FAILURES = 3
 """One task in 500 fails by itself (the users' sheets), so three in a row are not chance."""
-FIRST_PAUSE = timedelta(seconds=2)
-LONGEST_PAUSE = timedelta(seconds=6)
+FIRST_SUSPENSION = timedelta(seconds=2)
+MAX_SUSPENSION = timedelta(seconds=6)
 """Each return costs the jobs that are tried; what ails an upstream lasts for seconds."""
 SLOW_FACTOR = 2.2
 """Declared times scatter by 0.4 on a logarithmic scale; a mean of several runs does far less."""
 LEARNING_RATE = 0.3
-MOST_SET_ASIDE = 0.34
+MAX_SUSPENDED_SHARE = 0.34
 """Share of a service's upstreams that may be set aside at once."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Health:
+class UpstreamHealth:
     """How the runs at one upstream have gone lately."""
 
     failures: int = 0
-    slowness: float = 0.0
+    mean_log_slowdown: float = 0.0
     """Mean of the logarithm of real to expected run times."""
-    pause: timedelta = FIRST_PAUSE
-    set_aside_until: timedelta = timedelta()
-    is_on_trial: bool = False
+    next_suspension: timedelta = FIRST_SUSPENSION
+    suspended_until: timedelta = timedelta()
+    is_on_probation: bool = False
     """Whether it was set aside and has not finished a run well since: it gets one at a time."""
 
-    def take_done(self, ratio: float, now: timedelta) -> bool:
+    def record_success(self, ratio: float, now: timedelta) -> bool:
         """Learn from a good run; return whether the upstream was just found slow."""
         self.failures = 0
-        if self.take_pace(ratio, now):
+        if self.record_run_time_ratio(ratio, now):
             return True
-        if not self._is_slow() and now >= self.set_aside_until:
-            self.pause = FIRST_PAUSE
-            self.is_on_trial = False
+        if not self._is_slow() and now >= self.suspended_until:
+            self.next_suspension = FIRST_SUSPENSION
+            self.is_on_probation = False
         return False
 
-    def take_pace(self, ratio: float, now: timedelta) -> bool:
+    def record_run_time_ratio(self, ratio: float, now: timedelta) -> bool:
         """Learn how long a run takes against the expected; return whether it was just set aside."""
-        self.slowness += LEARNING_RATE * (math.log(max(ratio, 0.01)) - self.slowness)
+        self.mean_log_slowdown += LEARNING_RATE * (
+            math.log(max(ratio, 0.01)) - self.mean_log_slowdown
+        )
         if not self._is_slow():
             return False
-        self.slowness = math.log(SLOW_FACTOR) * 0.7
-        return self._set_aside(now)
+        self.mean_log_slowdown = math.log(SLOW_FACTOR) * 0.7
+        return self._suspend(now)
 
-    def take_failure(self, now: timedelta) -> bool:
+    def record_failure(self, now: timedelta) -> bool:
         """Learn from a failed run; return whether the upstream was just set aside."""
         self.failures += 1
-        return self.failures >= FAILURES_IN_A_ROW and self._set_aside(now)
+        return self.failures >= MAX_CONSECUTIVE_FAILURES and self._suspend(now)
 
-    def take_stall(self, now: timedelta) -> bool:
+    def record_stall(self, now: timedelta) -> bool:
         """Learn that a run stands still; return whether the upstream was just set aside."""
-        return self._set_aside(now)
+        return self._suspend(now)
 
-    def is_set_aside(self, now: timedelta) -> bool:
+    def is_suspended(self, now: timedelta) -> bool:
         """Whether no work should go there at the moment."""
-        return now < self.set_aside_until
+        return now < self.suspended_until
 
     def _is_slow(self) -> bool:
-        return self.slowness >= math.log(SLOW_FACTOR)
+        return self.mean_log_slowdown >= math.log(SLOW_FACTOR)
 
-    def _set_aside(self, now: timedelta) -> bool:
-        if self.is_set_aside(now):
+    def _suspend(self, now: timedelta) -> bool:
+        if self.is_suspended(now):
             return False
-        self.is_on_trial = True
-        self.set_aside_until = now + self.pause
-        self.pause = min(self.pause * 2, LONGEST_PAUSE)
+        self.is_on_probation = True
+        self.suspended_until = now + self.next_suspension
+        self.next_suspension = min(self.next_suspension * 2, MAX_SUSPENSION)
         return True
--- a/cottonlug/core/cluster/wakes.py
+++ b/cottonlug/core/cluster/upstream_timers.py
@@ -12,7 +12,7 @@
 from ..ids import UpstreamId
 
 
-class Wakes:
+class UpstreamTimers:
     """The next moment of each upstream, the soonest first."""
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
             self._at[upstream] = at
             heapq.heappush(self._heap, (at, upstream))
 
-    def take_due(self, now: timedelta) -> list[UpstreamId]:
+    def pop_due(self, now: timedelta) -> list[UpstreamId]:
         """Return the upstreams whose moment has come."""
         due: list[UpstreamId] = []
         while self._heap and self._heap[0][0] <= now:
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -14,8 +14,8 @@
 from .open_job import OpenJob
 from .open_jobs import OpenJobs
 from .orders import CallFailure, LookOrder, Run, RunPhase, StopOrder
-from .patience import LONGEST
-from .progress import Pace, find_next_check, find_total, judge_pace
+from .response_timeout import MAX_RESPONSE_TIMEOUT
+from .progress import ProgressRate, find_next_check, estimate_run_time, classify_progress
 from .term import Term
 
 LOOK_WAIT = timedelta(milliseconds=200)
@@ -88,7 +88,7 @@
             and life.failed_looks == 0
             and now >= life.avoid_until
             and not life.has_orphans
-            and not self._lives.get_health(life).is_set_aside(now)
+            and not self._lives.get_health(life).is_suspended(now)
             and not any(
                 run.stop_wanted or run.phase is RunPhase.UNSURE for run in life.runs.values()
             )
@@ -143,7 +143,7 @@
             first_end=self._find_first_end(life, now),
             is_probe=is_probe,
             # Others renew leases: they are given up only when an answer is surely lost.
-            patience=life.patience.find_limit() if is_probe else LONGEST,
+            patience=life.patience.find_timeout() if is_probe else MAX_RESPONSE_TIMEOUT,
         )
         self._term.orders.append(order)
 
@@ -216,7 +216,7 @@
                     upstream=life.info,
                     task=run.task,
                     run=run.run,
-                    patience=life.patience.find_limit(),
+                    patience=life.patience.find_timeout(),
                 )
                 self._term.orders.append(order)
 
@@ -253,12 +253,12 @@
             task = job.tasks.get(run.task)
             if task is None or task.moves >= MOST_MOVES:
                 continue
-            total = find_total(run)
+            total = estimate_run_time(run)
             if total is not None:
-                job.learn_pace(run.task.step, life.info.id, total)
-            sibling = job.find_sibling_pace(run.task.step, life.info.id)
-            pace = judge_pace(run, self._predict(job, run), sibling)
-            if pace is Pace.FINE:
+                job.record_run_time(run.task.step, life.info.id, total)
+            sibling = job.find_sibling_run_time(run.task.step, life.info.id)
+            pace = classify_progress(run, self._predict(job, run), sibling)
+            if pace is ProgressRate.NORMAL:
                 continue
             task.moves += 1
             self._term.counts.moved_runs += 1
@@ -274,10 +274,10 @@
                 },
             )
             health = self._lives.get_health(life)
-            if pace is Pace.STANDS_STILL:
-                health.take_stall(now)
+            if pace is ProgressRate.STALLED:
+                health.record_stall(now)
             elif total is not None:
-                health.take_pace(total / self._predict(job, run), now)
+                health.record_run_time_ratio(total / self._predict(job, run), now)
 
     def lapse(self, life: Life, now: timedelta) -> None:
         """Give up all runs of a life whose leases have surely ended without an answer."""
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -13,12 +13,12 @@
     Answer,
     AskConfiguration,
     AskEvacuations,
-    Beat,
+    ForwardHeartbeat,
     Call,
     Configure,
     Evacuate,
     HeartbeatOrders,
-    Leave,
+    ForwardLeave,
     Outcome,
 )
 from ..core.cluster.checks import find_configuration_problem
@@ -94,7 +94,7 @@
 
 def _take_worker(
     name: str,
-    decoded: Result[Beat, str] | Result[Leave, str],
+    decoded: Result[ForwardHeartbeat, str] | Result[ForwardLeave, str],
     note_refused: Callable[[str, str], None],
 ) -> Call | HttpResponse:
     if isinstance(decoded, Err):
@@ -122,7 +122,7 @@
     if answer.document is not None:
         return HttpResponse(status=200, body=answer.document.encode())
     body: dict[str, Any] = {}
-    if isinstance(call, Beat) and answer.leader_control is not None:
+    if isinstance(call, ForwardHeartbeat) and answer.leader_control is not None:
         body["heartbeat_url"] = answer.leader_control
     if answer.orders is not None:
         body |= _encode_orders(answer.orders)
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -26,7 +26,7 @@
     Outcome.REJECTED: 429,
     Outcome.UNAVAILABLE: 503,
     Outcome.UNKNOWN: 504,
-    Outcome.GIVEN_UP: 504,
+    Outcome.ABANDONED: 504,
     Outcome.NO_QUEUE: 404,
     Outcome.NO_JOB: 410,
     Outcome.INVALID: 400,
@@ -82,11 +82,13 @@
     if request.method != "POST":
         return HttpResponse(status=405)
     decoded = decode_job(request.body)
-    patience_ms = to_milliseconds(_read_patience(request))
+    wait_timeout_ms = to_milliseconds(_read_patience(request))
     if isinstance(decoded, Err):
         body = msgspec.json.encode({"error": decoded.failure()})
         return HttpResponse(status=400, body=body)
-    return Submit(host=host, path=request.path, spec=decoded.unwrap(), patience_ms=patience_ms)
+    return Submit(
+        host=host, path=request.path, spec=decoded.unwrap(), wait_timeout_ms=wait_timeout_ms
+    )
 
 
 def _read_patience(request: HttpRequest) -> timedelta:
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -12,7 +12,7 @@
 from returns.result import Failure as Err
 from returns.result import Result, Success
 
-from ..core.cluster.calls import Beat, Leave
+from ..core.cluster.calls import ForwardHeartbeat, ForwardLeave
 from ..core.cluster.identity import SEPARATOR, name_life
 from ..core.cluster.model import Capacity, Heartbeat, ServiceName, UpstreamInfo
 from ..core.ids import DomainName, UpstreamId
@@ -55,7 +55,7 @@
 _heartbeat_decoder = msgspec.json.Decoder(_HeartbeatBody)
 
 
-def decode_heartbeat(name: str, body: bytes) -> Result[Beat, str]:
+def decode_heartbeat(name: str, body: bytes) -> Result[ForwardHeartbeat, str]:
     """Decode what the worker with this id says of itself, or tell why it names none."""
     try:
         read = _heartbeat_decoder.decode(body)
@@ -82,10 +82,10 @@
         cold_left_ms=_read_cold_left(read.cold_left_ms),
         held=read_lists(read.clock_ms, read.running, read.finished),
     )
-    return Success(Beat(heartbeat=heartbeat))
+    return Success(ForwardHeartbeat(heartbeat=heartbeat))
 
 
-def decode_leave(name: str, body: bytes) -> Result[Leave, str]:
+def decode_leave(name: str, body: bytes) -> Result[ForwardLeave, str]:
     """Decode that the worker with this id leaves, or tell why it names none."""
     try:
         read = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
@@ -95,7 +95,7 @@
         return Err("the path names no worker")
     if not _is_birth(read.born):
         return Err("born is out of range")
-    return Success(Leave(upstream=_name_life(name, read.born)))
+    return Success(ForwardLeave(upstream=_name_life(name, read.born)))
 
 
 def _find_problem(name: str, read: _HeartbeatBody) -> str | None:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -12,9 +12,9 @@
 from ..core.clock import to_milliseconds
 from ..core.cluster.identity import find_birth, get_name
 from ..core.cluster.model import (
-    EndKind,
-    EndReport,
-    LookReply,
+    RunEndKind,
+    RunEndReport,
+    PollReply,
     RunNumber,
     RunReport,
     UpstreamInfo,
@@ -44,12 +44,12 @@
     "room": StartOutcome.NO_ROOM,
 }
 _END_WORDS = {
-    "done": EndKind.DONE,
-    "failed": EndKind.FAILED,
-    "stopped": EndKind.STOPPED,
-    "lapsed": EndKind.LAPSED,
-    "broken": EndKind.BROKEN,
-    "alone": EndKind.ALONE,
+    "done": RunEndKind.DONE,
+    "failed": RunEndKind.FAILED,
+    "stopped": RunEndKind.STOPPED,
+    "lapsed": RunEndKind.LAPSED,
+    "broken": RunEndKind.BROKEN,
+    "alone": RunEndKind.ALONE,
 }
 
 
@@ -97,7 +97,7 @@
             return _find_lost_call(sent.failure())
         return _find_failure(sent.unwrap())
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         """Ask what runs and what has ended, and renew the lease."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": order.last_seen}
         if order.expires_ms is not None:
@@ -166,12 +166,12 @@
 
 def read_lists(
     clock_ms: int | None, running: list[list[Any]], finished: list[list[Any]]
-) -> LookReply | None:
+) -> PollReply | None:
     """Return what a worker says that it holds, or None where that cannot be read."""
     if clock_ms is None:
         return None
     try:
-        return LookReply(
+        return PollReply(
             clock_ms=clock_ms,
             running=tuple(run for row in running if (run := _read_run(row)) is not None),
             ended=tuple(end for row in finished if (end := _read_end(row)) is not None),
@@ -223,7 +223,7 @@
     return RunReport(task=ref, run=RunNumber(run), checkpoint=saved, percent=int(percent))
 
 
-def _read_end(row: list[Any]) -> EndReport | None:
+def _read_end(row: list[Any]) -> RunEndReport | None:
     """Return one end that is listed, or None where it is of no task of ours."""
     number, name, run, word = row[:4]
     saved = row[4] or ""
@@ -232,4 +232,4 @@
         return None
     if type(number) is not int or type(run) is not int or type(saved) is not str:
         raise ValueError
-    return EndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=saved)
+    return RunEndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=saved)
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -115,7 +115,7 @@
     return {
         "settled_after_ms": dispatch.counts.settled_after_ms,
         "open_jobs": dispatch.jobs.count_jobs(),
-        "unsure_jobs": sum(job.is_unsure() for job in dispatch.jobs.jobs.values()),
+        "unsure_jobs": sum(job.has_unknown_tasks() for job in dispatch.jobs.jobs.values()),
         "waiting_tasks": dispatch.jobs.backlog.count_tasks(),
         "upstreams": len(lives),
         "upstreams_working": len(working),
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -13,19 +13,19 @@
 from ..core.clock import Clock
 from ..core.cluster.calls import (
     Answer,
-    Beat,
+    ForwardHeartbeat,
     Call,
     Evacuate,
-    Greet,
-    Heard,
+    KeepAlive,
+    ReportHeartbeats,
     Outcome,
     Submit,
     answer_decoder,
     call_decoder,
 )
-from ..core.cluster.forecast import find_last_use
+from ..core.cluster.forecast import find_latest_useful_start
 from ..core.cluster.lives import LeaseTerms, choose_terms
-from ..core.cluster.reports import LONGEST_ELECTION, ReportTerms
+from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
 from ..net.asgi import HttpRequest, HttpResponse
@@ -148,27 +148,27 @@
 
     async def answer(self, call: Call, *, passed_on: bool = False) -> Answer:
         """Answer a call here, if this host leads, or by asking the leader."""
-        if isinstance(call, Greet):
+        if isinstance(call, KeepAlive):
             await self._wait_until_led()
         if isinstance(call, Evacuate) and not passed_on:
             call = await self._desk.receive(call)
         leading = self.leading
         if leading is not None and (self.replica.has_lease() or leading.needs_no_lease(call)):
             answer = await leading.answer(call)
-            return self._add_hosts(answer) if isinstance(call, Greet) else answer
+            return self._add_hosts(answer) if isinstance(call, KeepAlive) else answer
         leader = self.replica.leader_host
         is_own = leader == str(self._settings.listen.peers)
         if passed_on or leader is None or is_own:
             if self._desk.is_in_log(call):
                 return Answer(outcome=Outcome.DONE)
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="no leader"))
-        if isinstance(call, Greet) and call.is_probe:
+        if isinstance(call, KeepAlive) and call.is_probe:
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="not the leader"))
-        if isinstance(call, Greet):
+        if isinstance(call, KeepAlive):
             answer = await self._pass_on(leader, call, GREETING_PASSED, self._pools)
             # Whoever greets learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
-        if isinstance(call, Beat) and self._settings.orders is OrdersBy.CALL:
+        if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrdersBy.CALL:
             taken = self.heartbeats.take(call.heartbeat)
             if taken is not None:
                 return taken
@@ -213,7 +213,7 @@
 
     # Parts
 
-    async def _tell_leader(self, heard: Heard) -> Answer:
+    async def _tell_leader(self, heard: ReportHeartbeats) -> Answer:
         """Tell another host that leads whose heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
@@ -223,10 +223,10 @@
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
         queues = self.replicated.records.queues
-        found = queues.find(call.host, call.path) if queues is not None else None
+        found = queues.find_queue(call.host, call.path) if queues is not None else None
         if found is None:
             return 0.0
-        return find_last_use(found[0], call.spec).total_seconds() - call.waited_ms / 1000
+        return find_latest_useful_start(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _wait_until_led(self) -> None:
         """Keep a greeting until somebody leads, so that gateways learn of a leader at once."""
@@ -340,7 +340,7 @@
         """Return until when this host can count on the capacities in its record as a new leader."""
         if self._led_at is None:
             return timedelta()
-        return reports.find_known_until(self._led_at - LONGEST_ELECTION)
+        return reports.find_valid_until(self._led_at - MAX_ELECTION_TIME)
 
     def _check_leading(self) -> None:
         """Begin or end to lead as the log says."""
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -17,7 +17,7 @@
 from ..config.cluster import GatewaySettings
 from ..config.options import Address
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Answer, Greet, Outcome, Roster
+from ..core.cluster.calls import Answer, KeepAlive, Outcome, FailoverState
 from ..core.cluster.rosters import choose_asked, find_own_domain
 from ..core.ids import DomainName
 from .deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE, Deputy
@@ -144,7 +144,7 @@
         """Look for control hosts at these addresses, too."""
         self.hosts = sorted({*self.hosts, *(str(seed) for seed in seeds)})
 
-    def use_roster(self, received: Roster) -> None:
+    def use_roster(self, received: FailoverState) -> None:
         """Keep what is needed to stand in."""
         if self.rosters.take(received):
             self._level = 0
@@ -226,12 +226,12 @@
         if asking is not None:
             await asking
 
-    def _build_greeting(self, roster: str = "", *, is_probe: bool = False) -> Greet:
-        return Greet(
+    def _build_greeting(self, roster: str = "", *, is_probe: bool = False) -> KeepAlive:
+        return KeepAlive(
             gateway=self.own,
-            life=self.vouching.life,
+            instance=self.vouching.life,
             domain=self._settings.domain,
-            roster=roster,
+            failover_version=roster,
             is_probe=is_probe,
         )
 
@@ -277,7 +277,7 @@
             self.hosts = sorted({*answer.hosts})
         if answer.max_body_bytes is not None:
             self.max_body_bytes = answer.max_body_bytes
-        if answer.outcome is not Outcome.DONE or answer.is_deputy:
+        if answer.outcome is not Outcome.DONE or answer.is_acting_leader:
             return False
         if via is Via.RELAY and self.is_led_directly():
             # A control host has answered in the meantime.
@@ -382,7 +382,7 @@
         """Whether a gateway still stands in or passes calls on, by its answer to a greeting."""
         if via is Via.RELAY:
             return self._take_greeted(host, via, answer)
-        if not answer.is_deputy or answer.outcome is not Outcome.DONE:
+        if not answer.is_acting_leader or answer.outcome is not Outcome.DONE:
             return False
         self.vouching.take(answer)
         self._reached_at = self._clock.monotonic()
@@ -392,7 +392,7 @@
         """Whether whoever calls go to has not answered for so long."""
         return self._reached_at is None or self._clock.monotonic() - self._reached_at >= span
 
-    async def _find_replacement(self, roster: Roster) -> None:
+    async def _find_replacement(self, roster: FailoverState) -> None:
         """Follow a gateway that reaches a leader or stands in, or stand in where none can be."""
         if all(gateway.address != self.own for gateway in roster.gateways):
             return
@@ -412,7 +412,9 @@
         if self._may_stand_in(roster) and is_lowest:
             await self._stand_in_if_lowest(roster, rivals)
 
-    async def _ask_gateways(self, gateways: Iterable[str], roster: Roster) -> dict[str, Answer]:
+    async def _ask_gateways(
+        self, gateways: Iterable[str], roster: FailoverState
+    ) -> dict[str, Answer]:
         """Greet several gateways at once and return their answers."""
         asked = list(gateways)
         greeting = self._build_greeting(roster.version)
@@ -421,14 +423,16 @@
         )
         return dict(zip(asked, answers, strict=True))
 
-    def _may_stand_in(self, roster: Roster) -> bool:
+    def _may_stand_in(self, roster: FailoverState) -> bool:
         now = self._clock.monotonic()
         if self._fenced_off_at is not None and now - self._fenced_off_at < STAND_IN_AGAIN_AFTER:
             return False
         is_due = now - self._led_at >= self._find_deputy_delay()
-        return is_due and not (roster.keeps_jobs or not roster.takes_calls or self.is_stopping)
+        return is_due and not (
+            roster.has_durable_jobs or not roster.accepts_calls or self.is_stopping
+        )
 
-    async def _stand_in_if_lowest(self, roster: Roster, rivals: list[str]) -> None:
+    async def _stand_in_if_lowest(self, roster: FailoverState, rivals: list[str]) -> None:
         """Stand in, unless any lower gateway can be reached: then that one does."""
         answers = await self._ask_gateways(rivals, roster)
         is_replaced = self.is_led_directly() or self.deputy is not None
@@ -436,7 +440,7 @@
             self._stand_in(roster)
 
     def _follow_gateway(self, gateway: str, answer: Answer) -> None:
-        if not answer.is_deputy:
+        if not answer.is_acting_leader:
             self.vouching.take(answer)
             self.follow(gateway, Via.RELAY)
             self._take_roster(answer)
@@ -458,7 +462,7 @@
         )
         return 2 * alive <= len(self.hosts)
 
-    def _stand_in(self, roster: Roster) -> None:
+    def _stand_in(self, roster: FailoverState) -> None:
         if self.host is not None:
             # Calls under way there could still have been answered; now they go elsewhere.
             self.leave(self.host)
@@ -500,10 +504,10 @@
     """Whether a gateway passes calls on to a leader, or stands in for this one's domain."""
     if answer.outcome is not Outcome.DONE:
         return False
-    return not answer.is_deputy or answer.domain == own_domain
+    return not answer.is_acting_leader or answer.domain == own_domain
 
 
-def _list_rivals(roster: Roster, own: str) -> list[str]:
+def _list_rivals(roster: FailoverState, own: str) -> list[str]:
     """Return the gateways that would stand in rather than this one, if they can be reached."""
     domain = find_own_domain(roster, own)
     return [
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -21,11 +21,11 @@
 from datetime import timedelta
 
 from ..core.clock import Clock
-from ..core.cluster.calls import Roster
+from ..core.cluster.calls import FailoverState
 from ..core.cluster.commands import decode_commands
 from ..core.cluster.evacuations import Evacuations
 from ..core.cluster.lives import choose_terms
-from ..core.cluster.reports import ReportTerms
+from ..core.cluster.capacity_reports import ReportTerms
 from ..core.ids import DomainName
 from .gateways import GATEWAY_SILENT
 from .leading import Leading, LeadingSettings
@@ -77,7 +77,7 @@
     def __init__(
         self,
         *,
-        roster: Roster,
+        roster: FailoverState,
         level: int,
         domain: DomainName | None,
         port: UpstreamPort,
@@ -113,7 +113,7 @@
                 level=level,
                 reports=reports,
                 # Heartbeats go to control hosts only.
-                known_until=reports.find_known_until(known_at),
+                known_until=reports.find_valid_until(known_at),
             ),
         )
 
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -14,17 +14,17 @@
 from ..core.cluster.calls import (
     NO_CONFIGURATION,
     NO_LOG,
-    NOT_IN_TOUCH,
+    NO_RECENT_CONTACT,
     Abandon,
     Answer,
     Call,
-    GivenUp,
-    Greet,
+    AbandonedSubmission,
+    KeepAlive,
     Outcome,
     Submit,
     call_decoder,
 )
-from ..core.cluster.forecast import find_declared_objective, find_last_use
+from ..core.cluster.forecast import find_declared_objective, find_latest_useful_start
 from ..core.cluster.model import Queue
 from ..net.asgi import HttpRequest, HttpResponse
 from .decider import DeciderLink, Via
@@ -160,7 +160,7 @@
         except asyncio.CancelledError:
             self._note_given_up(call)
             raise
-        if answer.outcome in (Outcome.UNKNOWN, Outcome.GIVEN_UP):
+        if answer.outcome in (Outcome.UNKNOWN, Outcome.ABANDONED):
             self._note_given_up(call)
         if answer.outcome is Outcome.UNKNOWN and isinstance(call, Submit) and call.spec.best_effort:
             # Its caller hears no more of this try, so what runs of it is of no use.
@@ -181,7 +181,7 @@
         """Have whoever decides told, until it surely knows, that nobody waits for a job here."""
         if isinstance(call, Submit) and call.spec.best_effort:
             self.link.vouching.note_given_up(
-                GivenUp(host=call.host, path=call.path, number=call.number)
+                AbandonedSubmission(host=call.host, path=call.path, number=call.number)
             )
 
     def _count(self, call: Call, answer: Answer, took: timedelta, patience: timedelta) -> None:
@@ -198,7 +198,7 @@
     def _find_queue(self, call: Submit) -> Queue | None:
         """Return the queue of a job, as far as the last leader has told."""
         queues = self.link.rosters.queues
-        found = queues.find(call.host, call.path) if queues is not None else None
+        found = queues.find_queue(call.host, call.path) if queues is not None else None
         return found[0] if found is not None else None
 
     async def _call(self, call: Call, patience: timedelta) -> Answer:
@@ -253,14 +253,14 @@
         spec = call.spec
         if queue is None or not spec.best_effort or spec.is_timed or spec.long_running:
             return False
-        return waited > find_last_use(queue, spec)
+        return waited > find_latest_useful_start(queue, spec)
 
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
         queue = self._find_queue(call)
         if queue is None:
             return 0.0
-        return find_last_use(queue, call.spec).total_seconds() - call.waited_ms / 1000
+        return find_latest_useful_start(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _try(self, call: Call, timeout: timedelta) -> Answer:
         if self.deputy is not None:
@@ -273,7 +273,7 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_ANSWER)
         sent_call = _to_deputy(call) if self.link.via is Via.DEPUTY else call
         answer = await self.calls.ask(host, sent_call, timeout)
-        still_decides = answer.detail in (NO_CONFIGURATION, NO_LOG, NOT_IN_TOUCH, NOT_SENT)
+        still_decides = answer.detail in (NO_CONFIGURATION, NO_LOG, NO_RECENT_CONTACT, NOT_SENT)
         if answer.outcome is Outcome.UNAVAILABLE and not still_decides:
             self.link.leave(host)
         return answer
@@ -290,7 +290,7 @@
         if deputy is None or greeting is None:
             return None
         answer = deputy.leading.answer_greeting(greeting)
-        answer = msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
+        answer = msgspec.structs.replace(answer, is_acting_leader=True, domain=deputy.domain)
         return HttpResponse(status=200, body=msgspec.json.encode(answer))
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
@@ -312,12 +312,12 @@
         if deputy is not None:
             # It may have stood down by the time at which a job has ended.
             answer = await deputy.leading.answer(call)
-            return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
+            return msgspec.structs.replace(answer, is_acting_leader=True, domain=deputy.domain)
         leader = self.link.host if self.link.is_led_directly() else None
         if leader is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LEADER, hosts=tuple(self.hosts))
         answer = await self.calls.ask(leader, call, _find_patience(call))
-        if isinstance(call, Greet) and answer.outcome is not Outcome.DONE:
+        if isinstance(call, KeepAlive) and answer.outcome is not Outcome.DONE:
             return msgspec.structs.replace(answer, leader=leader, hosts=tuple(self.hosts))
         return answer
 
@@ -327,9 +327,9 @@
     return msgspec.structs.replace(
         call,
         may_have_begun=True,
-        deputy_term=max(deputy_term, call.deputy_term),
+        acting_leader_term=max(deputy_term, call.acting_leader_term),
         # A gateway that passes calls on may stand in before it has seen one.
-        may_be_of_deputy=call.may_be_of_deputy or via is not Via.LEADER,
+        may_be_of_acting_leader=call.may_be_of_acting_leader or via is not Via.LEADER,
     )
 
 
@@ -340,8 +340,8 @@
 
 def _to_deputy(call: Call) -> Call:
     """Return a call as a deputy takes it, whose token is above that of deputies before it."""
-    if isinstance(call, Submit) and call.deputy_term:
-        return msgspec.structs.replace(call, deputy_term=0)
+    if isinstance(call, Submit) and call.acting_leader_term:
+        return msgspec.structs.replace(call, acting_leader_term=0)
     return call
 
 
@@ -363,8 +363,8 @@
 
 def _find_patience(call: Call) -> timedelta:
     """Return how long the caller of a call that is passed on still waits."""
-    if isinstance(call, Greet):
+    if isinstance(call, KeepAlive):
         return GREETING_PASSED
-    if isinstance(call, Submit) and call.patience_ms:
-        return timedelta(milliseconds=max(call.patience_ms - call.waited_ms, 1))
+    if isinstance(call, Submit) and call.wait_timeout_ms:
+        return timedelta(milliseconds=max(call.wait_timeout_ms - call.waited_ms, 1))
     return PASS_ON_TIMEOUT
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Contact, GatewayInfo, Greet, Roster
+from ..core.cluster.calls import Contact, GatewayInfo, KeepAlive, FailoverState
 from ..core.cluster.records import Records
 from ..core.cluster.rosters import RosterLog
 from ..core.ids import DomainName
@@ -58,7 +58,7 @@
             self._keeps_jobs = are_open
             self.log.note_other()
 
-    def take_greeting(self, greeting: Greet) -> None:
+    def take_greeting(self, greeting: KeepAlive) -> None:
         """Know a gateway, and count on it for as long as its contact allows."""
         gateway = greeting.gateway
         if not gateway:
@@ -66,8 +66,8 @@
         if gateway not in self._domains:
             self._domains[gateway] = greeting.domain
             self.log.note_other()
-        if self._lives.setdefault(gateway, greeting.life) != greeting.life:
-            self._lives[gateway] = greeting.life
+        if self._lives.setdefault(gateway, greeting.instance) != greeting.instance:
+            self._lives[gateway] = greeting.instance
             self.on_restart(gateway)
         sent_at = self.find_sent(gateway, greeting.contact)
         if sent_at is not None:
@@ -143,7 +143,7 @@
             return True
         return not all(self.is_heard(gateway) for gateway in self._domains)
 
-    def build_roster(self, records: Records, known: str) -> Roster | None:
+    def build_roster(self, records: Records, known: str) -> FailoverState | None:
         """Return what a gateway that has the version `known` must learn next, or None.
 
         Also None where that has to wait: see `is_current`.
--- a/cottonlug/runtime/heartbeat_desk.py
+++ b/cottonlug/runtime/heartbeat_desk.py
@@ -14,7 +14,7 @@
 from datetime import timedelta
 
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Answer, Heard, HeardUpstream, Outcome
+from ..core.cluster.calls import Answer, ReportHeartbeats, ReportedHeartbeat, Outcome
 from ..core.cluster.model import Heartbeat
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
@@ -26,7 +26,7 @@
 TRUSTED_FOR = timedelta(seconds=1)
 """For so long after the leader took in what was told; later heartbeats are passed on."""
 
-Tell = Callable[[Heard], Awaitable[Answer]]
+Tell = Callable[[ReportHeartbeats], Awaitable[Answer]]
 
 
 class HeartbeatDesk:
@@ -70,12 +70,12 @@
         if answer.outcome is Outcome.DONE:
             self._told_at = asked_at
 
-    def _build_report(self, now: timedelta) -> Heard:
+    def _build_report(self, now: timedelta) -> ReportHeartbeats:
         heard, self._heard = self._heard, {}
-        return Heard(
-            desk=self._control_address,
+        return ReportHeartbeats(
+            responder=self._control_address,
             upstreams=tuple(
-                HeardUpstream(
+                ReportedHeartbeat(
                     upstream=id,
                     sequence=heartbeat.sequence,
                     clock_ms=heartbeat.clock_ms,
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -17,7 +17,7 @@
 
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import HeartbeatOrders, HeartbeatStart
-from ..core.cluster.model import Heartbeat, LookReply, RunNumber, TaskRef
+from ..core.cluster.model import Heartbeat, PollReply, RunNumber, TaskRef
 from ..core.cluster.orders import (
     CallFailure,
     LookOrder,
@@ -54,7 +54,7 @@
 
     order: Order
     queued_at: timedelta
-    settled: asyncio.Future[LookReply | None]
+    settled: asyncio.Future[PollReply | None]
     """The lists of the heartbeat after the one that took it, or None where it was not sent."""
     sent_at: timedelta | None = None
 
@@ -111,7 +111,7 @@
         item = await self._send(order)
         return None if item.settled.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         """Renew a lease, and return the lists of the heartbeat after that."""
         item = await self._send(order)
         lists = item.settled.result() if item.settled.done() else None
@@ -120,7 +120,7 @@
     async def _send(self, order: Order) -> _Item:
         """Queue an order and wait until it is settled, or until that cannot be any more."""
         line = self._lines.setdefault(order.upstream.id, _Line())
-        settled: asyncio.Future[LookReply | None] = asyncio.get_running_loop().create_future()
+        settled: asyncio.Future[PollReply | None] = asyncio.get_running_loop().create_future()
         item = _Item(order=order, queued_at=self._clock.monotonic(), settled=settled)
         line.waiting.append(item)
         line.news.set()
@@ -152,7 +152,7 @@
         self._note_listening(heartbeat.info.id, False)
         return self._take_orders(line, token)
 
-    def _settle(self, line: _Line, lists: LookReply) -> None:
+    def _settle(self, line: _Line, lists: PollReply) -> None:
         sent, line.sent = line.sent, []
         for item in sent:
             if not item.settled.done():
@@ -210,7 +210,7 @@
         )
 
 
-def _has_run(lists: LookReply, key: tuple[TaskRef, RunNumber]) -> bool:
+def _has_run(lists: PollReply, key: tuple[TaskRef, RunNumber]) -> bool:
     return any((run.task, run.run) == key for run in lists.running) or any(
         (end.task, end.run) == key for end in lists.ended
     )
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -10,12 +10,12 @@
 from ..core.cluster.admission import Rejection
 from ..core.cluster.calls import (
     NO_CONFIGURATION,
-    NOT_IN_TOUCH,
+    NO_RECENT_CONTACT,
     Abandon,
     Answer,
     AskState,
     Cancel,
-    GivenUp,
+    AbandonedSubmission,
     Outcome,
     Submit,
 )
@@ -82,8 +82,8 @@
         sent_at = self._gateways.find_sent(call.gateway, call.contact)
         if call.gateway and sent_at is None:
             # Held up: by now its gateway may have taken it to another host that decides.
-            return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_IN_TOUCH)
-        if call.deputy_term >= self._term:
+            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_RECENT_CONTACT)
+        if call.acting_leader_term >= self._term:
             # The deputy's token is higher than ours: take a later term before going on.
             self._authority.renew()
             return Answer(outcome=Outcome.UNKNOWN, detail="a later term is needed after a deputy's")
@@ -92,11 +92,11 @@
         if call.spec.best_effort and self._dispatch.jobs.find_ended(job) is not None:
             return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_ended(job))
         self._dispatch.jobs.suspicion.take_told(call.suspects)
-        if call.spec.best_effort and self._dispatch.is_given_up(job):
+        if call.spec.best_effort and self._dispatch.has_quarantined_task(job):
             return Answer(outcome=Outcome.DONE, state=JobState.FAILED)
         if call.spec.best_effort and self._dispatch.jobs.is_open(job):
             submission = self._build_submission(call, sent_at or timedelta())
-            self._dispatch.join(job, submission, self._clock.monotonic())
+            self._dispatch.merge_submission(job, submission, self._clock.monotonic())
             return await self._wait_end(job)
         if ("job", job) in self._waiters:
             return await self._wait(("job", job))
@@ -128,7 +128,7 @@
         self._wake()
         return Answer(outcome=Outcome.DONE)
 
-    def give_up(self, gateway: str, given_up: GivenUp) -> bool:
+    def give_up(self, gateway: str, given_up: AbandonedSubmission) -> bool:
         """Give up what a gateway waits for no more; False where that is known already."""
         key = (gateway, given_up.number)
         if key in self._given_up:
@@ -184,7 +184,7 @@
         queues = self._records.queues
         if queues is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_CONFIGURATION)
-        found = queues.find(host, path)
+        found = queues.find_queue(host, path)
         return found if found is not None else Answer(outcome=Outcome.NO_QUEUE)
 
     async def _run_to_end(
@@ -204,11 +204,11 @@
         return Submission(
             gateway=call.gateway,
             home=self._gateways.find_domain(call.gateway),
-            vouched_until=sent_at + GATEWAY_SILENT,
+            confirmed_until=sent_at + GATEWAY_SILENT,
             may_have_begun=call.may_have_begun,
-            may_be_of_deputy=call.may_be_of_deputy or bool(call.deputy_term),
+            may_be_of_acting_leader=call.may_be_of_acting_leader or bool(call.acting_leader_term),
             # A caller whose gateway was lost sends its job again only after a while.
-            settle_after=longest if call.may_have_begun else after_retry,
+            reconcile_after=longest if call.may_have_begun else after_retry,
             waited=timedelta(milliseconds=call.waited_ms),
         )
 
@@ -220,8 +220,8 @@
         rejection = self._dispatch.jobs.rejections.get(job)
         if rejection is not None:
             return _reject(job, rejection)
-        if job in self._dispatch.jobs.given_up:
-            return Answer(outcome=Outcome.GIVEN_UP, detail="it would end too late for any use")
+        if job in self._dispatch.jobs.abandoned:
+            return Answer(outcome=Outcome.ABANDONED, detail="it would end too late for any use")
         state = self._dispatch.jobs.find_ended(job)
         if state is None:
             return Answer(outcome=Outcome.UNKNOWN, detail="the job was given up")
--- a/cottonlug/runtime/job_line.py
+++ b/cottonlug/runtime/job_line.py
@@ -139,11 +139,13 @@
             assert isinstance(stamped, Submit), "a call is stamped as what it is"
             item.is_sent = True
             jobs.append(NumberedJob(number=number, submit=stamped))
-        return msgspec.json.encode(JobBatch(caller=self._own, line=self._line, jobs=tuple(jobs)))
+        return msgspec.json.encode(JobBatch(caller=self._own, channel=self._line, jobs=tuple(jobs)))
 
     async def _ask_forever(self) -> None:
         while await self._wait_for(lambda: list(self._items.items())):
-            ask = AskAnswers(caller=self._own, line=self._line, count=self._count, have=self._have)
+            ask = AskAnswers(
+                caller=self._own, channel=self._line, count=self._count, have=self._have
+            )
             sent = await self._open_pool().call(
                 "POST", ANSWERS_PATH, msgspec.json.encode(ask), timeout=ANSWERS_TIMEOUT
             )
--- a/cottonlug/runtime/job_lines.py
+++ b/cottonlug/runtime/job_lines.py
@@ -100,7 +100,7 @@
 
     def take(self, batch: JobBatch) -> None:
         """Take jobs in that have not come before."""
-        line = self._find_line(batch.caller, batch.line)
+        line = self._find_line(batch.caller, batch.channel)
         now = self._clock.monotonic() / timedelta(seconds=1)
         for job in batch.jobs:
             if job.number <= line.through:
@@ -116,7 +116,7 @@
 
     async def find_answers(self, ask: AskAnswers) -> AnswerBatch:
         """Return the answers that a line does not have, as soon as there are any."""
-        line = self._find_line(ask.caller, ask.line)
+        line = self._find_line(ask.caller, ask.channel)
         if ask.count == line.count:
             line.answers = [each for each in line.answers if each[0] > ask.have]
         if not line.answers:
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -17,14 +17,14 @@
     AskConfiguration,
     AskEvacuations,
     AskState,
-    Beat,
+    ForwardHeartbeat,
     Call,
     Cancel,
     Configure,
     Evacuate,
-    Greet,
-    Heard,
-    Leave,
+    KeepAlive,
+    ReportHeartbeats,
+    ForwardLeave,
     Outcome,
     Submit,
 )
@@ -48,7 +48,7 @@
     StartOrder,
     StopOrder,
 )
-from ..core.cluster.reports import USUAL_REPORTS, ReportTerms
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName
 from .decisions import note_decision
@@ -91,7 +91,7 @@
     """Failure domain whose upstreams alone are ordered; None for all."""
     level: int = 0
     """Deputies of one term take ever higher levels, so that their tokens rise."""
-    reports: ReportTerms = USUAL_REPORTS
+    reports: ReportTerms = DEFAULT_REPORT_TERMS
     known_until: timedelta = timedelta()
     """Until then the capacities in the record can be counted on without a report to this host."""
 
@@ -119,7 +119,7 @@
             self._heartbeats = HeartbeatPort(
                 clock=clock,
                 lease=settings.terms.longest,
-                note_listening=lambda id, is_there: self.dispatch.note_listening(id, is_there),
+                note_listening=lambda id, is_there: self.dispatch.set_listening(id, is_there),
             )
         self._port = self._heartbeats or port
         self._clock = clock
@@ -171,7 +171,7 @@
             propose=self._propose_and_wait,
             read_wall=self._read_wall,
         )
-        self.dispatch.may_be_stood_in_for = self._may_be_stood_in_for
+        self.dispatch.may_have_acting_leader = self._may_be_stood_in_for
         self.gateways.on_silence = self._give_up_silent
         self.gateways.on_restart = self._give_up_all
         self._proposals: list[Command] = []
@@ -227,7 +227,7 @@
 
     def needs_no_lease(self, call: Call) -> bool:
         """Whether the log alone decides about a call: its answer waits for the commit."""
-        if isinstance(call, Beat):
+        if isinstance(call, ForwardHeartbeat):
             return call.heartbeat.draining and self._heartbeats is None
         return isinstance(call, Configure | Evacuate)
 
@@ -237,7 +237,7 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG)
         if isinstance(call, AskState):
             return await self._jobs.answer_state(call)
-        if isinstance(call, Greet):
+        if isinstance(call, KeepAlive):
             return self.answer_greeting(call)
         if isinstance(call, Submit):
             return await self._jobs.answer_submit(call)
@@ -245,11 +245,11 @@
             return self._jobs.answer_abandon(call)
         if isinstance(call, Cancel):
             return await self._jobs.answer_cancel(call)
-        if isinstance(call, Beat):
+        if isinstance(call, ForwardHeartbeat):
             return await self._answer_beat(call)
-        if isinstance(call, Heard):
+        if isinstance(call, ReportHeartbeats):
             return self._answer_heard(call)
-        if isinstance(call, Leave):
+        if isinstance(call, ForwardLeave):
             return await self._answer_leave(call)
         if isinstance(call, Configure):
             return await self._orders.answer_configure(call)
@@ -261,30 +261,35 @@
             return self._orders.answer_evacuations()
         return Answer(outcome=Outcome.DONE)
 
-    def answer_greeting(self, call: Greet) -> Answer:
+    def answer_greeting(self, call: KeepAlive) -> Answer:
         """Tell a gateway what it needs to know, and count on it for its jobs."""
         self._take_given_up(call)
         self.gateways.take_greeting(call)
         if not self._settings.keeps_log:
             # A deputy has nothing to tell that its roster did not.
             return Answer(outcome=Outcome.DONE, contact=self.gateways.make_contact())
-        self.gateways.note_kept_jobs(self.dispatch.jobs.keeps_any())
-        roster = self.gateways.build_roster(self._records, call.roster)
+        self.gateways.note_kept_jobs(self.dispatch.jobs.has_durable_jobs())
+        roster = self.gateways.build_roster(self._records, call.failover_version)
         contact = self.gateways.make_contact()
-        is_due = roster is None and not self.gateways.is_current(call.roster)
-        return Answer(outcome=Outcome.DONE, roster=roster, is_roster_due=is_due, contact=contact)
+        is_due = roster is None and not self.gateways.is_current(call.failover_version)
+        return Answer(
+            outcome=Outcome.DONE,
+            failover_state=roster,
+            has_more_failover_state=is_due,
+            contact=contact,
+        )
 
-    def _take_given_up(self, greeting: Greet) -> None:
+    def _take_given_up(self, greeting: KeepAlive) -> None:
         """Go on with nothing that a gateway waits for no more, before counting on it for the rest.
 
         Its callers may have sent it again: see `JobAnswers.answer_submit`.
         """
-        for each in greeting.given_up:
+        for each in greeting.abandoned:
             if self._jobs.give_up(greeting.gateway, each):
                 self._wake()
 
     def _give_up_silent(self, gateway: str) -> None:
-        self.dispatch.abandon_silent(lambda each: each != gateway, self._clock.monotonic())
+        self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self._clock.monotonic())
 
     def _may_be_stood_in_for(self) -> bool:
         domains = {record.info.domain for record in self._records.upstreams.values()}
@@ -293,9 +298,9 @@
     def _give_up_all(self, gateway: str) -> None:
         self.dispatch.abandon_gateway(gateway, self._clock.monotonic())
 
-    async def _answer_beat(self, call: Beat) -> Answer:
+    async def _answer_beat(self, call: ForwardHeartbeat) -> Answer:
         heartbeat = call.heartbeat
-        self.dispatch.take_heartbeat(heartbeat, self._clock.monotonic())
+        self.dispatch.handle_heartbeat(heartbeat, self._clock.monotonic())
         self._wake()
         answer = Answer(outcome=Outcome.DONE, leader_control=self._find_desk(heartbeat))
         # Every later leader must know before the upstream counts on it.
@@ -312,13 +317,13 @@
         is_few = len(self._records.upstreams) < SPREAD_FROM or self._heartbeats is not None
         return self._control_address if is_few else self._desks.choose(heartbeat.info.id)
 
-    def _answer_heard(self, call: Heard) -> Answer:
+    def _answer_heard(self, call: ReportHeartbeats) -> Answer:
         """Take in whose heartbeats another control host has answered."""
-        self._desks.note(call.desk)
+        self._desks.note(call.responder)
         now = self._clock.monotonic()
         for each in call.upstreams:
             at = now - timedelta(milliseconds=each.age_ms)
-            self.dispatch.take_heard(each.upstream, each.sequence, each.clock_ms, at)
+            self.dispatch.handle_reported_heartbeat(each.upstream, each.sequence, each.clock_ms, at)
         self._wake()
         return Answer(outcome=Outcome.DONE)
 
@@ -334,11 +339,11 @@
             untold.append(("capacity", id, heartbeat.sequence))
         return untold
 
-    async def _answer_leave(self, call: Leave) -> Answer:
+    async def _answer_leave(self, call: ForwardLeave) -> Answer:
         known = self._records.find_leaving(call.upstream)
         if known is None or known.draining:
             return Answer(outcome=Outcome.DONE)
-        self.dispatch.take_leave(known.info.id)
+        self.dispatch.handle_leave(known.info.id)
         self._wake()
         return await self._wait(("draining", known.info.id))
 
@@ -362,7 +367,7 @@
     def _take_applied(self, command: Command) -> None:
         if self._is_over:
             return
-        self.dispatch.take_applied(command, self._clock.monotonic())
+        self.dispatch.handle_applied_command(command, self._clock.monotonic())
         self.gateways.log.note_command(command)
         if isinstance(command, AcceptJob):
             self.waiters.resolve(("job", command.job))
@@ -427,9 +432,9 @@
             self._authority.renew()
             return
         if self.gateways.may_be_silent():
-            self.dispatch.abandon_silent(self.gateways.is_heard, now)
+            self.dispatch.abandon_silent_gateways(self.gateways.is_heard, now)
         self.dispatch.tick(now)
-        for order in self.dispatch.take_orders():
+        for order in self.dispatch.pop_orders():
             task = asyncio.create_task(self._carry_out(order))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
@@ -444,7 +449,7 @@
 
     def _propose(self) -> None:
         """Put into the log what waits for it."""
-        self._proposals += self.dispatch.take_proposals()
+        self._proposals += self.dispatch.pop_proposals()
         if self._proposals:
             proposals, self._proposals = self._proposals, []
             if not self._authority.propose(encode_commands(tuple(proposals))):
@@ -455,13 +460,13 @@
         token = self.token
         if isinstance(order, StartOrder):
             outcome, clock_ms = await self._port.start(order, token)
-            self.dispatch.take_start_answer(order, outcome, clock_ms, self._clock.monotonic())
+            self.dispatch.handle_start_answer(order, outcome, clock_ms, self._clock.monotonic())
         elif isinstance(order, StopOrder):
             failure = await self._port.stop(order, token)
-            self.dispatch.take_stop_answer(order, failure, self._clock.monotonic())
+            self.dispatch.handle_stop_answer(order, failure, self._clock.monotonic())
         else:
             reply = await self._port.look(order, token)
-            self.dispatch.take_look(order, reply, sent_at, self._clock.monotonic())
+            self.dispatch.handle_poll_answer(order, reply, sent_at, self._clock.monotonic())
         self._wake()
 
     async def _tick_forever(self) -> None:
@@ -490,4 +495,4 @@
     """Whether a call is about a job that need not be kept, or about nothing."""
     if isinstance(call, Submit):
         return call.spec.best_effort
-    return isinstance(call, Abandon | Greet)
+    return isinstance(call, Abandon | KeepAlive)
--- a/cottonlug/runtime/order_desk.py
+++ b/cottonlug/runtime/order_desk.py
@@ -9,7 +9,14 @@
 import msgspec
 
 from ..core.clock import Clock
-from ..core.cluster.calls import AskConfiguration, Beat, Call, Configure, Evacuate, Leave
+from ..core.cluster.calls import (
+    AskConfiguration,
+    ForwardHeartbeat,
+    Call,
+    Configure,
+    Evacuate,
+    ForwardLeave,
+)
 from ..core.cluster.model import OrderId
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import HostId
@@ -47,9 +54,9 @@
 
         Not a heartbeat that is answered with orders: each must come once, and with its answer.
         """
-        if isinstance(call, Beat):
+        if isinstance(call, ForwardHeartbeat):
             return call.heartbeat.draining and not self._orders_by_heartbeat
-        return isinstance(call, Configure | AskConfiguration | Leave | Evacuate)
+        return isinstance(call, Configure | AskConfiguration | ForwardLeave | Evacuate)
 
     def is_in_log(self, call: Call) -> bool:
         """Whether what a call asks for was committed, as far as this host knows."""
@@ -61,9 +68,9 @@
             # This very order: that the domain is as it asks may be undone already.
             order = records.evacuations.get(call.domain).order
             return bool(call.order) and order == call.order
-        if isinstance(call, Leave):
+        if isinstance(call, ForwardLeave):
             return _is_leaving(records.find_leaving(call.upstream))
-        if isinstance(call, Beat) and self.is_order(call):
+        if isinstance(call, ForwardHeartbeat) and self.is_order(call):
             return _is_leaving(records.upstreams.get(call.heartbeat.info.id))
         return False
 
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -16,7 +16,15 @@
 from returns.result import Result
 
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Call, Greet, Outcome, Submit, answer_decoder, call_decoder
+from ..core.cluster.calls import (
+    Answer,
+    Call,
+    KeepAlive,
+    Outcome,
+    Submit,
+    answer_decoder,
+    call_decoder,
+)
 from ..net.asgi import HttpRequest
 from ..net.connections import ConnectionPools, parse_address
 from ..net.transport import HttpReply, TransportError
@@ -32,7 +40,7 @@
 """A batch of jobs, a question for answers, and one each to take the place of one gone silent."""
 
 
-def decode_greeting(request: HttpRequest) -> Greet | None:
+def decode_greeting(request: HttpRequest) -> KeepAlive | None:
     """Return the greeting that a request is, or None; other calls are not decoded."""
     if request.path != CALL_PATH or _GREETING_MARK not in request.body[:_MARK_END]:
         return None
@@ -40,7 +48,7 @@
         call = call_decoder.decode(request.body)
     except msgspec.MsgspecError:
         return None
-    return call if isinstance(call, Greet) else None
+    return call if isinstance(call, KeepAlive) else None
 
 
 _GREETING_MARK = b'"greet"'
--- a/cottonlug/runtime/ports.py
+++ b/cottonlug/runtime/ports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..core.cluster.model import LookReply
+from ..core.cluster.model import PollReply
 from ..core.cluster.orders import (
     CallFailure,
     LookOrder,
@@ -28,7 +28,7 @@
         """Send a stop."""
         ...
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         """Ask what runs and what has ended."""
         ...
 
--- a/cottonlug/runtime/roster_keeper.py
+++ b/cottonlug/runtime/roster_keeper.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..core.clock import Clock
-from ..core.cluster.calls import Answer, Roster
+from ..core.cluster.calls import Answer, FailoverState
 from ..core.cluster.queues import QueueIndex
 from ..core.cluster.rosters import merge_roster
 
@@ -12,13 +12,13 @@
     """The last whole roster, and what has arrived of the next one."""
 
     def __init__(self, *, clock: Clock) -> None:
-        self.whole: Roster | None = None
+        self.whole: FailoverState | None = None
         self.confirmed_at = clock.monotonic()
         """When a leader last said, or confirmed, what the whole one says."""
         self.queues: QueueIndex | None = None
         """The queues of the last leader's configuration."""
         self._clock = clock
-        self._next: Roster | None = None
+        self._next: FailoverState | None = None
 
     @property
     def version(self) -> str:
@@ -32,13 +32,13 @@
 
     def take_answer(self, answer: Answer) -> bool:
         """Learn from the answer to a greeting; return whether a whole roster has arrived."""
-        if answer.roster is not None:
-            return self.take(answer.roster)
-        if not answer.is_roster_due:
+        if answer.failover_state is not None:
+            return self.take(answer.failover_state)
+        if not answer.has_more_failover_state:
             self.confirmed_at = self._clock.monotonic()
         return False
 
-    def take(self, received: Roster) -> bool:
+    def take(self, received: FailoverState) -> bool:
         """Take a part in; one that does not follow on what is known is left out.
 
         Return whether the next roster is whole by now, and so takes the place of the last.
--- a/cottonlug/runtime/vouching.py
+++ b/cottonlug/runtime/vouching.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Answer, Call, Contact, GivenUp, Greet, Submit
+from ..core.cluster.calls import Answer, Call, Contact, AbandonedSubmission, KeepAlive, Submit
 
 GIVEN_UP_TOLD = timedelta(seconds=1)
 """For so long greetings tell it: whoever gets none of them for a third of that gives all up."""
@@ -31,7 +31,7 @@
         self._contact: Contact | None = None
         """What whoever decides gave with its last answer, and when that arrived."""
         self._contact_at = clock.monotonic()
-        self._given_up: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
+        self._given_up: deque[tuple[timedelta, AbandonedSubmission]] = deque(maxlen=MOST_GIVEN_UP)
         """What is waited for no more, and since when."""
         self._silent_until = timedelta()
 
@@ -44,7 +44,7 @@
         """Vouch to nobody any more, since calls go elsewhere."""
         self._contact = None
 
-    def note_given_up(self, given_up: GivenUp) -> None:
+    def note_given_up(self, given_up: AbandonedSubmission) -> None:
         """Tell whoever is greeted in the next while that a submission is waited for no more."""
         now = self._clock.monotonic()
         if len(self._list_given_up()) >= MOST_GIVEN_UP:
@@ -54,10 +54,10 @@
 
     def stamp(self, call: Call) -> Call:
         """Return a call of this gateway with its contact, as of now; others as they are."""
-        if not isinstance(call, Greet | Submit) or call.gateway != self._own:
+        if not isinstance(call, KeepAlive | Submit) or call.gateway != self._own:
             return call
-        if isinstance(call, Greet):
-            call = msgspec.structs.replace(call, given_up=self._list_given_up())
+        if isinstance(call, KeepAlive):
+            call = msgspec.structs.replace(call, abandoned=self._list_given_up())
         return msgspec.structs.replace(call, contact=self._find_contact())
 
     def _find_contact(self) -> Contact | None:
@@ -66,7 +66,7 @@
         since = self._clock.monotonic() - self._contact_at
         return msgspec.structs.replace(self._contact, since_ms=to_milliseconds(since))
 
-    def _list_given_up(self) -> tuple[GivenUp, ...]:
+    def _list_given_up(self) -> tuple[AbandonedSubmission, ...]:
         oldest = self._clock.monotonic() - GIVEN_UP_TOLD
         while self._given_up and self._given_up[0][0] < oldest:
             self._given_up.popleft()
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -15,12 +15,12 @@
     Answer,
     Call,
     GatewayInfo,
-    Greet,
+    KeepAlive,
     Outcome,
-    Roster,
+    FailoverState,
     Submit,
 )
-from ..core.cluster.model import Configuration, ConfigurationVersion, LookReply, Service
+from ..core.cluster.model import Configuration, ConfigurationVersion, PollReply, Service
 from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import DomainName, HostId
@@ -48,10 +48,10 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         return None
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         self.tokens.add(token)
         await asyncio.sleep(order.wait.total_seconds())
-        return LookReply(clock_ms=1_000, running=(), ended=())
+        return PollReply(clock_ms=1_000, running=(), ended=())
 
 
 def fail(error: BaseException) -> None:
@@ -83,7 +83,7 @@
     return ManualClock(start=datetime(2026, 1, 1, tzinfo=UTC))
 
 
-def build_roster(count: int = 2, keeps_jobs: bool = False) -> Roster:
+def build_roster(count: int = 2, keeps_jobs: bool = False) -> FailoverState:
     configuration = Configuration(
         version=ConfigurationVersion(1),
         queues=(build_queue(),),
@@ -91,7 +91,7 @@
         max_body_bytes=1_000,
         document="{}",
     )
-    return Roster(
+    return FailoverState(
         version="1.1",
         term=5,
         configuration=configuration,
@@ -100,7 +100,7 @@
             GatewayInfo(address=f"10.0.0.{number}:7000", domain=DomainName("domain"))
             for number in range(1, count + 1)
         ),
-        keeps_jobs=keeps_jobs,
+        has_durable_jobs=keeps_jobs,
     )
 
 
@@ -143,8 +143,8 @@
     return gateways
 
 
-def greet(gateway: str, domain: str = "north", roster: str = "") -> Greet:
-    return Greet(gateway=gateway, domain=DomainName(domain), roster=roster)
+def greet(gateway: str, domain: str = "north", roster: str = "") -> KeepAlive:
+    return KeepAlive(gateway=gateway, domain=DomainName(domain), failover_version=roster)
 
 
 def add_upstream(gateways: Gateways, records: Records, name: str) -> None:
@@ -186,6 +186,6 @@
 
 
 def lead(call: Call) -> Answer:
-    if isinstance(call, Greet):
+    if isinstance(call, KeepAlive):
         return Answer(outcome=Outcome.DONE, leader=LEADER, hosts=(LEADER,))
     return Answer(outcome=Outcome.DONE, detail="led")
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -33,8 +33,8 @@
 )
 from ..config.logs import LogSettings
 from ..config.options import Address
-from ..core.cluster.calls import Greet
-from ..core.cluster.model import LookReply
+from ..core.cluster.calls import KeepAlive
+from ..core.cluster.model import PollReply
 from ..core.cluster.orders import (
     CallFailure,
     LookOrder,
@@ -571,7 +571,7 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         raise AssertionError("there are no jobs")
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         await asyncio.sleep(2 * LINK)
         upstream = self._world.upstreams.get(order.upstream.id)
         if upstream is None:
@@ -580,7 +580,7 @@
             return CallFailure.FENCED
         upstream.token = token
         clock_ms = int(self._world.loop.time() * 1000)
-        return LookReply(clock_ms=clock_ms, running=(), ended=())
+        return PollReply(clock_ms=clock_ms, running=(), ended=())
 
 
 def build_configuration(version: int) -> bytes:
@@ -676,7 +676,7 @@
 
 async def greet_forever(world: World, address: str, domain: str, chance: random.Random) -> None:
     """Be a gateway that some control host hears."""
-    call = msgspec.json.encode(Greet(gateway=address, domain=DomainName(domain)))
+    call = msgspec.json.encode(KeepAlive(gateway=address, domain=DomainName(domain)))
     while True:
         machine = world.find_leader() or chance.choice(list(world.machines.values()))
         request = HttpRequest(method="POST", path=CALL_PATH, headers={}, body=call)
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -75,7 +75,7 @@
         was_held_up, self.decided_at = now - self.decided_at > HELD_UP, now
         if was_held_up:
             return
-        self.dispatch.abandon_silent(self.is_heard, now)
+        self.dispatch.abandon_silent_gateways(self.is_heard, now)
         Leader.act(self)
 
     def is_heard(self, gateway: str) -> bool:
@@ -92,7 +92,7 @@
         if contact is None or not self.counts(contact):
             return
         if gateway in self.heard and not self.is_heard(gateway):
-            self.dispatch.abandon_silent(lambda each: each != gateway, self.world.now)
+            self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self.world.now)
         known = self.heard.get(gateway, contact.sent_at)
         self.heard[gateway] = max(contact.sent_at, known)
 
@@ -123,10 +123,12 @@
             JobRecord(id=call.job, queue=self.site.queue, spec=call.spec, accepted_ms=0),
             Submission(
                 gateway=gateway,
-                vouched_until=contact.sent_at + GATEWAY_SILENT,
+                confirmed_until=contact.sent_at + GATEWAY_SILENT,
                 may_have_begun=call.may_have_begun,
-                may_be_of_deputy=call.may_be_of_deputy,
-                settle_after=SETTLE_AFTER if call.may_have_begun else SETTLE_AFTER - CALLER_RETRY,
+                may_be_of_acting_leader=call.may_be_of_acting_leader,
+                reconcile_after=(
+                    SETTLE_AFTER if call.may_have_begun else SETTLE_AFTER - CALLER_RETRY
+                ),
             ),
             self.world.now,
         )
@@ -173,7 +175,7 @@
     at: Decider | None = None
     has_arrived: bool = False
     may_have_begun: bool = False
-    may_be_of_deputy: bool = False
+    may_be_of_acting_leader: bool = False
     deputy_term: int = 0
     number: int = field(default_factory=itertools.count().__next__)
 
@@ -229,7 +231,7 @@
         if call.at is not None:
             call.may_have_begun = True
             if call.at.is_deputy:
-                call.may_be_of_deputy = True
+                call.may_be_of_acting_leader = True
                 call.deputy_term = max(call.deputy_term, call.at.token // TOKENS_PER_TERM)
         call.at, call.has_arrived = None, False
 
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -20,12 +20,12 @@
 from ..core.cluster.lives import LeaseTerms
 from ..core.cluster.model import (
     Capacity,
-    EndKind,
-    EndReport,
+    RunEndKind,
+    RunEndReport,
     Heartbeat,
     JobId,
     JobSpec,
-    LookReply,
+    PollReply,
     Needs,
     Queue,
     RunNumber,
@@ -38,7 +38,7 @@
 from ..core.cluster.open_job import Submission
 from ..core.cluster.orders import CallFailure, LookOrder, Order, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import JobRecord, Records
-from ..core.cluster.reports import USUAL_REPORTS
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName, UpstreamId
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
@@ -96,7 +96,7 @@
     needs: Needs
     began_at: timedelta
     ends_at: timedelta
-    how: EndKind
+    how: RunEndKind
 
 
 @dataclass(slots=True, kw_only=True)
@@ -171,7 +171,7 @@
     token: int = 0
     expires_ms: float = 0.0
     number: int = 0
-    ended: list[EndReport] = field(default_factory=list)
+    ended: list[RunEndReport] = field(default_factory=list)
     runs: dict[TaskRef, ModelRun] = field(default_factory=dict)
     barred: dict[TaskRef, int] = field(default_factory=dict)
     parked: list[Callable[[], None]] = field(default_factory=list)
@@ -212,7 +212,7 @@
 
     def find_borne_size(self) -> int:
         """Return up to which room starts are borne: one that has shrunk counts after a while."""
-        since = self.world.now - USUAL_REPORTS.valid_for
+        since = self.world.now - DEFAULT_REPORT_TERMS.valid_for
         borne = [size for until, size in self.earlier_sizes if until >= since]
         return max([self.info.capacity.cpu_millis, *borne])
 
@@ -235,7 +235,7 @@
         self.barred[order.task] = max(self.barred.get(order.task, 0), order.run)
         run = self.runs.get(order.task)
         if run is not None and run.run == order.run:
-            self._end(run, EndKind.STOPPED)
+            self._end(run, RunEndKind.STOPPED)
         return None
 
     def hold(self, order: LookOrder, token: int) -> CallFailure | None:
@@ -245,17 +245,17 @@
             return CallFailure.FENCED
         self.token = token
         for end in self.ended:
-            if end.number <= order.last_seen and end.how is EndKind.DONE:
+            if end.number <= order.last_seen and end.how is RunEndKind.DONE:
                 self.world.noted_done.add(end.task)
         self.ended = [end for end in self.ended if end.number > order.last_seen]
         if order.expires_ms is not None:
             self._extend(order.expires_ms)
         return None
 
-    def report(self) -> LookReply:
+    def report(self) -> PollReply:
         """Return both lists."""
         self._advance()
-        return LookReply(
+        return PollReply(
             clock_ms=self.clock_ms(),
             running=tuple(self._report_run(run) for run in self.runs.values()),
             ended=tuple(self.ended[:500]),
@@ -291,7 +291,7 @@
         world.begun.append((ref, world.now))
         world.started_jobs.add(ref.job)
         fails = world.random.random() < world.failed_share or self.fails_all
-        how = EndKind.FAILED if fails else EndKind.DONE
+        how = RunEndKind.FAILED if fails else RunEndKind.DONE
         taken = milliseconds(1) if self.fails_all else self.run_times(ref.job)
         run = ModelRun(
             ref=ref,
@@ -312,12 +312,12 @@
         if self.is_up and self.runs.get(run.ref) is run:
             self._end(run, run.how)
 
-    def _end(self, run: ModelRun, how: EndKind) -> None:
+    def _end(self, run: ModelRun, how: RunEndKind) -> None:
         del self.runs[run.ref]
         self.world.running.pop(run.ref, None)
         self.barred[run.ref] = max(self.barred.get(run.ref, 0), run.run)
         self.number += 1
-        self.ended.append(EndReport(number=self.number, task=run.ref, run=run.run, how=how))
+        self.ended.append(RunEndReport(number=self.number, task=run.ref, run=run.run, how=how))
         parked, self.parked = self.parked, []
         for wake in parked:
             wake()
@@ -334,7 +334,7 @@
             for run in list(self.runs.values()):
                 # The first end answers a parked look, which comes back here and ends the others.
                 if self.runs.get(run.ref) is run:
-                    self._end(run, EndKind.LAPSED)
+                    self._end(run, RunEndKind.LAPSED)
 
 
 _ENDED: dict[type, object] = {
@@ -391,8 +391,8 @@
         queue: Queue,
         *,
         may_have_begun: bool = False,
-        may_be_of_deputy: bool = False,
-        settle_after: timedelta = SETTLE_AFTER,
+        may_be_of_acting_leader: bool = False,
+        reconcile_after: timedelta = SETTLE_AFTER,
         waited: timedelta = timedelta(),
     ) -> None:
         """Submit a job as a gateway does, or put it into the log where it must be kept."""
@@ -409,8 +409,8 @@
         submission = Submission(
             gateway="",
             may_have_begun=may_have_begun,
-            may_be_of_deputy=may_be_of_deputy,
-            settle_after=settle_after,
+            may_be_of_acting_leader=may_be_of_acting_leader,
+            reconcile_after=reconcile_after,
             waited=waited,
         )
         self.dispatch.submit(record, submission, self.world.now)
@@ -419,7 +419,7 @@
     def beat(self, upstream: ModelUpstream, sequence: int, *, draining: bool = False) -> None:
         """Deliver a heartbeat."""
         heartbeat = Heartbeat(info=upstream.info, sequence=sequence, draining=draining)
-        self.dispatch.take_heartbeat(heartbeat, self.world.now)
+        self.dispatch.handle_heartbeat(heartbeat, self.world.now)
         self.act()
 
     def act(self) -> None:
@@ -427,16 +427,16 @@
         if self.is_over:
             return
         self.dispatch.tick(self.world.now)
-        for order in self.dispatch.take_orders():
+        for order in self.dispatch.pop_orders():
             self._send(order)
-        for command in filter(self.commits, self.dispatch.take_proposals()):
+        for command in filter(self.commits, self.dispatch.pop_proposals()):
             self.world.at(COMMIT, lambda command=command: self._commit(command))  # type: ignore[misc]
 
     def _commit(self, command: Command) -> None:
         # What a leader has proposed may be committed after it was lost.
         self.records.apply(command)
         if not self.is_over:
-            self.dispatch.take_applied(command, self.world.now)
+            self.dispatch.handle_applied_command(command, self.world.now)
             self.act()
 
     def _tick_forever(self) -> None:
@@ -528,14 +528,14 @@
         if isinstance(order, StartOrder):
             outcome = value if isinstance(value, StartOutcome) else StartOutcome.UNKNOWN
             clock_ms = upstream.clock_ms() if value is not None else None
-            self.dispatch.take_start_answer(order, outcome, clock_ms, now)
+            self.dispatch.handle_start_answer(order, outcome, clock_ms, now)
         elif isinstance(order, StopOrder):
             lost = value if isinstance(value, CallFailure) else CallFailure.NO_ANSWER
             failure = None if value == "stopped" else lost
-            self.dispatch.take_stop_answer(order, failure, now)
+            self.dispatch.handle_stop_answer(order, failure, now)
         else:
-            reply = value if isinstance(value, LookReply | CallFailure) else CallFailure.NO_ANSWER
-            self.dispatch.take_look(order, reply, sent_at, now)
+            reply = value if isinstance(value, PollReply | CallFailure) else CallFailure.NO_ANSWER
+            self.dispatch.handle_poll_answer(order, reply, sent_at, now)
 
 
 def lead_site(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from ..core.cluster.calls import Beat, Outcome
+from ..core.cluster.calls import ForwardHeartbeat, Outcome
 from ..core.cluster.commands import Command, ResizeUpstream, SetConfiguration
 from ..core.cluster.life_table import LifeTable
 from ..core.cluster.model import (
@@ -25,7 +25,7 @@
     Service,
 )
 from ..core.cluster.records import Records
-from ..core.cluster.reports import USUAL_REPORTS, find_avoided
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, find_refusal_backoff
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from .gateway_builders import IdlePort
@@ -42,7 +42,7 @@
 )
 from .test_cluster_waiting import lead as lead_host
 
-BEAT = USUAL_REPORTS.every
+BEAT = DEFAULT_REPORT_TERMS.interval
 WHOLE, HALF = 2 * TASK_CPU, TASK_CPU
 FIRST = UpstreamId("u1")
 
@@ -93,7 +93,7 @@
 def beat(leader: Leader, *upstreams: ModelUpstream) -> None:
     """Deliver a heartbeat of each upstream at once."""
     for upstream in upstreams:
-        leader.dispatch.take_heartbeat(upstream.make_heartbeat(), leader.world.now)
+        leader.dispatch.handle_heartbeat(upstream.make_heartbeat(), leader.world.now)
     leader.act()
 
 
@@ -167,7 +167,7 @@
     upstreams[FIRST].resize(HALF)
     beat(leader, upstreams[FIRST])
     run_for(world, 50)
-    leader.dispatch.take_heartbeat(late, world.now)
+    leader.dispatch.handle_heartbeat(late, world.now)
     assert leader.dispatch.lives[FIRST].info.capacity.cpu_millis == HALF
     run_for(world, 50)
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
@@ -198,7 +198,7 @@
     first.is_over = True
     run_for(world, 5_000)
     second = lead(world, upstreams, records, 2, known_until=world.now + milliseconds(2_000))
-    second.dispatch.take_heartbeat(late, world.now)
+    second.dispatch.handle_heartbeat(late, world.now)
     run_for(world, 50)
     second.submit("a" * 16, build_spec(tasks=2, run_ms=300), build_queue())
     run_for(world, 100)
@@ -214,14 +214,14 @@
     first.is_over = True
     cut_at = world.now
     upstreams[FIRST].resize(HALF)
-    until = USUAL_REPORTS.find_known_until(cut_at)
+    until = DEFAULT_REPORT_TERMS.find_valid_until(cut_at)
     deputy = lead(world, upstreams, records, 2, known_until=until)
     world.run_until(until - milliseconds(200))
-    assert until < cut_at + USUAL_REPORTS.borne
+    assert until < cut_at + DEFAULT_REPORT_TERMS.shrink_tolerance
     deputy.submit("a" * 16, build_spec(tasks=2), build_queue())
     run_for(world, 150)
     assert world.starts == 2
-    world.run_until(cut_at + USUAL_REPORTS.valid_for + milliseconds(10))
+    world.run_until(cut_at + DEFAULT_REPORT_TERMS.valid_for + milliseconds(10))
     deputy.submit("b" * 16, build_spec(tasks=2), build_queue())
     run_for(world, 150)
     assert world.starts == 2
@@ -235,7 +235,7 @@
     held_up = upstreams[FIRST].make_heartbeat()
     run_for(world, 4_000)
     upstreams[FIRST].resize(HALF)
-    leader.dispatch.take_heartbeat(held_up, world.now)
+    leader.dispatch.handle_heartbeat(held_up, world.now)
     reported_at = leader.dispatch.lives[FIRST].reported_at
     assert reported_at is not None
     assert reported_at < milliseconds(300)
@@ -256,7 +256,7 @@
     assert leader.dispatch.counts.starts_without_room == 5
     upstreams[FIRST].resize(HALF)
     beat(leader, upstreams[FIRST])
-    world.run_until(world.now + find_avoided(5))
+    world.run_until(world.now + find_refusal_backoff(5))
     assert count_runs(upstreams[FIRST]) == 1
 
 
@@ -309,7 +309,7 @@
                     records=known if is_deputy else records,
                     token=term * TOKENS_PER_TERM,
                     is_deputy=is_deputy,
-                    known_until=USUAL_REPORTS.find_known_until(led_at[0]),
+                    known_until=DEFAULT_REPORT_TERMS.find_valid_until(led_at[0]),
                 )
             )
 
@@ -372,7 +372,7 @@
         unreadable = msgspec.structs.replace(
             upstreams[FIRST].make_heartbeat(), has_no_capacity=True
         )
-        leader.dispatch.take_heartbeat(unreadable, world.now)
+        leader.dispatch.handle_heartbeat(unreadable, world.now)
         run_for(world, 50)
     assert notes.count("capacity_unreadable") == 1
     leader.submit("a" * 16, build_spec(tasks=1), build_queue())
@@ -388,7 +388,7 @@
         record = leading._records.upstreams[FIRST]
         capacity = Capacity(cpu_millis=HALF, memory_mb=1)
         info = msgspec.structs.replace(record.info, capacity=capacity)
-        beat = Beat(heartbeat=Heartbeat(info=info, sequence=3, draining=False))
+        beat = ForwardHeartbeat(heartbeat=Heartbeat(info=info, sequence=3, draining=False))
         answering = asyncio.create_task(leading.answer(beat))
         await asyncio.sleep(0)
         assert not answering.done()
--- a/cottonlug/tests/test_cluster_rooms.py
+++ b/cottonlug/tests/test_cluster_capacity_index.py
@@ -11,7 +11,7 @@
 from ..core.cluster.lives import Life
 from ..core.cluster.model import JobId, JobSpec, Needs, StepSpec
 from ..core.cluster.records import Records
-from ..core.cluster.rooms import Rooms
+from ..core.cluster.capacity_index import CapacityIndex
 from ..core.cluster.term import Term
 from .model_upstreams import (
     SERVICE,
@@ -81,14 +81,14 @@
     leader.submit("b" * 16, build_wide(12_000), queue)
     leader.world.run_until(milliseconds(125))
     assert dispatch.counts.starts == 1
-    dispatch.abandon_silent(lambda gateway: False, leader.world.now)
+    dispatch.abandon_silent_gateways(lambda gateway: False, leader.world.now)
     leader.submit("c" * 16, build_spec(tasks=1, run_ms=400), queue)
     assert dispatch.counts.starts == 1
     leader.world.run_until(timedelta(seconds=4))
     assert dispatch.counts.starts == 3
 
 
-def build_rooms(*cpus: int) -> tuple[Rooms, list[Life]]:
+def build_index(*cpus: int) -> tuple[CapacityIndex, list[Life]]:
     """Return upstreams with so much room, in the order in which they came."""
     term = Term(
         number=1,
@@ -106,30 +106,30 @@
     ]
     for life in lives:
         life.is_fenced = True
-    rooms = Rooms(lives=table)
-    rooms.refresh_if_due(timedelta())
-    return rooms, lives
+    index = CapacityIndex(lives=table)
+    index.refresh_if_due(timedelta())
+    return index, lives
 
 
-def list_names(rooms: Rooms, cpu: int) -> list[str]:
-    return [life.info.id for life in rooms.iterate_from(SERVICE, cpu, timedelta(), None)]
+def list_names(index: CapacityIndex, cpu: int) -> list[str]:
+    return [life.info.id for life in index.iterate_instances(SERVICE, cpu, timedelta(), None)]
 
 
 def test_upstreams_come_with_the_least_room_first_and_alike_ones_as_they_joined() -> None:
-    rooms, _ = build_rooms(32_000, 16_000, 48_000, 16_000)
-    assert list_names(rooms, 0) == ["u2", "u4", "u1", "u3"]
-    assert list_names(rooms, 16_001) == ["u1", "u3"]
-    assert rooms.find_most(SERVICE) == 48_000
+    index, _ = build_index(32_000, 16_000, 48_000, 16_000)
+    assert list_names(index, 0) == ["u2", "u4", "u1", "u3"]
+    assert list_names(index, 16_001) == ["u1", "u3"]
+    assert index.find_max_free_cpu(SERVICE) == 48_000
 
 
 def test_an_upstream_that_takes_no_work_any_more_is_passed_over() -> None:
-    rooms, lives = build_rooms(16_000, 32_000, 48_000)
+    index, lives = build_index(16_000, 32_000, 48_000)
     lives[0].draining = True
-    assert list_names(rooms, 0) == ["u2", "u3"]
-    rooms.update(lives[0], timedelta())
+    assert list_names(index, 0) == ["u2", "u3"]
+    index.update(lives[0], timedelta())
     lives[2].is_over = True
-    rooms.update(lives[2], timedelta())
-    assert rooms.find_most(SERVICE) == 32_000
+    index.update(lives[2], timedelta())
+    assert index.find_max_free_cpu(SERVICE) == 32_000
     lives[0].draining = False
-    rooms.update(lives[0], timedelta())
-    assert list_names(rooms, 0) == ["u1", "u2"]
+    index.update(lives[0], timedelta())
+    assert list_names(index, 0) == ["u1", "u2"]
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -21,7 +21,15 @@
 import msgspec
 
 from ..core.clock import ManualClock
-from ..core.cluster.calls import Abandon, Answer, Call, GivenUp, Greet, Outcome, Submit
+from ..core.cluster.calls import (
+    Abandon,
+    Answer,
+    Call,
+    AbandonedSubmission,
+    KeepAlive,
+    Outcome,
+    Submit,
+)
 from ..core.cluster.lives import choose_terms
 from ..core.cluster.model import JobId
 from ..core.cluster.records import UpstreamRecord
@@ -73,7 +81,7 @@
         answer = await self.leading.answer(call)
         if self.answers_late:
             return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
-        if isinstance(call, Greet):
+        if isinstance(call, KeepAlive):
             return msgspec.structs.replace(answer, leader=LEADER, hosts=(LEADER,))
         return answer
 
@@ -180,7 +188,7 @@
         await let_run()
         clock.advance(milliseconds(20))
         leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent_gateways(leading.gateways.is_heard, clock.monotonic())
         assert leading.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
 
@@ -278,12 +286,12 @@
         await let_run()
         clock.advance(BETWEEN_GREETINGS + milliseconds(20))
         leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent_gateways(leading.gateways.is_heard, clock.monotonic())
         assert not leading.dispatch.jobs.is_open(JobId(JOB))
         assert leading.dispatch.jobs.is_open(JobId("f" * 16))
         clock.advance(GATEWAY_SILENT)
         assert leading.gateways.may_be_silent()
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent_gateways(leading.gateways.is_heard, clock.monotonic())
         assert not leading.dispatch.jobs.count_jobs()
         waiting.cancel()
         also_waiting.cancel()
@@ -355,7 +363,7 @@
         waiting.cancel()
         await let_run()
         for number in range(MOST_GIVEN_UP):
-            other = GivenUp(host="host", path=f"/q/{number:016x}", number=-number - 1)
+            other = AbandonedSubmission(host="host", path=f"/q/{number:016x}", number=-number - 1)
             gateway.link.vouching.note_given_up(other)
         until = clock.monotonic() + GATEWAY_SILENT
         while clock.monotonic() < until:
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -57,7 +57,7 @@
     """No leader knows what a deputy has started in a failure domain that was cut off."""
     second = replace_leader(lose_upstream(2))
     spec = build_spec(tasks=2)
-    second.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    second.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     second.world.run_until(second.world.now + milliseconds(500))
     assert count_starts(second.world, JOB) == 0
     second.world.run_until(second.world.now + timedelta(seconds=2))
