--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -93,7 +93,7 @@
         if not upstream.is_up:
             return
         if not self.leader.is_over and upstream.info.id not in self.leader.cut_off:
-            self.leader.dispatch.take_heartbeat(upstream.make_heartbeat(), self.world.now)
+            self.leader.dispatch.handle_heartbeat(upstream.make_heartbeat(), self.world.now)
             self.leader.act()
         self.world.at(milliseconds(500), lambda: self.beat(upstream))
 
@@ -121,7 +121,7 @@
         if kept is not None:
             return kept.state
         # How a job ended that need not be kept is forgotten after some seconds, but for this.
-        return JobState.FAILED if self.leader.dispatch.is_given_up(job) else None
+        return JobState.FAILED if self.leader.dispatch.has_quarantined_task(job) else None
 
     def count_crashes(self, job: JobId) -> int:
         return sum(count for ref, count in self.world.crashes.items() if ref.job == job)
@@ -237,13 +237,13 @@
     told = Suspect(task=ref, counts=ONE_CRASH)
     site.leader.dispatch.jobs.suspicion.take_told([told])
     record = JobRecord(id=id, queue=PATIENT, spec=spec, accepted_ms=0)
-    submission = Submission(gateway="", may_have_begun=True, settle_after=SETTLE_AFTER)
+    submission = Submission(gateway="", may_have_begun=True, reconcile_after=SETTLE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
     site.leader.act()
     site.run_for(10)
     assert site.find_state(id) is JobState.FAILED
     assert site.count_crashes(id) == 1
-    assert site.leader.dispatch.is_given_up(id)
+    assert site.leader.dispatch.has_quarantined_task(id)
 
 
 def test_an_upstream_that_was_only_out_of_sight_counts_against_nobody() -> None:
@@ -266,7 +266,7 @@
     job = site.submit(kept=False, poison=1)
     site.run_for(20)
     site.lead(2)
-    assert site.leader.dispatch.is_given_up(job)
+    assert site.leader.dispatch.has_quarantined_task(job)
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -193,7 +193,7 @@
         deputy = gateways[0].deputy
         assert deputy is not None
         # The deputy plays the leader here: it has the same term as the deputy before it.
-        call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), deputy_term=5)
+        call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), acting_leader_term=5)
         answer = await deputy.leading.answer(call)
         assert answer.outcome is Outcome.UNKNOWN
         assert deputy.authority.is_over
@@ -224,7 +224,7 @@
         await asyncio.sleep(0)
         assert leading.dispatch.jobs.count_jobs() == 1
         clock.advance(GATEWAY_SILENT)
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent_gateways(leading.gateways.is_heard, clock.monotonic())
         assert leading.dispatch.jobs.count_jobs() == 0
         assert (await waiting).outcome is Outcome.UNKNOWN
         gateways[0].stop()
@@ -312,7 +312,7 @@
     async def lose_deputy(call: Call, timeout: timedelta) -> Answer:
         # The next leader's roster comes while the call is under way.
         gateway.link.use_roster(msgspec.structs.replace(build_roster(), term=6))
-        assert not isinstance(call, Submit) or call.deputy_term in (0, 5)
+        assert not isinstance(call, Submit) or call.acting_leader_term in (0, 5)
         if isinstance(call, Submit) and call.may_have_begun:
             return Answer(outcome=Outcome.DONE)
         return Answer(outcome=Outcome.UNKNOWN)
@@ -327,7 +327,7 @@
         gateway.link.follow("10.0.0.2:7000", Via.DEPUTY)
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
-            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG, is_deputy=True)
+            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG, is_acting_leader=True)
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
         await gateway._try(AskState(host="host", path="/q/"), PATIENCE)
@@ -372,7 +372,7 @@
         gateway.link.stand_down()
         answer = await answering
         assert answer.outcome is Outcome.UNKNOWN
-        assert answer.is_deputy
+        assert answer.is_acting_leader
 
     asyncio.run(play())
 
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -9,11 +9,11 @@
 
 from ..core.cluster.commands import NoteEnds
 from ..core.cluster.model import (
-    EndKind,
-    EndReport,
+    RunEndKind,
+    RunEndReport,
     JobId,
     JobState,
-    LookReply,
+    PollReply,
     RunNumber,
     TaskRef,
 )
@@ -192,7 +192,7 @@
 def test_a_new_job_does_not_wait_for_the_leases_of_a_dead_upstream() -> None:
     """Every job waited 1.1 s after a change of leader."""
     world, leader = start_beside_a_dead_upstream()
-    leader.submit("a" * 16, build_spec(tasks=2), build_queue(), settle_after=milliseconds(340))
+    leader.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=milliseconds(340))
     world.run_until(milliseconds(130 + 340 + 400))
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
@@ -232,7 +232,7 @@
     order = LookOrder(upstream=upstream.info, last_seen=0, expires_ms=None, wait=timedelta())
     world.run_until(milliseconds(1_000))
     assert ref not in world.running
-    leader.dispatch.take_look(order, old, milliseconds(110), world.now)
+    leader.dispatch.handle_poll_answer(order, old, milliseconds(110), world.now)
     assert not leader.dispatch.lives[upstream.info.id].runs
 
 
@@ -251,7 +251,7 @@
     moved_to = UpstreamId(where)
     moved_from = next(id for id in upstreams if id != moved_to)
     upstreams[moved_from].ended = [
-        EndReport(number=1, task=ref, run=RunNumber(4_095), how=EndKind.STOPPED)
+        RunEndReport(number=1, task=ref, run=RunNumber(4_095), how=RunEndKind.STOPPED)
     ]
     second = Leader(
         world=world,
@@ -295,12 +295,12 @@
     look = LookOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
     for number, job in ((1, "a" * 16), (2, "b" * 16)):
         ref = TaskRef(JobId(job), 0, 0, 0)
-        end = EndReport(number=number, task=ref, run=RunNumber(4_096), how=EndKind.FAILED)
-        reply = LookReply(clock_ms=90 + number, running=(), ended=(end,))
-        leader.dispatch.take_look(look, reply, world.now, world.now)
+        end = RunEndReport(number=number, task=ref, run=RunNumber(4_096), how=RunEndKind.FAILED)
+        reply = PollReply(clock_ms=90 + number, running=(), ended=(end,))
+        leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
     life = leader.dispatch.lives[info.id]
     assert life.noted == 0
-    noted = [each for each in leader.dispatch.take_proposals() if isinstance(each, NoteEnds)]
+    noted = [each for each in leader.dispatch.pop_proposals() if isinstance(each, NoteEnds)]
     assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
 
 
@@ -321,7 +321,7 @@
         domain=DomainName("north"),
         is_deputy=True,
     )
-    deputy.submit("a" * 16, build_spec(tasks=2), build_queue(), settle_after=timedelta())
+    deputy.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=timedelta())
     begun = JobId("b" * 16)
     deputy.submit(begun, build_spec(tasks=2), build_queue(), may_have_begun=True)
     world.run_until(milliseconds(400))
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -62,7 +62,7 @@
     deputy = stand_in(leader, {where}, 1_001)
     deputy.world.run_until(deputy.world.now + milliseconds(60))
     spec = build_spec(tasks=1, run_ms=2_600)
-    deputy.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    deputy.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     deputy.world.run_until(milliseconds(2_500))
     assert list(deputy.world.running.values()) == [where]
     assert deputy.world.starts == 1
@@ -142,7 +142,7 @@
         lambda self, order: None if isinstance(order, StopOrder) else send(self, order),
     )
     leader.dispatch.jobs.jobs[JobId(JOB)].gateway = "gone"
-    leader.dispatch.abandon_silent(lambda gateway: False, world.now)
+    leader.dispatch.abandon_silent_gateways(lambda gateway: False, world.now)
     world.run_until(world.now + TERMS.lapse_after)
     assert not any(ref.job == JOB for ref in world.running)
 
@@ -184,7 +184,7 @@
     """
     deputy, leader, _ = let_a_leader_stop_a_run_of_a_deputy(11)
     spec = build_spec(tasks=1, run_ms=2_600)
-    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     leader.world.run_until(leader.world.now + milliseconds(500))
     assert leader.dispatch.counts.starts == 0
     deputy.is_over = True
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -59,7 +59,7 @@
     asyncio.run(gateway.call(submit(), PATIENCE))
     second = tried[1]
     assert isinstance(second, Submit)
-    assert second.deputy_term == 5
+    assert second.acting_leader_term == 5
 
 
 def test_a_job_answered_as_unknown_is_not_left_behind() -> None:
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -39,7 +39,9 @@
     job = JobId(f"{number:016x}")
     spec = build_spec(tasks=tasks, run_ms=200)
     record = JobRecord(id=job, queue=build_queue(), spec=spec, accepted_ms=0)
-    submission = Submission(gateway="", home=home, may_have_begun=False, settle_after=SETTLE_AFTER)
+    submission = Submission(
+        gateway="", home=home, may_have_begun=False, reconcile_after=SETTLE_AFTER
+    )
     leader.dispatch.submit(record, submission, leader.world.now)
     leader.act()
     return job
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -104,9 +104,9 @@
 def test_jobs_that_wait_for_upstreams_out_of_sight_are_known(second_leader: Leader) -> None:
     second_leader.submit("a" * 16, build_spec(), build_queue(), may_have_begun=True)
     (job,) = second_leader.dispatch.jobs.jobs.values()
-    assert job.is_unsure()
+    assert job.has_unknown_tasks()
     second_leader.world.run_until(milliseconds(3_000))
-    assert not job.is_unsure()
+    assert not job.has_unknown_tasks()
     assert 990 <= second_leader.dispatch.counts.settled_after_ms <= 1_100
 
 
--- a/cottonlug/tests/test_cluster_orphans.py
+++ b/cottonlug/tests/test_cluster_orphans.py
@@ -11,7 +11,7 @@
 import pytest
 
 from ..core.cluster.model import JobId
-from ..core.cluster.open_jobs import KEEP_ENDED
+from ..core.cluster.open_jobs import ENDED_JOB_RETENTION
 from ..core.cluster.orders import StopOrder
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
@@ -37,7 +37,7 @@
         world.run_until(milliseconds(step * 100))
         beat_all(leader, set(upstreams))
     leader.submit(JOB, build_spec(tasks=tasks, run_ms=2_600), build_queue())
-    world.run_until(KEEP_ENDED - milliseconds(10))
+    world.run_until(ENDED_JOB_RETENTION - milliseconds(10))
     (where,) = set(world.running.values())
     return leader, UpstreamId(where)
 
@@ -114,7 +114,7 @@
     leader.dispatch.abandon(JobId(JOB), "", world.now)
     world.run_until(world.now + milliseconds(1_300))
     assert not world.running
-    leader.submit(JOB, SPEC, build_queue(), settle_after=timedelta())
+    leader.submit(JOB, SPEC, build_queue(), reconcile_after=timedelta())
     world.run_until(world.now + milliseconds(20))
     assert world.starts == 2
     leader.cut_off = set()
@@ -162,7 +162,7 @@
     world = leader.world
     leader.cut_off = {where}
     leader.dispatch.abandon(JobId(JOB), "", world.now)
-    world.run_until(KEEP_ENDED + milliseconds(40))
+    world.run_until(ENDED_JOB_RETENTION + milliseconds(40))
     spec = build_spec(tasks=2, run_ms=2_600)
     leader.submit(JOB, spec, build_queue(), may_have_begun=True)
     world.run_until(world.now + milliseconds(100))
@@ -203,7 +203,7 @@
         is_deputy=True,
     )
     world.run_until(world.now + milliseconds(50))
-    deputy.submit(JOB, SPEC, build_queue(), settle_after=timedelta())
+    deputy.submit(JOB, SPEC, build_queue(), reconcile_after=timedelta())
     world.run_until(world.now + milliseconds(50))
     assert list(world.running.values()) == [far]
     first.is_over = deputy.is_over = True
@@ -211,6 +211,6 @@
     second = Leader(world=world, upstreams=upstreams, records=first.records, token=token)
     beat_all(second, near)
     world.run_until(world.now + milliseconds(50))
-    second.submit(JOB, SPEC, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    second.submit(JOB, SPEC, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     world.run_until(world.now + milliseconds(100))
     assert world.starts == 1
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -9,11 +9,11 @@
 
 from ..core.cluster.backlog import Backlog, Tier
 from ..core.cluster.calls import Answer, Call, Outcome, Submit
-from ..core.cluster.forecast import find_last_use
+from ..core.cluster.forecast import find_latest_useful_start
 from ..core.cluster.model import JobId, JobState
-from ..core.cluster.open_jobs import find_longest_wait
+from ..core.cluster.open_jobs import find_max_wait
 from ..core.cluster.records import Records
-from ..core.cluster.tempo import LONGEST_INTERVAL, Tempo
+from ..core.cluster.throughput import MAX_INTERVAL, Throughput
 from .gateway_builders import JOB, build_clock, build_gateway, build_roster, submit
 from .model_upstreams import build_queue, build_spec, milliseconds
 from .test_cluster_dispatch import build_world, start_leader
@@ -73,18 +73,18 @@
     waited = milliseconds(1_000)
     leader.submit(old, build_spec(tasks=2), build_queue(), waited=waited, may_have_begun=True)
     assert not leader.dispatch.jobs.is_open(old)
-    assert old in leader.dispatch.jobs.given_up
+    assert old in leader.dispatch.jobs.abandoned
     assert old not in leader.dispatch.jobs.rejections
 
 
 def test_a_job_that_has_begun_keeps_its_place_until_its_last_task_would_be_late() -> None:
     """Load: wide jobs under overload. Some of their tasks had started when the rest was put off."""
     backlog = Backlog()
-    begun = build_batch("begun", latest_start=10, last_use=500)
+    begun = build_batch("begun", latest_start=10, latest_useful_start=500)
     begun.has_begun = True
     backlog.add(begun)
-    backlog.add(build_batch("new", latest_start=60, last_use=500))
-    backlog.add(build_batch("not_begun", latest_start=10, last_use=500))
+    backlog.add(build_batch("new", latest_start=60, latest_useful_start=500))
+    backlog.add(build_batch("not_begun", latest_start=10, latest_useful_start=500))
     backlog.demote(milliseconds(30))
     assert [batch.job.id for batch in backlog] == ["begun", "new", "not_begun"]
     backlog.demote(milliseconds(51))
@@ -94,20 +94,20 @@
 def test_a_margin_is_kept_for_run_times_that_are_longer_than_declared() -> None:
     queue = build_queue(target_ms=60)
     # The objective is 1.6 times 100 ms and 60 ms; the wait it allows is 60 + 60 ms.
-    longest = find_longest_wait(queue, milliseconds(220), milliseconds(100))
+    longest = find_max_wait(queue, milliseconds(220), milliseconds(100))
     assert milliseconds(60) < longest < milliseconds(120)
-    assert find_longest_wait(queue, milliseconds(60), milliseconds(0)) == milliseconds(60)
+    assert find_max_wait(queue, milliseconds(60), milliseconds(0)) == milliseconds(60)
 
 
 def test_the_tempo_of_ends_spreads_the_starts_of_wide_jobs() -> None:
-    tempo = Tempo()
-    assert tempo.spread(8) == LONGEST_INTERVAL * 8
+    throughput = Throughput()
+    assert throughput.estimate_start_delay(8) == MAX_INTERVAL * 8
     for number in range(200):
-        tempo.take_ends(1, milliseconds(number))
-    assert tempo.spread(8) < milliseconds(9)
+        throughput.record_run_ends(1, milliseconds(number))
+    assert throughput.estimate_start_delay(8) < milliseconds(9)
     for number in range(200):
-        tempo.take_ends(1, timedelta(seconds=number))
-    assert tempo.spread(1) <= LONGEST_INTERVAL
+        throughput.record_run_ends(1, timedelta(seconds=number))
+    assert throughput.estimate_start_delay(1) <= MAX_INTERVAL
 
 
 def test_a_kept_job_counts_its_age_from_its_arrival_under_a_new_leader() -> None:
@@ -178,6 +178,6 @@
 
 
 def test_last_use_is_three_times_the_objective_less_the_run() -> None:
-    assert find_last_use(build_queue(target_ms=60), build_spec(run_ms=60)) == milliseconds(
-        3 * 156 - 60
-    )
+    assert find_latest_useful_start(
+        build_queue(target_ms=60), build_spec(run_ms=60)
+    ) == milliseconds(3 * 156 - 60)
--- a/cottonlug/tests/test_cluster_overtaken.py
+++ b/cottonlug/tests/test_cluster_overtaken.py
@@ -7,7 +7,7 @@
 
 from ..core.cluster.commands import AddUpstream
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.model import Heartbeat, LookReply
+from ..core.cluster.model import Heartbeat, PollReply
 from ..core.cluster.orders import LookOrder
 from ..core.cluster.records import Records
 from .model_upstreams import TERMS, ModelUpstream, World, build_info, milliseconds
@@ -36,7 +36,7 @@
     for sequence, cpu in ((5, 8_000), (4, 16_000)):
         info = build_info("u1", cpu=cpu)
         beat = Heartbeat(info=info, sequence=sequence, draining=False, clock_ms=70)
-        dispatch.take_heartbeat(beat, milliseconds(sequence))
+        dispatch.handle_heartbeat(beat, milliseconds(sequence))
     assert dispatch.lives[INFO.id].info.capacity.cpu_millis == 8_000
     expected = {
         "upstream": INFO.id,
@@ -59,8 +59,8 @@
     )
     order = LookOrder(upstream=INFO, last_seen=0, expires_ms=None, wait=timedelta())
     newer = upstream.report()
-    older = LookReply(clock_ms=newer.clock_ms - 1, running=(), ended=())
+    older = PollReply(clock_ms=newer.clock_ms - 1, running=(), ended=())
     for reply in (newer, older):
-        dispatch.take_look(order, reply, milliseconds(1), milliseconds(3))
+        dispatch.handle_poll_answer(order, reply, milliseconds(1), milliseconds(3))
     assert [name for name, _ in notes].count("list_overtaken") == 1
     assert dict(notes)["list_overtaken"]["sent_ms_ago"] == 2
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -12,7 +12,7 @@
 from ..core.cluster.backlog import Backlog, Batch, Tier
 from ..core.cluster.checks import find_configuration_problem, find_job_problem
 from ..core.cluster.forecast import Forecast
-from ..core.cluster.guards import FAILURES_IN_A_ROW, LONGEST_PAUSE, Health
+from ..core.cluster.upstream_health import MAX_CONSECUTIVE_FAILURES, MAX_SUSPENSION, UpstreamHealth
 from ..core.cluster.lives import Life
 from ..core.cluster.model import (
     Configuration,
@@ -28,7 +28,7 @@
     TaskRef,
 )
 from ..core.cluster.orders import Run, RunPhase
-from ..core.cluster.placement import choose_life
+from ..core.cluster.placement import choose_instance
 from ..core.cluster.queues import QueueIndex
 from ..core.cluster.records import JobRecord, Records
 from .model_upstreams import (
@@ -44,27 +44,29 @@
 SECOND = timedelta(seconds=1)
 
 
-def build_batch(name: str, *, latest_start: float, last_use: float, cpu: int = 7_000) -> Batch:
+def build_batch(
+    name: str, *, latest_start: float, latest_useful_start: float, cpu: int = 7_000
+) -> Batch:
     step = StepSpec(count=1, needs=Needs(cpu_millis=cpu), estimate_ms=60)
     record = JobRecord(id=JobId(name), queue=build_queue(), spec=build_spec(), accepted_ms=0)
     return Batch(
         job=record,
         occurrence=0,
-        number=0,
+        step_number=0,
         step=step,
         latest_start=milliseconds(latest_start),
         latest_task_start=milliseconds(latest_start + 40),
-        last_use=milliseconds(last_use),
-        work_ms=420.0,
+        latest_useful_start=milliseconds(latest_useful_start),
+        core_ms=420.0,
         waiting=[0],
     )
 
 
 def test_jobs_that_can_be_in_time_go_before_late_ones() -> None:
     backlog = Backlog()
-    backlog.add(build_batch("old", latest_start=10, last_use=500))
-    backlog.add(build_batch("urgent", latest_start=100, last_use=600))
-    backlog.add(build_batch("patient", latest_start=300, last_use=900))
+    backlog.add(build_batch("old", latest_start=10, latest_useful_start=500))
+    backlog.add(build_batch("urgent", latest_start=100, latest_useful_start=600))
+    backlog.add(build_batch("patient", latest_start=300, latest_useful_start=900))
     moved = backlog.demote(milliseconds(50))
     assert [batch.job.id for batch in moved] == ["old"]
     assert [batch.job.id for batch in backlog] == ["urgent", "patient", "old"]
@@ -154,24 +156,24 @@
 
 
 def test_an_upstream_that_fails_all_is_set_aside_and_tried_again() -> None:
-    health = Health()
+    health = UpstreamHealth()
     now = timedelta()
-    found = [health.take_failure(now) for _ in range(FAILURES_IN_A_ROW)]
-    assert found == [False] * (FAILURES_IN_A_ROW - 1) + [True]
-    assert health.is_set_aside(now)
-    assert not health.is_set_aside(now + LONGEST_PAUSE)
+    found = [health.record_failure(now) for _ in range(MAX_CONSECUTIVE_FAILURES)]
+    assert found == [False] * (MAX_CONSECUTIVE_FAILURES - 1) + [True]
+    assert health.is_suspended(now)
+    assert not health.is_suspended(now + MAX_SUSPENSION)
 
 
 def test_one_failure_in_a_while_sets_nobody_aside() -> None:
-    health = Health()
+    health = UpstreamHealth()
     for _ in range(50):
-        assert not health.take_failure(timedelta())
-        assert not health.take_done(1.0, timedelta())
+        assert not health.record_failure(timedelta())
+        assert not health.record_success(1.0, timedelta())
 
 
 def test_a_slow_upstream_is_set_aside() -> None:
-    health = Health()
-    assert any(health.take_done(6.5, timedelta()) for _ in range(5))
+    health = UpstreamHealth()
+    assert any(health.record_success(6.5, timedelta()) for _ in range(5))
 
 
 def test_a_poison_job_fails_after_its_attempts() -> None:
@@ -201,8 +203,8 @@
 
 def test_the_tightest_fit_is_taken() -> None:
     lives = [build_life("u1", 32_000), build_life("u2", 15_000), build_life("u3", 20_000)]
-    batch = build_batch("a", latest_start=0, last_use=0, cpu=14_000)
-    chosen = choose_life(batch, lives)
+    batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
+    chosen = choose_instance(batch, lives)
     assert chosen is not None
     assert chosen.info.id == "u2"
 
@@ -210,7 +212,7 @@
 def test_room_is_left_for_runs_whose_jobs_are_not_known() -> None:
     """57 starts refused after changes of leader."""
     life = build_life("u1", 32_000)
-    batch = build_batch("a", latest_start=0, last_use=0, cpu=14_000)
+    batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     orphan = Run(
         task=TaskRef(JobId("b"), 0, 0, 0),
         run=RunNumber(1),
@@ -220,11 +222,11 @@
         is_orphan=True,
     )
     life.add_run(orphan)
-    assert choose_life(batch, [life]) is life
+    assert choose_instance(batch, [life]) is life
     life.add_run(replace(orphan, run=RunNumber(2)))
-    assert choose_life(batch, [life]) is None
+    assert choose_instance(batch, [life]) is None
     life.remove_run((orphan.task, orphan.run))
-    assert choose_life(batch, [life]) is life
+    assert choose_instance(batch, [life]) is life
 
 
 def test_an_upstream_that_guards_nothing_gets_no_work_beside_unknown_runs() -> None:
@@ -250,8 +252,8 @@
 
 
 def test_nothing_fits_where_there_is_no_room() -> None:
-    batch = build_batch("a", latest_start=0, last_use=0, cpu=14_000)
-    assert choose_life(batch, [build_life("u1", 13_999)]) is None
+    batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
+    assert choose_instance(batch, [build_life("u1", 13_999)]) is None
 
 
 def build_configuration(**changes: object) -> Configuration:
@@ -315,21 +317,21 @@
 def test_the_longest_prefix_selects_the_queue() -> None:
     short, long = build_queue(), msgspec.structs.replace(build_queue(), prefix="/q/long/")
     queues = QueueIndex(configuration=build_configuration(queues=(short, long)))
-    assert queues.find("host:80", "/q/abc") == (short, "abc")
-    assert queues.find("host", "/q/long/abc") == (long, "abc")
-    assert queues.find("host", "/other") is None
-    assert queues.find("other", "/q/abc") is None
+    assert queues.find_queue("host:80", "/q/abc") == (short, "abc")
+    assert queues.find_queue("host", "/q/long/abc") == (long, "abc")
+    assert queues.find_queue("host", "/other") is None
+    assert queues.find_queue("other", "/q/abc") is None
 
 
 def test_an_upstream_on_trial_gets_one_run_at_a_time() -> None:
     """Found with bench/cluster.py: each return of a hanging upstream cost all the jobs it takes."""
-    health = Health()
-    assert health.take_stall(timedelta())
-    assert health.is_on_trial
+    health = UpstreamHealth()
+    assert health.record_stall(timedelta())
+    assert health.is_on_probation
     life = build_life("u1", 32_000)
     life.is_on_trial = True
-    batch = build_batch("a", latest_start=0, last_use=0, cpu=7_000)
-    assert choose_life(batch, [life]) is life
+    batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=7_000)
+    assert choose_instance(batch, [life]) is life
     ref = TaskRef(JobId("a"), 0, 0, 0)
     run = Run(
         task=ref,
@@ -339,6 +341,6 @@
         since=timedelta(),
     )
     life.add_run(run)
-    assert choose_life(batch, [life]) is None
-    health.take_done(1.0, LONGEST_PAUSE)
-    assert not health.is_on_trial
+    assert choose_instance(batch, [life]) is None
+    health.record_success(1.0, MAX_SUSPENSION)
+    assert not health.is_on_probation
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -8,7 +8,7 @@
 
 from ..core.cluster.model import JobId, JobState, Needs, RunNumber, TaskRef
 from ..core.cluster.orders import Run, RunPhase, StartOrder, StartOutcome
-from ..core.cluster.progress import Pace, find_next_check, judge_pace
+from ..core.cluster.progress import ProgressRate, find_next_check, classify_progress
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
 from .model_upstreams import TERMS, Leader, build_queue, build_spec, milliseconds
@@ -34,31 +34,31 @@
 @pytest.mark.parametrize(
     ("percent", "seen_ms", "advanced_ms", "pace"),
     [
-        (0, 50, 0, Pace.FINE),
-        (0, 100, 0, Pace.STANDS_STILL),
-        (90, 300, 180, Pace.STANDS_STILL),
-        (16, 100, 100, Pace.FINE),
-        (8, 300, 300, Pace.SLOW),
-        (80, 900, 900, Pace.FINE),
-        (3, 199, 199, Pace.FINE),
+        (0, 50, 0, ProgressRate.NORMAL),
+        (0, 100, 0, ProgressRate.STALLED),
+        (90, 300, 180, ProgressRate.STALLED),
+        (16, 100, 100, ProgressRate.NORMAL),
+        (8, 300, 300, ProgressRate.SLOW),
+        (80, 900, 900, ProgressRate.NORMAL),
+        (3, 199, 199, ProgressRate.NORMAL),
     ],
 )
-def test_pace(percent: int, seen_ms: float, advanced_ms: float, pace: Pace) -> None:
+def test_pace(percent: int, seen_ms: float, advanced_ms: float, pace: ProgressRate) -> None:
     run = build_run(percent=percent, seen_ms=seen_ms, advanced_ms=advanced_ms)
-    assert judge_pace(run, EXPECTED, None) is pace
+    assert classify_progress(run, EXPECTED, None) is pace
 
 
 def test_a_task_as_long_as_its_siblings_is_not_slow() -> None:
     run = build_run(percent=30, seen_ms=300)
-    assert judge_pace(run, EXPECTED, milliseconds(900)) is Pace.FINE
-    assert judge_pace(run, EXPECTED / 4, milliseconds(50)) is Pace.SLOW
+    assert classify_progress(run, EXPECTED, milliseconds(900)) is ProgressRate.NORMAL
+    assert classify_progress(run, EXPECTED / 4, milliseconds(50)) is ProgressRate.SLOW
 
 
 def test_a_run_from_a_checkpoint_is_given_time_to_be_restored() -> None:
     run = build_run(percent=0, seen_ms=500, advanced_ms=0)
-    assert judge_pace(run, EXPECTED, None) is Pace.STANDS_STILL
+    assert classify_progress(run, EXPECTED, None) is ProgressRate.STALLED
     run.resumes = True
-    assert judge_pace(run, EXPECTED, None) is Pace.FINE
+    assert classify_progress(run, EXPECTED, None) is ProgressRate.NORMAL
 
 
 def test_progress_is_asked_for_before_and_after_a_run_should_have_ended() -> None:
@@ -128,7 +128,7 @@
     order = StartOrder(
         upstream=life.info, task=run.task, run=run.run, payload="", checkpoint="", expires_ms=0
     )
-    leader.dispatch.take_start_answer(order, StartOutcome.UNKNOWN, None, world.now)
+    leader.dispatch.handle_start_answer(order, StartOutcome.UNKNOWN, None, world.now)
     leader.act()
     world.run_until(milliseconds(1_000))
     assert world.starts == 1
--- a/cottonlug/tests/test_cluster_patience.py
+++ b/cottonlug/tests/test_cluster_response_timeout.py
@@ -5,31 +5,35 @@
 from datetime import timedelta
 
 from ..core.cluster.model import JobId, JobState
-from ..core.cluster.patience import LONGEST, SHORTEST, Patience
+from ..core.cluster.response_timeout import (
+    MAX_RESPONSE_TIMEOUT,
+    MIN_RESPONSE_TIMEOUT,
+    ResponseTimeout,
+)
 from ..core.cluster.records import Records
 from .model_upstreams import build_queue, build_spec, milliseconds
 from .test_cluster_dispatch import build_world, start_leader
 
 
-def learn(*times_ms: float) -> Patience:
-    patience = Patience()
+def learn(*times_ms: float) -> ResponseTimeout:
+    timeout = ResponseTimeout()
     for each in times_ms:
-        patience.take_answer(milliseconds(each))
-    return patience
+        timeout.take_answer(milliseconds(each))
+    return timeout
 
 
 def test_before_anything_was_learnt_it_is_long() -> None:
-    assert Patience().find_limit() == LONGEST
+    assert ResponseTimeout().find_timeout() == MAX_RESPONSE_TIMEOUT
 
 
 def test_quick_answers_make_it_short_but_no_shorter_than_a_loop_may_be_held_up() -> None:
-    assert learn(*[2.0] * 20).find_limit() == SHORTEST
+    assert learn(*[2.0] * 20).find_timeout() == MIN_RESPONSE_TIMEOUT
 
 
 def test_slow_and_scattered_answers_make_it_longer_up_to_a_bound() -> None:
-    scattered = learn(*[10.0, 30.0] * 20).find_limit()
-    assert milliseconds(40) < scattered < LONGEST
-    assert learn(*[500.0] * 20).find_limit() == LONGEST
+    scattered = learn(*[10.0, 30.0] * 20).find_timeout()
+    assert milliseconds(40) < scattered < MAX_RESPONSE_TIMEOUT
+    assert learn(*[500.0] * 20).find_timeout() == MAX_RESPONSE_TIMEOUT
 
 
 def test_a_task_whose_start_is_not_answered_is_in_time_elsewhere() -> None:
--- a/cottonlug/tests/test_cluster_rosters.py
+++ b/cottonlug/tests/test_cluster_rosters.py
@@ -12,7 +12,7 @@
 from ..core.cluster.calls import (
     Answer,
     Outcome,
-    Roster,
+    FailoverState,
 )
 from ..core.cluster.records import Records
 from ..core.cluster.rosters import (
@@ -63,7 +63,7 @@
     gateways.note_kept_jobs(True)
     assert gateways.log.version == begun != before
     roster = gateways.build_roster(Records(), "")
-    assert roster is not None and roster.keeps_jobs
+    assert roster is not None and roster.has_durable_jobs
     gateways.note_kept_jobs(False)
     assert gateways.log.version not in (before, begun)
 
@@ -109,9 +109,9 @@
     assert merge_roster(msgspec.structs.replace(whole, version="2.9"), update) is None
 
 
-def collect(gateways: Gateways, records: Records, version: str) -> tuple[Roster, int]:
+def collect(gateways: Gateways, records: Records, version: str) -> tuple[FailoverState, int]:
     """Return the roster of a gateway that asks until it has the whole, and how often it asked."""
-    known: Roster | None = None
+    known: FailoverState | None = None
     for asked in range(1, 100):
         part = gateways.build_roster(records, version)
         assert part is not None
@@ -186,7 +186,7 @@
     records = Records()
     for number in range(4 * PART):
         add_upstream(gateways, records, f"u{number}")
-    known: Roster | None = None
+    known: FailoverState | None = None
     for turn in range(60):
         for _ in range(chance.choice((0, 3, 150)) if turn < 40 else 0):
             id = chance.choice(list(records.upstreams))
@@ -233,4 +233,8 @@
         return answer
 
     answer = asyncio.run(play())
-    assert (answer.outcome, answer.roster, answer.is_deputy) == (Outcome.DONE, None, True)
+    assert (answer.outcome, answer.failover_state, answer.is_acting_leader) == (
+        Outcome.DONE,
+        None,
+        True,
+    )
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -13,7 +13,14 @@
 import pytest
 
 from ..core.clock import ManualClock
-from ..core.cluster.calls import Answer, Beat, GatewayInfo, Heard, HeardUpstream, Outcome
+from ..core.cluster.calls import (
+    Answer,
+    ForwardHeartbeat,
+    GatewayInfo,
+    ReportHeartbeats,
+    ReportedHeartbeat,
+    Outcome,
+)
 from ..core.cluster.model import Capacity, Heartbeat
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
@@ -46,10 +53,10 @@
     return desk, records, clock
 
 
-def tell(desk: HeartbeatDesk, outcome: Outcome = Outcome.DONE) -> list[Heard]:
-    told: list[Heard] = []
+def tell(desk: HeartbeatDesk, outcome: Outcome = Outcome.DONE) -> list[ReportHeartbeats]:
+    told: list[ReportHeartbeats] = []
 
-    async def take(heard: Heard) -> Answer:
+    async def take(heard: ReportHeartbeats) -> Answer:
         told.append(heard)
         return Answer(outcome=outcome)
 
@@ -69,9 +76,9 @@
     assert answer is not None and answer.leader_control == DESK
     clock.advance(timedelta(milliseconds=100))
     told = tell(desk)
-    one = HeardUpstream(upstream=UpstreamId("u1"), sequence=6, clock_ms=70, age_ms=100)
-    assert told == [Heard(desk=DESK, upstreams=(one,))]
-    assert tell(desk) == [Heard(desk=DESK)]
+    one = ReportedHeartbeat(upstream=UpstreamId("u1"), sequence=6, clock_ms=70, age_ms=100)
+    assert told == [ReportHeartbeats(responder=DESK, upstreams=(one,))]
+    assert tell(desk) == [ReportHeartbeats(responder=DESK)]
 
 
 @pytest.mark.parametrize(
@@ -140,7 +147,7 @@
     assert {desks.choose(id) for id in ids} == set(hosts[1:])
 
 
-def answer(leading: Leading, call: Beat | Heard) -> Answer:
+def answer(leading: Leading, call: ForwardHeartbeat | ReportHeartbeats) -> Answer:
     async def ask() -> Answer:
         return await leading.answer(call)
 
@@ -155,15 +162,17 @@
         upstream = UpstreamId("u1")
         life = leading.dispatch.lives[upstream]
         first = beat(sequence=1, info=life.info)
-        assert (await leading.answer(Beat(heartbeat=first))).leader_control is None
+        assert (await leading.answer(ForwardHeartbeat(heartbeat=first))).leader_control is None
         monkeypatch.setattr("cottonlug.runtime.leading.SPREAD_FROM", 2)
-        told = HeardUpstream(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
-        assert (await leading.answer(Heard(desk=DESK, upstreams=(told,)))).outcome is Outcome.DONE
+        told = ReportedHeartbeat(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
+        assert (
+            await leading.answer(ReportHeartbeats(responder=DESK, upstreams=(told,)))
+        ).outcome is Outcome.DONE
         assert life.sequence == 2
         assert life.heard_at is not None
         assert leading.read_clock() - life.heard_at <= timedelta(milliseconds=40)
         second = beat(sequence=3, info=life.info)
-        assert (await leading.answer(Beat(heartbeat=second))).leader_control == DESK
+        assert (await leading.answer(ForwardHeartbeat(heartbeat=second))).leader_control == DESK
         leading.stop()
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_wakes.py
+++ b/cottonlug/tests/test_cluster_timers.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from ..core.cluster.dispatch import SWEEP_EVERY
+from ..core.cluster.dispatch import SCAN_INTERVAL
 from ..core.cluster.lives import Life
-from ..core.cluster.wakes import Wakes
+from ..core.cluster.upstream_timers import UpstreamTimers
 from ..core.cluster.watcher import Watcher
 from ..core.ids import UpstreamId
 from .model_upstreams import Leader, build_queue, build_spec, milliseconds
-from .test_cluster_rooms import build_leader
+from .test_cluster_capacity_index import build_leader
 
 UPSTREAMS = 270
 A, B = UpstreamId("a"), UpstreamId("b")
@@ -28,16 +28,16 @@
 
 
 def test_the_soonest_moment_set_last_counts() -> None:
-    wakes = Wakes()
-    wakes.set(A, milliseconds(10))
-    wakes.set(A, milliseconds(30))
-    wakes.set(B, milliseconds(20))
-    assert wakes.take_due(milliseconds(15)) == []
-    assert wakes.take_due(milliseconds(40)) == [B, A]
-    assert not wakes.has(A)
-    wakes.set(A, milliseconds(50))
-    wakes.set(A, None)
-    assert wakes.take_due(milliseconds(60)) == []
+    timers = UpstreamTimers()
+    timers.set(A, milliseconds(10))
+    timers.set(A, milliseconds(30))
+    timers.set(B, milliseconds(20))
+    assert timers.pop_due(milliseconds(15)) == []
+    assert timers.pop_due(milliseconds(40)) == [B, A]
+    assert not timers.has(A)
+    timers.set(A, milliseconds(50))
+    timers.set(A, None)
+    assert timers.pop_due(milliseconds(60)) == []
 
 
 def test_idle_upstreams_are_gone_through_by_sweeps_only(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -54,7 +54,7 @@
     leader.submit(f"{1:016x}", build_spec(tasks=2, run_ms=3_000), build_queue())
     span = timedelta(seconds=1)
     leader.world.run_until(leader.world.now + span)
-    sweeps = span / SWEEP_EVERY + 1
+    sweeps = span / SCAN_INTERVAL + 1
     busy = 4 * span / milliseconds(20)
     assert len(looked) <= UPSTREAMS * sweeps + busy
 
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -15,7 +15,7 @@
 from ..core.cluster.calls import Answer, Outcome, Submit
 from ..core.cluster.commands import AddUpstream
 from ..core.cluster.lives import choose_terms
-from ..core.cluster.model import EndKind, JobId, LookReply
+from ..core.cluster.model import RunEndKind, JobId, PollReply
 from ..core.cluster.orders import CallFailure, LookOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
@@ -63,7 +63,7 @@
         self.looks = 0
         self._answers = answers
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: LookOrder, token: int) -> PollReply | CallFailure:
         self.looks += 1
         if not self._answers:
             await asyncio.sleep(3_600)
@@ -145,9 +145,9 @@
     world.run_until(run.ends_at - milliseconds(4))
     look = LookOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
     reply = first.report()
-    assert [end.how for end in reply.ended] == [EndKind.LAPSED]
+    assert [end.how for end in reply.ended] == [RunEndKind.LAPSED]
     leader.cut_off = set()
-    leader.dispatch.take_look(look, reply, world.now, world.now)
+    leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
     leader.act()
     world.run_until(run.ends_at + timedelta(seconds=3))
     assert world.starts == 2
@@ -197,7 +197,7 @@
                 gateway=gateway,
                 number=1,
                 may_have_begun=True,
-                may_be_of_deputy=True,
+                may_be_of_acting_leader=True,
                 contact=leading.gateways.make_contact(),
             )
             return asyncio.create_task(leading.answer(call))
@@ -215,7 +215,7 @@
         waiting.append(send(second))
         await let_run()
         job = leading.dispatch.jobs.jobs[JobId(JOB)]
-        assert (job.settle_at >= left_at + CALLER_RETRY) is is_news
+        assert (job.reconcile_at >= left_at + CALLER_RETRY) is is_news
         for each in waiting:
             each.cancel()
         leading.stop()
@@ -228,7 +228,7 @@
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
-    leader.dispatch.may_be_stood_in_for = lambda: False
+    leader.dispatch.may_have_acting_leader = lambda: False
     world.run_until(milliseconds(100))
     upstreams[UpstreamId("u1")].crash()
     while world.now < timedelta(seconds=14):
@@ -239,7 +239,7 @@
     assert UpstreamId("u1") not in records.upstreams
     at = world.now
     spec = build_spec(tasks=1)
-    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     while not leader.ended and world.now < at + timedelta(seconds=5):
         world.run_until(world.now + milliseconds(10))
     assert leader.ended_at[JobId(JOB)] - at < milliseconds(500)
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -12,7 +12,14 @@
 from ..config.cluster import ControlListeners, ControlSettings, OrdersBy
 from ..config.logs import LogSettings
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Beat, Call, HeartbeatOrders, Leave, Outcome
+from ..core.cluster.calls import (
+    Answer,
+    ForwardHeartbeat,
+    Call,
+    HeartbeatOrders,
+    ForwardLeave,
+    Outcome,
+)
 from ..core.cluster.commands import AddUpstream, SetDraining
 from ..core.cluster.model import Heartbeat
 from ..core.ids import DomainName, HostId
@@ -85,8 +92,8 @@
     return asyncio.run(run())
 
 
-def beat(*, draining: bool) -> Beat:
-    return Beat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
+def beat(*, draining: bool) -> ForwardHeartbeat:
+    return ForwardHeartbeat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
 
 
 def test_a_leaving_upstream_gets_its_orders_with_its_heartbeat(
@@ -124,7 +131,7 @@
 ) -> None:
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
-        leaving = await host.answer(Leave(upstream=INFO.id))
+        leaving = await host.answer(ForwardLeave(upstream=INFO.id))
         assert leaving.outcome is Outcome.DONE
         return await host.answer(beat(draining=True))
 
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -14,17 +14,17 @@
 from ..core.cluster.calls import (
     Answer,
     AskEvacuations,
-    Beat,
+    ForwardHeartbeat,
     Call,
     Evacuate,
     Outcome,
 )
 from ..core.cluster.commands import SetEvacuation, decode_commands, encode_commands
 from ..core.cluster.evacuations import Evacuations
-from ..core.cluster.filler import EVACUATED
-from ..core.cluster.model import EndKind, JobId, JobState, OrderId
+from ..core.cluster.scheduler import ALL_EVACUATED
+from ..core.cluster.model import RunEndKind, JobId, JobState, OrderId
 from ..core.cluster.records import Records
-from ..core.cluster.reports import USUAL_REPORTS
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest, HttpResponse
 from ..platform.control import build_control_handler
@@ -117,7 +117,7 @@
     for job in (*before, *after):
         assert leader.dispatch.jobs.find_ended(job) is JobState.COMPLETED
     assert not any(
-        end.how is not EndKind.DONE
+        end.how is not RunEndKind.DONE
         for upstream in leader.upstreams.values()
         for end in upstream.ended
     )
@@ -128,7 +128,7 @@
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
     commit(leader, HOME, is_evacuated=False)
-    leader.world.run_until(leader.world.now + USUAL_REPORTS.every)
+    leader.world.run_until(leader.world.now + DEFAULT_REPORT_TERMS.interval)
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4
@@ -165,7 +165,7 @@
     leader = build_leader(1)
     cold = next(each for each in leader.upstreams.values() if each.info.domain == HOME)
     heartbeat = msgspec.structs.replace(cold.make_heartbeat(), sequence=9, cold_left_ms=400)
-    leader.dispatch.take_heartbeat(heartbeat, leader.world.now)
+    leader.dispatch.handle_heartbeat(heartbeat, leader.world.now)
     submit(leader, 1, HOME, tasks=EACH * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert cold.info.id not in leader.world.running.values()
@@ -235,7 +235,7 @@
     assert rejected == set(waiting) - begun
     queue, spec = build_queue(), build_spec(tasks=1)
     rejection = leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now)
-    assert rejection is not None and rejection.reason == EVACUATED
+    assert rejection is not None and rejection.reason == ALL_EVACUATED
     commit(leader, HOME, is_evacuated=False)
     assert leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now) is None
 
@@ -256,7 +256,7 @@
     )
     now = leader.world.now
     rejection = deputy.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
-    assert rejection is not None and rejection.reason == EVACUATED
+    assert rejection is not None and rejection.reason == ALL_EVACUATED
 
 
 # Orders at a leader
@@ -367,7 +367,7 @@
         "cold_left_ms": cold_left,
     }
     _, calls = ask("PUT", "/instances/i-1", msgspec.json.encode(body))
-    assert isinstance(calls[0], Beat)
+    assert isinstance(calls[0], ForwardHeartbeat)
     assert (calls[0].heartbeat.cold_left_ms, calls[0].heartbeat.sequence) == (read, 7)
 
 
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -10,14 +10,21 @@
 import msgspec
 
 from ..core.clock import ManualClock
-from ..core.cluster.calls import Answer, Beat, Call, HeartbeatOrders, HeartbeatStart, Outcome
+from ..core.cluster.calls import (
+    Answer,
+    ForwardHeartbeat,
+    Call,
+    HeartbeatOrders,
+    HeartbeatStart,
+    Outcome,
+)
 from ..core.cluster.lives import LeaseTerms
 from ..core.cluster.model import (
-    EndKind,
-    EndReport,
+    RunEndKind,
+    RunEndReport,
     Heartbeat,
     JobId,
-    LookReply,
+    PollReply,
     RunNumber,
     RunReport,
     TaskRef,
@@ -58,7 +65,7 @@
     async def beat(
         self,
         running: tuple[RunReport, ...] = (),
-        ended: tuple[EndReport, ...] = (),
+        ended: tuple[RunEndReport, ...] = (),
         sequence: int | None = None,
     ) -> HeartbeatOrders:
         self.sequence += 1
@@ -66,7 +73,7 @@
             info=INFO,
             sequence=self.sequence if sequence is None else sequence,
             draining=False,
-            held=LookReply(clock_ms=1_000, running=running, ended=ended),
+            held=PollReply(clock_ms=1_000, running=running, ended=ended),
         )
         return await self.port.exchange(heartbeat, TOKEN)
 
@@ -117,7 +124,7 @@
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await settle()
         await exchange.beat()
-        end = EndReport(number=1, task=REF, run=RUN, how=EndKind.DONE)
+        end = RunEndReport(number=1, task=REF, run=RUN, how=RunEndKind.DONE)
         kept = asyncio.create_task(exchange.beat(ended=(end,)))
         assert (await starting)[0] is StartOutcome.STARTED
         exchange.port.close()
@@ -189,10 +196,10 @@
         orders = await exchange.beat()
         assert (orders.last_seen, orders.lease_ms) == (5, 1_000)
         assert orders.stops == ((REF, RUN),)
-        end = EndReport(number=6, task=REF, run=RUN, how=EndKind.STOPPED)
+        end = RunEndReport(number=6, task=REF, run=RUN, how=RunEndKind.STOPPED)
         kept = asyncio.create_task(exchange.beat(ended=(end,)))
         reply = await looking
-        assert isinstance(reply, LookReply)
+        assert isinstance(reply, PollReply)
         assert reply.ended == (end,)
         assert await stopping is None
         exchange.port.close()
@@ -246,11 +253,11 @@
     )
     response = asyncio.run(build_control_handler(answer)(request))
     (call,) = calls
-    assert isinstance(call, Beat)
+    assert isinstance(call, ForwardHeartbeat)
     assert call.heartbeat.info.id == UpstreamId("i-1")
     held = call.heartbeat.held
     assert held is not None
-    assert (held.running[0].percent, held.ended[0].how) == (41, EndKind.DONE)
+    assert (held.running[0].percent, held.ended[0].how) == (41, RunEndKind.DONE)
     assert msgspec.json.decode(response.body) == {
         "hold_ms": 1_000,
         "last_seen": 58,
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -13,7 +13,7 @@
 from ..core.cluster import life_table
 from ..core.cluster.commands import AddUpstream, RemoveUpstreams, ResizeUpstream, SetDraining
 from ..core.cluster.identity import is_earlier, name_life
-from ..core.cluster.model import Capacity, Heartbeat, JobId, JobState, LookReply, UpstreamInfo
+from ..core.cluster.model import Capacity, Heartbeat, JobId, JobState, PollReply, UpstreamInfo
 from ..core.cluster.orders import StartOrder
 from ..core.cluster.records import Records
 from ..core.cluster.rosters import merge_roster
@@ -112,7 +112,7 @@
 
 def test_an_answer_to_a_heartbeat_carries_no_order_for_an_earlier_life() -> None:
     async def scenario(exchange: Exchange) -> None:
-        held = LookReply(clock_ms=1_000, running=(), ended=())
+        held = PollReply(clock_ms=1_000, running=(), ended=())
         start = StartOrder(
             upstream=FIRST, task=REF, run=RUN, payload="", checkpoint="", expires_ms=2_000
         )
@@ -142,11 +142,11 @@
     monkeypatch.setattr(life_table, "is_earlier", count)
     dispatch = build_dispatch([])
     for number in range(2, 500):
-        dispatch.take_heartbeat(
+        dispatch.handle_heartbeat(
             msgspec.structs.replace(beat(), info=build_life(0, f"u{number}")), NOW
         )
-        for command in dispatch.take_proposals():
-            dispatch.take_applied(command, NOW)
+        for command in dispatch.pop_proposals():
+            dispatch.handle_applied_command(command, NOW)
     assert len(dispatch.lives) == 499
     assert next(compared) <= 2 * 499
 
@@ -155,14 +155,14 @@
     dispatch = build_dispatch([])
     moved = msgspec.structs.replace(build_life(1), address="10.9.9.9:80")
     for info in (build_life(0), moved):
-        dispatch.take_applied(AddUpstream(info=info), NOW)
+        dispatch.handle_applied_command(AddUpstream(info=info), NOW)
     life = dispatch.lives[build_life(0).id]
     assert life.must_check and life.look_due == NOW
     assert not dispatch.lives[moved.id].must_check
     earlier = msgspec.structs.replace(beat(sequence=90), info=build_life(0))
-    dispatch.take_applied(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
-    dispatch.take_heartbeat(earlier, NOW)
-    assert dispatch.take_proposals() == []
+    dispatch.handle_applied_command(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
+    dispatch.handle_heartbeat(earlier, NOW)
+    assert dispatch.pop_proposals() == []
 
 
 def test_lives_of_other_upstreams_are_not_taken_for_earlier_ones() -> None:
--- a/cottonlug/tests/test_other_writers.py
+++ b/cottonlug/tests/test_other_writers.py
@@ -16,8 +16,8 @@
 from returns.result import Success
 
 from ..core.clock import ManualClock
-from ..core.cluster.calls import Answer, Beat, Call, Outcome
-from ..core.cluster.model import LookReply
+from ..core.cluster.calls import Answer, ForwardHeartbeat, Call, Outcome
+from ..core.cluster.model import PollReply
 from ..net.connections import parse_address
 from ..platform.heartbeats import decode_heartbeat, decode_leave
 from ..platform.workers import read_lists
@@ -71,7 +71,7 @@
         check_lists(heartbeat.held)
 
 
-def check_lists(lists: LookReply) -> None:
+def check_lists(lists: PollReply) -> None:
     for run in lists.running:
         assert type(run.run) is int and type(run.percent) is int and type(run.checkpoint) is str
     for end in lists.ended:
@@ -142,7 +142,7 @@
         answers.append((response.status, calls))
     assert [status for status, _ in answers] == [200, 400, 200]
     assert answers[1][1] == []
-    assert all(isinstance(calls[0], Beat) for _, calls in (answers[0], answers[2]))
+    assert all(isinstance(calls[0], ForwardHeartbeat) for _, calls in (answers[0], answers[2]))
 
 
 def test_refused_heartbeats_are_counted_and_do_not_fill_the_log(
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Call, Greet, Outcome, answer_decoder, call_decoder
+from ..core.cluster.calls import Answer, Call, KeepAlive, Outcome, answer_decoder, call_decoder
 from ..net.asgi import HttpRequest, HttpResponse, build_asgi
 from ..net.servers import Listener
 from ..runtime.job_lines import JobLines
@@ -52,7 +52,7 @@
         async def answer(request: HttpRequest) -> HttpResponse:
             if lines.handles(request.path):
                 return await lines.handle(request)
-            assert isinstance(call_decoder.decode(request.body), Greet)
+            assert isinstance(call_decoder.decode(request.body), KeepAlive)
             return HttpResponse(status=200, body=msgspec.json.encode(Answer(outcome=Outcome.DONE)))
 
         address = Address("127.0.0.1", find_base_port() + 2)
@@ -132,7 +132,7 @@
         reply = gateway.answer_at_once(request)
         assert reply is not None
         answer = answer_decoder.decode(reply.body)
-        assert (answer.outcome, answer.is_deputy) == (Outcome.DONE, True)
+        assert (answer.outcome, answer.is_acting_leader) == (Outcome.DONE, True)
         assert gateway.deputy is not None
         # It counts on a gateway that has had an answer of its own, and says so.
         again = msgspec.structs.replace(greet("10.0.0.2:7000"), contact=answer.contact)
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -15,15 +15,23 @@
 from ..core.cluster.calls import (
     Answer,
     AskState,
-    Beat,
+    ForwardHeartbeat,
     Call,
     Cancel,
     Configure,
-    Leave,
+    ForwardLeave,
     Outcome,
     Submit,
 )
-from ..core.cluster.model import Capacity, EndKind, JobId, JobState, LookReply, RunNumber, TaskRef
+from ..core.cluster.model import (
+    Capacity,
+    RunEndKind,
+    JobId,
+    JobState,
+    PollReply,
+    RunNumber,
+    TaskRef,
+)
 from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools
@@ -138,11 +146,11 @@
     assert response.status == 200
     assert msgspec.json.decode(response.body) == {"heartbeat_url": "10.0.0.1:80"}
     beat = calls[0]
-    assert isinstance(beat, Beat)
+    assert isinstance(beat, ForwardHeartbeat)
     assert (beat.heartbeat.info.id, beat.heartbeat.draining) == ("i-1", True)
     assert beat.heartbeat.info.capacity.cpu_millis == 16_000
     _, calls = run_control(ask("DELETE", "/instances/i-1"), done)
-    assert calls == [Leave(upstream=beat.heartbeat.info.id)]
+    assert calls == [ForwardLeave(upstream=beat.heartbeat.info.id)]
 
 
 @pytest.mark.parametrize(
@@ -170,7 +178,7 @@
     response, calls = run_control(ask("PUT", "/instances/i-1", body), done)
     assert response.status == 200
     beat = calls[0]
-    assert isinstance(beat, Beat)
+    assert isinstance(beat, ForwardHeartbeat)
     assert beat.heartbeat.info.capacity == Capacity()
     assert beat.heartbeat.has_no_capacity == (capacity != b"{}")
     assert (beat.heartbeat.sequence, beat.heartbeat.draining) == (4, True)
@@ -324,9 +332,9 @@
     )
     client = FixedClient(Success(HttpReply(status=200, body=body)))
     reply = asyncio.run(client.look(LOOK, 7))
-    assert isinstance(reply, LookReply)
+    assert isinstance(reply, PollReply)
     assert (reply.running[0].task, reply.running[0].percent) == (REF, 41)
-    assert (reply.ended[0].number, reply.ended[0].how) == (58, EndKind.DONE)
+    assert (reply.ended[0].number, reply.ended[0].how) == (58, RunEndKind.DONE)
     assert client.bodies[0]["wait_ms"] == 1_000
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
     assert asyncio.run(fenced.look(LOOK, 7)) is CallFailure.FENCED
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -8,10 +8,10 @@
 import pytest
 from returns.result import Success
 
-from ..core.cluster.calls import Answer, Beat, Call, Leave, Outcome
+from ..core.cluster.calls import Answer, ForwardHeartbeat, Call, ForwardLeave, Outcome
 from ..core.cluster.commands import AddUpstream, SetDraining
 from ..core.cluster.identity import find_birth, get_name, is_earlier, name_life
-from ..core.cluster.model import LookReply
+from ..core.cluster.model import PollReply
 from ..core.cluster.orders import CallFailure
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
@@ -56,7 +56,7 @@
         status, calls = send("PUT", write_born(b"%d" % born))
         assert status == 200
         beat = calls[0]
-        assert isinstance(beat, Beat)
+        assert isinstance(beat, ForwardHeartbeat)
         ids.append(beat.heartbeat.info.id)
     assert ids == [name_life("i-1", BORN), name_life("i-1", BORN + 1)]
 
@@ -77,9 +77,9 @@
 
 
 def test_leaving_names_a_life_where_it_tells_which() -> None:
-    assert send("DELETE", b"")[1] == [Leave(upstream=UpstreamId("i-1"))]
+    assert send("DELETE", b"")[1] == [ForwardLeave(upstream=UpstreamId("i-1"))]
     body = b'{"born":%d}' % BORN
-    assert send("DELETE", body)[1] == [Leave(upstream=name_life("i-1", BORN))]
+    assert send("DELETE", body)[1] == [ForwardLeave(upstream=name_life("i-1", BORN))]
 
 
 def test_whoever_leaves_without_telling_which_life_is_the_one_that_said_so_or_the_newest() -> None:
@@ -104,7 +104,7 @@
     info = msgspec.structs.replace(build_info("u1"), id=name_life("u1", BORN))
     order = LOOK.__class__(upstream=info, last_seen=0, expires_ms=None, wait=LOOK.wait)
     same = asyncio.run(FixedClient(answer_lists(BORN)).look(order, 7))
-    assert isinstance(same, LookReply)
+    assert isinstance(same, PollReply)
     other = asyncio.run(FixedClient(answer_lists(BORN + 1)).look(order, 7))
     assert other is CallFailure.LIFE_ENDED
 
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -16,7 +16,7 @@
 from returns.result import Result, Success
 
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Beat, Call, Leave, Outcome
+from ..core.cluster.calls import Answer, ForwardHeartbeat, Call, ForwardLeave, Outcome
 from ..core.cluster.model import Needs, RunNumber, UpstreamInfo
 from ..core.cluster.orders import (
     CallFailure,
@@ -348,10 +348,10 @@
             return
 
         async def answer(call: Call) -> Answer:
-            if isinstance(call, Beat):
-                self.dispatch.take_heartbeat(call.heartbeat, self.world.now)
-            elif isinstance(call, Leave):
-                self.dispatch.take_leave(call.upstream)
+            if isinstance(call, ForwardHeartbeat):
+                self.dispatch.handle_heartbeat(call.heartbeat, self.world.now)
+            elif isinstance(call, ForwardLeave):
+                self.dispatch.handle_leave(call.upstream)
             return Answer(outcome=Outcome.DONE)
 
         _run_at_once(build_control_handler(answer)(request))
@@ -409,12 +409,12 @@
         now = self.world.now
         if isinstance(order, StartOrder):
             outcome, clock_ms = value
-            self.dispatch.take_start_answer(order, outcome, clock_ms, now)
+            self.dispatch.handle_start_answer(order, outcome, clock_ms, now)
         elif isinstance(order, StopOrder):
-            self.dispatch.take_stop_answer(order, value, now)
+            self.dispatch.handle_stop_answer(order, value, now)
         else:
             assert isinstance(value, CallFailure) or value is not None
-            self.dispatch.take_look(order, value, sent_at, now)
+            self.dispatch.handle_poll_answer(order, value, sent_at, now)
 
 
 def _run_at_once(coroutine: Coroutine[Any, Any, object]) -> None:
