--- a/cottonlug/core/cluster/calls.py
+++ b/cottonlug/core/cluster/calls.py
@@ -49,7 +49,7 @@
 class Submit(Value, frozen=True, tag="submit"):
     """Submit a job; `path` is that of the request, whose end after the prefix is the job's id.
 
-    A best-effort job is answered when it has ended; its caller waits for `patience_ms`.
+    A best-effort job is answered when it has ended; its caller waits for `wait_timeout_ms`.
     """
 
     host: str
@@ -288,7 +288,7 @@
     max_body_bytes: int | None = None
     failover_state: FailoverState | None = msgspec.field(name="roster", default=None)
     has_more_failover_state: bool = msgspec.field(name="is_roster_due", default=False)
-    """Whether there is more failover state than `roster`, which another keep-alive will bring."""
+    """Whether there is more than `failover_state`, which another keep-alive will bring."""
     contact: Contact | None = None
     """To be returned with the next keep-alive, where this answers one."""
     is_acting_leader: bool = msgspec.field(name="is_deputy", default=False)
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -1,14 +1,14 @@
-"""Which upstreams take work, in the order of the room that is left, by service and failure domain.
+"""Index of the upstreams that accept work, by service, failure domain and free CPU.
 
-Load pattern: a backlog at many upstreams, after seconds without anybody who decides. To look for
-room among all of them for each start, and for each waiting job again whenever time has passed, cost
-more than all other decisions together, so that a small host fell ever further behind. In this order
-the best fit is the first that fits, and that no room is left for a job shows by its size alone.
+Load pattern: a backlog at many upstreams, after seconds without a coordinator. Searching all of
+them for each start, and again for each waiting job whenever time has passed, costs more than all
+other decisions together, so that a small host falls ever further behind. In this order the best fit
+is the first that fits, and that a job fits nowhere shows by its size alone.
 
-Failure pattern: a failure domain is cut off for seconds. With its tasks anywhere a job of eight had
-one in each domain, so that a cut of one of five stopped five sixths of such jobs under way. So a
-job's own domain, that of its gateway, goes first: whoever is on the other side misses nothing, and
-on this side a deputy sees all that runs.
+Failure pattern: a failure domain is cut off for seconds. With its tasks placed anywhere, a job of
+eight has one in each domain, so that a cut of one of five stops five sixths of such jobs under way.
+So a job's own domain, that of its gateway, goes first: hosts on the other side miss nothing, and on
+this side an acting leader sees all that runs.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from .model import ServiceName
 
 _Entry = tuple[int, int, Life]
-"""Room, number and life: no two lives have one number, so that no two are compared themselves."""
+"""Free CPU, number and instance; numbers are unique, so that instances are never compared."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Pool:
-    """The upstreams of one service in one domain, with the least room first."""
+    """The upstreams of one service in one domain, with the least free CPU first."""
 
     entries: list[_Entry] = field(default_factory=list)
     free_cpu: int = 0
-    """Room that is left at all of them, in core-thousandths."""
+    """Total free CPU of all of them, in thousandths of a core."""
 
     def add(self, entry: _Entry) -> None:
         bisect.insort(self.entries, entry)
@@ -45,7 +45,7 @@
 
 
 class CapacityIndex:
-    """The lives that take work, with the least room first."""
+    """The instances that accept work, with the least free CPU first."""
 
     def __init__(self, *, lives: LifeTable) -> None:
         self._lives = lives
@@ -53,14 +53,14 @@
         self._entries: dict[UpstreamId, _Entry] = {}
         self._is_current = False
         self._ignores_suspension: set[ServiceName] = set()
-        """Services of which too many upstreams are set aside to do without these."""
+        """Services of which too many upstreams are suspended to do without these."""
 
     def invalidate(self) -> None:
-        """Have all lives gone through again: by the clock, too, some take work that did not."""
+        """Have the index rebuilt: as time passes, instances accept work that did not."""
         self._is_current = False
 
     def refresh_if_due(self, now: timedelta) -> bool:
-        """Go through all lives again where that is due; return whether it was."""
+        """Rebuild the index if that is due; return whether it was."""
         if self._is_current:
             return False
         self._is_current = True
@@ -71,13 +71,13 @@
             if any(self._is_suspended(life, now) for life in working):
                 self._ignores_suspension.add(service)
             entries = [(life.free_cpu, life.number, life) for life in working]
-            # Each goes to the end of its pool.
+            # In this order each entry is appended to its pool.
             for entry in sorted(entries):
                 self._add(entry)
         return True
 
     def update(self, life: Life, now: timedelta) -> None:
-        """Put a life that has changed in its place."""
+        """Move an instance that has changed to its place."""
         id, service = life.info.id, life.info.service
         old = self._entries.get(id)
         takes_work = self._is_known(life) and self._lives.takes_work(life, now)
@@ -92,25 +92,25 @@
             self._add((life.free_cpu, life.number, life))
 
     def find_max_free_cpu(self, service: ServiceName) -> int:
-        """Return the most room that any upstream of a service has left, in core-thousandths."""
+        """Return the most free CPU of any upstream of a service, in thousandths of a core."""
         pools = self._pools.get(service, {}).values()
         return max((pool.entries[-1][0] for pool in pools if pool.entries), default=0)
 
     def iterate_instances(
         self, service: ServiceName, cpu: int, now: timedelta, first: DomainName | None
     ) -> Iterator[Life]:
-        """Yield the lives of a service with at least so much room, the least first in each domain.
+        """Yield the instances of a service with enough free CPU, the least first in each domain.
 
-        The domain `first` comes first, then those with the most room left, and cold ones last.
+        The domain `first` comes first, then those with the most free CPU; cold instances come last.
         """
         pools = self._pools.get(service, {})
         cold: list[Life] = []
         for domain in sorted(pools, key=lambda each: (each != first, -pools[each].free_cpu)):
             entries = pools[domain].entries
-            # No life has the number 0.
+            # No instance has the number 0.
             for at in range(bisect.bisect_left(entries, (cpu, 0)), len(entries)):
                 life = entries[at][2]
-                # What has changed since it was put here must not be overlooked.
+                # It may have changed since it was indexed.
                 if not (self._is_known(life) and self._lives.takes_work(life, now)):
                     continue
                 if life.is_cold(now):
--- a/cottonlug/core/cluster/capacity_reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -1,9 +1,9 @@
-"""How long what an upstream has said of its capacity can be counted on.
+"""How long the reported capacity of an upstream can be relied on.
 
-Pattern: the capacity of an upstream shrinks and grows again while it runs, and its heartbeats tell.
-An upstream that guards its capacity refuses what does not fit; one that guards nothing starts it
-all the same, and starts by a capacity that has shrunk are borne for a while only. So at those,
-nothing is started by a report that may have been overtaken for longer than that.
+Load pattern: the capacity of an upstream shrinks and grows again while it runs, as its heartbeats
+report. An upstream that enforces its capacity refuses what does not fit. One that does not starts
+it all the same, and starts beyond a capacity that has shrunk are tolerated for a while only. So
+nothing is started there by a report that may have been out of date for longer than that.
 """
 
 from __future__ import annotations
@@ -12,42 +12,43 @@
 from datetime import timedelta
 
 MAX_ELECTION_TIME = timedelta(milliseconds=700)
-"""How long there may have been no leader when a new one begins that has known the last one."""
+"""Longest time without a leader before a new one begins that has known the last one."""
 MISSED_HEARTBEAT_DELAY = timedelta(milliseconds=400)
 PROPAGATION_TIME = timedelta(milliseconds=500)
-"""A heartbeat that comes later than its interval by the first counts as missed; all who may decide
-next know of that by the second: a commit and a greeting of a gateway come between."""
+"""A heartbeat that is later than its interval by the first counts as missed. All hosts that may be
+the next coordinator know of that within the second: a commit and a keep-alive of a gateway come
+between."""
 FIRST_REFUSAL_BACKOFF = timedelta(milliseconds=50)
-"""After a refusal for want of room: the next look may show what runs there."""
+"""After a refusal for lack of capacity: the next poll may show what runs there."""
 MAX_BACKOFF_DOUBLINGS = 4
-"""An upstream that has refused five times in a row is tried again each 0.8 s, or once it has said
-something new of itself: that comes with its next heartbeat, within 1.5 s."""
+"""An upstream that has refused five times in a row is tried again every 0.8 s, or once it has
+reported something new: that comes with its next heartbeat, within 1.5 s."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReportTerms:
-    """How soon an upstream tells that its capacity has changed, and what is borne until then."""
+    """How soon an upstream reports a changed capacity, and what is tolerated until then."""
 
     interval: timedelta = timedelta(milliseconds=1_500)
     """The interval of its heartbeats."""
     shrink_tolerance: timedelta = timedelta(seconds=3)
-    """How long after a capacity has shrunk starts by the old one are borne, besides an interval."""
+    """How long starts by the old capacity are tolerated once it has shrunk, beyond an interval."""
 
     @property
     def valid_for(self) -> timedelta:
-        """How long a report holds at an upstream that guards nothing."""
+        """How long a report is relied on at an upstream that does not enforce its capacity."""
         return self.interval + self.shrink_tolerance
 
     @property
     def missed_after(self) -> timedelta:
-        """How old a report is once a heartbeat was missed."""
+        """Age of the last report at which a heartbeat counts as missed."""
         return self.interval + MISSED_HEARTBEAT_DELAY
 
     def find_valid_until(self, led_at: timedelta) -> timedelta:
-        """Return until when capacities in a record hold that was up to date at a moment.
+        """Return until when recorded capacities can be relied on, if current at `led_at`.
 
-        It says of which upstreams a heartbeat was missed; all others, if they had changed by then
-        without being heard, had done so within an interval.
+        The records say which upstreams have missed a heartbeat. All others, if they had changed by
+        then without a report, had done so within an interval.
         """
         return led_at + self.shrink_tolerance - PROPAGATION_TIME
 
@@ -56,8 +57,8 @@
 
 
 def find_refusal_backoff(refusals: int) -> timedelta:
-    """Return how long nothing is started at an upstream that has just refused for want of room.
+    """Return how long to start nothing at an upstream that just refused for lack of capacity.
 
-    `refusals` in a row say that its room has shrunk, and that no heartbeat has told it yet.
+    `refusals` in a row show that its capacity has shrunk, and that no heartbeat has reported it.
     """
     return FIRST_REFUSAL_BACKOFF * (1 << min(refusals - 1, MAX_BACKOFF_DOUBLINGS))
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -1,4 +1,4 @@
-"""Expected run times, learnt by queue, since declared ones are often far off."""
+"""Predicted run times, learnt per queue, since declared ones are often far off."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from .model import JobSpec, Queue, QueueKey, StepSpec
 
 LEARNING_RATE = 0.05
-"""Weight of the newest run: a queue's mean follows within some twenty runs."""
+"""Weight of the newest run: the mean of a queue follows a change within some twenty runs."""
 MIN_RUN_TIME_MS = 1.0
 USEFUL_FACTOR = 3
 """An answer after more than this many times the objective is worth nothing (the users' rules)."""
 
 
 class Forecast:
-    """Mean ratio of real to declared run times of each queue, on a logarithmic scale."""
+    """Mean ratio of actual to declared run times of each queue, on a logarithmic scale."""
 
     def __init__(self) -> None:
         self._ratios: dict[QueueKey, float] = {}
-        """On a logarithmic scale."""
+        """Logarithms of the mean ratios."""
         self._factors: dict[QueueKey, float] = {}
-        """The same as they are multiplied with."""
+        """The mean ratios themselves, by which declared run times are multiplied."""
 
     def learn(self, queue: QueueKey, step: StepSpec, taken: timedelta) -> None:
-        """Learn from a run that ended as done."""
+        """Update the ratio of a queue with a run that succeeded."""
         taken_ms = max(taken / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
         ratio = math.log(taken_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
         known = self._ratios.get(queue, 0.0)
@@ -32,12 +32,12 @@
         self._factors[queue] = math.exp(self._ratios[queue])
 
     def predict(self, queue: QueueKey, step: StepSpec) -> timedelta:
-        """Return how long a task of a step will run."""
+        """Return the expected run time of a task of a step."""
         factor = self._factors.get(queue, 1.0)
         return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * factor)
 
     def predict_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
-        """Return how long the longest chain of steps takes that begins with one step."""
+        """Return the expected time of the longest chain of steps that begins with step `first`."""
         longest = timedelta()
         for number in range(first + 1, len(steps)):
             if first in steps[number].depends_on:
@@ -50,7 +50,7 @@
         return self.predict_critical_path(queue, steps) * queue.stretch + target
 
     def predict_critical_path(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
-        """Return how long the longest chain of steps takes."""
+        """Return the expected time of the longest chain of steps."""
         roots = [number for number, step in enumerate(steps) if not step.depends_on]
         chains = (self.predict_chain(queue.key, steps, root) for root in roots)
         return max(chains, default=timedelta())
@@ -62,7 +62,7 @@
 
 
 def find_latest_useful_start(queue: Queue, spec: JobSpec) -> timedelta:
-    """Return how long after its arrival a job may begin to be of any use, by declared run times."""
+    """Return how long after its arrival a job may begin and be of use, by declared run times."""
     declared = Forecast()
     objective = declared.find_objective(queue, spec.steps)
     return objective * USEFUL_FACTOR - declared.predict_critical_path(queue, spec.steps)
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -14,7 +14,7 @@
 ServiceName = NewType("ServiceName", str)
 ConfigurationVersion = NewType("ConfigurationVersion", int)
 OrderId = NewType("OrderId", str)
-"""Names one order of an operator, as the host that took it in has numbered it."""
+"""Identifies one order of an operator, as numbered by the host that received it."""
 
 
 class Value(msgspec.Struct, kw_only=True, frozen=True, omit_defaults=True):
@@ -34,7 +34,7 @@
 
 
 class Needs(Value, frozen=True):
-    """What one task takes of an upstream."""
+    """Resources of an upstream that one task needs."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -79,7 +79,7 @@
 
     @property
     def is_timed(self) -> bool:
-        """Whether its occurrences begin at times of their own."""
+        """Whether its occurrences begin at scheduled times."""
         return self.repeat_count > 0
 
     def find_due_ms(self, occurrence: int) -> int:
@@ -115,7 +115,7 @@
 
 
 class Service(Value, frozen=True):
-    """A set of upstreams; `rejects_overload` tells whether they guard their own capacity."""
+    """A set of upstreams; `rejects_overload` tells whether they enforce their own capacity."""
 
     name: ServiceName
     rejects_overload: bool = True
@@ -123,7 +123,7 @@
 
 
 class Configuration(Value, frozen=True):
-    """A whole configuration in force; `document` is what the operator sent, word for word."""
+    """A complete configuration; `document` is what the operator sent, word for word."""
 
     version: ConfigurationVersion
     queues: tuple[Queue, ...]
@@ -133,7 +133,7 @@
 
 
 class JobState(Enum):
-    """Where a job stands; the last three are final."""
+    """State of a job; the last three are final."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -143,7 +143,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing can change any more."""
+        """Whether the state can no longer change."""
         return self in (JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
 
 
@@ -159,7 +159,7 @@
 
 
 class Capacity(Value, frozen=True):
-    """What an upstream has to give."""
+    """Resources that an upstream provides."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -167,7 +167,7 @@
 
 
 class UpstreamInfo(Value, frozen=True):
-    """One life of an upstream, as it describes itself; each life has an id of its own."""
+    """One instance of an upstream, as it describes itself; each instance has its own id."""
 
     id: UpstreamId
     service: ServiceName
@@ -178,7 +178,7 @@
 
 
 class RunEndReport(Value, frozen=True):
-    """The end of one run as listed by its upstream, where ends are numbered from 1."""
+    """The end of one run as listed by its upstream, which numbers ended runs from 1."""
 
     number: int
     task: TaskRef
@@ -188,7 +188,7 @@
 
 
 class RunReport(Value, frozen=True):
-    """One run that an upstream says it is at work on."""
+    """One run that an upstream reports as active."""
 
     task: TaskRef
     run: RunNumber
@@ -197,7 +197,7 @@
 
 
 class PollReply(Value, frozen=True):
-    """What an upstream holds at the moment; `clock_ms` is on its own clock."""
+    """Runs and ended runs of an upstream, in answer to a poll; `clock_ms` is on its own clock."""
 
     clock_ms: int
     running: tuple[RunReport, ...]
@@ -205,15 +205,15 @@
 
 
 class Heartbeat(Value, frozen=True):
-    """What an upstream says about itself; `sequence` rises with each heartbeat."""
+    """What an upstream reports about itself; `sequence` rises with each heartbeat."""
 
     info: UpstreamInfo
     sequence: int
     draining: bool
     clock_ms: int | None = None
     has_no_capacity: bool = False
-    """Whether what it says of its capacity cannot be read, so that it counts as having none."""
+    """Whether its reported capacity cannot be read, so that it counts as having none."""
     cold_left_ms: int = 0
-    """How much longer tasks take longer there than usual, as after its start."""
+    """For how much longer tasks run slower there than usual, as after its start."""
     held: PollReply | None = None
-    """What it holds, where its orders come with the answers to its heartbeats."""
+    """Its runs and ended runs, where its orders come with the answers to its heartbeats."""
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -14,14 +14,14 @@
 
 
 class TaskPhase(Enum):
-    """Where an unfinished task stands for this leader."""
+    """State of an unfinished task at this leader."""
 
     BLOCKED = "blocked"
     """Waits for earlier steps."""
     QUEUED = "queued"
     RUNNING = "running"
     RECORDING = "noting"
-    """Its run has ended; the record has yet to take note."""
+    """Its run has ended; the end has yet to be recorded."""
     UNKNOWN = "unknown"
     """An earlier leader may have started it."""
 
@@ -36,15 +36,15 @@
     moves: int = 0
     """How often it was stopped to be started elsewhere."""
     is_unknown: bool = False
-    """Whether another run of it, of another host that decides, may be at work somewhere; also of
-    one whose run was adopted: see `Settlement`."""
+    """Whether another run of it, begun by another coordinator, may be active somewhere; this
+    includes tasks whose run was adopted: see `reconciliation`."""
     unrecorded_end: tuple[UpstreamId, RunNumber] | None = None
-    """Whose end the record has yet to take note of, while it is `NOTING`."""
+    """The run whose end has yet to be recorded, while it is `RECORDING`."""
 
     def runs_as(self, run: RunNumber, upstream: UpstreamId) -> bool:
         """Whether this is its present run.
 
-        A job that was given up and is submitted again has its runs numbered from the first again.
+        A job that was abandoned and is submitted again has its runs numbered from the first again.
         """
         return self.phase is TaskPhase.RUNNING and (self.run, self.life) == (run, upstream)
 
@@ -60,32 +60,32 @@
     tasks: dict[TaskRef, Task] = field(default_factory=dict)
     has_begun: bool = False
     gateway: str = ""
-    """Address of the gateway that waits for its end, if one does."""
+    """Address of the gateway that waits for its end, if any."""
     home: DomainName | None = None
-    """Where its tasks had best run: the failure domain of that gateway, or of its first task."""
+    """Preferred failure domain of its tasks: that of its gateway, or of its first task."""
     confirmed_until: timedelta = timedelta()
-    """So long its gateway waits for it, as its submission says, heard or not."""
+    """Until then its gateway waits for it, as its submission says, even while it is silent."""
     may_be_of_acting_leader: bool = False
-    """Whether a deputy may have begun it, of whose starts no leader knows."""
+    """Whether an acting leader may have begun it, of whose starts no leader knows."""
     reconcile_at: timedelta = timedelta()
-    """Until then its unknown tasks may run at an upstream out of sight."""
+    """Until then its unknown tasks may run at an upstream that cannot be reached."""
     next_occurrence: int = 0
     """The first occurrence that was not due yet."""
     due_at: dict[int, timedelta] = field(default_factory=dict)
     """When each occurrence was due; the objective counts from there."""
     run_times: dict[tuple[int, UpstreamId], timedelta] = field(default_factory=dict)
-    """How long a task of a step takes at an upstream, as its progress or its end has shown."""
+    """Run time of a task of a step at an upstream, as its progress or its end has shown."""
 
     def has_unknown_tasks(self) -> bool:
-        """Whether it waits for upstreams out of sight."""
+        """Whether any of its tasks may run at an upstream that cannot be reached."""
         return any(task.phase is TaskPhase.UNKNOWN for task in self.tasks.values())
 
     def record_run_time(self, step: int, upstream: UpstreamId, total: timedelta) -> None:
-        """Remember how long a task of a step takes at an upstream."""
+        """Record how long a task of a step takes at an upstream."""
         self.run_times[(step, upstream)] = total
 
     def find_sibling_run_time(self, step: int, upstream: UpstreamId) -> timedelta | None:
-        """Return what a task of a step takes at the fastest of the other upstreams."""
+        """Return how long a task of a step takes at the fastest of the other upstreams."""
         others = (
             total
             for (number, life), total in self.run_times.items()
@@ -104,8 +104,8 @@
     may_have_begun: bool
     confirmed_until: timedelta = timedelta()
     may_be_of_acting_leader: bool = False
-    """Whether that host may be one that stood in for a leader."""
+    """Whether that host may have been an acting leader."""
     reconcile_after: timedelta
-    """How long what another host began may go on at an upstream out of sight."""
+    """How long runs that another host began may go on at an upstream that cannot be reached."""
     waited: timedelta = timedelta()
-    """For how long the job has been at its gateway."""
+    """How long the job has been at its gateway."""
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that have not ended, as one leader knows them: their tasks, and what of them waits."""
+"""Jobs that have not ended, as one leader knows them: their tasks and the backlog of these."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from .term import Term
 
 ENDED_JOB_RETENTION = timedelta(seconds=10)
-"""How long the end of a job that need not be kept is remembered, for a late second submission."""
+"""How long the end of a best-effort job is remembered, for a late second submission."""
 START_MARGIN_SHARE = 0.4
-"""Share of the wait that the objective allows which is kept for run times beyond the declared ones:
-they scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
+"""Share of the wait allowed by the objective that is reserved for run times beyond the declared
+ones, which scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
 NEVER_LATE = timedelta.max
-"""For tasks that last: they go before all others and are never given up."""
+"""For long-running tasks: they go before all others and are never abandoned."""
 
 
 class OpenJobs:
@@ -39,15 +39,15 @@
         self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
         self.rejections: dict[JobId, Rejection] = {}
-        """Why jobs were given up that had not begun."""
+        """Why jobs that had not begun were rejected."""
         self.closed_while_running: dict[JobId, timedelta] = {}
-        """Jobs that were closed while runs of them were still at work, and when."""
+        """Jobs that were closed while runs of them were still active, and when."""
         self.abandoned: set[JobId] = set()
-        """Jobs that were given up although something of them may have run."""
+        """Jobs that were abandoned although some of their tasks may have run."""
         self.may_have_unknown_tasks = True
-        """Whether tasks may have become unknown since this was last looked at."""
+        """Whether tasks may have become unknown since this was last checked."""
         self._durable: set[JobId] = set()
-        """Open jobs that must be kept."""
+        """Open durable jobs."""
         self._timed: dict[JobId, OpenJob] = {}
         """Timed jobs with occurrences that are not due yet."""
         self._term = term
@@ -59,12 +59,12 @@
                 self.jobs[record.id].reconcile_at = term.lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
-        """Return how long ago a kept job arrived; clocks of hosts may differ a little."""
+        """Return how long ago a durable job arrived; clocks of hosts may differ a little."""
         age_ms = max(0, self._term.wall_ms() - record.accepted_ms)
         return timedelta(milliseconds=age_ms)
 
     def open(self, record: JobRecord, phase: TaskPhase, now: timedelta, age: timedelta) -> None:
-        """Take a job in that arrived `age` ago.
+        """Open a job that arrived `age` ago.
 
         Its tasks are unknown where another host may have begun them.
         """
@@ -95,12 +95,12 @@
             self._open_occurrence(job, 0, phase, job.opened_at)
 
     def open_due(self, phase: TaskPhase, now: timedelta) -> None:
-        """Take in the occurrences of timed jobs whose time has come."""
+        """Open the occurrences of timed jobs that are due."""
         for job in list(self._timed.values()):
             self._open_due(job, phase, now)
 
     def open_through(self, job: OpenJob, occurrence: int, now: timedelta) -> None:
-        """Take in an occurrence that an earlier leader, by its own clock, has begun already."""
+        """Open occurrences up to one that an earlier leader, by its own clock, has begun."""
         while job.next_occurrence <= min(occurrence, job.record.spec.occurrences - 1):
             self._open_occurrence(job, job.next_occurrence, TaskPhase.UNKNOWN, now)
 
@@ -143,7 +143,7 @@
             self.queue(job, occurrence, number, blocked)
 
     def queue(self, job: OpenJob, occurrence: int, number: int, indexes: list[int]) -> None:
-        """Queue tasks of one step of an occurrence; those that may crash upstreams apart."""
+        """Queue tasks of one step of an occurrence; those that may crash upstreams separately."""
         if not indexes:
             return
         if not self.suspicion.may_suspect_any():
@@ -184,14 +184,14 @@
             waiting=indexes,
         )
         if job.record.spec.long_running:
-            # It is to be at work again within seconds, however full the service is.
+            # It must be running again within seconds, however full the service is.
             batch.latest_start = due_at
             batch.latest_task_start = batch.latest_useful_start = NEVER_LATE
             batch.has_begun = True
         self.backlog.add(batch)
 
     def requeue(self, ref: TaskRef, run: RunNumber, upstream: UpstreamId) -> None:
-        """Queue a task again whose run there is surely over without an end."""
+        """Queue a task again whose run there is surely over without a result."""
         job = self.jobs.get(ref.job)
         task = job.tasks.get(ref) if job is not None else None
         if job is None or task is None or not task.runs_as(run, upstream):
@@ -203,7 +203,7 @@
         self.queue(job, ref.occurrence, ref.step, [ref.place])
 
     def release(self, tasks: Iterable[TaskRef]) -> None:
-        """Hold these tasks back no more: an upstream that was lost has not crashed under them."""
+        """Stop delaying these tasks: an upstream that was lost has not crashed under them."""
         for ref in tasks:
             job = self.jobs.get(ref.job)
             task = job.tasks.get(ref) if job is not None else None
@@ -212,7 +212,7 @@
                 self.queue(job, ref.occurrence, ref.step, [ref.place])
 
     def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
-        """End the jobs of tasks that are given up, for upstreams that have crashed under them."""
+        """Fail the jobs of tasks that are quarantined, since upstreams have crashed under them."""
         for ref in refs:
             counts = self.suspicion.find_counts(ref)
             job = self.jobs.get(ref.job)
@@ -231,12 +231,12 @@
                 },
             )
             if job.record.is_open:
-                # Kept jobs have ended in the record already.
+                # Durable jobs have ended in the records already.
                 end_job(job.record, JobState.FAILED, self._term.wall_ms())
             self.close_if_ended(ref.job, now)
 
     def unqueue(self, ref: TaskRef) -> None:
-        """Take a task out of the backlog."""
+        """Remove a task from the backlog."""
         for batch in self.backlog:
             key = (batch.job.id, batch.occurrence, batch.step_number)
             if key == (ref.job, ref.occurrence, ref.step) and ref.place in batch.waiting:
@@ -245,13 +245,13 @@
         self.backlog.drop_empty()
 
     def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
-        """Hold a task whose run has ended there until note is taken of it."""
+        """Hold a task whose run has ended there until that end is recorded."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
             return
         is_current = task.runs_as(end.run, upstream)
-        # A run that was given up with its lease may have ended well before that.
+        # A run that was abandoned with its lease may have succeeded before that.
         is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is RunEndKind.DONE
         if is_done_after_all:
             self.unqueue(end.task)
@@ -262,9 +262,9 @@
             task.unrecorded_end = (upstream, end.run)
 
     def mark_unknown(self, job: OpenJob) -> None:
-        """Hold the tasks of a job that wait for room: another host may have begun them.
+        """Mark the tasks of a job as unknown: another host may have begun them.
 
-        So are those that run here, should they have to begin again.
+        Queued ones are held from now on; those that run here, should they have to begin again.
         """
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.QUEUED:
@@ -273,7 +273,7 @@
             task.is_unknown = True
 
     def queue_unknown(self, job: OpenJob) -> None:
-        """Queue the unknown tasks of a job: nothing of them can run any more."""
+        """Queue the unknown tasks of a job: no run of them can be active any more."""
         for task in job.tasks.values():
             if task.phase is TaskPhase.UNKNOWN:
                 task.phase = TaskPhase.BLOCKED
@@ -282,7 +282,7 @@
             self.unblock(job, occurrence)
 
     def close_if_ended(self, id: JobId, now: timedelta) -> None:
-        """Drop a job whose record says that it has ended, and have its runs stopped."""
+        """Close a job whose record says that it has ended, and have its runs stopped."""
         job = self.jobs.get(id)
         if job is None or job.record.is_open:
             return
@@ -290,7 +290,7 @@
         self._durable.discard(id)
         self._timed.pop(id, None)
         if job.record.spec.best_effort and job.record.state is not JobState.CANCELLED:
-            # A job that was given up may be submitted again, and then runs again.
+            # A job that was abandoned may be submitted again, and then runs again.
             self.ended[id] = (job.record.state, now)
         if any(task.phase is TaskPhase.QUEUED for task in job.tasks.values()):
             self.backlog.drop_job(id)
@@ -299,7 +299,7 @@
                 self._lives.want_stop(task.life, ref, task.run)
                 self.closed_while_running[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
-            # Its caller may send it again, to another host that decides.
+            # Its caller may send it again, to another coordinator.
             self._lives.dispute(id)
         took_ms = to_milliseconds(now - job.opened_at)
         objective_ms = to_milliseconds(job.objective)
@@ -321,7 +321,7 @@
         self._term.on_end(id)
 
     def reject(self, job: OpenJob, reason: str, wait: timedelta, now: timedelta) -> None:
-        """End a job of which nothing has run, and tell its caller when to come back."""
+        """End a job of which nothing has run, and tell its caller when to retry."""
         self._term.counts.rejected_jobs += 1
         self.rejections[job.record.id] = Rejection(reason=reason, retry_after=wait)
         self._term.note("job_rejected", {"job": job.record.id, "wait_ms": to_milliseconds(wait)})
@@ -329,14 +329,14 @@
         self.close_if_ended(job.record.id, now)
 
     def abandon(self, job: OpenJob, now: timedelta) -> None:
-        """End a job of which something may have run, and which would end too late for any use."""
+        """End a job that may have run in part and would end too late to be of any use."""
         self._term.counts.given_up_jobs += 1
         self.abandoned.add(job.record.id)
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
     def forget_ended(self, now: timedelta) -> None:
-        """Forget how jobs ended long enough ago."""
+        """Forget jobs that ended long enough ago."""
         if now < self._forget_at:
             return
         self._forget_at = now + ENDED_JOB_RETENTION
@@ -349,16 +349,16 @@
         }
 
     def find_ended(self, id: JobId) -> JobState | None:
-        """Return how a job that need not be kept ended a short while ago."""
+        """Return how a best-effort job ended a short while ago, or None."""
         ended = self.ended.get(id)
         return ended[0] if ended is not None else None
 
     def is_open(self, id: JobId) -> bool:
-        """Whether a job is under way here."""
+        """Whether a job is open here."""
         return id in self.jobs
 
     def is_ending(self, id: JobId) -> bool:
-        """Whether all that is left of a job runs or has ended, so that it may end at any moment."""
+        """Whether all remaining tasks run or have ended, so that the job may end at any moment."""
         job = self.jobs.get(id)
         last = (TaskPhase.RUNNING, TaskPhase.RECORDING)
         if job is None or id in self._timed:
@@ -374,7 +374,7 @@
         return JobState.RUNNING if has_begun else JobState.QUEUED
 
     def count_pending(self, host: str, prefix: str) -> int:
-        """Return how many jobs of a queue have had no start yet."""
+        """Return how many jobs of a queue have not begun."""
         return sum(
             1
             for job in self.jobs.values()
@@ -382,7 +382,7 @@
         )
 
     def has_durable_jobs(self) -> bool:
-        """Whether a job is open that must be kept."""
+        """Whether a durable job is open."""
         return bool(self._durable)
 
     def count_jobs(self) -> int:
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -1,4 +1,4 @@
-"""Which upstream a waiting task goes to."""
+"""Choice of the upstream for a waiting task."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 def choose_instance(
     batch: Batch, lives: Iterable[Life], *, is_sorted: bool = False, needs_empty: bool = False
 ) -> Life | None:
-    """Return the life that a task fits best: near its data, then with the least room left over.
+    """Return the instance that fits a task best: near its data, then with the least free CPU.
 
-    Tasks are wide (14 of 32 cores): the least room left keeps whole upstreams free for wide ones.
-    `is_in_order` tells that the lives come with the least room first, so that one which is best in
-    all else need not be compared with those after it. With `needs_empty` nothing may run there.
+    Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free for wide ones.
+    `is_sorted` says that the instances come with the least free CPU first, so that one that is best
+    in all else need not be compared with those after it. With `needs_empty` nothing may run there.
     """
     best: Life | None = None
     best_score: tuple[int, int, int] | None = None
--- a/cottonlug/core/cluster/progress.py
+++ b/cottonlug/core/cluster/progress.py
@@ -1,8 +1,8 @@
-"""Whether a run gets on, judged by what its upstream says of its progress.
+"""Detection of stalled and slow runs by the progress that their upstreams report.
 
-Patterns: tasks that stand still on an upstream whose heartbeats are good, and upstreams that have
-turned several times slower. Only what an upstream has answered counts: while its answers are lost
-nothing is known of its runs, which may have ended well.
+Failure patterns: tasks that stall on an upstream whose heartbeats are good, and upstreams that have
+become several times slower. Only what an upstream has answered counts: while its answers are lost,
+nothing is known of its runs, which may have succeeded.
 """
 
 from __future__ import annotations
@@ -13,27 +13,27 @@
 from .orders import Run
 
 STALLED_AFTER_SHARE = 0.5
-"""Share of the expected time without any progress that shows a run standing still: at the slowest
-that declared times explain (three times the mean, 2.7 sigma), it would get on by 16 percent."""
+"""Share of the expected time without any progress after which a run is stalled: at the slowest rate
+that declared times explain (three times the mean, 2.7 sigma), it would advance by 16 percent."""
 MIN_OBSERVATION = timedelta(milliseconds=60)
 """A younger run says nothing: its start and the answer take a few milliseconds each."""
 RESUME_ALLOWANCE = timedelta(seconds=1)
 """A run from a checkpoint is first restored (0.1 to 0.6 s on the users' platform)."""
 SLOW_FACTOR = 3.5
-"""So much longer than declared, or than its siblings, is not the task's own doing."""
+"""A run that takes so much longer than declared, or than its siblings, has a slow upstream."""
 MIN_SLOW_OBSERVATION = timedelta(milliseconds=100)
-"""Progress is told in whole percent: the pace of a younger run is off by too much."""
+"""Progress is reported in whole percent: the rate of a younger run is too inaccurate."""
 MIN_GAIN_PERCENT = 5
-"""Percent of progress from which on a pace can be told."""
+"""Percent of progress from which on a rate can be estimated."""
 MOVE_FACTOR = 1.5
-"""A run is moved if what is left of it takes that many times what a new one takes."""
+"""A run is moved if the rest of it takes that many times as long as a new one."""
 CHECK_SHARES = (0.75, 1.6)
-"""When a run's progress is asked for, in shares of its expected time: early enough that a task of a
-fifth of a second that stands still is in time elsewhere; later ones come with the leases."""
+"""When a run's progress is polled, in shares of its expected time: early enough that a task of a
+fifth of a second that stalls is in time elsewhere; later reports come with the leases."""
 
 
 class ProgressRate(Enum):
-    """How a run gets on."""
+    """How fast a run progresses."""
 
     NORMAL = "fine"
     STALLED = "stands_still"
@@ -41,7 +41,7 @@
 
 
 def estimate_run_time(run: Run) -> timedelta | None:
-    """Return how long a run takes in all at its pace so far, or None where that cannot be told."""
+    """Return the whole run time at the rate so far, or None where that cannot be estimated."""
     gain = run.percent - run.first_percent
     if run.seen_at is None or gain < MIN_GAIN_PERCENT:
         return None
@@ -49,7 +49,7 @@
 
 
 def classify_progress(run: Run, expected: timedelta, sibling: timedelta | None) -> ProgressRate:
-    """Return how a run gets on; `sibling` is what another task of its step takes elsewhere."""
+    """Return how a run progresses; `sibling` is the run time of a task of its step elsewhere."""
     if run.seen_at is None:
         return ProgressRate.NORMAL
     if _is_stalled(run, run.seen_at, expected):
@@ -64,7 +64,7 @@
 
 
 def _is_stalled(run: Run, seen_at: timedelta, expected: timedelta) -> bool:
-    """Whether a run has got on by nothing for too long, as its upstream last said."""
+    """Whether a run has made no progress for too long, as its upstream last reported."""
     limit = max(expected * STALLED_AFTER_SHARE, MIN_OBSERVATION)
     if run.resumes:
         limit += RESUME_ALLOWANCE
@@ -72,7 +72,7 @@
 
 
 def find_next_check(run: Run, expected: timedelta, now: timedelta) -> timedelta | None:
-    """Return when a run's progress should next be known, or None once nothing more is due."""
+    """Return when a run's progress should next be known, or None after the last check."""
     for share in CHECK_SHARES:
         due = run.since + max(expected * share, MIN_OBSERVATION)
         if due > now:
--- a/cottonlug/core/cluster/response_timeout.py
+++ b/cottonlug/core/cluster/response_timeout.py
@@ -1,11 +1,11 @@
-"""How long the answer to an order is waited for, learnt from the answers of each upstream.
+"""Time-out for the answer to an order, learnt from the answers of each upstream.
 
-Pattern: orders that are carried out seconds late or never, at upstreams that answer all others.
-Only once an answer is given up does anybody look whether the task runs, and start it elsewhere; a
-job of eight tasks of 60 ms has 60 ms to spare.
+Failure pattern: orders that are carried out seconds late or never, at upstreams that answer all
+others. Only after the time-out is the upstream polled for the task, and the task started elsewhere;
+a job of eight tasks of 60 ms has 60 ms to spare.
 
-The estimate is that of TCP's retransmission timer (RFC 6298): the mean of the times taken and four
-times their mean deviation. To give up too soon costs one look, since a run that is listed goes on.
+The estimate is that of TCP's retransmission timer (RFC 6298): the mean response time plus four
+times its mean deviation. Timing out too soon costs one poll, since a run that is listed goes on.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from datetime import timedelta
 
 MAX_RESPONSE_TIMEOUT = timedelta(milliseconds=80)
-"""Also before anything was learnt. Answers take a few milliseconds; a lost packet is sent again
+"""Also used before the first answer. Answers take a few milliseconds; a lost packet is sent again
 after 200 ms, by when a short task is late anyway."""
 MIN_RESPONSE_TIMEOUT = timedelta(milliseconds=25)
-"""An event loop that is held up by a sync of its disk (9 ms) or a wide job may take that long."""
+"""An event loop that is delayed by a sync of its disk (9 ms) or a wide job may take that long."""
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
 DEVIATION_FACTOR = 4
 
 
 class ResponseTimeout:
-    """The time that answers of one upstream take."""
+    """Estimate of the time that answers of one upstream take."""
 
     def __init__(self) -> None:
         self._mean: timedelta | None = None
         self._deviation = timedelta()
 
     def take_answer(self, taken: timedelta) -> None:
-        """Learn how long an answer took."""
+        """Update the estimate with the time that an answer took."""
         if self._mean is None:
             self._mean, self._deviation = taken, taken / 2
             return
@@ -38,7 +38,7 @@
         self._mean += (taken - self._mean) * MEAN_WEIGHT
 
     def find_timeout(self) -> timedelta:
-        """Return after how long an answer is given up."""
+        """Return after how long a missing answer counts as lost."""
         if self._mean is None:
             return MAX_RESPONSE_TIMEOUT
         return min(
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -1,4 +1,4 @@
-"""Fills free room with waiting tasks, and sheds what would not be served in time."""
+"""Starts waiting tasks where capacity is free, and sheds jobs that cannot be served in time."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
-"""An evacuation lasts from seconds to hours: often enough for the former, seldom enough for the
+"""Evacuations last from seconds to hours: frequent enough for the former, rare enough for the
 latter."""
 NO_DEMAND = 1 << 62
-"""More room than any upstream has: no change of one is worth looking for room again."""
+"""More CPU than any upstream has, so that no change of one triggers another try."""
 
 
 class Scheduler:
-    """Starts tasks."""
+    """Places waiting tasks on upstreams."""
 
     def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
         self._term = term
@@ -36,13 +36,13 @@
         self._jobs = jobs
         self._capacity = CapacityIndex(lives=lives)
         self._min_cpu_needed = 0
-        """No batch for which no room was found needs less than this, in core-thousandths."""
+        """No batch that did not fit needs less CPU than this, in thousandths of a core."""
 
     def fill(self, now: timedelta, changed: list[Life] | None) -> None:
         """Start waiting tasks as long as any of them fits.
 
-        `changed` are the lives that may have more room than before, None where that is not known:
-        a batch that found no room is tried again only where one of these has enough.
+        `changed` are the instances that may have gained capacity, None where that is not known:
+        a batch that did not fit is tried again only where one of these has enough.
         """
         for life in changed or ():
             self._capacity.update(life, now)
@@ -59,9 +59,9 @@
         self._shed(now)
 
     def _schedule_backlog(self, changed: list[Life] | None, now: timedelta) -> None:
-        """Offer room to all batches, but not those again that need more than any life that changed.
+        """Try all batches, but not those again that need more than any changed instance has.
 
-        `changed` is None where any life may have changed.
+        `changed` is None where any instance may have changed.
         """
         backlog = self._jobs.backlog
         if changed is None:
@@ -81,7 +81,7 @@
         self._min_cpu_needed = min(waiting, default=NO_DEMAND)
 
     def _schedule_changed(self, changed: list[Life], now: timedelta) -> None:
-        """Offer the room of some lives to the batches in their order, until none fits any more."""
+        """Try the batches in their order on changed instances, until none fits any more."""
         most = _find_max_free_cpu(changed)
         if most < self._min_cpu_needed:
             return
@@ -94,7 +94,7 @@
                 return
 
     def _schedule_batch(self, batch: Batch, now: timedelta) -> bool:
-        """Start tasks of one batch as long as any fits; return whether any did."""
+        """Try to place a batch if it may start now; return whether any of its tasks was started."""
         batch.was_tried = True
         self._min_cpu_needed = min(self._min_cpu_needed, batch.cpu_millis)
         if self._is_delayed(batch, now):
@@ -105,7 +105,7 @@
         return self._start_batch(batch, service, now)
 
     def _shed(self, now: timedelta) -> None:
-        """Give up, at once, jobs for which there was no room while they could be of use."""
+        """End at once the jobs that did not fit while they could be of use."""
         hopeless = self._jobs.backlog.list_tier(Tier.HOPELESS)
         if not hopeless:
             return
@@ -122,7 +122,7 @@
     def find_rejection(
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
     ) -> Rejection | None:
-        """Return why a job is not taken at the moment that has waited elsewhere, or None."""
+        """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
         if spec.is_timed or spec.long_running:
             return None
         if self._lives.is_evacuated(queue.service):
@@ -133,7 +133,7 @@
         latest_start = now - waited + find_max_wait(queue, objective, chain)
         core_ms = self._jobs.backlog.measure_work_ahead(latest_start)
         if not core_ms and waited <= objective * USEFUL_FACTOR:
-            # Nothing goes before it, whatever room there is.
+            # Nothing is queued ahead of it, whatever the capacity.
             return None
         room = self._lives.measure_room(now)
         if room <= 0.0:
@@ -144,7 +144,7 @@
         return Rejection(reason="the work before it takes too long", retry_after=wait)
 
     def reject_evacuated(self, now: timedelta) -> None:
-        """Reject, at once, what waits for services whose upstreams are all evacuated."""
+        """Reject at once the waiting jobs of services whose upstreams are all evacuated."""
         evacuated: dict[ServiceName, bool] = {}
         for job in list(self._jobs.jobs.values()):
             spec = job.record.spec
@@ -158,13 +158,13 @@
                 self._jobs.reject(job, ALL_EVACUATED, EVACUATED_RETRY, now)
 
     def _find_service(self, job: JobRecord) -> ServiceName:
-        """Return the service that the job's queue is sent to now."""
+        """Return the service that the job's queue is assigned to now."""
         queues = self._term.records.queues
         queue = queues.get(job.queue.key) if queues is not None else None
         return (queue or job.queue).service
 
     def _is_delayed(self, batch: Batch, now: timedelta) -> bool:
-        """Whether the tasks of a batch had better not be started yet."""
+        """Whether the start of a batch is delayed, since its tasks may crash upstreams."""
         if batch.restriction is Care.NONE:
             return False
         if batch.first_tried_at is None:
@@ -173,7 +173,7 @@
         return batch.restriction is Care.BARRED or (batch.restriction is Care.HELD and is_early)
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
-        """Whether the tasks of a batch go only where nothing runs."""
+        """Whether the tasks of a batch may start only where nothing runs."""
         since = batch.first_tried_at
         if batch.restriction is Care.NONE or since is None:
             return False
@@ -182,7 +182,7 @@
         )
 
     def _start_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
-        """Start tasks of a batch as long as any fits; return whether any did."""
+        """Start tasks of a batch as long as any fits; return whether any was started."""
         has_started = False
         job = self._jobs.jobs[batch.job.id]
         while batch.waiting:
@@ -202,7 +202,7 @@
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
         expires_ms = life.grant(now)
-        assert expires_ms is not None, "only a fenced life takes work, and its clock is known"
+        assert expires_ms is not None, "only a fenced instance accepts work, and its clock is known"
         known = batch.job.get_task(ref)
         last_run = max(task.run, known.last_run)
         task.run = RunNumber(max(last_run + 1, self._term.first_run))
@@ -218,7 +218,7 @@
         self._lives.touch(life)
         life.look_due = min(life.look_due, now)
         self._term.counts.starts += 1
-        # A first start is routine; one beside which another run may be at work is always told.
+        # A first start is routine; one beside which another run may be active is always logged.
         is_again = last_run > 0 or job.reconcile_at > timedelta()
         self._term.note(
             "run_started_again" if is_again else "run_started",
@@ -245,5 +245,5 @@
 
 
 def _find_max_free_cpu(lives: list[Life] | None) -> int:
-    """Return the most room that any of some lives has, in core-thousandths."""
+    """Return the most free CPU that any of some instances has, in thousandths of a core."""
     return max((life.free_cpu for life in lives or ()), default=0)
--- a/cottonlug/core/cluster/throughput.py
+++ b/cottonlug/core/cluster/throughput.py
@@ -1,4 +1,4 @@
-"""How fast room comes free, since the tasks of a wide job do not all start at one moment."""
+"""How fast capacity is freed, since the tasks of a wide job do not all start at one moment."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 LEARNING_RATE = 0.05
 """Weight of the newest end: the mean follows a burst within some twenty ends."""
 MAX_INTERVAL = timedelta(milliseconds=5)
-"""Longer ones say that little runs, not that room is slow to come free."""
+"""Longer ones mean that little runs, not that capacity is freed slowly."""
 
 
 class Throughput:
@@ -18,7 +18,7 @@
         self._interval = MAX_INTERVAL
 
     def record_run_ends(self, count: int, now: timedelta) -> None:
-        """Learn that so many runs have ended."""
+        """Update the mean interval after `count` runs have ended."""
         if self._last_end is not None:
             newest = min((now - self._last_end) / count, MAX_INTERVAL)
             for _ in range(count):
@@ -26,5 +26,5 @@
         self._last_end = now
 
     def estimate_start_delay(self, tasks: int) -> timedelta:
-        """Return how long it takes until that many tasks have found room, one after the other."""
+        """Return how long it takes until that many tasks have been started, one after the other."""
         return self._interval * tasks
--- a/cottonlug/core/cluster/upstream_health.py
+++ b/cottonlug/core/cluster/upstream_health.py
@@ -1,8 +1,8 @@
-"""Upstreams that look well but are not: judged by how their runs go, against all others.
+"""Outlier detection: upstreams whose runs go badly, against those of all others, are suspended.
 
-Patterns: an upstream that fails all it starts, on which tasks stand still, or that has turned slow,
-while its heartbeats are good. A share of the upstreams is never set aside, so that a bad job or a
-slow day cannot empty the service.
+Failure patterns: an upstream that fails all it starts, on which tasks stall, or that has become
+slow, while its heartbeats are good. A share of the upstreams is never suspended, so that a bad job
+or a slow day cannot empty the service.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 """One task in 500 fails by itself (the users' sheets), so three in a row are not chance."""
 FIRST_SUSPENSION = timedelta(seconds=2)
 MAX_SUSPENSION = timedelta(seconds=6)
-"""Each return costs the jobs that are tried; what ails an upstream lasts for seconds."""
+"""Each return costs the jobs that are tried there; the causes of bad runs last for seconds."""
 SLOW_FACTOR = 2.2
-"""Declared times scatter by 0.4 on a logarithmic scale; a mean of several runs does far less."""
+"""Declared times scatter by 0.4 on a logarithmic scale, a mean of several runs far less."""
 LEARNING_RATE = 0.3
 MAX_SUSPENDED_SHARE = 0.34
-"""Share of a service's upstreams that may be set aside at once."""
+"""Share of a service's upstreams that may be suspended at once."""
 
 
 @dataclass(slots=True, kw_only=True)
 class UpstreamHealth:
-    """How the runs at one upstream have gone lately."""
+    """How recent runs at one upstream have gone."""
 
     failures: int = 0
     mean_log_slowdown: float = 0.0
-    """Mean of the logarithm of real to expected run times."""
+    """Mean of the logarithm of actual to expected run times."""
     next_suspension: timedelta = FIRST_SUSPENSION
     suspended_until: timedelta = timedelta()
     is_on_probation: bool = False
-    """Whether it was set aside and has not finished a run well since: it gets one at a time."""
+    """Whether it was suspended and has not finished a run well since: it gets one at a time."""
 
     def record_success(self, ratio: float, now: timedelta) -> bool:
-        """Learn from a good run; return whether the upstream was just found slow."""
+        """Record a successful run; return whether the upstream was just found slow."""
         self.failures = 0
         if self.record_run_time_ratio(ratio, now):
             return True
@@ -46,7 +46,7 @@
         return False
 
     def record_run_time_ratio(self, ratio: float, now: timedelta) -> bool:
-        """Learn how long a run takes against the expected; return whether it was just set aside."""
+        """Record actual against expected run time; return whether it was just suspended."""
         self.mean_log_slowdown += LEARNING_RATE * (
             math.log(max(ratio, 0.01)) - self.mean_log_slowdown
         )
@@ -56,16 +56,16 @@
         return self._suspend(now)
 
     def record_failure(self, now: timedelta) -> bool:
-        """Learn from a failed run; return whether the upstream was just set aside."""
+        """Record a failed run; return whether the upstream was just suspended."""
         self.failures += 1
         return self.failures >= MAX_CONSECUTIVE_FAILURES and self._suspend(now)
 
     def record_stall(self, now: timedelta) -> bool:
-        """Learn that a run stands still; return whether the upstream was just set aside."""
+        """Record a stalled run; return whether the upstream was just suspended."""
         return self._suspend(now)
 
     def is_suspended(self, now: timedelta) -> bool:
-        """Whether no work should go there at the moment."""
+        """Whether the upstream gets no work at the moment."""
         return now < self.suspended_until
 
     def _is_slow(self) -> bool:
--- a/cottonlug/core/cluster/upstream_timers.py
+++ b/cottonlug/core/cluster/upstream_timers.py
@@ -1,7 +1,7 @@
-"""When each upstream is to be gone through again by the clock.
+"""Timers that say when each upstream must be processed again.
 
-Load pattern: hundreds of upstreams, most of which need nothing at the moment. To go through all of
-them every 20 ms, for what is due at a few, was a fifth of the time of a leader of 270.
+Load pattern: hundreds of upstreams, most of which need nothing at the moment. Processing all of
+them every 20 ms, for what is due at a few, takes a fifth of the time of a leader of 270.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class UpstreamTimers:
-    """The next moment of each upstream, the soonest first."""
+    """The next timer of each upstream, the soonest first."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[timedelta, UpstreamId]] = []
         self._at: dict[UpstreamId, timedelta] = {}
 
     def has(self, upstream: UpstreamId) -> bool:
-        """Whether a moment is set."""
+        """Whether a timer is set."""
         return upstream in self._at
 
     def set(self, upstream: UpstreamId, at: timedelta | None) -> None:
-        """Go through an upstream at a moment, and not at the one that was set before."""
+        """Set the timer of an upstream, in place of the one set before; None clears it."""
         if at is None:
             self._at.pop(upstream, None)
         elif self._at.get(upstream) != at:
@@ -32,7 +32,7 @@
             heapq.heappush(self._heap, (at, upstream))
 
     def pop_due(self, now: timedelta) -> list[UpstreamId]:
-        """Return the upstreams whose moment has come."""
+        """Return the upstreams whose timers are due, and clear these."""
         due: list[UpstreamId] = []
         while self._heap and self._heap[0][0] <= now:
             at, upstream = heapq.heappop(self._heap)
