--- a/bench/variants.py
+++ b/bench/variants.py
@@ -13,7 +13,7 @@
     crashes,
     scheduler,
     forecast,
-    upstream_health,
+    guards,
     life_table,
     lives,
     open_jobs,
@@ -67,7 +67,7 @@
 
 
 def _suspend_without_probation(self: Any, now: timedelta) -> bool:
-    is_new = upstream_health.UpstreamHealth.suspend_unchanged(self, now)  # type: ignore[attr-defined]
+    is_new = guards.UpstreamHealth.suspend_unchanged(self, now)  # type: ignore[attr-defined]
     self.is_on_probation = False
     return bool(is_new)
 
@@ -76,7 +76,7 @@
     return self._pools.setdefault(life.info.service, {}).setdefault("", capacity_index._Pool())
 
 
-upstream_health.UpstreamHealth.suspend_unchanged = upstream_health.UpstreamHealth._suspend  # type: ignore[attr-defined]
+guards.UpstreamHealth.suspend_unchanged = guards.UpstreamHealth._suspend  # type: ignore[attr-defined]
 backlog.Backlog.add_unchanged = backlog.Backlog.add  # type: ignore[attr-defined]
 
 NO_CHANGE = "as_it_is"
@@ -99,7 +99,7 @@
     "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
     "no_moves": replacing((watcher, "MOST_MOVES", 0)),
     "nobody_set_aside": replacing((life_table, "MAX_SUSPENDED_SHARE", -1.0)),
-    "no_trial": replacing((upstream_health.UpstreamHealth, "_suspend", _suspend_without_probation)),
+    "no_trial": replacing((guards.UpstreamHealth, "_suspend", _suspend_without_probation)),
     "nobody_blamed": replacing(
         (suspicion.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
         (crashes.CrashCounts, "is_given_up", False),
@@ -112,17 +112,17 @@
 }
 
 FIGURES: dict[str, Variant] = {
-    "failures_in_a_row_2": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 2)),
-    "failures_in_a_row_6": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 6)),
+    "failures_in_a_row_2": replacing((guards, "MAX_CONSECUTIVE_FAILURES", 2)),
+    "failures_in_a_row_6": replacing((guards, "MAX_CONSECUTIVE_FAILURES", 6)),
     "most_set_aside_0.17": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.17)),
     "most_set_aside_0.68": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.68)),
     "pause_1_to_3_s": replacing(
-        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=1)),
-        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=3)),
+        (guards, "FIRST_SUSPENSION", timedelta(seconds=1)),
+        (guards, "MAX_SUSPENSION", timedelta(seconds=3)),
     ),
     "pause_4_to_12_s": replacing(
-        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=4)),
-        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=12)),
+        (guards, "FIRST_SUSPENSION", timedelta(seconds=4)),
+        (guards, "MAX_SUSPENSION", timedelta(seconds=12)),
     ),
     "usable_share_0.43": replacing((admission, "USABLE_SHARE", 0.43)),
     "usable_share_1.7": replacing((admission, "USABLE_SHARE", 1.7)),
--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -33,6 +33,6 @@
     return whole / 1000 * USABLE_SHARE
 
 
-def estimate_wait(core_ms: float, room: float) -> timedelta:
+def estimate_wait(core_ms: float, cores: float) -> timedelta:
     """Return how long this many cores take for work in core-milliseconds."""
-    return timedelta(milliseconds=core_ms / max(room, MIN_CORES))
+    return timedelta(milliseconds=core_ms / max(cores, MIN_CORES))
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -50,7 +50,7 @@
 )
 from .records import JobRecord, Records, end_job
 from .registry import Registry
-from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms, find_refusal_backoff
+from .reports import DEFAULT_REPORT_TERMS, ReportTerms, find_refusal_backoff
 from .settlement import Settlement
 from .suspicion import Suspicion
 from .term import DispatchCounts, Note, Term, WallTime
@@ -102,7 +102,7 @@
         self._jobs = OpenJobs(term=self._term, lives=self._lives, suspicion=suspicion)
         self._watcher = Watcher(term=self._term, lives=self._lives, jobs=self._jobs)
         self._adopter = Adopter(term=self._term, lives=self._lives, jobs=self._jobs)
-        self._filler = Scheduler(term=self._term, lives=self._lives, jobs=self._jobs)
+        self._scheduler = Scheduler(term=self._term, lives=self._lives, jobs=self._jobs)
         self._settlement = Settlement(term=self._term, lives=self._lives, jobs=self._jobs)
         self._ends = Ends(
             term=self._term, lives=self._lives, jobs=self._jobs, settlement=self._settlement
@@ -143,7 +143,7 @@
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
     ) -> Rejection | None:
         """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
-        return self._filler.find_rejection(queue, spec, waited, now)
+        return self._scheduler.find_rejection(queue, spec, waited, now)
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record that an upstream is alive, its capacity, and whether it is leaving."""
@@ -289,7 +289,7 @@
             {"domain": command.domain, "revision": record.revision, "runs": runs},
         )
         if record.is_evacuated:
-            self._filler.reject_evacuated(now)
+            self._scheduler.reject_evacuated(now)
 
     def _drop_instance(self, upstream: UpstreamId) -> None:
         life = self._lives.by_id.get(upstream)
@@ -438,7 +438,7 @@
             self._watcher.lapse(life, now)
             self._watcher.stop_runs(life, now)
         if self._term.may_start:
-            self._filler.fill(now, None if is_full_scan else lives)
+            self._scheduler.schedule(now, None if is_full_scan else lives)
         changed = (*lives, *self._lives.take_touched())
         for id, life in {each.info.id: each for each in changed}.items():
             self._watcher.look(life, now)
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -6,7 +6,7 @@
 
 from ..ids import DomainName, UpstreamId
 from .admission import measure_usable_cores
-from .upstream_health import MAX_SUSPENDED_SHARE, UpstreamHealth
+from .guards import MAX_SUSPENDED_SHARE, UpstreamHealth
 from .identity import get_name, is_earlier
 from .lives import Life
 from .model import JobId, RunNumber, ServiceName, TaskRef, UpstreamInfo
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -38,7 +38,7 @@
         self._min_cpu_needed = 0
         """No batch that did not fit needs less CPU than this, in thousandths of a core."""
 
-    def fill(self, now: timedelta, changed: list[Life] | None) -> None:
+    def schedule(self, now: timedelta, changed: list[Life] | None) -> None:
         """Start waiting tasks as long as any of them fits.
 
         `changed` are the instances that may have gained capacity, None where that is not known:
@@ -135,10 +135,10 @@
         if not core_ms and waited <= objective * USEFUL_FACTOR:
             # Nothing is queued ahead of it, whatever the capacity.
             return None
-        room = self._lives.measure_room(now)
-        if room <= 0.0:
+        cores = self._lives.measure_room(now)
+        if cores <= 0.0:
             return None
-        wait = estimate_wait(core_ms, room)
+        wait = estimate_wait(core_ms, cores)
         if waited + wait <= objective * USEFUL_FACTOR:
             return None
         return Rejection(reason="the work before it takes too long", retry_after=wait)
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -12,7 +12,7 @@
 from .model import JobId, RunNumber
 from .orders import Order
 from .records import Records
-from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
+from .reports import DEFAULT_REPORT_TERMS, ReportTerms
 
 Note = Callable[[str, dict[str, str | int]], None]
 """Called for each decision worth a log line, with its name and inputs."""
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -25,7 +25,7 @@
 )
 from ..core.cluster.forecast import find_latest_useful_start
 from ..core.cluster.lives import LeaseTerms, choose_terms
-from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
+from ..core.cluster.reports import MAX_ELECTION_TIME, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
 from ..net.asgi import HttpRequest, HttpResponse
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -25,7 +25,7 @@
 from ..core.cluster.commands import decode_commands
 from ..core.cluster.evacuations import Evacuations
 from ..core.cluster.lives import choose_terms
-from ..core.cluster.capacity_reports import ReportTerms
+from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
 from .gateways import GATEWAY_SILENT
 from .leading import Leading, LeadingSettings
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -48,7 +48,7 @@
     StartOrder,
     StopOrder,
 )
-from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName
 from .decisions import note_decision
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -38,7 +38,7 @@
 from ..core.cluster.open_job import Submission
 from ..core.cluster.orders import CallFailure, LookOrder, Order, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import JobRecord, Records
-from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName, UpstreamId
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -25,7 +25,7 @@
     Service,
 )
 from ..core.cluster.records import Records
-from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, find_refusal_backoff
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS, find_refusal_backoff
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from .gateway_builders import IdlePort
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -12,7 +12,7 @@
 from ..core.cluster.backlog import Backlog, Batch, Tier
 from ..core.cluster.checks import find_configuration_problem, find_job_problem
 from ..core.cluster.forecast import Forecast
-from ..core.cluster.upstream_health import MAX_CONSECUTIVE_FAILURES, MAX_SUSPENSION, UpstreamHealth
+from ..core.cluster.guards import MAX_CONSECUTIVE_FAILURES, MAX_SUSPENSION, UpstreamHealth
 from ..core.cluster.lives import Life
 from ..core.cluster.model import (
     Configuration,
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -24,7 +24,7 @@
 from ..core.cluster.scheduler import ALL_EVACUATED
 from ..core.cluster.model import RunEndKind, JobId, JobState, OrderId
 from ..core.cluster.records import Records
-from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest, HttpResponse
 from ..platform.control import build_control_handler
