--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -1,8 +1,8 @@
 """Upstreams whose capacity shrinks and grows again while they run.
 
-What they run stays, what is started must fit: the newest report holds, whoever heard it, and at an
-upstream that guards nothing no start goes by a report that may have been overtaken for too long.
-The model stops the test at a start over a capacity, once starts by the old one are borne no more.
+Runs stay, starts must fit: the newest report counts, whichever host received it, and at an upstream
+that does not enforce its capacity no start relies on a report that may be out of date for too long.
+The model fails the test at a start over a capacity, once starts by the old one are not tolerated.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 def build_site(
     seed: int, *, count: int = 2, guards: bool = True, run_ms: int = 60
 ) -> tuple[World, dict[UpstreamId, ModelUpstream], Records]:
-    """Return upstreams with room for two tasks each, and the record of a configuration."""
+    """Return upstreams with capacity for two tasks each, and the records of a configuration."""
     world = World(random=random.Random(seed))
     upstreams = {}
     for number in range(1, count + 1):
@@ -112,8 +112,8 @@
     return len(upstream.runs)
 
 
-def test_nothing_is_started_over_a_room_that_has_shrunk() -> None:
-    """Failed before: a heartbeat of a known upstream changed nothing of its capacity."""
+def test_nothing_is_started_beyond_a_capacity_that_has_shrunk() -> None:
+    """Guards against heartbeats of a known upstream that change nothing of its capacity."""
     world, upstreams, records = build_site(1, guards=False, run_ms=300)
     leader = lead(world, upstreams, records)
     beat(leader, *upstreams.values())
@@ -126,8 +126,8 @@
     assert [count_runs(each) for each in upstreams.values()] == [1, 2]
 
 
-def test_what_runs_in_a_room_that_has_shrunk_goes_on_and_counts() -> None:
-    """Only starts must fit: to end a run would lose its work, and no rule asks for it."""
+def test_runs_beyond_a_capacity_that_has_shrunk_go_on_and_count() -> None:
+    """Only starts must fit: ending a run would lose its work, and no rule asks for it."""
     world, upstreams, records = build_site(2, count=1, guards=False, run_ms=400)
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
@@ -143,7 +143,7 @@
     assert {ref.job for ref in upstreams[FIRST].runs} == {"b" * 16}
 
 
-def test_a_room_that_grows_is_used_at_once() -> None:
+def test_a_capacity_that_grows_is_used_at_once() -> None:
     world, upstreams, records = build_site(3, count=1, run_ms=300)
     upstreams[FIRST].resize(HALF)
     leader = lead(world, upstreams, records)
@@ -158,7 +158,7 @@
     assert count_runs(upstreams[FIRST]) == 2
 
 
-def test_an_older_report_that_comes_late_changes_nothing() -> None:
+def test_an_older_report_that_arrives_late_changes_nothing() -> None:
     world, upstreams, records = build_site(4, count=1, guards=False)
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
@@ -173,8 +173,8 @@
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
 
 
-def test_a_change_while_the_log_takes_an_upstream_in_is_not_lost() -> None:
-    """Failed before: what came between the first heartbeat and its commit was left out."""
+def test_a_capacity_change_while_an_upstream_is_being_added_is_not_lost() -> None:
+    """Guards against leaving out what arrives between the first heartbeat and its commit."""
     world, upstreams, records = build_site(5, count=1, guards=False)
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
@@ -185,8 +185,8 @@
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
 
 
-def test_the_next_leader_knows_the_room_that_the_log_tells() -> None:
-    """Nothing is started over it before the upstream is heard, and no older report undoes it."""
+def test_the_next_leader_knows_the_capacity_in_the_log() -> None:
+    """Nothing is started beyond it before a heartbeat, and no older report undoes it."""
     world, upstreams, records = build_site(6, count=1, guards=False, run_ms=300)
     first = lead(world, upstreams, records)
     beat(first, upstreams[FIRST])
@@ -205,8 +205,8 @@
     assert count_runs(upstreams[FIRST]) == 1
 
 
-def test_a_host_that_has_heard_no_report_starts_nothing_where_nothing_is_guarded() -> None:
-    """A deputy gets no heartbeats: what shrinks behind the cut is known to nobody it can ask."""
+def test_a_host_without_reports_starts_nothing_where_capacity_is_not_enforced() -> None:
+    """An acting leader gets no heartbeats: nobody that it can ask knows what shrinks meanwhile."""
     world, upstreams, records = build_site(7, count=1, guards=False)
     first = lead(world, upstreams, records)
     beat(first, upstreams[FIRST])
@@ -227,7 +227,7 @@
     assert world.starts == 2
 
 
-def test_a_report_that_was_held_up_counts_from_when_it_was_sent() -> None:
+def test_a_delayed_report_counts_from_when_it_was_sent() -> None:
     world, upstreams, records = build_site(8, count=1, guards=False)
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
@@ -241,10 +241,10 @@
     assert reported_at < milliseconds(300)
 
 
-def test_an_upstream_that_refuses_again_and_again_is_asked_ever_more_rarely() -> None:
-    """Its room has shrunk, and its heartbeat is lost: each refusal costs a call for nothing.
+def test_an_upstream_that_refuses_repeatedly_is_tried_ever_more_rarely() -> None:
+    """Its capacity has shrunk, and its heartbeat is lost: each refusal costs a call for nothing.
 
-    Failed before: it was asked each 50 ms, thirty times until its next heartbeat.
+    Without a backoff it is tried every 50 ms, thirty times until its next heartbeat.
     """
     world, upstreams, records = build_site(9, count=1, run_ms=2_000)
     leader = lead(world, upstreams, records)
@@ -261,13 +261,13 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_start_brings_an_unguarded_upstream_over_its_capacity(seed: int) -> None:
-    """Rooms that change, lost heartbeats, leaders in turn and deputies beyond a cut, by chance."""
+def test_no_start_exceeds_the_capacity_of_an_upstream_that_does_not_enforce_it(seed: int) -> None:
+    """Random capacity changes, lost heartbeats, changes of leader and acting leaders in a cut."""
     play_campaign(seed)
 
 
 def play_campaign(seed: int) -> int:
-    """Play half a minute of it; return how many tasks were started."""
+    """Play half a minute of such faults; return how many tasks were started."""
     chance = random.Random(seed)
     world, upstreams, records = build_site(seed, count=4, guards=False, run_ms=150)
     world.lost_share, world.late_share = 0.02, 0.02
@@ -291,7 +291,7 @@
         world.at(milliseconds(chance.uniform(200, 6_000)), lambda: change(upstream))
 
     def replace(term: int) -> None:
-        """Have another leader, or a deputy with what the last leader knew."""
+        """Start another leader, or an acting leader with the records of the last leader."""
         last = leaders[-1]
         last.is_over = True
         gap = milliseconds(chance.uniform(400, 700))
@@ -337,15 +337,15 @@
     return world.starts
 
 
-def test_the_campaign_would_find_a_start_by_an_old_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Broken on purpose: reports that hold for ever."""
+def test_the_campaign_finds_a_start_by_an_outdated_report(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Injected fault: reports that stay valid for ever."""
     monkeypatch.setattr(LifeTable, "_is_report_valid", lambda self, life, now: True)
     with pytest.raises(AssertionError, match="a start brings"):
         for seed in range(20):
             play_campaign(seed)
 
 
-def test_a_change_that_the_log_has_is_not_undone_by_one_before_it() -> None:
+def test_a_capacity_in_the_log_is_not_undone_by_an_older_one() -> None:
     records = Records()
     world, upstreams, records = build_site(10, count=1)
     leader = lead(world, upstreams, records)
@@ -360,7 +360,7 @@
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
 
 
-def test_a_capacity_that_cannot_be_read_is_told_once_and_counts_as_none() -> None:
+def test_an_unreadable_capacity_is_logged_once_and_counts_as_none() -> None:
     world, upstreams, records = build_site(11, count=1)
     leader = lead(world, upstreams, records)
     notes: list[str] = []
@@ -380,8 +380,8 @@
     assert world.starts == 0
 
 
-def test_a_smaller_capacity_is_acknowledged_once_the_log_has_it() -> None:
-    """Every later leader must know before the upstream counts on it."""
+def test_a_smaller_capacity_is_acknowledged_only_after_its_commit() -> None:
+    """Every later leader must know of it before the upstream relies on that."""
 
     async def play() -> None:
         leading, _ = lead_host(IdlePort())
--- a/cottonlug/tests/test_cluster_capacity_index.py
+++ b/cottonlug/tests/test_cluster_capacity_index.py
@@ -1,4 +1,4 @@
-"""Looking for room among many upstreams, with a backlog: what it costs, and what it overlooks."""
+"""Search for free capacity among many upstreams, with a backlog: its cost and correctness."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 UPSTREAMS = 176
 JOBS = 300
-"""Those of half a second at four times the usual load."""
+"""Jobs of half a second at four times the usual load."""
 MOST_TRIES_A_START = 4
 
 
@@ -40,13 +40,13 @@
     return JobSpec(payload="payload", steps=(step,), best_effort=True)
 
 
-def test_a_backlog_is_not_offered_to_every_upstream_again_and_again(
+def test_a_backlog_is_not_tried_repeatedly_on_every_upstream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Load: a backlog after seconds without service, where half of 300 jobs find no room.
+    """Load pattern: a backlog after seconds without service, where half of 300 jobs do not fit.
 
-    Each of them was tried with each of 176 upstreams every 20 ms: the decisions alone took more
-    than three cores, and a host of half a core fell ever further behind.
+    Trying each of them on each of 176 upstreams every 20 ms takes more than three cores for the
+    decisions alone, and a host of half a core falls ever further behind.
     """
     leader = build_leader(UPSTREAMS)
     tries = [0]
@@ -67,10 +67,10 @@
     assert tries[0] <= MOST_TRIES_A_START * leader.dispatch.counts.starts
 
 
-def test_nothing_is_started_beside_a_run_that_has_just_come_into_dispute() -> None:
-    """Found by reading: what took work at the last sweep, 20 ms ago at most, was taken to do so.
+def test_nothing_is_started_beside_a_run_that_has_just_become_disputed() -> None:
+    """Guards against relying on the last scan, up to 20 ms ago, for which upstreams accept work.
 
-    A start renews the lease of all that runs there, which somebody else counts on to end.
+    A start renews the lease of all runs there, which another host relies on to end.
     """
     leader = build_leader(1)
     dispatch = leader.dispatch
@@ -89,7 +89,7 @@
 
 
 def build_index(*cpus: int) -> tuple[CapacityIndex, list[Life]]:
-    """Return upstreams with so much room, in the order in which they came."""
+    """Return an index and instances with so much CPU, in the order in which they were added."""
     term = Term(
         number=1,
         began_at=timedelta(),
@@ -115,14 +115,14 @@
     return [life.info.id for life in index.iterate_instances(SERVICE, cpu, timedelta(), None)]
 
 
-def test_upstreams_come_with_the_least_room_first_and_alike_ones_as_they_joined() -> None:
+def test_upstreams_are_sorted_by_free_cpu_and_equal_ones_by_joining() -> None:
     index, _ = build_index(32_000, 16_000, 48_000, 16_000)
     assert list_names(index, 0) == ["u2", "u4", "u1", "u3"]
     assert list_names(index, 16_001) == ["u1", "u3"]
     assert index.find_max_free_cpu(SERVICE) == 48_000
 
 
-def test_an_upstream_that_takes_no_work_any_more_is_passed_over() -> None:
+def test_an_upstream_that_no_longer_accepts_work_is_skipped() -> None:
     index, lives = build_index(16_000, 32_000, 48_000)
     lives[0].draining = True
     assert list_names(index, 0) == ["u2", "u3"]
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -1,4 +1,4 @@
-"""The leader's decisions against the model of upstreams, with invariants asserted inside it."""
+"""Decisions of a leader against a model of upstreams that asserts invariants itself."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     return leader
 
 
-def test_runs_a_job_that_need_not_be_kept() -> None:
+def test_a_best_effort_job_runs_to_completion() -> None:
     world, upstreams = build_world(1)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -71,8 +71,8 @@
     assert world.starts == 8
 
 
-def test_a_given_up_job_may_be_submitted_again() -> None:
-    """A second try was told that its job had ended as cancelled."""
+def test_an_abandoned_job_may_be_submitted_again() -> None:
+    """Guards against answering the second try with the cancellation of the first."""
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -86,7 +86,7 @@
     assert leader.dispatch.jobs.find_ended(JobId(job)) is JobState.COMPLETED
 
 
-def test_a_new_leader_takes_over_what_runs() -> None:
+def test_a_new_leader_takes_over_active_runs() -> None:
     """The runs of a lost leader go on when the gateway submits their job again."""
     world, upstreams = build_world(3)
     for upstream in upstreams.values():
@@ -123,7 +123,7 @@
 
 
 def test_a_job_that_may_have_begun_is_not_rejected() -> None:
-    """It had run under another."""
+    """Its earlier try may have run under another leader."""
     world, upstreams = build_world(5)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -136,7 +136,7 @@
     assert JobId(begun) not in leader.dispatch.jobs.rejections
 
 
-def test_rejected_jobs_have_not_run() -> None:
+def test_no_task_of_a_rejected_job_has_run() -> None:
     world, upstreams = build_world(6)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -147,7 +147,7 @@
     assert not world.started_jobs & set(leader.dispatch.jobs.rejections)
 
 
-def test_a_cancelled_job_that_need_not_be_kept_stops_and_stays_cancelled() -> None:
+def test_a_cancelled_best_effort_job_stops_and_stays_cancelled() -> None:
     world, upstreams = build_world(9)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=60)
@@ -163,8 +163,8 @@
     assert not leader.dispatch.cancel(JobId("b" * 16), world.now)
 
 
-def test_an_upstream_that_is_first_heard_as_it_leaves_gets_no_work() -> None:
-    """Found by reading: its leaving was acknowledged and forgotten."""
+def test_an_upstream_whose_first_heartbeat_says_that_it_leaves_gets_no_work() -> None:
+    """Guards against acknowledging that it leaves and then forgetting it."""
     world, upstreams = build_world(10)
     leader = Leader(world=world, upstreams=upstreams, records=Records(), token=TOKENS_PER_TERM)
     for upstream in upstreams.values():
@@ -190,14 +190,14 @@
 
 
 def test_a_new_job_does_not_wait_for_the_leases_of_a_dead_upstream() -> None:
-    """Every job waited 1.1 s after a change of leader."""
+    """Otherwise every job waits 1.1 s after a change of leader."""
     world, leader = start_beside_a_dead_upstream()
     leader.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=milliseconds(340))
     world.run_until(milliseconds(130 + 340 + 400))
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def test_a_job_that_may_have_begun_waits_for_them() -> None:
+def test_a_job_that_may_have_begun_waits_for_the_leases_of_a_dead_upstream() -> None:
     world, leader = start_beside_a_dead_upstream()
     leader.submit("a" * 16, build_spec(tasks=2), build_queue(), may_have_begun=True)
     world.run_until(milliseconds(130) + TERMS.lapse_after)
@@ -206,8 +206,8 @@
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def test_a_job_submitted_before_all_were_seen_starts_when_they_are() -> None:
-    """Failed before: it waited for leases although every upstream had answered in 10 ms."""
+def test_a_job_submitted_before_all_upstreams_answered_starts_when_they_have() -> None:
+    """Guards against waiting for leases although every upstream has answered in 10 ms."""
     world, upstreams = build_world(8)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -219,8 +219,8 @@
     assert second.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def test_an_overtaken_list_revives_no_run() -> None:
-    """Found by a campaign (seed 537): a look's answer came after that of a later one."""
+def test_a_poll_answer_out_of_order_revives_no_run() -> None:
+    """The answer to a poll arrives after that of a later one (seed 537 of a campaign)."""
     world, upstreams = build_world(12)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -236,8 +236,8 @@
     assert not leader.dispatch.lives[upstream.info.id].runs
 
 
-def test_an_old_end_does_not_free_a_task_that_runs_elsewhere() -> None:
-    """Found by a campaign (TWICE): a moved run's end was listed to a new leader before the run."""
+def test_an_older_run_end_does_not_free_a_task_that_runs_elsewhere() -> None:
+    """A moved run's end is listed to a new leader before the run (broke TWICE in a campaign)."""
     world, upstreams = build_world(11)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=3)
@@ -269,8 +269,8 @@
     assert second.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def test_a_run_that_was_given_up_but_has_ended_well_is_not_begun_again() -> None:
-    """Found by the campaign of kept jobs (seed 20): its end was listed and not yet committed."""
+def test_a_run_that_was_abandoned_but_has_succeeded_is_not_started_again() -> None:
+    """Its end is listed and not yet committed (seed 20 of the campaign of durable jobs)."""
     world, upstreams = build_world(15)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -285,8 +285,8 @@
     assert world.starts == 1
 
 
-def test_an_end_that_need_not_be_kept_does_not_confirm_a_kept_one_before_it() -> None:
-    """Found with jobs of both kinds: the second end confirmed the first before it was committed."""
+def test_a_best_effort_run_end_does_not_confirm_an_uncommitted_durable_one() -> None:
+    """With jobs of both kinds, the second end must not confirm the first before its commit."""
     world, upstreams = build_world(14)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -304,7 +304,7 @@
     assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
 
 
-def test_a_deputy_of_one_domain_orders_no_upstream_of_another() -> None:
+def test_an_acting_leader_of_one_domain_orders_no_upstream_of_another() -> None:
     world, upstreams = build_world(13)
     for number, upstream in enumerate(upstreams.values()):
         domain = "north" if number < 2 else "south"
@@ -380,10 +380,10 @@
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_campaign_of_jobs_that_need_not_be_kept(seed: int) -> None:
+def test_campaign_of_best_effort_jobs(seed: int) -> None:
     run_campaign(seed, kept=False)
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_campaign_of_kept_jobs(seed: int) -> None:
+def test_campaign_of_durable_jobs(seed: int) -> None:
     run_campaign(seed, kept=True)
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -1,4 +1,4 @@
-"""Jobs that repeat at times of their own, and jobs whose tasks last until they are cancelled."""
+"""Jobs that repeat at scheduled times, and long-running jobs that last until cancelled."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return start_leader(first.world, first.upstreams, first.records, token)
 
 
-def test_each_occurrence_begins_at_its_time_and_all_of_them_are_needed() -> None:
+def test_each_occurrence_begins_at_its_time_and_all_are_needed_for_completion() -> None:
     leader = start_world(1)
     leader.submit(JOB, build_timed(), build_queue())
     world = leader.world
@@ -79,7 +79,7 @@
     assert leader.records.jobs[JobId(JOB)].state is JobState.COMPLETED
 
 
-def test_a_new_leader_goes_on_where_the_last_one_was() -> None:
+def test_a_new_leader_continues_a_timed_job_where_the_last_one_was() -> None:
     first = start_world(4, run_ms=200)
     first.submit(JOB, build_timed(), build_queue())
     first.world.run_until(milliseconds(1_600))
@@ -89,7 +89,7 @@
     assert len({ref for ref, _ in first.world.begun}) == 6
 
 
-def test_what_an_earlier_leader_began_by_a_faster_clock_goes_on() -> None:
+def test_an_occurrence_that_an_earlier_leader_began_by_a_faster_clock_goes_on() -> None:
     first = start_world(5, run_ms=900)
     first.submit(JOB, build_timed(count=1, run_ms=900), build_queue())
     first.world.run_until(milliseconds(1_100))
@@ -100,7 +100,7 @@
     assert len(first.world.begun) == 2
 
 
-def test_tasks_that_last_are_begun_again_however_they_end() -> None:
+def test_long_running_tasks_are_started_again_however_they_end() -> None:
     leader = start_world(6, run_ms=300)
     leader.world.failed_share = 0.5
     leader.submit(JOB, build_lasting(), build_queue(max_attempts=1))
@@ -114,7 +114,7 @@
     assert leader.dispatch.counts.moved_runs == 0
 
 
-def test_a_task_that_lasts_is_at_work_again_after_its_upstream_crashed() -> None:
+def test_a_long_running_task_runs_again_after_its_upstream_crashed() -> None:
     leader = start_world(7, run_ms=60_000)
     leader.submit(JOB, build_lasting(tasks=1), build_queue())
     leader.world.run_until(milliseconds(500))
@@ -124,7 +124,7 @@
     assert leader.world.running[ref] != where
 
 
-def test_a_task_that_lasts_goes_before_others_when_the_service_is_full() -> None:
+def test_a_long_running_task_goes_before_others_when_the_service_is_full() -> None:
     leader = start_world(8, run_ms=200)
     for number in range(30):
         leader.submit(f"{number:016x}", build_spec(tasks=4, run_ms=200), build_queue())
@@ -133,7 +133,7 @@
     assert sum(ref.job == JOB for ref in leader.world.running) == 2
 
 
-def test_a_cancelled_job_that_lasts_stops() -> None:
+def test_a_cancelled_long_running_job_stops() -> None:
     leader = start_world(9, run_ms=60_000)
     leader.submit(JOB, build_lasting(), build_queue())
     leader.world.run_until(milliseconds(500))
@@ -145,8 +145,8 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_campaign_of_lasting_and_timed_jobs(seed: int) -> None:
-    """Leaders change and orders are lost; the model stops the test at two runs of a task."""
+def test_campaign_of_long_running_and_timed_jobs(seed: int) -> None:
+    """Leaders change and orders are lost; the model fails the test at two runs of a task."""
     world, upstreams = build_world(seed + 100, lost_share=0.05, late_share=0.03, failed_share=0.05)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(60_000 if job == JOB else 60)
@@ -166,7 +166,7 @@
     assert sum(ref.job == JOB for ref in world.running) == 2
 
 
-def test_lasting_and_timed_jobs_are_supported_but_not_together() -> None:
+def test_long_running_and_timed_jobs_are_supported_but_not_combined() -> None:
     assert find_unsupported(build_lasting()) is None
     assert find_unsupported(build_timed()) is None
     assert find_job_problem(build_timed()) is None
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -1,4 +1,4 @@
-"""What the metrics tell of callers that were not served, and of changes of leader."""
+"""Metrics of callers that were not served, and of changes of leader."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @pytest.fixture
 def capture(monkeypatch: pytest.MonkeyPatch) -> list[tuple[Event, dict[str, object]]]:
-    """The events that are logged by whoever decides."""
+    """Capture the events that a coordinator logs."""
     events: list[tuple[Event, dict[str, object]]] = []
     for module in (gateways_module, leading_module):
         monkeypatch.setattr(
@@ -43,7 +43,7 @@
     return events
 
 
-def test_a_refusal_is_measured_by_the_objective_of_its_job() -> None:
+def test_the_wait_for_a_refusal_is_measured_against_the_objective_of_its_job() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.use_roster(build_roster())
@@ -56,7 +56,7 @@
     assert gateway.held_to_end == 0
 
 
-def test_an_answer_held_until_its_caller_gives_up_is_counted() -> None:
+def test_an_answer_delayed_until_its_caller_times_out_is_counted() -> None:
     gateway = build_gateway(build_clock())
     answer_in_turn(gateway, [])
     answer = asyncio.run(gateway.call(submit(), milliseconds(10)))
@@ -64,7 +64,7 @@
     assert gateway.held_to_end == 1
 
 
-def test_the_time_without_anybody_who_decides_is_measured() -> None:
+def test_the_time_without_a_coordinator_is_measured() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
     spans: list[float] = []
@@ -77,7 +77,7 @@
     assert spans == [450.0]
 
 
-def test_a_gateway_shows_them() -> None:
+def test_a_gateway_exports_refusals_and_coordinator_changes() -> None:
     with open(os.devnull, "wb", buffering=0) as sink:
         assert isinstance(sink, io.FileIO)
         gateway = build_gateway(build_clock())
@@ -101,7 +101,7 @@
     return start_leader(world, upstreams, first.records, 2)
 
 
-def test_jobs_that_wait_for_upstreams_out_of_sight_are_known(second_leader: Leader) -> None:
+def test_jobs_that_wait_for_unreachable_upstreams_are_known(second_leader: Leader) -> None:
     second_leader.submit("a" * 16, build_spec(), build_queue(), may_have_begun=True)
     (job,) = second_leader.dispatch.jobs.jobs.values()
     assert job.has_unknown_tasks()
@@ -110,7 +110,7 @@
     assert 990 <= second_leader.dispatch.counts.settled_after_ms <= 1_100
 
 
-def test_a_greeting_that_was_held_up_is_told_with_its_age(
+def test_a_delayed_keepalive_is_logged_with_its_age(
     capture: list[tuple[Event, dict[str, object]]],
 ) -> None:
     clock = build_clock()
@@ -128,7 +128,7 @@
     assert capture == [(Event.GREETING_LATE, {"gateway": "10.0.0.2:7000", "age_ms": 404})]
 
 
-def test_a_greeting_under_another_token_tells_no_age() -> None:
+def test_a_keepalive_under_another_token_is_not_measured() -> None:
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     ages: list[float] = []
     gateways.record_age = ages.append
@@ -137,7 +137,7 @@
     assert not ages
 
 
-def test_a_host_that_decides_tells_when_it_was_held_up(
+def test_a_coordinator_logs_when_it_was_delayed(
     capture: list[tuple[Event, dict[str, object]]],
 ) -> None:
     async def play() -> None:
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -1,4 +1,4 @@
-"""More work than room: what is served, what is given up, and when its caller hears of it."""
+"""More work than capacity: what is served, what is abandoned, and when its caller is told."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 def test_a_job_that_waited_elsewhere_goes_behind_new_ones() -> None:
-    """Load: a backlog after seconds without a leader.
+    """Load pattern: a backlog after seconds without a leader.
 
-    Jobs that had waited for 1 s counted as new and went first.
+    Guards against jobs that have waited for 1 s and go first because they count as new.
     """
     world, upstreams = build_world(1)
     leader = start_leader(world, upstreams, Records(), 1)
@@ -42,7 +42,7 @@
     assert leader.dispatch.jobs.find_ended(JobId(old)) is None
 
 
-def test_a_job_of_no_more_use_is_rejected_at_once_where_there_is_no_room() -> None:
+def test_a_job_of_no_more_use_is_rejected_at_once_without_free_capacity() -> None:
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -53,7 +53,7 @@
     assert old in leader.dispatch.jobs.rejections
 
 
-def test_a_job_of_no_more_use_is_served_where_there_is_room() -> None:
+def test_a_job_of_no_more_use_is_served_where_capacity_is_free() -> None:
     world, upstreams = build_world(3)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -63,7 +63,7 @@
     assert leader.dispatch.jobs.find_ended(old) is JobState.COMPLETED
 
 
-def test_one_that_may_have_begun_is_given_up_but_not_called_not_run() -> None:
+def test_a_job_that_may_have_begun_is_abandoned_but_not_reported_as_not_run() -> None:
     world, upstreams = build_world(4)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -78,7 +78,7 @@
 
 
 def test_a_job_that_has_begun_keeps_its_place_until_its_last_task_would_be_late() -> None:
-    """Load: wide jobs under overload. Some of their tasks had started when the rest was put off."""
+    """Load pattern: wide jobs under overload, with the rest deferred after some tasks started."""
     backlog = Backlog()
     begun = build_batch("begun", latest_start=10, latest_useful_start=500)
     begun.has_begun = True
@@ -91,7 +91,7 @@
     assert begun.tier is Tier.LATE
 
 
-def test_a_margin_is_kept_for_run_times_that_are_longer_than_declared() -> None:
+def test_a_margin_is_reserved_for_run_times_beyond_the_declared_ones() -> None:
     queue = build_queue(target_ms=60)
     # The objective is 1.6 times 100 ms and 60 ms; the wait it allows is 60 + 60 ms.
     longest = find_max_wait(queue, milliseconds(220), milliseconds(100))
@@ -99,7 +99,7 @@
     assert find_max_wait(queue, milliseconds(60), milliseconds(0)) == milliseconds(60)
 
 
-def test_the_tempo_of_ends_spreads_the_starts_of_wide_jobs() -> None:
+def test_the_starts_of_wide_jobs_are_spread_by_the_rate_of_run_ends() -> None:
     throughput = Throughput()
     assert throughput.estimate_start_delay(8) == MAX_INTERVAL * 8
     for number in range(200):
@@ -110,7 +110,7 @@
     assert throughput.estimate_start_delay(1) <= MAX_INTERVAL
 
 
-def test_a_kept_job_counts_its_age_from_its_arrival_under_a_new_leader() -> None:
+def test_a_durable_job_keeps_its_arrival_time_under_a_new_leader() -> None:
     world, upstreams = build_world(5)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -125,7 +125,7 @@
 
 
 def answer_unavailable(gateway: object, clock: object, step: timedelta) -> list[Call]:
-    """Have every try fail as not sent, each taking a while; return what was tried."""
+    """Let every try fail as not sent after `step`; return what was tried."""
     tried: list[Call] = []
 
     async def try_once(call: Call, timeout: timedelta) -> Answer:
@@ -137,8 +137,8 @@
     return tried
 
 
-def test_a_gateway_that_reaches_nobody_answers_once_a_job_is_of_no_more_use() -> None:
-    """Callers were held to their deadlines, 144 of 4,286."""
+def test_a_gateway_without_coordinator_answers_once_a_job_is_of_no_more_use() -> None:
+    """Otherwise callers wait until their deadlines (144 of 4,286)."""
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.use_roster(build_roster())
@@ -151,7 +151,7 @@
     assert tried[-1].waited_ms == 400
 
 
-def test_a_job_that_is_of_use_for_long_is_tried_for_long() -> None:
+def test_a_job_that_stays_useful_for_long_is_retried_for_long() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.use_roster(build_roster())
@@ -162,10 +162,10 @@
 
 
 @pytest.mark.parametrize(("is_core_silent", "tries"), [(True, 1), (False, 9)])
-def test_a_job_that_must_be_kept_is_told_to_come_back_once_no_election_can_help(
+def test_a_durable_job_is_refused_once_no_election_can_help(
     is_core_silent: bool, tries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Failed on a site of kept jobs: callers were held for 2 s while all control hosts were off."""
+    """Otherwise callers of durable jobs wait for 2 s while all control hosts are off."""
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.use_roster(build_roster())
@@ -177,7 +177,7 @@
     assert len(tried) == tries
 
 
-def test_last_use_is_three_times_the_objective_less_the_run() -> None:
+def test_the_latest_useful_start_is_three_times_the_objective_less_the_run_time() -> None:
     assert find_latest_useful_start(
         build_queue(target_ms=60), build_spec(run_ms=60)
     ) == milliseconds(3 * 156 - 60)
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -1,4 +1,4 @@
-"""Order, rejection and guards under the loads that they are meant for, without a network."""
+"""Serving order, rejection and outlier detection under their load patterns, without a network."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
     )
 
 
-def test_jobs_that_can_be_in_time_go_before_late_ones() -> None:
+def test_jobs_that_can_be_on_time_go_before_late_ones() -> None:
     backlog = Backlog()
     backlog.add(build_batch("old", latest_start=10, latest_useful_start=500))
     backlog.add(build_batch("urgent", latest_start=100, latest_useful_start=600))
@@ -74,8 +74,8 @@
     assert [batch.tier for batch in backlog] == [Tier.LATE, Tier.LATE, Tier.HOPELESS]
 
 
-def test_after_a_pause_new_jobs_are_in_time_within_a_second() -> None:
-    """Load: a second without service at three quarters of the room, then the same load again."""
+def test_new_jobs_are_on_time_within_a_second_after_an_outage() -> None:
+    """Load pattern: three quarters of the capacity, a second without service, the same again."""
     world, upstreams = build_world(1)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -94,7 +94,7 @@
     assert states.count(JobState.COMPLETED) >= 27
 
 
-def test_rejection_tells_when_to_come_back() -> None:
+def test_a_rejection_says_when_to_retry() -> None:
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -105,7 +105,7 @@
     assert timedelta() < rejection.retry_after < timedelta(seconds=10)
 
 
-def test_nothing_is_rejected_while_there_is_room() -> None:
+def test_nothing_is_rejected_while_capacity_is_free() -> None:
     world, upstreams = build_world(3)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -114,10 +114,10 @@
     )
 
 
-def test_the_wait_grows_with_the_work_and_shrinks_with_the_room() -> None:
+def test_the_wait_grows_with_the_work_and_shrinks_with_the_cores() -> None:
     assert estimate_wait(1_000, 10) == milliseconds(100)
     assert estimate_wait(2_000, 10) > estimate_wait(1_000, 10) > estimate_wait(1_000, 20)
-    assert estimate_wait(1_000, 0) < timedelta(hours=1), "without any room it is still a span"
+    assert estimate_wait(1_000, 0) < timedelta(hours=1), "without any core it is still finite"
 
 
 def test_late_jobs_wait_as_long_as_they_are_of_use() -> None:
@@ -127,7 +127,7 @@
     for number in range(12):
         leader.submit(f"{number:016x}", build_spec(tasks=4, run_ms=60), build_queue())
     job = JobId(f"{11:016x}")
-    # The objective is 156 ms, and three times that is the last use.
+    # The objective is 156 ms; after three times that the job is of no use.
     world.run_until(milliseconds(100 + 300))
     assert job not in leader.dispatch.jobs.rejections
     world.run_until(milliseconds(2_000))
@@ -136,7 +136,7 @@
     assert len(rejected) + ended.count(JobState.COMPLETED) == 12
 
 
-def test_forecast_learns_what_declarations_are_worth() -> None:
+def test_the_forecast_learns_how_far_off_declared_run_times_are() -> None:
     forecast = Forecast()
     queue = build_queue()
     step = StepSpec(count=1, estimate_ms=100)
@@ -145,7 +145,7 @@
     assert milliseconds(190) < forecast.predict(queue.key, step) <= milliseconds(200)
 
 
-def test_objective_follows_the_longest_chain() -> None:
+def test_the_objective_follows_the_longest_chain() -> None:
     steps = (
         StepSpec(count=1, estimate_ms=100),
         StepSpec(count=1, estimate_ms=50),
@@ -155,7 +155,7 @@
     assert abs(objective - milliseconds(1.6 * 300 + 60)) < milliseconds(1)
 
 
-def test_an_upstream_that_fails_all_is_set_aside_and_tried_again() -> None:
+def test_an_upstream_that_fails_all_runs_is_suspended_and_tried_again() -> None:
     health = UpstreamHealth()
     now = timedelta()
     found = [health.record_failure(now) for _ in range(MAX_CONSECUTIVE_FAILURES)]
@@ -164,14 +164,14 @@
     assert not health.is_suspended(now + MAX_SUSPENSION)
 
 
-def test_one_failure_in_a_while_sets_nobody_aside() -> None:
+def test_isolated_failures_suspend_no_upstream() -> None:
     health = UpstreamHealth()
     for _ in range(50):
         assert not health.record_failure(timedelta())
         assert not health.record_success(1.0, timedelta())
 
 
-def test_a_slow_upstream_is_set_aside() -> None:
+def test_a_slow_upstream_is_suspended() -> None:
     health = UpstreamHealth()
     assert any(health.record_success(6.5, timedelta()) for _ in range(5))
 
@@ -186,7 +186,7 @@
     assert world.starts == 3
 
 
-def test_a_run_that_stands_still_is_moved() -> None:
+def test_a_stalled_run_is_moved() -> None:
     world, upstreams = build_world(5)
     hanging = next(iter(upstreams.values()))
     hanging.run_times = lambda job: timedelta(seconds=60)
@@ -201,7 +201,7 @@
     return Life(info=build_info(name, cpu), terms=TERMS, noted=0)
 
 
-def test_the_tightest_fit_is_taken() -> None:
+def test_the_tightest_fit_is_chosen() -> None:
     lives = [build_life("u1", 32_000), build_life("u2", 15_000), build_life("u3", 20_000)]
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     chosen = choose_instance(batch, lives)
@@ -209,8 +209,8 @@
     assert chosen.info.id == "u2"
 
 
-def test_room_is_left_for_runs_whose_jobs_are_not_known() -> None:
-    """57 starts refused after changes of leader."""
+def test_capacity_is_left_for_runs_whose_jobs_are_not_known() -> None:
+    """Otherwise starts are refused after changes of leader (57 of them)."""
     life = build_life("u1", 32_000)
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     orphan = Run(
@@ -229,8 +229,8 @@
     assert choose_instance(batch, [life]) is life
 
 
-def test_an_upstream_that_guards_nothing_gets_no_work_beside_unknown_runs() -> None:
-    """Failed on a site without guards (LIMIT): a deputy did not know what ran already."""
+def test_an_upstream_that_enforces_no_capacity_gets_no_work_beside_unknown_runs() -> None:
+    """Otherwise an acting leader that does not know what runs breaks the rule LIMIT."""
     world, upstreams = build_world(12)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(400)
@@ -251,7 +251,7 @@
     assert second.dispatch.counts.starts > 0
 
 
-def test_nothing_fits_where_there_is_no_room() -> None:
+def test_nothing_fits_without_free_capacity() -> None:
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     assert choose_instance(batch, [build_life("u1", 13_999)]) is None
 
@@ -267,7 +267,7 @@
     return Configuration(**{**values, **changes})  # type: ignore[arg-type]
 
 
-def test_configurations_are_checked() -> None:
+def test_invalid_configurations_are_found() -> None:
     assert find_configuration_problem(build_configuration()) is None
     assert find_configuration_problem(build_configuration(services=()))
     assert find_configuration_problem(build_configuration(queues=(build_queue(), build_queue())))
@@ -276,7 +276,7 @@
     assert find_configuration_problem(build_configuration(version=0))
 
 
-def test_jobs_are_checked() -> None:
+def test_invalid_jobs_are_found() -> None:
     assert find_job_problem(build_spec()) is None
     assert find_job_problem(JobSpec(payload="", steps=()))
     assert find_job_problem(JobSpec(payload="x" * 4_001, steps=build_spec().steps))
@@ -284,8 +284,8 @@
     assert find_job_problem(JobSpec(payload="", steps=backwards))
 
 
-def test_an_urgent_job_is_not_rejected_for_patient_work_behind_it() -> None:
-    """Long jobs in the backlog had short ones rejected in 5 ms."""
+def test_an_urgent_job_is_not_rejected_for_less_urgent_work_behind_it() -> None:
+    """Guards against long jobs in the backlog that have short ones rejected in 5 ms."""
     world, upstreams = build_world(6)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -297,8 +297,8 @@
     )
 
 
-def test_a_new_leader_reckons_with_upstreams_that_it_has_not_seen_yet() -> None:
-    """Right after a change of leader nearly everything was rejected."""
+def test_a_new_leader_counts_upstreams_that_have_not_answered_yet() -> None:
+    """Otherwise nearly everything is rejected right after a change of leader."""
     world, upstreams = build_world(7)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
@@ -323,8 +323,8 @@
     assert queues.find_queue("other", "/q/abc") is None
 
 
-def test_an_upstream_on_trial_gets_one_run_at_a_time() -> None:
-    """Found with bench/cluster.py: each return of a hanging upstream cost all the jobs it takes."""
+def test_an_upstream_on_probation_gets_one_run_at_a_time() -> None:
+    """Otherwise each return of a hanging upstream costs all its new jobs (bench/cluster.py)."""
     health = UpstreamHealth()
     assert health.record_stall(timedelta())
     assert health.is_on_probation
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -1,4 +1,4 @@
-"""Runs that stand still or turn slow, and calls without an answer."""
+"""Stalled and slow runs, and calls without an answer."""
 
 from __future__ import annotations
 
@@ -43,7 +43,9 @@
         (3, 199, 199, ProgressRate.NORMAL),
     ],
 )
-def test_pace(percent: int, seen_ms: float, advanced_ms: float, pace: ProgressRate) -> None:
+def test_the_progress_of_a_run_is_classified(
+    percent: int, seen_ms: float, advanced_ms: float, pace: ProgressRate
+) -> None:
     run = build_run(percent=percent, seen_ms=seen_ms, advanced_ms=advanced_ms)
     assert classify_progress(run, EXPECTED, None) is pace
 
@@ -54,22 +56,22 @@
     assert classify_progress(run, EXPECTED / 4, milliseconds(50)) is ProgressRate.SLOW
 
 
-def test_a_run_from_a_checkpoint_is_given_time_to_be_restored() -> None:
+def test_a_run_from_a_checkpoint_is_allowed_time_to_be_restored() -> None:
     run = build_run(percent=0, seen_ms=500, advanced_ms=0)
     assert classify_progress(run, EXPECTED, None) is ProgressRate.STALLED
     run.resumes = True
     assert classify_progress(run, EXPECTED, None) is ProgressRate.NORMAL
 
 
-def test_progress_is_asked_for_before_and_after_a_run_should_have_ended() -> None:
+def test_progress_is_polled_before_and_after_the_expected_end_of_a_run() -> None:
     run = build_run(percent=0, seen_ms=0)
     assert find_next_check(run, EXPECTED, timedelta()) == milliseconds(150)
     assert find_next_check(run, EXPECTED, milliseconds(150)) == milliseconds(320)
     assert find_next_check(run, EXPECTED, timedelta(seconds=9)) is None
 
 
-def test_a_hanging_run_starts_elsewhere_in_time() -> None:
-    """It was moved after three times its expected time."""
+def test_a_hanging_task_is_started_elsewhere_in_time() -> None:
+    """Guards against moving it only after three times its expected time."""
     world, upstreams = build_world(5)
     for number, upstream in enumerate(upstreams.values()):
         run_ms = 60_000 if number == 0 else 200
@@ -91,8 +93,8 @@
     return UpstreamId(where)
 
 
-def test_no_run_is_called_stuck_while_its_upstream_does_not_answer() -> None:
-    """28 runs stopped whose looks had lost their answers."""
+def test_no_run_counts_as_stalled_while_its_upstream_does_not_answer() -> None:
+    """Otherwise runs are stopped because the answers to polls were lost (28 of them)."""
     world, upstreams = build_world(6)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -105,7 +107,7 @@
 
 
 def test_the_lease_of_an_upstream_that_does_not_answer_lapses() -> None:
-    """Found with tasks that last: each repeated look counted as a renewal, for 4.5 s and more."""
+    """A repeated poll is no renewal; with long-running tasks that lasted for 4.5 s and more."""
     world, upstreams = build_world(9)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -117,7 +119,7 @@
 
 
 def test_a_run_whose_start_had_no_answer_goes_on_where_it_runs() -> None:
-    """Failed before: it was stopped at once and begun again elsewhere, its work thrown away."""
+    """Guards against stopping it at once and starting it elsewhere, its work thrown away."""
     world, upstreams = build_world(7)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -135,7 +137,7 @@
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def test_a_run_whose_start_was_lost_begins_elsewhere_after_one_stop() -> None:
+def test_a_task_whose_start_was_lost_begins_elsewhere_after_one_stop() -> None:
     world, upstreams = build_world(8)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
--- a/cottonlug/tests/test_cluster_response_timeout.py
+++ b/cottonlug/tests/test_cluster_response_timeout.py
@@ -1,4 +1,4 @@
-"""How long answers of upstreams are waited for, and what that does for orders that come late."""
+"""Time-outs for the answers of upstreams, and their effect on orders that arrive late."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
     return timeout
 
 
-def test_before_anything_was_learnt_it_is_long() -> None:
+def test_the_timeout_is_longest_before_the_first_answer() -> None:
     assert ResponseTimeout().find_timeout() == MAX_RESPONSE_TIMEOUT
 
 
-def test_quick_answers_make_it_short_but_no_shorter_than_a_loop_may_be_held_up() -> None:
+def test_quick_answers_shorten_the_timeout_to_the_delay_of_an_event_loop_at_least() -> None:
     assert learn(*[2.0] * 20).find_timeout() == MIN_RESPONSE_TIMEOUT
 
 
-def test_slow_and_scattered_answers_make_it_longer_up_to_a_bound() -> None:
+def test_slow_and_scattered_answers_extend_the_timeout_up_to_a_bound() -> None:
     scattered = learn(*[10.0, 30.0] * 20).find_timeout()
     assert milliseconds(40) < scattered < MAX_RESPONSE_TIMEOUT
     assert learn(*[500.0] * 20).find_timeout() == MAX_RESPONSE_TIMEOUT
 
 
-def test_a_task_whose_start_is_not_answered_is_in_time_elsewhere() -> None:
-    """Failed before: the answer was waited for for 80 ms, longer than the job had to spare."""
+def test_a_task_whose_start_is_not_answered_is_on_time_elsewhere() -> None:
+    """Guards against waiting 80 ms for the answer, longer than the job has to spare."""
     world, upstreams = build_world(1)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(60)
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -1,7 +1,7 @@
-"""What a leader of thousands of upstreams and hundreds of gateways is spared.
+"""Load taken off a leader of thousands of upstreams and hundreds of gateways.
 
-Load pattern: 3,000 upstreams with a heartbeat every 1.5 s, 300 gateways that greet every 80 ms,
-4,096 descriptors a host.
+Load pattern: 3,000 upstreams with a heartbeat every 1.5 s, 300 gateways with a keep-alive every
+80 ms, 4,096 descriptors a host.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
     return msgspec.structs.replace(heartbeat, **changes)
 
 
-def test_a_heartbeat_in_which_nothing_is_new_is_answered_and_told_later() -> None:
+def test_a_heartbeat_without_news_is_answered_and_reported_later() -> None:
     desk, _, clock = build_desk()
     tell(desk)
     answer = desk.take(beat())
@@ -93,13 +93,13 @@
         beat(info=msgspec.structs.replace(build_info("u1"), address="10.9.9.9:1")),
     ],
 )
-def test_what_the_log_does_not_say_goes_to_the_leader(heartbeat: Heartbeat) -> None:
+def test_a_heartbeat_with_news_goes_to_the_leader(heartbeat: Heartbeat) -> None:
     desk, _, _ = build_desk()
     tell(desk)
     assert desk.take(heartbeat) is None
 
 
-def test_an_upstream_that_guards_nothing_is_heard_by_the_leader_itself() -> None:
+def test_heartbeats_of_upstreams_that_enforce_no_capacity_go_to_the_leader() -> None:
     desk, records, _ = build_desk()
     tell(desk)
     configuration = records.configuration
@@ -112,9 +112,9 @@
     assert desk.take(beat()) is None
 
 
-def test_a_host_out_of_touch_with_the_leader_answers_for_nobody() -> None:
+def test_a_host_without_contact_to_the_leader_answers_no_heartbeats() -> None:
     desk, _, clock = build_desk()
-    assert desk.take(beat()) is None, "nobody has taken anything in yet"
+    assert desk.take(beat()) is None, "no report was accepted yet"
     tell(desk, Outcome.UNAVAILABLE)
     assert desk.take(beat()) is None
     tell(desk)
@@ -154,7 +154,7 @@
     return asyncio.run(ask())
 
 
-def test_a_leader_counts_on_what_it_is_told_and_sends_upstreams_there(
+def test_a_leader_relies_on_reported_heartbeats_and_redirects_upstreams(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play() -> None:
@@ -178,7 +178,7 @@
     asyncio.run(play())
 
 
-def test_rosters_of_many_gateways_are_sent_at_a_bounded_pace() -> None:
+def test_failover_state_is_sent_to_many_gateways_at_a_bounded_rate() -> None:
     clock = build_clock()
     gateways = Gateways(term=3, token=3_000_000, clock=clock)
     records = Records()
@@ -192,10 +192,10 @@
     assert sum(part is not None for part in sent) == PARTS_A_SECOND // 10
     version = gateways.log.version
     add_upstream(gateways, records, "new")
-    assert gateways.build_roster(records, version) is not None, "small ones go at once"
+    assert gateways.build_roster(records, version) is not None, "small ones are sent at once"
 
 
-def test_many_gateways_greet_less_often_and_twice_within_their_silence() -> None:
+def test_many_gateways_send_fewer_keepalives_but_two_within_the_timeout() -> None:
     gateway = build_gateway(build_clock())
     roster = build_roster()
     usual = gateway.link._find_usual_pause()
@@ -213,7 +213,7 @@
         self.is_open = False
 
 
-def test_connections_not_used_for_the_longest_are_closed_where_there_are_too_many() -> None:
+def test_the_longest_idle_connections_are_closed_beyond_the_limit() -> None:
     idle = IdleConnections(most=3)
     connections = [_Connection() for _ in range(5)]
     for connection in connections[:3]:
@@ -226,5 +226,5 @@
     assert idle.closed == 2
 
 
-def test_a_desk_is_named_only_once_it_has_told_something() -> None:
+def test_a_responder_reports_often_enough_to_stay_trusted() -> None:
     assert heartbeat_desk.TELL_EVERY * 3 < TRUSTED_FOR
--- a/cottonlug/tests/test_cluster_timers.py
+++ b/cottonlug/tests/test_cluster_timers.py
@@ -1,4 +1,4 @@
-"""A leader goes through the upstreams for which something is due, and through the others seldom.
+"""A leader processes upstreams for which something is due, and the others by periodic scans only.
 
 Load pattern: hundreds of upstreams, most of which need nothing at the moment.
 """
@@ -27,7 +27,7 @@
     return leader
 
 
-def test_the_soonest_moment_set_last_counts() -> None:
+def test_the_timer_set_last_counts_and_the_soonest_comes_first() -> None:
     timers = UpstreamTimers()
     timers.set(A, milliseconds(10))
     timers.set(A, milliseconds(30))
@@ -40,8 +40,10 @@
     assert timers.pop_due(milliseconds(60)) == []
 
 
-def test_idle_upstreams_are_gone_through_by_sweeps_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    """To go through all of them every 20 ms was a fifth of the time of a leader of 270."""
+def test_idle_upstreams_are_processed_by_periodic_scans_only(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Processing all of them every 20 ms takes a fifth of the time of a leader of 270."""
     leader = build(UPSTREAMS)
     looked: list[UpstreamId] = []
     look = Watcher.look
@@ -60,7 +62,7 @@
 
 
 @pytest.mark.parametrize("submitted_after_ms", range(0, 100, 10))
-def test_a_lease_lapses_in_time_between_two_sweeps(submitted_after_ms: int) -> None:
+def test_a_lease_lapses_in_time_between_two_scans(submitted_after_ms: int) -> None:
     leader = build(4)
     leader.world.run_until(leader.world.now + milliseconds(submitted_after_ms))
     leader.submit(f"{1:016x}", build_spec(tasks=1, run_ms=3_000), build_queue())
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -1,7 +1,7 @@
-"""How long anybody waits for a job, and what a host that ceases to decide still does.
+"""How long a job is waited for, and what a host does that is no longer the coordinator.
 
-Found by a review of the incident's mend: each of these let a job go on for which nobody waited, or
-a host decide that had ceased to, so that a task could run beside the next try of its caller.
+Each test guards against a job that goes on though nobody waits for it, or a host that goes on
+deciding, so that a task could run beside the next try of its caller.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class OwnOffice:
-    """Of a host that leads on in the log, with its lease."""
+    """Authority of a host that leads the log, with its lease."""
 
     term = 6
 
@@ -56,7 +56,7 @@
 
 
 class CountingPort(IdlePort):
-    """Upstreams that are counted when they are looked at, and may never answer."""
+    """Upstreams whose polls are counted, and which may never answer."""
 
     def __init__(self, *, answers: bool = True) -> None:
         super().__init__()
@@ -73,7 +73,7 @@
 def lead(
     port: IdlePort, *, keeps_log: bool = True, commits: bool = False
 ) -> tuple[Leading, ReplicatedRecords]:
-    """Lead two upstreams; with `commits` the log carries out at once what is proposed."""
+    """Lead two upstreams; with `commits` the log applies proposals at once."""
     replicated = ReplicatedRecords()
     replicated.records.put_in_force(build_roster().configuration)
     for name in ("u1", "u2"):
@@ -97,11 +97,11 @@
     return leading, replicated
 
 
-def test_a_gateway_that_stands_in_waits_no_longer_than_its_caller() -> None:
-    """Its own calls had no time-out: a job went on, with its lease, for a caller long gone.
+def test_an_acting_leader_waits_no_longer_than_its_caller() -> None:
+    """Without a time-out on its own calls a job goes on, with its lease, for a caller long gone.
 
     A caller outside a domain that is cut off, with its gateway inside, times out after 1.5 s and
-    comes again elsewhere 1.3 s later; by then the gateway, which stands in, had begun the job.
+    retries elsewhere 1.3 s later; by then the gateway, as acting leader, has begun the job.
     """
 
     async def play() -> None:
@@ -122,11 +122,11 @@
     asyncio.run(play())
 
 
-def test_an_old_end_does_not_free_a_task_whose_good_end_awaits_its_commit() -> None:
-    """A third run, 12 ms after the second had ended well: the first had lapsed long before.
+def test_an_older_run_end_does_not_free_a_task_whose_success_awaits_its_commit() -> None:
+    """Guards against a third run, 12 ms after the second succeeded; the first lapsed long before.
 
-    Its upstream came back and listed that; the commit of this old end queued the task, though the
-    end of the second was on its way into the log.
+    Its upstream returns and lists that; the commit of this older end must not queue the task while
+    the end of the second is on its way into the log.
     """
     world, upstreams = build_world(15)
     for each in upstreams.values():
@@ -154,8 +154,8 @@
 
 
 @pytest.mark.parametrize("wakes_by", ["a decision that was due", "a commit"])
-def test_a_term_that_was_ended_decides_nothing_more(wakes_by: str) -> None:
-    """A host that hands over keeps its lease for a while, in which the next one decides."""
+def test_a_term_that_was_ended_makes_no_more_decisions(wakes_by: str) -> None:
+    """A host that hands over keeps its lease for a while, in which the next one coordinates."""
 
     async def play() -> int:
         port = CountingPort()
@@ -173,10 +173,10 @@
 
 
 @pytest.mark.parametrize(("second", "is_news"), [("b", True), ("a", False)])
-def test_a_second_submission_of_an_open_job_tells_what_the_first_did_not(
+def test_a_second_submission_of_an_open_job_adds_what_the_first_did_not_say(
     second: str, is_news: bool
 ) -> None:
-    """Another decider may have begun it for another gateway: its lease was not waited for.
+    """Another coordinator may have begun it for another gateway: its lease must be waited for.
 
     The same gateway only repeats what was answered late; its tasks need wait no longer for that.
     """
@@ -223,8 +223,8 @@
     asyncio.run(play())
 
 
-def test_an_upstream_that_went_down_is_forgotten_where_nobody_can_stand_in() -> None:
-    """It was kept for an hour, and each job that a deputy may have had waited for its lease."""
+def test_a_crashed_upstream_is_forgotten_where_no_gateway_can_act_as_leader() -> None:
+    """Otherwise it is kept for an hour, and each job of an acting leader waits for its lease."""
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
@@ -245,7 +245,7 @@
     assert leader.ended_at[JobId(JOB)] - at < milliseconds(500)
 
 
-def test_a_silent_upstream_is_looked_at_when_another_life_takes_its_address() -> None:
+def test_a_silent_upstream_is_polled_when_another_instance_takes_its_address() -> None:
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
