--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -42,7 +42,7 @@
 )
 from .test_cluster_waiting import lead as lead_host
 
-BEAT = DEFAULT_REPORT_TERMS.interval
+HEARTBEAT_INTERVAL = DEFAULT_REPORT_TERMS.interval
 WHOLE, HALF = 2 * TASK_CPU, TASK_CPU
 FIRST = UpstreamId("u1")
 
@@ -90,18 +90,18 @@
     )
 
 
-def beat(leader: Leader, *upstreams: ModelUpstream) -> None:
+def deliver_heartbeats(leader: Leader, *upstreams: ModelUpstream) -> None:
     """Deliver a heartbeat of each upstream at once."""
     for upstream in upstreams:
         leader.dispatch.handle_heartbeat(upstream.make_heartbeat(), leader.world.now)
     leader.act()
 
 
-def beat_forever(leader: Leader, upstream: ModelUpstream) -> None:
+def deliver_heartbeats_forever(leader: Leader, upstream: ModelUpstream) -> None:
     if leader.is_over:
         return
-    beat(leader, upstream)
-    leader.world.at(BEAT, lambda: beat_forever(leader, upstream))
+    deliver_heartbeats(leader, upstream)
+    leader.world.at(HEARTBEAT_INTERVAL, lambda: deliver_heartbeats_forever(leader, upstream))
 
 
 def run_for(world: World, span_ms: float) -> None:
@@ -116,10 +116,10 @@
     """Guards against heartbeats of a known upstream that change nothing of its capacity."""
     world, upstreams, records = build_site(1, guards=False, run_ms=300)
     leader = lead(world, upstreams, records)
-    beat(leader, *upstreams.values())
+    deliver_heartbeats(leader, *upstreams.values())
     run_for(world, 100)
     upstreams[FIRST].resize(HALF)
-    beat(leader, *upstreams.values())
+    deliver_heartbeats(leader, *upstreams.values())
     run_for(world, 100)
     leader.submit("a" * 16, build_spec(tasks=4, run_ms=300), build_queue())
     run_for(world, 100)
@@ -130,12 +130,12 @@
     """Only starts must fit: ending a run would lose its work, and no rule asks for it."""
     world, upstreams, records = build_site(2, count=1, guards=False, run_ms=400)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     leader.submit("a" * 16, build_spec(tasks=2, run_ms=400), build_queue())
     run_for(world, 50)
     upstreams[FIRST].resize(HALF)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     leader.submit("b" * 16, build_spec(tasks=1, run_ms=400), build_queue())
     run_for(world, 250)
     assert {ref.job for ref in upstreams[FIRST].runs} == {"a" * 16}
@@ -147,13 +147,13 @@
     world, upstreams, records = build_site(3, count=1, run_ms=300)
     upstreams[FIRST].resize(HALF)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     leader.submit("a" * 16, build_spec(tasks=2, run_ms=300), build_queue())
     run_for(world, 50)
     assert count_runs(upstreams[FIRST]) == 1
     upstreams[FIRST].resize(WHOLE)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 20)
     assert count_runs(upstreams[FIRST]) == 2
 
@@ -161,11 +161,11 @@
 def test_an_older_report_that_arrives_late_changes_nothing() -> None:
     world, upstreams, records = build_site(4, count=1, guards=False)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     late = upstreams[FIRST].make_heartbeat()
     upstreams[FIRST].resize(HALF)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     leader.dispatch.handle_heartbeat(late, world.now)
     assert leader.dispatch.lives[FIRST].info.capacity.cpu_millis == HALF
@@ -177,9 +177,9 @@
     """Guards against leaving out what arrives between the first heartbeat and its commit."""
     world, upstreams, records = build_site(5, count=1, guards=False)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     upstreams[FIRST].resize(HALF)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 100)
     assert leader.dispatch.lives[FIRST].info.capacity.cpu_millis == HALF
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
@@ -189,11 +189,11 @@
     """Nothing is started beyond it before a heartbeat, and no older report undoes it."""
     world, upstreams, records = build_site(6, count=1, guards=False, run_ms=300)
     first = lead(world, upstreams, records)
-    beat(first, upstreams[FIRST])
+    deliver_heartbeats(first, upstreams[FIRST])
     run_for(world, 50)
     late = upstreams[FIRST].make_heartbeat()
     upstreams[FIRST].resize(HALF)
-    beat(first, upstreams[FIRST])
+    deliver_heartbeats(first, upstreams[FIRST])
     run_for(world, 50)
     first.is_over = True
     run_for(world, 5_000)
@@ -209,7 +209,7 @@
     """An acting leader gets no heartbeats: nobody that it can ask knows what shrinks meanwhile."""
     world, upstreams, records = build_site(7, count=1, guards=False)
     first = lead(world, upstreams, records)
-    beat(first, upstreams[FIRST])
+    deliver_heartbeats(first, upstreams[FIRST])
     run_for(world, 50)
     first.is_over = True
     cut_at = world.now
@@ -230,12 +230,12 @@
 def test_a_delayed_report_counts_from_when_it_was_sent() -> None:
     world, upstreams, records = build_site(8, count=1, guards=False)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 100)
-    held_up = upstreams[FIRST].make_heartbeat()
+    delayed = upstreams[FIRST].make_heartbeat()
     run_for(world, 4_000)
     upstreams[FIRST].resize(HALF)
-    leader.dispatch.handle_heartbeat(held_up, world.now)
+    leader.dispatch.handle_heartbeat(delayed, world.now)
     reported_at = leader.dispatch.lives[FIRST].reported_at
     assert reported_at is not None
     assert reported_at < milliseconds(300)
@@ -248,14 +248,14 @@
     """
     world, upstreams, records = build_site(9, count=1, run_ms=2_000)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     upstreams[FIRST].resize(0)
     leader.submit("a" * 16, build_spec(tasks=1, run_ms=2_000), build_queue())
     run_for(world, 1_500)
     assert leader.dispatch.counts.starts_without_room == 5
     upstreams[FIRST].resize(HALF)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     world.run_until(world.now + find_refusal_backoff(5))
     assert count_runs(upstreams[FIRST]) == 1
 
@@ -275,16 +275,16 @@
     leaders = [lead(world, upstreams, records)]
     lost_until, led_at = [timedelta()], [timedelta()]
 
-    def tell(upstream: ModelUpstream) -> None:
+    def send_heartbeat(upstream: ModelUpstream) -> None:
         """Send a heartbeat, or the next one in its place where it is lost."""
         leader = leaders[-1]
         is_lost = world.now < lost_until[0] or leader.is_over or chance.random() < 0.2
         if is_lost or leader.is_deputy:
-            world.at(milliseconds(300), lambda: tell(upstream))
+            world.at(milliseconds(300), lambda: send_heartbeat(upstream))
             return
-        beat(leader, upstream)
+        deliver_heartbeats(leader, upstream)
         heard_at[upstream.info.id] = world.now
-        world.at(BEAT - milliseconds(300), lambda: tell(upstream))
+        world.at(HEARTBEAT_INTERVAL - milliseconds(300), lambda: send_heartbeat(upstream))
 
     def change(upstream: ModelUpstream) -> None:
         upstream.resize(chance.choice((0, HALF, HALF, WHOLE, 2 * WHOLE)))
@@ -327,7 +327,7 @@
         world.at(milliseconds(chance.uniform(6_000, 20_000)), lose_heartbeats)
 
     for upstream in upstreams.values():
-        tell(upstream)
+        send_heartbeat(upstream)
         begins = milliseconds(chance.uniform(500, 3_000))
         world.at(begins, lambda upstream=upstream: change(upstream))  # type: ignore[misc]
     world.at(milliseconds(500), lambda: submit(1))
@@ -349,7 +349,7 @@
     records = Records()
     world, upstreams, records = build_site(10, count=1)
     leader = lead(world, upstreams, records)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     capacity = upstreams[FIRST].info.capacity
     newer: Command = ResizeUpstream(
@@ -365,7 +365,7 @@
     leader = lead(world, upstreams, records)
     notes: list[str] = []
     leader.dispatch._term.note = lambda name, fields: notes.append(name)
-    beat(leader, upstreams[FIRST])
+    deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     upstreams[FIRST].resize(0)
     for _ in range(3):
@@ -388,8 +388,8 @@
         record = leading._records.upstreams[FIRST]
         capacity = Capacity(cpu_millis=HALF, memory_mb=1)
         info = msgspec.structs.replace(record.info, capacity=capacity)
-        beat = ForwardHeartbeat(heartbeat=Heartbeat(info=info, sequence=3, draining=False))
-        answering = asyncio.create_task(leading.answer(beat))
+        call = ForwardHeartbeat(heartbeat=Heartbeat(info=info, sequence=3, draining=False))
+        answering = asyncio.create_task(leading.answer(call))
         await asyncio.sleep(0)
         assert not answering.done()
         leading._take_applied(ResizeUpstream(upstream=FIRST, capacity=capacity, sequence=3))
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -27,7 +27,7 @@
     )
 
 
-def build_lasting(tasks: int = 2, kept: bool = True) -> JobSpec:
+def build_long_running(tasks: int = 2, kept: bool = True) -> JobSpec:
     spec = build_spec(tasks=tasks, run_ms=60, kept=kept)
     return msgspec.structs.replace(spec, long_running=True)
 
@@ -103,7 +103,7 @@
 def test_long_running_tasks_are_started_again_however_they_end() -> None:
     leader = start_world(6, run_ms=300)
     leader.world.failed_share = 0.5
-    leader.submit(JOB, build_lasting(), build_queue(max_attempts=1))
+    leader.submit(JOB, build_long_running(), build_queue(max_attempts=1))
     leader.world.run_until(milliseconds(3_000))
     record = leader.records.jobs[JobId(JOB)]
     assert record.is_open
@@ -116,7 +116,7 @@
 
 def test_a_long_running_task_runs_again_after_its_upstream_crashed() -> None:
     leader = start_world(7, run_ms=60_000)
-    leader.submit(JOB, build_lasting(tasks=1), build_queue())
+    leader.submit(JOB, build_long_running(tasks=1), build_queue())
     leader.world.run_until(milliseconds(500))
     ((ref, where),) = leader.world.running.items()
     leader.upstreams[UpstreamId(where)].crash()
@@ -128,14 +128,14 @@
     leader = start_world(8, run_ms=200)
     for number in range(30):
         leader.submit(f"{number:016x}", build_spec(tasks=4, run_ms=200), build_queue())
-    leader.submit(JOB, build_lasting(tasks=2), build_queue())
+    leader.submit(JOB, build_long_running(tasks=2), build_queue())
     leader.world.run_until(leader.world.now + milliseconds(300))
     assert sum(ref.job == JOB for ref in leader.world.running) == 2
 
 
 def test_a_cancelled_long_running_job_stops() -> None:
     leader = start_world(9, run_ms=60_000)
-    leader.submit(JOB, build_lasting(), build_queue())
+    leader.submit(JOB, build_long_running(), build_queue())
     leader.world.run_until(milliseconds(500))
     assert len(leader.world.running) == 2
     leader._commit(CancelJob(job=JobId(JOB), at_ms=0))
@@ -152,7 +152,7 @@
         upstream.run_times = lambda job: milliseconds(60_000 if job == JOB else 60)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    leader.submit(JOB, build_lasting(), build_queue(max_attempts=1))
+    leader.submit(JOB, build_long_running(), build_queue(max_attempts=1))
     timed = "b" * 16
     leader.submit(timed, build_timed(count=8, interval_ms=400, tasks=1), build_queue(50))
     for token in range(2, 6):
@@ -167,7 +167,7 @@
 
 
 def test_long_running_and_timed_jobs_are_supported_but_not_combined() -> None:
-    assert find_unsupported(build_lasting()) is None
+    assert find_unsupported(build_long_running()) is None
     assert find_unsupported(build_timed()) is None
     assert find_job_problem(build_timed()) is None
     assert find_job_problem(msgspec.structs.replace(build_timed(), long_running=True))
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -40,111 +40,115 @@
 from .model_upstreams import build_info
 from .test_cluster_waiting import lead
 
-DESK = "10.1.0.1:80"
+RESPONDER = "10.1.0.1:80"
 
 
-def build_desk(upstreams: int = SPREAD_FROM) -> tuple[HeartbeatDesk, Records, ManualClock]:
+def build_responder(upstreams: int = SPREAD_FROM) -> tuple[HeartbeatDesk, Records, ManualClock]:
     clock, records = build_clock(), Records()
     records.put_in_force(build_roster().configuration)
     for number in range(upstreams):
         info = build_info(f"u{number}")
         records.upstreams[info.id] = UpstreamRecord(info=info, sequence=5)
-    desk = HeartbeatDesk(control_address=DESK, clock=clock, get_records=lambda: records)
-    return desk, records, clock
+    responder = HeartbeatDesk(control_address=RESPONDER, clock=clock, get_records=lambda: records)
+    return responder, records, clock
 
 
-def tell(desk: HeartbeatDesk, outcome: Outcome = Outcome.DONE) -> list[ReportHeartbeats]:
-    told: list[ReportHeartbeats] = []
+def send_reports(
+    responder: HeartbeatDesk, outcome: Outcome = Outcome.DONE
+) -> list[ReportHeartbeats]:
+    reported: list[ReportHeartbeats] = []
 
     async def take(heard: ReportHeartbeats) -> Answer:
-        told.append(heard)
+        reported.append(heard)
         return Answer(outcome=outcome)
 
-    asyncio.run(desk._tell(take))
-    return told
+    asyncio.run(responder._tell(take))
+    return reported
 
 
-def beat(name: str = "u1", sequence: int = 6, **changes: object) -> Heartbeat:
+def build_heartbeat(name: str = "u1", sequence: int = 6, **changes: object) -> Heartbeat:
     heartbeat = Heartbeat(info=build_info(name), sequence=sequence, draining=False, clock_ms=70)
     return msgspec.structs.replace(heartbeat, **changes)
 
 
 def test_a_heartbeat_without_news_is_answered_and_reported_later() -> None:
-    desk, _, clock = build_desk()
-    tell(desk)
-    answer = desk.take(beat())
-    assert answer is not None and answer.leader_control == DESK
+    responder, _, clock = build_responder()
+    send_reports(responder)
+    answer = responder.take(build_heartbeat())
+    assert answer is not None and answer.leader_control == RESPONDER
     clock.advance(timedelta(milliseconds=100))
-    told = tell(desk)
+    reported = send_reports(responder)
     one = ReportedHeartbeat(upstream=UpstreamId("u1"), sequence=6, clock_ms=70, age_ms=100)
-    assert told == [ReportHeartbeats(responder=DESK, upstreams=(one,))]
-    assert tell(desk) == [ReportHeartbeats(responder=DESK)]
+    assert reported == [ReportHeartbeats(responder=RESPONDER, upstreams=(one,))]
+    assert send_reports(responder) == [ReportHeartbeats(responder=RESPONDER)]
 
 
 @pytest.mark.parametrize(
     "heartbeat",
     [
-        beat(draining=True),
-        beat("u999999"),
-        beat(sequence=4),
-        beat(has_no_capacity=True),
-        beat(cold_left_ms=500),
-        beat(info=msgspec.structs.replace(build_info("u1"), capacity=Capacity(cpu_millis=1))),
-        beat(info=msgspec.structs.replace(build_info("u1"), address="10.9.9.9:1")),
+        build_heartbeat(draining=True),
+        build_heartbeat("u999999"),
+        build_heartbeat(sequence=4),
+        build_heartbeat(has_no_capacity=True),
+        build_heartbeat(cold_left_ms=500),
+        build_heartbeat(
+            info=msgspec.structs.replace(build_info("u1"), capacity=Capacity(cpu_millis=1))
+        ),
+        build_heartbeat(info=msgspec.structs.replace(build_info("u1"), address="10.9.9.9:1")),
     ],
 )
 def test_a_heartbeat_with_news_goes_to_the_leader(heartbeat: Heartbeat) -> None:
-    desk, _, _ = build_desk()
-    tell(desk)
-    assert desk.take(heartbeat) is None
+    responder, _, _ = build_responder()
+    send_reports(responder)
+    assert responder.take(heartbeat) is None
 
 
 def test_heartbeats_of_upstreams_that_enforce_no_capacity_go_to_the_leader() -> None:
-    desk, records, _ = build_desk()
-    tell(desk)
+    responder, records, _ = build_responder()
+    send_reports(responder)
     configuration = records.configuration
-    assert configuration is not None and desk.take(beat()) is not None
+    assert configuration is not None and responder.take(build_heartbeat()) is not None
     services = tuple(
         msgspec.structs.replace(service, rejects_overload=False)
         for service in configuration.services
     )
     records.put_in_force(msgspec.structs.replace(configuration, services=services))
-    assert desk.take(beat()) is None
+    assert responder.take(build_heartbeat()) is None
 
 
 def test_a_host_without_contact_to_the_leader_answers_no_heartbeats() -> None:
-    desk, _, clock = build_desk()
-    assert desk.take(beat()) is None, "no report was accepted yet"
-    tell(desk, Outcome.UNAVAILABLE)
-    assert desk.take(beat()) is None
-    tell(desk)
-    assert desk.take(beat()) is not None
+    responder, _, clock = build_responder()
+    assert responder.take(build_heartbeat()) is None, "no report was accepted yet"
+    send_reports(responder, Outcome.UNAVAILABLE)
+    assert responder.take(build_heartbeat()) is None
+    send_reports(responder)
+    assert responder.take(build_heartbeat()) is not None
     clock.advance(TRUSTED_FOR)
-    assert desk.take(beat()) is None
+    assert responder.take(build_heartbeat()) is None
 
 
 def test_few_upstreams_stay_with_the_leader() -> None:
-    desk, _, _ = build_desk(SPREAD_FROM - 1)
-    tell(desk)
-    assert desk.take(beat()) is None
+    responder, _, _ = build_responder(SPREAD_FROM - 1)
+    send_reports(responder)
+    assert responder.take(build_heartbeat()) is None
 
 
 def test_upstreams_are_spread_over_the_hosts_that_answer_and_stay_there() -> None:
     clock = build_clock()
-    desks = Desks(clock=clock, own="own")
+    responders = Desks(clock=clock, own="own")
     ids = [UpstreamId(f"i-{number:08x}") for number in range(1_000)]
-    assert {desks.choose(id) for id in ids} == {"own"}
+    assert {responders.choose(id) for id in ids} == {"own"}
     hosts = [f"10.1.0.{number}:80" for number in range(5)]
     for host in hosts:
-        desks.note(host)
-    chosen = [desks.choose(id) for id in ids]
+        responders.note(host)
+    chosen = [responders.choose(id) for id in ids]
     assert all(150 < chosen.count(host) < 250 for host in hosts)
-    assert chosen == [desks.choose(id) for id in ids]
+    assert chosen == [responders.choose(id) for id in ids]
     clock.advance(TRUSTED_FOR / 2)
     for host in hosts[1:]:
-        desks.note(host)
+        responders.note(host)
     clock.advance(TRUSTED_FOR / 2 + timedelta(milliseconds=1))
-    assert {desks.choose(id) for id in ids} == set(hosts[1:])
+    assert {responders.choose(id) for id in ids} == set(hosts[1:])
 
 
 def answer(leading: Leading, call: ForwardHeartbeat | ReportHeartbeats) -> Answer:
@@ -161,18 +165,20 @@
         leading, _ = lead(IdlePort())
         upstream = UpstreamId("u1")
         life = leading.dispatch.lives[upstream]
-        first = beat(sequence=1, info=life.info)
+        first = build_heartbeat(sequence=1, info=life.info)
         assert (await leading.answer(ForwardHeartbeat(heartbeat=first))).leader_control is None
         monkeypatch.setattr("cottonlug.runtime.leading.SPREAD_FROM", 2)
-        told = ReportedHeartbeat(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
+        reported = ReportedHeartbeat(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
         assert (
-            await leading.answer(ReportHeartbeats(responder=DESK, upstreams=(told,)))
+            await leading.answer(ReportHeartbeats(responder=RESPONDER, upstreams=(reported,)))
         ).outcome is Outcome.DONE
         assert life.sequence == 2
         assert life.heard_at is not None
         assert leading.read_clock() - life.heard_at <= timedelta(milliseconds=40)
-        second = beat(sequence=3, info=life.info)
-        assert (await leading.answer(ForwardHeartbeat(heartbeat=second))).leader_control == DESK
+        second = build_heartbeat(sequence=3, info=life.info)
+        assert (
+            await leading.answer(ForwardHeartbeat(heartbeat=second))
+        ).leader_control == RESPONDER
         leading.stop()
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -153,18 +153,18 @@
     assert world.starts == 2
 
 
-@pytest.mark.parametrize("wakes_by", ["a decision that was due", "a commit"])
-def test_a_term_that_was_ended_makes_no_more_decisions(wakes_by: str) -> None:
+@pytest.mark.parametrize("trigger", ["a decision that was due", "a commit"])
+def test_a_term_that_was_ended_makes_no_more_decisions(trigger: str) -> None:
     """A host that hands over keeps its lease for a while, in which the next one coordinates."""
 
     async def play() -> int:
         port = CountingPort()
         leading, replicated = lead(port)
-        if wakes_by == "a decision that was due":
+        if trigger == "a decision that was due":
             leading._wake()
         listener = replicated.listener
         leading.stop()
-        if wakes_by == "a commit" and listener is not None:
+        if trigger == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
         await let_run()
         return port.looks
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -23,7 +23,7 @@
 from .gateway_builders import build_clock, greet
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_overtaken import build_dispatch
-from .test_cluster_spread import beat, build_desk, tell
+from .test_cluster_spread import build_heartbeat, build_responder, send_reports
 from .test_heartbeat_orders import REF, RUN, TOKEN, Exchange, play, settle
 from .wire_site import WireLeader, build_hosts
 
@@ -103,11 +103,13 @@
 
 
 def test_a_host_that_does_not_lead_passes_on_the_first_heartbeat_of_a_later_life() -> None:
-    desk, records, _ = build_desk()
-    tell(desk)
+    responder, records, _ = build_responder()
+    send_reports(responder)
     records.apply(AddUpstream(info=FIRST, sequence=5))
-    assert desk.take(msgspec.structs.replace(beat(sequence=6), info=FIRST)) is not None
-    assert desk.take(msgspec.structs.replace(beat(sequence=6), info=SECOND)) is None
+    assert (
+        responder.take(msgspec.structs.replace(build_heartbeat(sequence=6), info=FIRST)) is not None
+    )
+    assert responder.take(msgspec.structs.replace(build_heartbeat(sequence=6), info=SECOND)) is None
 
 
 def test_an_answer_to_a_heartbeat_carries_no_order_for_an_earlier_life() -> None:
@@ -143,7 +145,7 @@
     dispatch = build_dispatch([])
     for number in range(2, 500):
         dispatch.handle_heartbeat(
-            msgspec.structs.replace(beat(), info=build_life(0, f"u{number}")), NOW
+            msgspec.structs.replace(build_heartbeat(), info=build_life(0, f"u{number}")), NOW
         )
         for command in dispatch.pop_proposals():
             dispatch.handle_applied_command(command, NOW)
@@ -159,7 +161,7 @@
     life = dispatch.lives[build_life(0).id]
     assert life.must_check and life.look_due == NOW
     assert not dispatch.lives[moved.id].must_check
-    earlier = msgspec.structs.replace(beat(sequence=90), info=build_life(0))
+    earlier = msgspec.structs.replace(build_heartbeat(sequence=90), info=build_life(0))
     dispatch.handle_applied_command(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
     dispatch.handle_heartbeat(earlier, NOW)
     assert dispatch.pop_proposals() == []
