--- a/cottonlug/core/cluster/guards.py
+++ b/cottonlug/core/cluster/guards.py
@@ -46,7 +46,7 @@
         return False
 
     def record_run_time_ratio(self, ratio: float, now: timedelta) -> bool:
-        """Record actual against expected run time; return whether it was just suspended."""
+        """Record actual over expected run time; return whether the upstream was just suspended."""
         self.mean_log_slowdown += LEARNING_RATE * (
             math.log(max(ratio, 0.01)) - self.mean_log_slowdown
         )
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -21,8 +21,8 @@
 
 ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
-"""Evacuations last from seconds to hours: frequent enough for the former, rare enough for the
-latter."""
+"""Evacuations last from seconds to hours: this is frequent enough for the former, and rare enough
+for the latter."""
 NO_DEMAND = 1 << 62
 """More CPU than any upstream has, so that no change of one triggers another try."""
 
