--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -1,4 +1,4 @@
-"""Runs at upstreams that the present leader did not start."""
+"""Adopts runs that the current leader did not start."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Adopter:
-    """Lets runs of an earlier leader or a deputy go on where their jobs are known."""
+    """Keeps runs of an earlier leader or of an acting leader going where their jobs are known."""
 
     def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
         self._term = term
@@ -22,7 +22,10 @@
         self._jobs = jobs
 
     def take_running(self, life: Life, report: RunReport, now: timedelta) -> None:
-        """Learn that a run is at work; one that is not ours is adopted, borne or stopped."""
+        """Record that a run is active.
+
+        A run that this leader did not start is adopted, tolerated for a while, or stopped.
+        """
         key = (report.task, report.run)
         run = life.runs.get(key)
         if run is not None:
@@ -43,13 +46,14 @@
             seen_at=now,
             advanced_at=now,
             is_orphan=record is None,
-            # Whoever has its job now, or gets it from its caller, counts on its lease to end.
+            # The host that has the job now, or gets it from its caller, relies on this lease
+            # running out.
             is_disputed=record is None,
         )
         life.add_run(run)
         if run.is_orphan:
             self._lives.may_have_orphans = True
-        # An earlier leader may have renewed its lease until the term began.
+        # An earlier leader may have renewed the lease until this term began.
         life.lapse_at = max(life.lapse_at, now + self._term.lease.lapse_after)
         if job is not None:
             self._adopt(job, life, run)
@@ -57,7 +61,7 @@
             run.stop_wanted = True
 
     def adopt_orphan(self, job: OpenJob, life: Life, run: Run) -> None:
-        """Take over a run whose job has just become known."""
+        """Adopt a run whose job has just become known."""
         life.remove_run((run.task, run.run))
         steps = job.record.spec.steps
         if run.task.step < len(steps):
@@ -67,17 +71,19 @@
         self._adopt(job, life, run)
 
     def _adopt(self, job: OpenJob, life: Life, run: Run) -> None:
-        """Let a run go on that this leader did not start, or stop it where that cannot be."""
+        """Let a run continue that this leader did not start, or stop it if it is of no use."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
         waits = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
         if task is None or task.phase not in waits:
             run.stop_wanted = True
             return
-        # One that is being stopped holds its task, too: no other run of it may begin until it ends.
+        # A run that is being stopped holds its task as well: no other run of the task may begin
+        # until this one has ended.
         if task.phase is TaskPhase.QUEUED:
             self._jobs.unqueue(run.task)
-        # Whoever began it may begin it again, at an upstream not seen yet, once this run has ended.
+        # The host that began this run may begin the task again, at an upstream not seen yet, once
+        # this run has ended.
         task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
         task.phase = TaskPhase.RUNNING
         task.life = life.info.id
--- a/cottonlug/core/cluster/checks.py
+++ b/cottonlug/core/cluster/checks.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration or a job, in words for whoever sent it."""
+"""Validates configurations and jobs; problems are worded for whoever sent them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 JOB_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 MAX_PAYLOAD_BYTES = 4_000
 MAX_TASKS = 4_096
-"""Tasks of a job; the size to design for is 1,100."""
+"""Most tasks of a job; the design size is 1,100."""
 MAX_TIMED_TASKS = 65_536
 
 
 def find_configuration_problem(configuration: Configuration) -> str | None:
-    """Return why a configuration cannot be put in force, or None."""
+    """Return why a configuration cannot become active, or None."""
     if configuration.version < 1:
         return "the version must be 1 or more"
     services = [service.name for service in configuration.services]
@@ -61,7 +61,7 @@
 
 
 def find_unsupported(spec: JobSpec) -> str | None:
-    """Return the first thing a job asks for that is not built yet (docs/jobs.md), or None."""
+    """Return the first requested feature that is not implemented (docs/jobs.md), or None."""
     for step in spec.steps:
         if step.gang:
             return "gang"
--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log: what the cluster must never forget."""
+"""Commands of the replicated log: the state that must survive the loss of any leader."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class AcceptJob(Value, frozen=True, tag="accept"):
-    """Keep a job; `queue` is its queue as it was at that moment, `at_ms` the wall-clock time."""
+    """Store a durable job.
+
+    `queue` is its queue as configured at that moment, `at_ms` the wall-clock time.
+    """
 
     job: JobId
     queue: Queue
@@ -30,16 +33,16 @@
 
 
 class CancelJob(Value, frozen=True, tag="cancel"):
-    """End a job by its caller's wish."""
+    """End a job at its caller's request."""
 
     job: JobId
     at_ms: int
 
 
 class NoteEnds(Value, frozen=True, tag="ends"):
-    """Take note of ends that an upstream has listed, in its order, up to the number `through`.
+    """Record run ends that an upstream has listed, in its order, up to the number `through`.
 
-    Ends of jobs that need not be kept are left out.
+    Ends of best-effort jobs are left out.
     """
 
     upstream: UpstreamId
@@ -49,20 +52,26 @@
 
 
 class ForgetJobs(Value, frozen=True, tag="forget"):
-    """Drop jobs that ended long enough ago."""
+    """Remove jobs that ended long enough ago."""
 
     jobs: tuple[JobId, ...]
 
 
 class AddUpstream(Value, frozen=True, tag="add_upstream"):
-    """Know a life of an upstream, as of its heartbeat `sequence`; comes before the first order."""
+    """Register an instance of an upstream, as described by its heartbeat number `sequence`.
+
+    Committed before the first order to the instance.
+    """
 
     info: UpstreamInfo
     sequence: int = 0
 
 
 class ResizeUpstream(Value, frozen=True, tag="resize"):
-    """An upstream has this capacity, as of its heartbeat `sequence`, unlike before or for sure."""
+    """Set the capacity of an upstream, as of its heartbeat number `sequence`.
+
+    The capacity differs from the known one, or confirms one that was in doubt.
+    """
 
     upstream: UpstreamId
     capacity: Capacity
@@ -70,22 +79,22 @@
 
 
 class DoubtCapacities(Value, frozen=True, tag="doubt_capacities"):
-    """Heartbeats of these upstreams were missed: their capacities may have changed."""
+    """Mark capacities as doubtful: they may have changed, since heartbeats were missed."""
 
     upstreams: tuple[UpstreamId, ...]
 
 
 class RemoveUpstreams(Value, frozen=True, tag="remove_upstreams"):
-    """Forget lives of upstreams on which nothing can run any more."""
+    """Remove instances of upstreams on which nothing can run any more."""
 
     upstreams: tuple[UpstreamId, ...]
 
 
 class NoteCrash(Value, frozen=True, tag="crash"):
-    """Forget an upstream that has ended without leaving, and count it against what ran there.
+    """Remove an upstream that ended without leaving, and count the crash against its active tasks.
 
-    `blamed` may have crashed it; what is in `others` was only there as well, and the start of what
-    is in `unanswered` may not have arrived before the end.
+    Tasks in `blamed` may have caused the crash; those in `others` were active there as well. The
+    starts of those in `unanswered` may not have arrived before the upstream ended.
     """
 
     upstream: UpstreamId
@@ -96,16 +105,16 @@
 
 
 class SetDraining(Value, frozen=True, tag="drain"):
-    """An upstream is leaving: no new work goes to it, under any leader."""
+    """Mark an upstream as leaving: under no leader does it get new work."""
 
     upstream: UpstreamId
 
 
 class CordonUpstreams(Value, frozen=True, tag="cordon"):
-    """Nothing runs at these upstreams, and nothing is started there from the proposal on.
+    """Cordon upstreams: nothing runs there, and nothing is started there once this is proposed.
 
-    `lost` tells what was at work where one fell out of sight: should it turn out to have crashed,
-    these tasks may have done it, whoever leads by then.
+    `lost` lists the tasks that were active when an upstream became unreachable. If it turns out to
+    have crashed, these tasks may have caused that, whoever leads by then.
     """
 
     upstreams: tuple[UpstreamId, ...]
@@ -113,19 +122,19 @@
 
 
 class UncordonUpstream(Value, frozen=True, tag="uncordon"):
-    """An upstream is used again; comes before the first start there."""
+    """Use an upstream again; committed before the first start there."""
 
     upstream: UpstreamId
 
 
 class SetConfiguration(Value, frozen=True, tag="configure"):
-    """Put a configuration in force unless one as new already is."""
+    """Activate a configuration unless the active one is as new."""
 
     configuration: Configuration
 
 
 class SetEvacuation(Value, frozen=True, tag="evacuate"):
-    """Begin or end the evacuation of a domain, unless another order has come since the base."""
+    """Begin or end the evacuation of a domain, unless its revision is past `base_revision`."""
 
     domain: DomainName
     is_evacuated: bool
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -1,10 +1,11 @@
-"""Tasks that crash whatever upstream starts them, told from sound ones that went down with these.
-
-Pattern: a task crashes each upstream that starts it, which is back after some seconds under another
-id; what else ran there is lost as well. That an upstream has ended with a task at work is evidence
-against the task, not proof: a rack that goes down takes sound ones with it. So a task under which
-one has ended is tried again alone, with no neighbours to be taken with it and nothing else to
-blame. It is given up at the second end that nothing else explains, and at the third in any case.
+"""Rules that tell tasks which crash their upstreams from tasks that were lost along with them.
+
+Failure pattern: a task crashes each upstream that starts it, the upstream is back after some
+seconds under another id, and everything else that ran there is lost as well. An upstream that ends
+with a task active is evidence against the task but no proof: a rack that goes down takes sound
+tasks with it. A task under which an upstream has ended is therefore retried on an upstream where
+nothing else runs, so that no neighbour is lost with it and nothing else can be to blame. It is
+quarantined at the second such end that has no other explanation, and at the third in any case.
 """
 
 from __future__ import annotations
@@ -18,54 +19,62 @@
 from .model import JobId, QueueKey, TaskRef, Value
 
 MOST_CRASHES = 2
-"""Ends of upstreams under a task that nothing else explains: the platform's rules let a task be
-given up from the second one on."""
+"""Unexplained upstream ends after which a task is quarantined; the platform's rules allow this from
+the second one on."""
 MOST_LOSSES = 3
-"""Ends of upstreams in any case."""
+"""Upstream ends, explained or not, after which a task is quarantined."""
 MOST_STARTS = 5
-"""Starts at upstreams that have ended, answered or not: after three crashes a task may be started
-twice more at most."""
+"""Starts at upstreams that have ended, answered or not, after which a task is quarantined: after
+three crashes a task may be started at most twice more."""
 MOST_UNRESOLVED = 4
-"""Starts at upstreams that may have crashed, for all that is known, before any other waits."""
+"""Starts at upstreams that may have crashed, after which further starts wait until that is known.
+"""
 AT_ONCE = timedelta(milliseconds=150)
-"""Upstreams lost within that time of each other may have one cause: a process that dies is noticed
-at once, one that falls silent within 80 ms."""
+"""Upstreams lost within this time of each other may share a cause: the exit of a process is noticed
+at once, silence within 80 ms."""
 MOST_BY_CHANCE = 2
-"""So many others may be lost at once by chance: at six crashes a second (one job in a hundred of
-600 a second has such a task) more are in 27 percent of the cases, which count as losses only."""
+"""Other upstreams that may be lost at the same time by coincidence. At six crashes a second (600
+jobs a second, one in a hundred with a crashing task) more than these coincide in 27 percent of the
+cases, which then count as losses only."""
 LOST_GROUP = 0.5
-"""Share of a rack or a domain whose loss at once explains the loss of each part of it."""
+"""Share of a rack or a domain that must be lost at the same time to explain the loss of each
+member."""
 YOUNG = timedelta(seconds=10)
-"""A run that has lasted longer has not crashed its upstream by its start."""
+"""A run that has lasted longer did not crash its upstream by its start."""
 LEFT_ALONE_FOR = timedelta(seconds=1)
-"""How long a suspect waits for an upstream where nothing runs; then any other will do."""
+"""How long a suspect waits for an upstream where nothing runs; after that any other will do."""
 HELD_FOR = timedelta(seconds=2)
-"""How long a task waits for its third start while it is not known whether two upstreams, lost with
-it at work, have crashed: they are back after some seconds, and a kept job with nothing at work for
-three would be overdue. After three that had said to run it, it waits until that is known."""
+"""How long a task's third start waits while it is unknown whether two earlier ones caused crashes.
+
+Crashed upstreams are back after some seconds, and a durable job with nothing running for three
+seconds would be overdue. After three upstreams that had confirmed the run, the task waits until the
+outcome is known.
+"""
 
 
 class Care(Enum):
-    """How a task is to be started."""
+    """Restrictions on the next start of a task."""
 
     NONE = "none"
     ALONE = "alone"
-    """Where nothing else runs: an upstream may have crashed with it at work."""
+    """Only where nothing else runs: one upstream may have crashed with it active."""
     HELD = "held"
-    """Alone, and for a while not at all: two may have."""
+    """Only where nothing else runs, and after a delay: two upstreams may have crashed."""
     BARRED = "barred"
-    """Not at all, until it is known whether three have that had said to run it, or four in all."""
+    """Not at all until it is known whether they crashed: three upstreams that had confirmed the
+    run, or four in all."""
 
 
 class CrashCounts(Value, frozen=True):
-    """The ends of upstreams under one task."""
+    """Upstream ends counted against one task."""
 
     crashes: int = 0
-    """Those that nothing else explains."""
+    """Ends that nothing else explains."""
     losses: int = 0
-    """All of those that had said to run it."""
+    """All ends of upstreams that had confirmed that they run the task."""
     unanswered: int = 0
-    """Those that had not answered its start, and may have ended before that was sent."""
+    """Ends of upstreams that had not answered the start, which may have been sent after they ended.
+    """
 
     @property
     def starts(self) -> int:
@@ -74,7 +83,7 @@
 
     @property
     def is_given_up(self) -> bool:
-        """Whether the task is not to be started again."""
+        """Whether the task must not be started again."""
         is_convicted = self.crashes >= MOST_CRASHES or self.losses >= MOST_LOSSES
         return is_convicted or self.starts >= MOST_STARTS
 
@@ -87,7 +96,7 @@
         )
 
     def subtract(self, other: CrashCounts) -> CrashCounts:
-        """Return what is counted here beyond what is counted there."""
+        """Return the part of these counts that exceeds the other counts."""
         return CrashCounts(
             crashes=max(self.crashes - other.crashes, 0),
             losses=max(self.losses - other.losses, 0),
@@ -109,7 +118,7 @@
 
 
 class SuspectRecord(Value, frozen=True):
-    """What is kept of a suspect, and when the last end was noted, by the wall clock."""
+    """Stored counts of a suspect, with the wall-clock time at which the last end was recorded."""
 
     task: TaskRef
     counts: CrashCounts
@@ -117,25 +126,25 @@
 
 
 KEEP_SUSPECTS_MS = 60_000
-"""How long the suspects among jobs that need not be kept are known: their callers send them again
-within seconds, or not at all."""
+"""How long suspects of best-effort jobs are remembered: their callers send them again within
+seconds, or not at all."""
 
 
 class AtWork(Value, frozen=True):
-    """What was at work at an upstream, as far as its leader knew."""
+    """Tasks that were active at an upstream, as far as its leader knew."""
 
     tasks: tuple[TaskRef, ...] = ()
-    """Those that it had said to run."""
+    """Tasks that the upstream had confirmed to run."""
     unsure: tuple[TaskRef, ...] = ()
-    """Those whose start it had not answered: it may have ended before that was sent."""
+    """Tasks whose start was unanswered: the upstream may have ended before the start was sent."""
 
     @property
     def all_tasks(self) -> tuple[TaskRef, ...]:
-        """Return both."""
+        """Return the confirmed and the unanswered tasks."""
         return (*self.tasks, *self.unsure)
 
     def join(self, other: AtWork) -> AtWork:
-        """Return what either says."""
+        """Return the union of both; a task confirmed in either counts as confirmed."""
         tasks = dict.fromkeys((*self.tasks, *other.tasks))
         unsure = dict.fromkeys((*self.unsure, *other.unsure))
         return AtWork(
@@ -147,7 +156,7 @@
 
 
 class LostRuns(Value, frozen=True):
-    """What was at work at an upstream when it fell out of sight."""
+    """Tasks that were active at an upstream when it became unreachable."""
 
     upstream: UpstreamId
     at_work: AtWork
@@ -155,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Loss:
-    """An upstream that was lost, and when it last gave a sign of life, at the latest."""
+    """A lost upstream, and the time of its last sign of life, at the latest."""
 
     upstream: UpstreamId
     at: timedelta
@@ -164,9 +173,9 @@
 
 
 def is_explained(loss: Loss, losses: Iterable[Loss], sizes: Mapping[str, int]) -> bool:
-    """Whether so much else was lost at the same time that it hardly was a task's doing.
+    """Return whether so much else was lost at the same time that a task is an unlikely cause.
 
-    `sizes` tells how many upstreams a domain has, or a label, which may be that of a rack.
+    `sizes` gives the number of upstreams of each domain, and of each label, which may name a rack.
     """
     others = [
         each
@@ -191,10 +200,10 @@
     queues: Mapping[JobId, QueueKey],
     convicted: Mapping[QueueKey, int],
 ) -> list[TaskRef]:
-    """Return which of the tasks at work at an upstream that has crashed may have done it.
+    """Return the tasks active at a crashed upstream that may have caused the crash.
 
-    Those under which most others have crashed before; else those of the kinds of which tasks were
-    given up for that; else all.
+    These are the tasks with the most unexplained crashes so far; without any, the tasks of queues
+    that have quarantined tasks already; otherwise all.
     """
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
--- a/cottonlug/core/cluster/ends.py
+++ b/cottonlug/core/cluster/ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs: learnt from, noted in the record, and acted upon."""
+"""Handles the ends of runs: learns from them, records them and acts on them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Ends:
-    """What a leader does about ends; those of jobs that must be kept go through the log first."""
+    """Processes run ends that upstreams list; those of durable jobs go through the log first."""
 
     def __init__(
         self, *, term: Term, lives: LifeTable, jobs: OpenJobs, settlement: Settlement
@@ -29,10 +29,10 @@
         self._jobs = jobs
         self._settlement = settlement
         self._orphans: dict[JobId, list[EndReport]] = {}
-        """Ends of jobs that are not known, but may be submitted again."""
+        """Ends of jobs that are unknown so far but may be submitted again."""
 
     def take_listed(self, life: Life, ended: tuple[EndReport, ...], now: timedelta) -> None:
-        """Take note of ends that an upstream has listed, here or through the log."""
+        """Record ends that an upstream has listed: here, or through the log for durable jobs."""
         new = tuple(end for end in ended if end.number > max(life.proposed, life.noted))
         if not new:
             return
@@ -63,7 +63,7 @@
         self._term.proposals.append(command)
 
     def take_noted(self, command: NoteEnds, now: timedelta) -> None:
-        """Act on ends that the record has taken note of."""
+        """Act on ends that the log has committed."""
         life = self._lives.by_id.get(command.upstream)
         if life is not None:
             life.noted = max(life.noted, command.through)
@@ -73,20 +73,20 @@
             self._take_noted_end(end, command.upstream, now)
 
     def claim(self, record: JobRecord, now: timedelta) -> None:
-        """Take note of ends that were listed before their job was submitted again."""
+        """Apply ends that were listed before their job was submitted again."""
         for end in self._orphans.pop(record.id, []):
             note_end(record, end, self._term.wall_ms())
             self._take_noted_end(end, None, now)
 
     def forget_orphans(self, now: timedelta) -> None:
-        """Forget ends of jobs that nobody has submitted again in time."""
+        """Drop ends of jobs that nobody has submitted again in time."""
         if self._orphans and not self._lives.is_grace(now):
             self._orphans.clear()
 
     def _look_for_another(self, life: Life, run: Run, end: EndReport) -> None:
-        """Learn from a stop that is not ours that another host decides, with a higher token.
+        """Detect, from a stop that another host sent, that a host with a higher token coordinates.
 
-        It may have begun the task again by now.
+        That host may have started the task again by now.
         """
         if end.how is EndKind.STOPPED and not run.stop_wanted:
             self._term.is_fenced_off = True
@@ -95,7 +95,7 @@
             )
 
     def _judge(self, life: Life, run: Run, end: EndReport, now: timedelta) -> None:
-        """Learn from the end of a run how fast its kind is, and how well its upstream."""
+        """Update the expected run time of a step and the health of an upstream."""
         health = self._lives.get_health(life)
         job = self._jobs.jobs.get(end.task.job)
         if job is None or run.is_orphan:
@@ -116,7 +116,7 @@
             },
         )
         if job.record.spec.long_running:
-            # How long a task lasts says nothing of its upstream.
+            # The run time of a long-running task says nothing about its upstream.
             return
         if end.how is EndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
@@ -127,7 +127,7 @@
             self._term.note("upstream_failing", {"upstream": life.info.id})
 
     def _note_here(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
-        """Take note of an end that need not be kept."""
+        """Record the end of a run of a best-effort job."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
             note_end(job.record, end, self._term.wall_ms())
@@ -147,7 +147,7 @@
         if task is None:
             return
         if job.record.get_task(end.task).is_done:
-            # A run that was given up may have ended as done before its lease did.
+            # A run that was abandoned may have ended as done before its lease did.
             if task.phase is TaskPhase.RUNNING and task.life is not None:
                 self._lives.want_stop(task.life, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
@@ -156,9 +156,10 @@
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
         elif task.phase is TaskPhase.NOTING and task.is_unknown:
-            # An end of one run says nothing of a later one at an upstream not seen yet.
+            # The end of one run says nothing of a later run at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
             self._settlement.note_unsure()
         elif task.phase is TaskPhase.NOTING and task.noted == (upstream, end.run):
-            # An older end, noted meanwhile, must not free a task whose later run has ended well.
+            # An older end recorded in the meantime must not requeue a task whose later run has
+            # succeeded.
             self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.place])
--- a/cottonlug/core/cluster/evacuations.py
+++ b/cottonlug/core/cluster/evacuations.py
@@ -1,8 +1,8 @@
-"""Failure domains whose upstreams get no new work, by order of the operators.
+"""Failure domains that operators have evacuated, so that their upstreams get no new work.
 
-Orders carry no version, so each is decided by compare-and-set: it names the revision that the host
-which took it in had in its log. An order that was delayed finds a later revision and changes
-nothing, and so cannot undo what was acknowledged in the meantime.
+Orders carry no version, so each is decided by compare-and-set: it names the revision that the
+receiving host had in its log. A delayed order finds a later revision and changes nothing, and so
+cannot undo what was acknowledged in the meantime.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class EvacuationRecord(Value, frozen=True):
-    """The last order about a failure domain; kept after it was withdrawn, for its revision."""
+    """The last order about a failure domain; kept after the evacuation ends, for its revision."""
 
     domain: DomainName
     is_evacuated: bool = False
     revision: int = 0
-    """Counts the orders about the domain that were carried out."""
+    """Number of orders about the domain that were carried out."""
     order: OrderId = OrderId("")
     """The last order that was carried out."""
     since_ms: int = 0
@@ -28,7 +28,7 @@
 
 
 class Evacuations:
-    """The last order about each failure domain, as the replicated record holds it."""
+    """The last order about each failure domain, as part of the replicated state."""
 
     def __init__(self, records: Iterable[EvacuationRecord] = ()) -> None:
         self._by_domain = {record.domain: record for record in records}
@@ -38,7 +38,7 @@
 
     @property
     def records(self) -> tuple[EvacuationRecord, ...]:
-        """Every domain about which an order was ever carried out."""
+        """The records of all domains about which an order was ever carried out."""
         return tuple(self._by_domain.values())
 
     @property
@@ -47,11 +47,11 @@
         return self._evacuated
 
     def get(self, domain: DomainName) -> EvacuationRecord:
-        """Return the last order about a domain; revision 0 where there was none."""
+        """Return the last order about a domain; its revision is 0 if there was none."""
         return self._by_domain.get(domain, EvacuationRecord(domain=domain))
 
     def apply(self, command: SetEvacuation) -> bool:
-        """Carry out an order; return False where another one has come before it."""
+        """Carry out an order; return False if another order was committed before it."""
         current = self.get(command.domain)
         if command.base_revision != current.revision:
             return False
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -1,4 +1,4 @@
-"""All lives of upstreams that a leader knows, and which of them take work."""
+"""Tracks all instances of upstreams that a leader knows, and which of them accept work."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from .term import Term
 
 ROOM_KEPT = timedelta(milliseconds=20)
-"""How long a measure of all room is used again: it changes as upstreams come and go."""
+"""How long the measured capacity is reused: it only changes as upstreams come and go."""
 ORPHAN_GRACE = timedelta(milliseconds=800)
-"""How long a new leader keeps ends of jobs that it does not know, and reckons with upstreams that
-it has not seen: gateways submit their jobs again, within 0.1 s as a rule."""
+"""How long a new leader keeps run ends of unknown jobs, and counts on upstreams that it has not
+seen: gateways submit their jobs again, as a rule within 0.1 s."""
 
 
 class LifeTable:
-    """Lives by id."""
+    """Instances of upstreams by id."""
 
     def __init__(self, *, term: Term) -> None:
         self.by_id: dict[UpstreamId, Life] = {}
         self.unseen: set[UpstreamId] = set()
-        """Lives of earlier terms that have not answered in this one."""
+        """Instances from earlier terms that have not answered in this one."""
         self._touched: dict[UpstreamId, Life] = {}
         self._added = 0
         self.may_have_orphans = False
-        """Whether runs may be at work anywhere whose jobs are not known."""
+        """Whether any upstream may have a run whose job is unknown."""
         self._room: tuple[timedelta, float] | None = None
         self._term = term
         self._by_address: dict[str, UpstreamId] = {}
         self._newest: dict[str, UpstreamId] = {}
-        """The newest life under each name."""
+        """The newest instance under each upstream's own id."""
         self._health: dict[UpstreamId, Health] = {}
         for record in term.records.upstreams.values():
             life = self.add(record.info, record.noted, record.draining, term.began_at)
@@ -43,17 +43,17 @@
             life.lost = record.lost
             if not record.is_capacity_doubted:
                 life.reported_at = term.known_until - term.reports.valid_for
-            # A deputy may have used it all the same, and the record may be an old one.
+            # An acting leader may have used it all the same, and the record may be an old one.
             life.is_cordoned = record.is_cordoned and term.keeps_log
             if not life.is_cordoned:
                 self.unseen.add(record.info.id)
 
     def is_grace(self, now: timedelta) -> bool:
-        """Whether the term is so young that unknown runs may still find their jobs."""
+        """Return whether the term is so young that unknown runs may still find their jobs."""
         return now < self._term.began_at + ORPHAN_GRACE
 
     def add(self, info: UpstreamInfo, noted: int, draining: bool, now: timedelta) -> Life:
-        """Begin to watch a life; an earlier one at its address is asked whether it is over."""
+        """Begin to track an instance, and poll an earlier one at its address or under its name."""
         self._added += 1
         life = Life(
             info=info,
@@ -79,7 +79,7 @@
         return life
 
     def _check(self, earlier: UpstreamId | None, life: Life, now: timedelta) -> None:
-        """Have an earlier life looked at: only an answer shows which of the two there is now."""
+        """Poll an earlier instance: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
         if found is None or found is life:
             return
@@ -88,12 +88,12 @@
         self.touch(found)
 
     def find_later(self, id: UpstreamId) -> Life | None:
-        """Return the newest life under the same name, if it began after the one that is named."""
+        """Return the newest instance under the same name if it started after the given one."""
         newest = self._newest.get(get_name(id))
         return self.by_id[newest] if newest is not None and is_earlier(id, newest) else None
 
     def drop(self, upstream: UpstreamId) -> None:
-        """Forget a life."""
+        """Stop tracking an instance."""
         life = self.by_id.pop(upstream, None)
         self._touched.pop(upstream, None)
         self._health.pop(upstream, None)
@@ -104,18 +104,19 @@
             del self._newest[get_name(upstream)]
 
     def touch(self, life: Life) -> None:
-        """Have a life gone through with the next decisions, since something about it changed."""
+        """Have an instance processed in the next round, because something about it changed."""
         self._touched[life.info.id] = life
 
     def take_touched(self) -> list[Life]:
-        """Return the lives about which something changed since the last call."""
+        """Return the instances that changed since the last call."""
         touched, self._touched = self._touched, {}
         return list(touched.values())
 
     def is_any_unseen(self, *, of_deputies: bool) -> bool:
-        """Whether any life may run something of another leader that nobody here knows of.
+        """Return whether any instance may have runs of another leader that are unknown here.
 
-        With `of_deputies` also one where only a deputy can have begun something.
+        With `of_deputies`, instances where only an acting leader can have started something count
+        too.
         """
         return any(
             not (life.is_fenced or life.is_over) and (of_deputies or not life.is_cordoned)
@@ -123,17 +124,17 @@
         )
 
     def look_for_orphans(self) -> None:
-        """Learn whether the last run of an unknown job has gone."""
+        """Clear the flag for orphaned runs once the last of them is gone."""
         if self.may_have_orphans:
             self.may_have_orphans = any(life.has_orphans for life in self.by_id.values())
 
     def set_evacuated(self, domain: DomainName, now: timedelta) -> int:
-        """Take over whether a domain is evacuated; return how many runs are at work there."""
+        """Apply whether a domain is evacuated; return how many runs are active there."""
         is_evacuated = domain in self._term.records.evacuations.evacuated
         lives = [life for life in self.by_id.values() if life.info.domain == domain]
         for life in lives:
             if life.is_evacuated and not is_evacuated:
-                # Its next heartbeat tells whether that is so.
+                # Tasks may take longer there until its next heartbeat reports otherwise.
                 life.cold_until = now + self._term.reports.every
             life.is_evacuated = is_evacuated
             self.touch(life)
@@ -141,7 +142,10 @@
         return sum(len(life.runs) for life in lives)
 
     def is_evacuated(self, service: ServiceName) -> bool:
-        """Whether nothing but the evacuation of their domains keeps the upstreams of a service."""
+        """Return whether a service has upstreams and all of them are in evacuated domains.
+
+        Upstreams that are leaving, over, or managed by another host do not count.
+        """
         if not self._term.records.evacuations.evacuated:
             return False
         lives = (life for life in self.by_id.values() if life.info.service == service)
@@ -149,14 +153,17 @@
         return bool(there) and all(life.is_evacuated for life in there)
 
     def get_health(self, life: Life) -> Health:
-        """Return how the runs at a life have gone."""
+        """Return the health record of an instance."""
         health = self._health.get(life.info.id)
         if health is None:
             health = self._health[life.info.id] = Health()
         return health
 
     def find_working(self, now: timedelta) -> dict[ServiceName, list[Life]]:
-        """Return the lives that take work, by service, without those set aside."""
+        """Return the instances that accept work, by service, without those set aside.
+
+        If too large a share of a service would be set aside, none of it is.
+        """
         by_service: dict[ServiceName, list[Life]] = {}
         for life in self.by_id.values():
             if self.takes_work(life, now):
@@ -168,27 +175,27 @@
         return by_service
 
     def takes_work(self, life: Life, now: timedelta) -> bool:
-        """Whether a life takes work at all, be it set aside or not."""
+        """Return whether an instance accepts work at all, set aside or not."""
         life.is_on_trial = self.get_health(life).is_on_trial
         return life.takes_work(now) and not self._may_be_full(life, now)
 
     def _may_be_full(self, life: Life, now: timedelta) -> bool:
-        """Whether an upstream that starts whatever it is told may have less room than is known.
+        """Return whether an upstream that does not check its capacity may have less than is known.
 
-        It runs something of unknown needs, or has not said for long what its capacity is.
+        It has a run of unknown needs, or has not reported its capacity for a long time.
         """
         if not life.has_orphans and self._is_report_valid(life, now):
             return False
         return life.info.service in self._list_unguarded()
 
     def _list_unguarded(self) -> set[ServiceName]:
-        """Return the services whose upstreams start whatever they are told."""
+        """Return the services whose upstreams start runs without checking their own capacity."""
         configuration = self._term.records.configuration
         services = configuration.services if configuration is not None else ()
         return {service.name for service in services if not service.rejects_overload}
 
     def find_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
-        """Return upstreams that guard nothing and whose heartbeat was just missed."""
+        """Return upstreams that do not check their capacity and have just missed a heartbeat."""
         unguarded = self._list_unguarded()
         if not unguarded:
             return []
@@ -204,19 +211,22 @@
         return life.reported_at is None or now >= life.reported_at + missed_after
 
     def list_changes(self, life: Life) -> list[timedelta]:
-        """Return the moments at which a life takes work, or ceases to, by the clock alone."""
+        """Return the times at which it begins or ceases to accept work without any event."""
         moments = [life.avoid_until, self.get_health(life).set_aside_until]
         if life.reported_at is not None and life.info.service in self._list_unguarded():
             moments.append(life.reported_at + self._term.reports.valid_for)
         return moments
 
     def _is_report_valid(self, life: Life, now: timedelta) -> bool:
-        """Whether starts by the capacity that is known would be borne, had it shrunk meanwhile."""
+        """Return whether the last report is recent.
+
+        Until then starts are tolerated even if the capacity has shrunk since the report.
+        """
         reported_at = life.reported_at
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
     def measure_room(self, now: timedelta) -> float:
-        """Return the cores to reckon with; at the beginning of a term, also those not seen yet."""
+        """Return the usable cores; early in a term also those of upstreams not seen yet."""
         if self._room is not None and now < self._room[0]:
             return self._room[1]
         is_new = self.is_grace(now)
@@ -229,17 +239,17 @@
         return room
 
     def dispute(self, job: JobId) -> None:
-        """Let the runs of a job end with their leases, even where their stops do not arrive.
+        """Let the leases of a job's runs run out, even where the stops do not arrive.
 
-        Whoever decides about it next waits for these leases only; that of an upstream holds for all
-        that runs there, so that other runs would keep it alive.
+        The next coordinator of the job waits for these leases only. A lease covers everything that
+        runs at an upstream, so renewals for other runs would keep these alive.
         """
         for life in self.by_id.values():
             for key in [each for each in life.runs if each[0].job == job]:
                 life.dispute(key)
 
     def want_stop(self, upstream: UpstreamId, ref: TaskRef, run: RunNumber) -> None:
-        """Have a run stopped as soon as it can be."""
+        """Have a run stopped as soon as possible."""
         life = self.by_id.get(upstream)
         found = life.runs.get((ref, run)) if life is not None else None
         if life is not None and found is not None:
@@ -248,7 +258,7 @@
 
 
 def _may_take_work(life: Life) -> bool:
-    """Whether an upstream that has not answered this leader can be expected to take work."""
+    """Return whether an upstream not seen in this term can be expected to accept work."""
     return not (
         life.is_fenced or life.draining or life.is_evacuated or life.is_over or life.is_foreign
     )
--- a/cottonlug/core/cluster/lives.py
+++ b/cottonlug/core/cluster/lives.py
@@ -1,4 +1,4 @@
-"""Lives of upstreams as one leader sees them: clock, lease, runs and room."""
+"""Instances of upstreams as one leader sees them: clock, lease, runs and free capacity."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 RunKey = tuple[TaskRef, RunNumber]
 
 SLOWEST_CLOCK = 0.98
-"""An upstream's steady clock may run this much slower than ours (the platform's bound: 2%)."""
+"""Lowest rate of an upstream's monotonic clock relative to ours (the platform's bound: 2% slow)."""
 LAPSE_MARGIN = timedelta(milliseconds=60)
-"""Added to the end of a lease before anybody counts on it, for timers that fire late."""
+"""Added to the end of a lease before anybody relies on it, for timers that fire late."""
 LEAST_LEASE = timedelta(milliseconds=500)
-"""A shorter one would not outlast the change to another leader."""
+"""A shorter lease would not outlast a change of leader."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -29,22 +29,22 @@
 
     longest: timedelta
     delivery: timedelta = timedelta()
-    """How much later than decided an order may reach an upstream."""
+    """Longest delay between deciding on an order and its arrival at an upstream."""
 
     @property
     def lapse_after(self) -> timedelta:
-        """The time after which a lease that was asked for now has surely ended."""
+        """The time after which a lease that is requested now has certainly ended."""
         return self.delivery + self.longest / SLOWEST_CLOCK + LAPSE_MARGIN
 
 
 def choose_terms(
     longest: timedelta, caller_retry: timedelta, silence_borne: timedelta
 ) -> LeaseTerms:
-    """Return terms of leases that end before a lost caller's job can come again.
+    """Return terms of leases that end before a lost caller's job can be submitted again.
 
-    A caller that lost its gateway sends its job again after `caller_retry`; whoever decides gives
-    the job up once it has not heard that gateway for `silence_borne`. What still runs then, at an
-    upstream out of sight, has lost its lease by the time at which the job arrives anew.
+    A caller that lost its gateway submits its job again after `caller_retry`. The coordinator
+    abandons the job once it has not heard that gateway for `silence_tolerated`. What still runs
+    then, at an unreachable upstream, has lost its lease by the time the job arrives again.
     """
     ended_in_time = (caller_retry - silence_borne - LAPSE_MARGIN) * SLOWEST_CLOCK
     return LeaseTerms(longest=min(longest, max(ended_in_time, LEAST_LEASE)))
@@ -52,64 +52,66 @@
 
 @dataclass(slots=True, kw_only=True)
 class Life:
-    """One life of an upstream."""
+    """One run of an upstream's process, from its start to its exit or crash."""
 
     info: UpstreamInfo
     terms: LeaseTerms
     noted: int
-    """Up to which end note was taken by the record."""
+    """Number of the last run end that the replicated state has recorded."""
     number: int = 0
-    """Lives are numbered as they come, so that those alike have an order."""
+    """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
     draining: bool = False
     is_evacuated: bool = False
-    """Whether its failure domain is evacuated: what runs there goes on, nothing is started."""
+    """Whether its failure domain is evacuated: active runs continue, nothing is started."""
     is_over: bool = False
     is_cordoned: bool = False
-    """Whether nothing that a leader began can be at work there, and nothing may be started."""
+    """Whether no run started by a leader can be active there, so that nothing may be started
+    either."""
     is_uncordoning: bool = False
-    """Whether the log is to say that it is used again."""
+    """Whether a command to use it again has been proposed to the log."""
     is_foreign: bool = False
-    """Whether another host orders it in this term."""
+    """Whether another host sends its orders in this term."""
     is_fenced: bool = False
-    """Whether it has answered a look of this leader's term, so that its runs are known."""
+    """Whether it has answered a poll of this leader's term, so that its runs are known."""
     proposed: int = 0
-    """Up to which end note was proposed."""
+    """Number of the last run end that was proposed to the log."""
     confirmed: int = 0
-    """Up to which end the upstream was told that note was taken."""
+    """Number of the last run end whose recording was confirmed to the upstream."""
     sequence: int = 0
-    """Of the newest heartbeat: an older one that comes later is void."""
+    """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
     reported_at: timedelta | None = None
-    """When it last said what its capacity is, at the earliest; None where that is not known."""
+    """The earliest time at which its last capacity report can have been sent; None if unknown."""
     is_capacity_doubted: bool = False
-    """Whether the record says that a heartbeat was missed."""
+    """Whether the replicated state says that a heartbeat was missed."""
     is_unreadable: bool = False
-    """Whether what it last said of its capacity could not be read."""
+    """Whether the capacity in its last report could not be read."""
     refusals: int = 0
-    """Starts refused for want of room since one was carried out or its capacity was told."""
+    """Starts refused for lack of capacity since the last successful start or capacity report."""
     heard_at: timedelta | None = None
     contact_at: timedelta | None = None
     failed_looks: int = 0
     look_is_out: bool = False
     probe_is_out: bool = False
     listed_ms: int = -1
-    """When its runs were last listed, on its own clock: an older list that comes later is void."""
+    """When its runs were last listed, on its own clock: an older list that arrives later is
+    ignored."""
     look_due: timedelta = timedelta()
     probe_due: timedelta = timedelta()
     is_on_trial: bool = False
     """Whether it gets one run at a time, after it was found failing, stalled or slow."""
     is_listening: bool = True
-    """Whether an order would reach it at once, and not with the answer to its next heartbeat."""
+    """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
     avoid_until: timedelta = timedelta()
     cold_until: timedelta = timedelta()
     """Until then tasks take longer there than usual, so that it is used last."""
     must_check: bool = False
-    """Whether it is to be looked at once though nothing runs there."""
+    """Whether it is to be polled soon although nothing runs there."""
     lost_at: timedelta | None = None
-    """When it was first found not to answer, if it has not since."""
+    """When it was first found not to answer; None once it has answered again."""
     lost: AtWork = NO_WORK
-    """What was at work when its lease lapsed, until it is known whether it has crashed."""
+    """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
     lapse_at: timedelta = timedelta()
-    """From when on nothing can run there unless a lease is renewed."""
+    """From then on nothing can run there unless a lease is renewed."""
     patience: Patience = field(default_factory=Patience)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
@@ -122,16 +124,17 @@
     _clock_at: timedelta = timedelta()
 
     def take_clock(self, clock_ms: int, now: timedelta) -> None:
-        """Learn from an answer what time it is at the upstream, at the least."""
+        """Update the lower bound of the upstream's clock from an answer."""
         known = self._estimate_clock(now)
         if known is None or clock_ms >= known:
             self._clock_ms = float(clock_ms)
             self._clock_at = now
 
     def take_report(self, capacity: Capacity, sequence: int, reported_at: timedelta) -> bool:
-        """Learn what an upstream has to give; return whether the record says something else.
+        """Store the reported capacity; return whether it differs from the replicated state.
 
-        What runs there stays, be it over a capacity that has shrunk: only starts may not be.
+        Active runs stay even if they exceed a capacity that has shrunk; only starts may not exceed
+        it.
         """
         self.sequence = sequence
         self.reported_at = reported_at
@@ -143,14 +146,17 @@
         return is_news
 
     def find_age(self, clock_ms: int | None, now: timedelta) -> timedelta:
-        """Return how old something is, at the least, that it sent at a time on its own clock."""
+        """Return the least age of something that the upstream sent at a time on its own clock."""
         known = self._estimate_clock(now)
         if known is None or clock_ms is None:
             return timedelta()
         return timedelta(milliseconds=max(known - clock_ms, 0.0))
 
     def grant(self, now: timedelta) -> int | None:
-        """Return an end of lease on the upstream's clock, and remember that it may get it."""
+        """Return a lease end on the upstream's clock, and count the lease as granted.
+
+        None if the upstream's clock is unknown.
+        """
         clock_ms = self._estimate_clock(now)
         if clock_ms is None:
             return None
@@ -158,19 +164,19 @@
         return int(clock_ms) + to_milliseconds(self.terms.longest)
 
     def add_run(self, run: Run) -> None:
-        """Count a run against the room."""
+        """Add a run and count its needs as used."""
         self.runs[(run.task, run.run)] = run
         self._change_use(run, 1)
 
     def remove_run(self, key: RunKey) -> Run | None:
-        """Give the room of a run back."""
+        """Remove a run and free what it used."""
         run = self.runs.pop(key, None)
         if run is not None:
             self._change_use(run, -1)
         return run
 
     def dispute(self, key: RunKey) -> None:
-        """Renew no lease before a run is gone, since somebody else counts on it to end."""
+        """Renew no lease here until a run is gone, because another host relies on its end."""
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
             run.is_disputed = True
@@ -178,21 +184,24 @@
 
     @property
     def free_cpu(self) -> int:
-        """Processor room that is left, in thousandths of a core."""
+        """Free processor capacity, in thousandths of a core."""
         return self.info.capacity.cpu_millis - self._used_cpu
 
     @property
     def has_orphans(self) -> bool:
-        """Whether runs are at work there whose jobs, and so whose needs, are not known."""
+        """Whether there are runs whose jobs, and therefore whose needs, are unknown."""
         return self._orphans > 0
 
     @property
     def has_disputed(self) -> bool:
-        """Whether something runs there whose lease must end: nothing is started or renewed."""
+        """Whether a run's lease must run out: nothing is started or renewed here."""
         return self._disputed > 0
 
     def has_room(self, needs: Needs) -> bool:
-        """Whether a task fits; an orphan, whose needs are not known, counts as one like it."""
+        """Return whether a task fits.
+
+        Each orphaned run, whose needs are unknown, counts as much as the task.
+        """
         capacity = self.info.capacity
         alike = 1 + self._orphans
         return (
@@ -202,7 +211,7 @@
         )
 
     def takes_work(self, now: timedelta) -> bool:
-        """Whether a start may be sent at all."""
+        """Return whether a start may be sent at all."""
         return (
             self.is_fenced
             and not self.is_cordoned
@@ -216,7 +225,7 @@
         )
 
     def is_cold(self, now: timedelta) -> bool:
-        """Whether tasks take longer there than usual."""
+        """Return whether tasks take longer there than usual."""
         return now < self.cold_until
 
     def _change_use(self, run: Run, sign: int) -> None:
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -1,4 +1,4 @@
-"""What a leader tells upstreams, and what it learns from their answers."""
+"""Orders that a leader sends to upstreams, and the outcomes that it derives from their answers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartOrder:
-    """Start a run; void once the upstream's clock has passed `expires_ms`."""
+    """Starts a run; void once the upstream's clock has passed `expires_ms`."""
 
     upstream: UpstreamInfo
     task: TaskRef
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StopOrder:
-    """Stop a run; one that is not there yet is refused from then on."""
+    """Stops a run; if the run has not arrived yet, the upstream refuses it from then on."""
 
     upstream: UpstreamInfo
     task: TaskRef
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LookOrder:
-    """Ask for all runs and ends, renew the lease, and confirm ends up to `last_seen`.
+    """Lists all runs and run ends, renews the lease, and confirms ends up to `last_seen`.
 
-    The upstream may keep the answer for up to `wait` until a run ends. Without `expires_ms` the
+    The upstream may hold the answer for up to `wait` until a run ends. Without `expires_ms` the
     lease stays as it is.
     """
 
@@ -47,9 +47,9 @@
     expires_ms: int | None
     wait: timedelta
     first_end: timedelta = timedelta()
-    """How long until a run there is expected to end; zero where one should have ended."""
+    """Time until a run there is expected to end; zero if one should have ended already."""
     is_probe: bool = False
-    """Whether it is sent beside a parked one, to learn at once what became of a run."""
+    """Whether it is sent beside a long poll, to learn at once what became of a run."""
     patience: timedelta = LONGEST
     """How long its answer is waited for, beyond `wait`."""
 
@@ -58,7 +58,7 @@
 
 
 class StartOutcome(Enum):
-    """What became of a start; only `UNKNOWN` leaves open whether it may run."""
+    """Outcomes of a start; only `UNKNOWN` leaves open whether it may run."""
 
     STARTED = "started"
     FENCED = "fenced"
@@ -69,13 +69,13 @@
     INVALID = "invalid"
     LIFE_ENDED = "life_ended"
     IGNORED = "ignored"
-    """Taken in and not carried out, for a reason that was not told."""
+    """Received but not carried out, for an unknown reason."""
     NOT_SENT = "not_sent"
     UNKNOWN = "unknown"
 
 
 class CallFailure(Enum):
-    """Why a stop or a look brought no answer."""
+    """Reasons why a stop or a poll brought no answer."""
 
     LIFE_ENDED = "life_ended"
     NO_ANSWER = "no_answer"
@@ -85,7 +85,7 @@
 
 
 class RunPhase(Enum):
-    """How sure the leader is of a run."""
+    """How certain the leader is that a run is active."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -102,21 +102,21 @@
     phase: RunPhase
     since: timedelta
     percent: int = 0
-    """How far its upstream said that it was, as of `seen_at`."""
+    """Progress reported by its upstream, as of `seen_at`."""
     first_percent: int = 0
-    """How far it was when this leader first knew of it."""
+    """Progress when this leader first learned of the run."""
     seen_at: timedelta | None = None
     """When its upstream last listed it as running."""
     advanced_at: timedelta = timedelta()
-    """When it was last seen to have got on, at the least when it began."""
+    """When it was last seen to have made progress, at the earliest its start."""
     resumes: bool = False
-    """Whether it began from a checkpoint, so that it makes no progress at first."""
+    """Whether it resumed from a checkpoint, so that it makes no progress at first."""
     is_alone: bool = False
-    """Whether nothing else is to be started beside it, since it may crash its upstream."""
+    """Whether nothing else may be started beside it, because it may crash its upstream."""
     is_orphan: bool = False
-    """Whether its job is not known, but may be submitted again."""
+    """Whether its job is unknown but may still be submitted again."""
     is_disputed: bool = False
-    """Whether, besides, somebody out of touch may count on its lease to end."""
+    """Whether, in addition, an unreachable host may rely on its lease running out."""
     unsure_at: timedelta = timedelta()
     """When its start was found to have no answer."""
     stop_wanted: bool = False
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -1,7 +1,7 @@
-"""The replicated record: jobs, their ends, the known upstreams and the configuration.
+"""The replicated state: jobs, their run ends, the known upstreams and the configuration.
 
-Every host of the log applies the same commands in the same order, so nothing here may depend on a
-clock or on chance.
+Every host applies the same commands in the same order, so nothing here may depend on a clock or on
+randomness.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 class TaskRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What is kept of one task."""
+    """Stored state of one task."""
 
     is_done: bool = False
     failed_runs: int = 0
@@ -70,7 +70,7 @@
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What is kept of one job; the payload goes when the job ends."""
+    """Stored state of one job; the payload is dropped when the job ends."""
 
     id: JobId
     queue: Queue
@@ -87,49 +87,50 @@
         return not self.state.is_final
 
     def get_task(self, ref: TaskRef) -> TaskRecord:
-        """Return the record of a task, to be read only."""
+        """Return the record of a task, for reading only."""
         return self.tasks.get(_name(ref), _NEW_TASK)
 
     def open_task(self, ref: TaskRef) -> TaskRecord:
-        """Return the record of a task, to be changed."""
+        """Return the record of a task for changing, adding it if necessary."""
         return self.tasks.setdefault(_name(ref), TaskRecord())
 
     def list_refs(self, occurrence: int) -> Iterator[TaskRef]:
-        """Return every task of one occurrence."""
+        """Yield every task of one occurrence."""
         for number, step in enumerate(self.spec.steps):
             for index in range(step.count):
                 yield TaskRef(self.id, occurrence, number, index)
 
     def is_step_done(self, occurrence: int, number: int) -> bool:
-        """Whether every task of a step has ended as done in one occurrence."""
+        """Return whether every task of a step is done in one occurrence."""
         step = self.spec.steps[number]
         refs = (TaskRef(self.id, occurrence, number, index) for index in range(step.count))
         return all(self.get_task(ref).is_done for ref in refs)
 
     @property
     def task_count(self) -> int:
-        """How many tasks the job has, in all its occurrences."""
+        """Number of tasks of the job, in all its occurrences."""
         return sum(step.count for step in self.spec.steps) * self.spec.occurrences
 
 
 class UpstreamRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """A known life of an upstream, and up to which of its ends note was taken."""
+    """A known instance of an upstream, and the number of its last recorded run end."""
 
     info: UpstreamInfo
     noted: int = 0
     draining: bool = False
     is_cordoned: bool = False
-    """Whether no leader has anything at work there."""
+    """Whether no leader has anything active there."""
     sequence: int = 0
-    """Of the heartbeat that told its capacity: an older one says nothing of it."""
+    """Sequence number of the heartbeat that reported the capacity; older heartbeats do not change
+    it."""
     is_capacity_doubted: bool = False
-    """Whether a heartbeat has been missed since."""
+    """Whether a heartbeat has been missed since then."""
     lost: AtWork = NO_WORK
-    """What was at work there when it fell out of sight, until it answers again."""
+    """Tasks that were active when it became unreachable, kept until it answers again."""
 
 
 class Saved(Value, frozen=True):
-    """The whole state, as a snapshot holds it."""
+    """The whole state as a snapshot stores it."""
 
     configuration: Configuration | None
     jobs: tuple[JobRecord, ...]
@@ -142,7 +143,7 @@
 
 
 class Records:
-    """The state machine under the replicated log."""
+    """The state machine of the replicated log."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
@@ -153,7 +154,7 @@
         self.evacuations = Evacuations()
 
     def apply(self, command: Command) -> None:
-        """Carry out one committed command; one that comes twice changes nothing the second time."""
+        """Apply one committed command; applying it again changes nothing."""
         if isinstance(command, NoteEnds):
             self._note_ends(command)
         elif isinstance(command, AcceptJob):
@@ -204,7 +205,7 @@
         return msgspec.json.encode(saved).decode()
 
     def restore(self, data: str) -> None:
-        """Replace the whole state by that of a snapshot; an empty one is the beginning."""
+        """Replace the whole state by that of a snapshot; empty data gives the initial state."""
         saved = _decoder.decode(data) if data else Saved(configuration=None, jobs=(), upstreams=())
         self.put_in_force(saved.configuration)
         self.jobs = {job.id: job for job in saved.jobs}
@@ -213,9 +214,10 @@
         self.evacuations = Evacuations(saved.evacuations)
 
     def find_leaving(self, id: UpstreamId) -> UpstreamRecord | None:
-        """Return the life that leaves under an id, which may not tell when that life began.
+        """Return the instance that leaves under an id, which may lack the start time.
 
-        One that has said so before, else the newest of that name.
+        Without a start time, an instance of that name that is already leaving is preferred, then
+        the newest.
         """
         if id in self.upstreams:
             return self.upstreams[id]
@@ -226,12 +228,12 @@
         return max(draining or alike, key=lambda each: find_birth(each.info.id) or 0, default=None)
 
     def find_crashes(self, task: TaskRef) -> CrashCounts:
-        """Return how often upstreams have ended under a task."""
+        """Return the counts of upstream ends under a task."""
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
 
     def put_in_force(self, configuration: Configuration | None) -> None:
-        """Decide by a configuration from now on."""
+        """Use a configuration from now on."""
         self.configuration = configuration
         self.queues = None if configuration is None else QueueIndex(configuration=configuration)
 
@@ -274,7 +276,7 @@
 
     def _note_crash(self, command: NoteCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
-            # Two leaders may have seen the same end.
+            # Two leaders may have seen the same crash.
             return
         for task in command.blamed:
             self._count_crash(task, ONE_CRASH, command.at_ms)
@@ -316,7 +318,7 @@
 
 
 def note_end(job: JobRecord, end: EndReport, at_ms: int) -> None:
-    """Take note of the end of one run in the record of its job."""
+    """Record the end of one run in the record of its job."""
     if not job.is_open:
         return
     task = job.open_task(end.task)
@@ -324,7 +326,7 @@
     if end.checkpoint:
         task.checkpoint = end.checkpoint
     if task.is_done or job.spec.long_running:
-        # A task that lasts is begun again however it ends.
+        # A long-running task is started again however it ends.
         return
     if end.how is EndKind.DONE:
         task.is_done = True
@@ -338,7 +340,7 @@
 
 
 def end_job(job: JobRecord, state: JobState, at_ms: int) -> None:
-    """End a job; what only an open job needs is dropped."""
+    """End a job and drop what only an open job needs."""
     job.state = state
     job.ended_ms = at_ms
     job.tasks = {}
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves: that they live, what they have to give, and that they leave."""
+"""Processes heartbeats of upstreams: existence, capacity, and leaving."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Registry:
-    """Takes heartbeats in, and has the log tell every later leader what they changed."""
+    """Processes heartbeats, and proposes to the log what every later leader must know."""
 
     def __init__(self, *, term: Term, lives: LifeTable) -> None:
         self._term = term
         self._lives = lives
         self._joining: dict[UpstreamId, Heartbeat] = {}
-        """The newest heartbeat of each upstream that the log is to know."""
+        """The newest heartbeat of each upstream that is not yet registered in the log."""
 
     def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Learn that an upstream lives, what it has to give, and whether it is leaving."""
+        """Record that an upstream is alive, what its capacity is, and whether it is leaving."""
         life = self._lives.by_id.get(heartbeat.info.id)
         later = self._lives.find_later(heartbeat.info.id) if life is None else None
         if later is not None:
@@ -67,7 +67,7 @@
     def take_heard(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Learn that another host has answered a heartbeat in which nothing was new."""
+        """Record that another host has answered a heartbeat that contained nothing new."""
         life = self._lives.by_id.get(id)
         if life is None or sequence < life.sequence:
             return
@@ -80,7 +80,7 @@
             self._lives.touch(life)
 
     def _take_report(self, life: Life, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Learn what an upstream has to give at the moment, and put a change into the log."""
+        """Record the reported capacity, and propose a change to the log."""
         if heartbeat.has_no_capacity and not life.is_unreadable:
             self._term.note("capacity_unreadable", {"upstream": life.info.id})
         life.is_unreadable = heartbeat.has_no_capacity
@@ -115,17 +115,20 @@
             self._term.note("upstream_leaving", {"upstream": upstream})
 
     def take_added(self, command: AddUpstream, now: timedelta) -> None:
-        """Begin to watch an upstream that the log knows from now on."""
+        """Begin to track an upstream that the log has just registered."""
         joining = self._joining.pop(command.info.id, None)
         if command.info.id not in self._lives.by_id:
             life = self._lives.add(command.info, 0, False, now)
             life.sequence = command.sequence
         if joining is not None:
-            # It may have said something new of itself while the log took it in.
+            # It may have reported something new while the log was registering it.
             self.take_heartbeat(joining, now)
 
     def doubt_capacities(self, now: timedelta) -> None:
-        """Tell whoever decides next of which unguarded upstreams a heartbeat was missed."""
+        """Propose to mark upstreams that do not check their own capacity and missed a heartbeat.
+
+        The next coordinator then knows that their capacity may have changed.
+        """
         doubted = self._lives.find_newly_doubted(now)
         if doubted and self._term.keeps_log:
             self._term.proposals.append(DoubtCapacities(upstreams=tuple(doubted)))
--- a/cottonlug/core/cluster/rosters.py
+++ b/cottonlug/core/cluster/rosters.py
@@ -1,8 +1,9 @@
-"""What gateways must know to stand in, sent once and then as changes, in parts of a bounded size.
+"""Failover state: what a gateway must know to act as leader.
 
-At 176 upstreams and 44 gateways a whole roster of 35 KB for each change of one upstream would be
-1.5 MB, on links of 1.5 MB/s. At 999 upstreams it has 225 KB: that takes longer on such a link than
-a greeting is waited for, so that it was sent again and again, and never arrived.
+It is sent once and then as changes, in parts of a bounded size. With 176 upstreams and 44 gateways,
+sending the whole state of 35 KB for each change of one upstream would take 1.5 MB, on links of 1.5
+MB/s. With 999 upstreams it has 225 KB: sending that takes longer on such a link than the answer to
+a keep-alive is waited for, so that it was sent again and again and never arrived.
 """
 
 from __future__ import annotations
@@ -30,47 +31,48 @@
 from .records import Records
 
 KEPT_CHANGES = 512
-"""A gateway that has missed more begins anew."""
+"""A gateway that has missed more changes than this gets the whole state again."""
 PART = 128
-"""Upstreams in one answer: 29 KB, 23 ms of a link of 10 Mbit/s, and greetings wait 100 ms."""
+"""Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
+after 100 ms."""
 FEW = 16
 """Upstreams in an answer that costs hardly more than one without any."""
 _FIRST = UpstreamId("")
-"""Before all ids of upstreams."""
+"""Sorts before all ids of upstreams."""
 OWN_DOMAIN_ASKED = 3
 OTHER_DOMAINS_ASKED = 2
-"""Gateways asked in each domain for a leader or a deputy: two may be down at once."""
+"""Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
 MOST_FOR_ONE_DEPUTY = 64
 """Upstreams; a gateway has half a core, and twice as many overload it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Position:
-    """How far a gateway has got: what its version says."""
+    """Position of a gateway in the state and its changes, as its version encodes it."""
 
     number: int
-    """All changes up to it are known."""
+    """All changes up to this number are known."""
     after: UpstreamId | None = None
-    """Of the upstreams of the beginning those up to this one are known; None for all of them."""
+    """Of the initial upstreams those up to this id are known; None if all of them are."""
 
 
 class RosterLog:
-    """The changes of what a roster holds, under one leader."""
+    """Changes of the failover state under one leader."""
 
     def __init__(self, *, term: int, takes_calls: bool) -> None:
         self._term = term
         self._takes_calls = takes_calls
         self._number = 0
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=KEPT_CHANGES)
-        """Number of each change, and the upstream that changed or left, if it was one."""
+        """Number of each change, and the upstream that it concerns, if any."""
         self._configured = 0
         """Number of the last change of the configuration."""
         self._sorted: tuple[int, list[UpstreamId]] = (-1, [])
-        """All upstreams in order, as of the change with this number."""
+        """All upstream ids in order, as of the change with this number."""
 
     @property
     def version(self) -> str:
-        """Version of the present roster."""
+        """Version of the current state."""
         return f"{self._term}.{self._number}"
 
     def note_upstream(self, upstream: UpstreamId) -> None:
@@ -79,18 +81,18 @@
         self._changes.append((self._number, upstream))
 
     def note_configuration(self) -> None:
-        """Count that another configuration is in force."""
+        """Count that another configuration is active."""
         self._number += 1
         self._changes.append((self._number, None))
         self._configured = self._number
 
     def note_other(self) -> None:
-        """Count a change of anything else."""
+        """Count any other change."""
         self._number += 1
         self._changes.append((self._number, None))
 
     def note_command(self, command: Command) -> None:
-        """Count what a command of the log has changed, if a roster holds it."""
+        """Count what a command of the log has changed, if the failover state contains it."""
         if isinstance(command, AddUpstream):
             self.note_upstream(command.info.id)
         elif isinstance(command, SetDraining | ResizeUpstream | NoteCrash):
@@ -111,7 +113,7 @@
         keeps_jobs: bool,
         known: str,
     ) -> Roster | None:
-        """Return what is to be sent next to a gateway that has the version `known`, or None."""
+        """Return the next part for a gateway with version `known`, or None if that is current."""
         if known == self.version:
             return None
         position = self._find_position(known)
@@ -122,7 +124,7 @@
         is_new = position is None or position.number < self._configured
         configuration = records.configuration if is_new else None
         if configuration is not None:
-            # Nobody reads a configuration back from a gateway.
+            # The original document is never read back from a gateway.
             configuration = msgspec.structs.replace(configuration, document="")
         return Roster(
             version=f"{self._term}.{number}" + (f">{after}" if after is not None else ""),
@@ -140,14 +142,14 @@
         )
 
     def is_large(self, records: Records, known: str) -> bool:
-        """Whether what is to be sent next to a gateway holds many upstreams."""
+        """Return whether the next part for a gateway contains many upstreams."""
         position = self._find_position(known)
         if position is None or position.after is not None:
             return len(records.upstreams) > FEW
         return self._number - position.number > FEW
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
-        """Return the upstreams of one part of the changes, and the number of its last one."""
+        """Return the upstreams in the next part of the changes, and its last change's number."""
         ids: dict[UpstreamId, None] = {}
         for number, upstream in self._changes:
             if number <= since or upstream is None or upstream in ids:
@@ -160,7 +162,7 @@
     def _list_next(
         self, records: Records, after: UpstreamId | None, count: int
     ) -> tuple[list[UpstreamId], UpstreamId | None]:
-        """Return some upstreams that follow on one, and the last of them unless none is left."""
+        """Return the next upstreams after an id, and the last of them; None if no more follow."""
         if after is None:
             return [], None
         if self._sorted[0] != self._number:
@@ -172,7 +174,7 @@
         return part, None if is_last else (part[-1] if part else after)
 
     def _find_position(self, version: str) -> _Position | None:
-        """Return up to where a version goes, or None where not all later changes are known."""
+        """Return the position that a version encodes; None if later changes are incomplete."""
         version, has_cursor, after = version.partition(">")
         term, _, number = version.partition(".")
         if term != str(self._term) or not number.isdecimal():
@@ -184,14 +186,14 @@
 
 
 def find_own_domain(roster: Roster, own: str) -> DomainName | None:
-    """Return the domain that a deputy stands in for alone, or None where one does for all."""
+    """Return the one domain that an acting leader manages, or None where one manages all."""
     if len(roster.upstreams) <= MOST_FOR_ONE_DEPUTY:
         return None
     return next((each.domain for each in roster.gateways if each.address == own), None)
 
 
 def merge_roster(known: Roster | None, received: Roster) -> Roster | None:
-    """Return the roster after what was received, or None where that does not follow on `known`."""
+    """Return the state after merging what was received; None if that does not follow on `known`."""
     if not received.base:
         return received
     if known is None or known.version != received.base:
@@ -211,10 +213,11 @@
 
 
 def choose_asked(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
-    """Return which gateways one asks that reaches no leader.
+    """Return the gateways that a gateway queries if it reaches no leader.
 
-    The lowest of each domain, since the lowest that can be reached stands in: to ask all would be
-    the square of their number, at the worst of times.
+    These are the lowest addresses of each domain, because the lowest gateway that can be reached
+    acts as leader. If each gateway queried all others, the number of calls would grow with the
+    square of their number, at the worst of times.
     """
     home = next((each.domain for each in gateways if each.address == own), DomainName(""))
     asked: list[str] = []
--- a/cottonlug/core/cluster/settlement.py
+++ b/cottonlug/core/cluster/settlement.py
@@ -1,4 +1,4 @@
-"""What an earlier leader may have left at work, and when that is surely over."""
+"""Reconciles what earlier leaders may have started, and tells when none of it can be active."""
 
 from __future__ import annotations
 
@@ -12,30 +12,33 @@
 
 
 class Settlement:
-    """Tasks of which it is not known whether they run at an upstream out of sight."""
+    """Tracks tasks that may be active at an unreachable upstream without this leader knowing."""
 
     def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
         self.is_settled = False
-        """Whether all leases of earlier terms have ended, or all upstreams were seen."""
+        """Whether all leases of earlier terms have ended, or all upstreams have answered."""
         self._term = term
         self._lives = lives
         self._jobs = jobs
 
     @property
     def first_phase(self) -> TaskPhase:
-        """The phase of a task that comes up now and may have been begun by an earlier leader."""
+        """The phase of a task that comes up now and that an earlier leader may have started."""
         return TaskPhase.QUEUED if self.is_settled else TaskPhase.UNKNOWN
 
     def is_unsure(self, *, of_deputies: bool) -> bool:
-        """Whether a run of another leader, or of a deputy as well, may be at work out of sight."""
+        """Return whether a run of another leader may be active at an upstream not seen yet.
+
+        With `of_deputies`, runs of acting leaders count as well.
+        """
         return self._lives.is_any_unseen(of_deputies=of_deputies)
 
     def note_unsure(self) -> None:
-        """Look again whether tasks are unknown."""
+        """Check again whether tasks are unknown."""
         self._jobs.has_unsure = True
 
     def settle(self, now: timedelta) -> None:
-        """Once nothing unknown can run any more, queue what an earlier leader left open."""
+        """Queue what an earlier leader left open, once no unknown run of it can be active."""
         if not self.is_settled and (not self._lives.unseen or now >= self._term.lapsed_at):
             self.is_settled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
--- a/cottonlug/core/cluster/suspicion.py
+++ b/cottonlug/core/cluster/suspicion.py
@@ -1,4 +1,4 @@
-"""Which tasks one leader suspects of crashing upstreams, by what was lost with them at work."""
+"""Tracks which tasks one leader suspects of crashing upstreams, from what was active at losses."""
 
 from __future__ import annotations
 
@@ -30,35 +30,36 @@
 from .term import Term
 
 KEEP_LOSSES = timedelta(seconds=30)
-"""An upstream that has crashed is back after some seconds, and shows by then that it had."""
+"""An upstream that has crashed is back after some seconds, and then shows that it had."""
 
 LARGEST_RACK = 64
-"""A label that more upstreams have is not that of a rack."""
+"""A label that more upstreams have than this does not name a rack."""
 MOST_TOLD = 1_000
-"""Suspects that gateways have told of; the oldest are of jobs that ended long ago."""
+"""Suspects that gateways have reported; the oldest belong to jobs that ended long ago."""
 
 
 class Suspicion:
-    """What was lost lately, and what may have done it; the counts are in the record."""
+    """Recent losses of upstreams and their possible causes; the log holds the counts."""
 
     def __init__(self, *, term: Term, lives: LifeTable) -> None:
         self._term = term
         self._lives = lives
         self._losses: list[Loss] = []
         self.convicted: Counter[QueueKey] = Counter()
-        """How many tasks of each kind were given up in this term for crashing upstreams."""
+        """How many tasks of each queue were quarantined in this term for crashing upstreams."""
         self._lost_tasks: Counter[TaskRef] = Counter()
-        """At how many upstreams, lost and not known to have crashed, each task was at work."""
+        """For each task, the lost upstreams at which it was active and that may have crashed."""
         self._lost_starts: Counter[TaskRef] = Counter()
-        """At how many such upstreams each task may have been started."""
+        """For each task, the lost upstreams at which it may have been started."""
         self._told: dict[TaskRef, CrashCounts] = {}
-        """What gateways have learnt from hosts that decided before, and the log does not say."""
+        """Counts from earlier coordinators that gateways have reported and that the log does not
+        contain."""
         for life in lives.by_id.values():
             self._lost_tasks.update(life.lost.tasks)
             self._lost_starts.update(life.lost.all_tasks)
 
     def note_silent(self, life: Life, now: timedelta) -> None:
-        """Learn that an upstream does not answer."""
+        """Record that an upstream does not answer."""
         if life.lost_at is not None:
             return
         life.lost_at = now
@@ -70,10 +71,10 @@
         )
 
     def _check_neighbours(self, life: Life) -> None:
-        """Have those looked at that would be lost together with an upstream: its rack, if any.
+        """Poll the upstreams that would be lost together with one, such as those of its rack.
 
-        Nothing is asked of idle upstreams as a rule, so that a rack that has gone down with one
-        busy upstream would look like the crash of that one.
+        Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
+        upstream would look like a crash of that one.
         """
         by_label = {
             label: [each for each in self._lives.by_id.values() if label in each.info.labels]
@@ -86,7 +87,7 @@
                     self._lives.touch(each)
 
     def note_answer(self, life: Life) -> tuple[TaskRef, ...]:
-        """Learn that an upstream has not crashed; return what was at work when it was lost."""
+        """Record that an upstream has not crashed; return what was active when it was lost."""
         if life.lost_at is None and life.lost is NO_WORK:
             return ()
         cleared = self.forget(life)
@@ -96,17 +97,17 @@
         return cleared
 
     def note_lapse(self, life: Life, now: timedelta) -> None:
-        """Remember what was at work at an upstream that may turn out to have crashed."""
+        """Remember the tasks that were active at an upstream that may turn out to have crashed."""
         self._set_lost(life, _find_at_work(life, now))
 
     def forget(self, life: Life) -> tuple[TaskRef, ...]:
-        """Forget an upstream that the log does not know any more; return what was lost there."""
+        """Forget an upstream that the log has removed; return the tasks that were lost there."""
         lost = life.lost.all_tasks
         self._set_lost(life, NO_WORK)
         return lost
 
     def take_told(self, suspects: Iterable[Suspect]) -> None:
-        """Learn from a gateway what hosts that decided before had against its job."""
+        """Record the crashes that earlier coordinators have counted for a gateway's job."""
         for suspect in suspects:
             more = suspect.counts.subtract(self.find_counts(suspect.task))
             self._told[suspect.task] = self._told.get(suspect.task, NO_CRASHES).add(more)
@@ -120,12 +121,12 @@
         return tuple(Suspect(task=task, counts=self.find_counts(task)) for task in of_job)
 
     def find_counts(self, task: TaskRef) -> CrashCounts:
-        """Return how often upstreams have ended under a task, as far as is known here."""
+        """Return the known counts of upstream ends under a task."""
         counts = self._term.records.find_crashes(task)
         return counts.add(self._told.get(task, NO_CRASHES))
 
     def note_end(self, life: Life, queues: Mapping[JobId, QueueKey], now: timedelta) -> None:
-        """Learn that an upstream has ended; the log is to count it where it did not leave."""
+        """Record that an upstream has ended; propose to count a crash if it was not leaving."""
         at_work = _find_at_work(life, now)
         if life.draining or at_work == NO_WORK:
             self._term.proposals.append(RemoveUpstreams(upstreams=(life.info.id,)))
@@ -156,7 +157,7 @@
         )
 
     def note_gone(self, life: Life) -> None:
-        """Learn that an upstream that was lost does not come back: nobody knows what ended it."""
+        """Record that a lost upstream does not come back; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             NoteCrash(
@@ -169,7 +170,7 @@
         )
 
     def find_care(self, task: TaskRef) -> Care:
-        """Return how a task is to be started, by what is known of earlier starts."""
+        """Return how the next start of a task is restricted by the outcomes of earlier ones."""
         counts = self.find_counts(task)
         unsure = self._lost_starts[task]
         if not unsure:
@@ -180,7 +181,7 @@
         return Care.HELD if starts >= MOST_CRASHES else Care.ALONE
 
     def may_suspect_any(self) -> bool:
-        """Whether there is anything to find by `find_care`."""
+        """Return whether any task may be restricted."""
         return bool(self._lost_starts or self._told or self._term.records.suspects)
 
     def _set_lost(self, life: Life, at_work: AtWork) -> None:
@@ -188,7 +189,7 @@
         self._lost_tasks.update(at_work.tasks)
         self._lost_starts.subtract(life.lost.all_tasks)
         self._lost_starts.update(at_work.all_tasks)
-        # Without those that have come down to none.
+        # Unary plus drops tasks whose count has come down to zero.
         self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
         life.lost = at_work
 
@@ -209,7 +210,7 @@
 
 
 def _find_at_work(life: Life, now: timedelta) -> AtWork:
-    """Return what was at work at an upstream and had not been for long."""
+    """Return the tasks that are active at an upstream and were started recently."""
     young = [run for run in life.runs.values() if now - run.since < YOUNG]
     found = AtWork(
         tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -1,4 +1,4 @@
-"""What the parts of one leader's decisions share while its term lasts."""
+"""State that the parts of one leader's scheduling share during its term."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from .reports import USUAL_REPORTS, ReportTerms
 
 Note = Callable[[str, dict[str, str | int]], None]
-"""Called for each decision worth a log line, with its name and inputs."""
+"""Called for each decision that is logged, with its name and inputs."""
 WallTime = Callable[[], int]
-"""Return the wall-clock time in milliseconds."""
+"""Returns the wall-clock time in milliseconds."""
 
 TOKENS_PER_TERM = 1_000_000
-"""Room for the tokens of deputies between those of two leaders."""
+"""Space for the tokens of acting leaders between those of two leaders."""
 RUNS_PER_TERM = 4_096
 """Run numbers of a later term are higher than all of an earlier one."""
 
@@ -42,23 +42,23 @@
     given_up_jobs: int = 0
     moved_runs: int = 0
     crashed_upstreams: int = 0
-    """Upstreams that ended without leaving, with something at work."""
+    """Upstreams that ended without leaving while tasks were active there."""
     crashing_tasks: int = 0
-    """Tasks given up since upstreams have crashed under them."""
+    """Tasks quarantined because upstreams have crashed under them."""
     resized_upstreams: int = 0
     starts_without_room: int = 0
-    """Starts that upstreams refused for want of room."""
+    """Starts that upstreams refused for lack of capacity."""
     evacuated_rejections: int = 0
-    """Jobs rejected since all upstreams of their service are in evacuated domains."""
+    """Jobs rejected because all upstreams of their service are in evacuated domains."""
     settled_after_ms: int = 0
-    """How long it took until nothing of earlier leaders could run unknown."""
+    """Time until no run of an earlier leader could be active without being known."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Term:
-    """One term: what it may rely on, what it has to send, and what it has done.
+    """One term: its parameters, its pending orders and proposals, and its counts.
 
-    `number` rises from leader to leader; it is the token of all orders.
+    `number` rises from leader to leader; it is the fencing token of all orders.
     """
 
     number: int
@@ -69,38 +69,40 @@
     note: Note
     on_end: Callable[[JobId], None]
     domain: DomainName | None = None
-    """Failure domain whose upstreams alone it may order; None for all."""
+    """The only failure domain whose upstreams this term may send orders to; None for all."""
     keeps_log: bool = True
-    """Whether later leaders learn what it proposes; those of a deputy are its own affair."""
+    """Whether proposals reach later leaders through the log; those of an acting leader do not."""
     counts: DispatchCounts = field(default_factory=DispatchCounts)
     orders: list[Order] = field(default_factory=list)
     proposals: list[Command] = field(default_factory=list)
     reports: ReportTerms = USUAL_REPORTS
     known_until: timedelta = timedelta()
-    """Until then the capacities in the record can be counted on without a report to this leader."""
+    """Until then the capacities in the replicated state are valid without a report to this leader.
+    """
     is_fenced_off: bool = False
-    """Whether an upstream has taken orders under a higher token: this term is over there."""
+    """Whether an upstream has accepted orders under a higher token: this term has ended there."""
 
     @property
     def may_start(self) -> bool:
         """Whether tasks may be started at all.
 
-        A deputy has been replaced once an upstream shows a higher token. A leader goes on at all
-        others until its next term, since a deputy decides for its own failure domain only.
+        An acting leader has been replaced once an upstream shows a higher token. A leader continues
+        at all other upstreams until its next term, because an acting leader coordinates its own
+        failure domain only.
         """
         return self.keeps_log or not self.is_fenced_off
 
     def may_be_decided_elsewhere(self, run: RunNumber) -> bool:
-        """Whether whoever began a run of another term may still decide about its job.
+        """Return whether the host that started a run of another term may still coordinate its job.
 
-        An earlier leader does not, since it has lost its own lease. A deputy may, in a failure
-        domain that is cut off, and so may the leader that a deputy does not reach.
+        An earlier leader does not, because it has lost its own lease. An acting leader may, in a
+        failure domain that is cut off, and so may the leader that an acting leader does not reach.
         """
         return not self.keeps_log or (run // RUNS_PER_TERM) % TOKENS_PER_TERM != 0
 
     @property
     def lapsed_at(self) -> timedelta:
-        """From when on nothing of earlier terms can be at work at an upstream not heard since."""
+        """From then on no run of an earlier term can be active at an upstream not heard since."""
         return self.began_at + self.lease.lapse_after
 
     @property
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -1,4 +1,4 @@
-"""Looks at upstreams, stops, leases that lapse, and lives that end."""
+"""Polls upstreams, stops runs, and handles lapsed leases and ended instances."""
 
 from __future__ import annotations
 
@@ -19,55 +19,59 @@
 from .term import Term
 
 LOOK_WAIT = timedelta(milliseconds=200)
-"""How long a look may be parked; a lease (0.92 s) then outlasts most changes of leader."""
+"""Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
 SHORTEST_LOOK = timedelta(milliseconds=20)
-"""Shorter parked looks would cost more calls than what they learn is worth."""
+"""Shorter long polls would cost more calls than their answers are worth."""
 LOOK_RETRY = timedelta(milliseconds=100)
 STRAGGLERS_SHARE = 0.1
-"""While fewer of the upstreams than that have not answered a new leader, they are looked at by
-several calls: what runs there is all that jobs wait for."""
+"""While a smaller share of the upstreams than this has not answered a new leader, these are polled
+by several calls at once: all jobs wait for what runs there."""
 STRAGGLER_PATIENCE = timedelta(milliseconds=30)
 PROBE_CHECK = timedelta(milliseconds=20)
-"""Whether an upstream is one of the last depends on all others, so it is looked at again."""
+"""Whether an upstream is one of the last depends on all others, so it is checked again this often.
+"""
 STRAGGLER_LOOKS = 8
-"""After so many it is out of reach, and looked at as others are."""
+"""After this many failed polls an upstream counts as unreachable, and is polled like any other."""
 MOST_RETRY_STEPS = 10
 ORPHAN_BORNE = timedelta(milliseconds=300)
-"""How long a run of an earlier leader is borne, whose upstream can take no work meanwhile; gateways
-submit their jobs again within that time as a rule. Its lease is not renewed."""
+"""How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
+that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
+renewed."""
 DISPUTED_GRACE = timedelta(milliseconds=100)
-"""The same for a run that a deputy, or a leader beside a deputy, may still decide about."""
+"""The same for a run that an acting leader, or a leader beside one, may still coordinate."""
 LOOKS_BEFORE_CORDON = 2
-"""An upstream that has just joined may miss one."""
+"""Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
-"""Without heartbeats for that long, and with nothing running, a life is forgotten, unless it may be
-beyond a cut, where a deputy uses it."""
+"""Silence, with nothing running, after which an instance is forgotten, unless it may be beyond a
+network partition, where an acting leader uses it."""
 SILENT_LOOK = timedelta(seconds=5)
-"""Between looks at one that may be: a later life at its address answers that it is over."""
+"""Interval between polls of such an instance: a later one at its address answers that it is over.
+"""
 FORGOTTEN_AFTER = timedelta(hours=1)
-"""Longer than domains are cut off as a rule (minutes)."""
+"""Longer than domains are usually cut off (minutes)."""
 MOST_MOVES = 2
-"""How often a task is moved: one that stands still everywhere is not moved for ever."""
+"""How often a task is moved: one that makes no progress anywhere is not moved forever."""
 
 
 class Watcher:
-    """Keeps leases alive and learns what has become of runs."""
+    """Keeps leases alive and finds out what has become of runs."""
 
     def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
         self._term = term
         self._lives = lives
         self._jobs = jobs
         self._out_of_sight: dict[UpstreamId, Life] = {}
-        """Lives that have not answered a look since they last did."""
+        """Instances whose last poll failed, or that have answered since and are not yet removed
+        here."""
 
     def look(self, life: Life, now: timedelta) -> None:
-        """Look at an upstream where its lease or its ends need it."""
+        """Poll an upstream if its lease or its run ends require it."""
         if life.is_over or life.is_foreign:
             return
         is_straggler = self._is_straggler(life)
         is_unsure = is_straggler or self._awaits_stop(life)
         if is_unsure and life.look_is_out and not life.probe_is_out and now >= life.probe_due:
-            # The parked look answers only when a run ends.
+            # The long poll answers only when a run ends.
             life.probe_due = now + (STRAGGLER_PATIENCE if is_straggler else LOOK_RETRY)
             self._send_look(life, timedelta(), now)
             return
@@ -82,7 +86,7 @@
         self._send_look(life, wait, now)
 
     def is_calm(self, life: Life, now: timedelta) -> bool:
-        """Whether nothing at an upstream needs the clock but the end of its lease."""
+        """Return whether nothing at an upstream depends on the clock but its lease's end."""
         return (
             life.is_fenced
             and life.failed_looks == 0
@@ -95,9 +99,10 @@
         )
 
     def find_wake(self, life: Life, now: timedelta) -> timedelta | None:
-        """Return when something is due at an upstream by the clock, once all that was due is done.
+        """Return the next time at which something is due at an upstream, or None.
 
-        None where only an event can bring it on.
+        Called once everything that was due is done. None means that only an event can change
+        anything.
         """
         if life.is_over:
             return None
@@ -125,8 +130,8 @@
         return self._find_borne_until(run) if run.is_orphan else None
 
     def _send_look(self, life: Life, wait: timedelta, now: timedelta) -> None:
-        # A look that is not answered may renew the lease all the same, and then nothing lapses for
-        # as long as it is repeated: only an upstream that answers is given more time.
+        # A poll that is not answered may still renew the lease, which then would not lapse for as
+        # long as polls are repeated: the lease is extended only for upstreams that answer.
         renews = bool(life.runs) and life.failed_looks == 0 and not life.has_disputed
         expires_ms = life.grant(now) if renews else None
         is_probe = life.look_is_out
@@ -142,13 +147,13 @@
             wait=wait,
             first_end=self._find_first_end(life, now),
             is_probe=is_probe,
-            # Others renew leases: they are given up only when an answer is surely lost.
+            # Other polls renew leases: these are abandoned only when an answer is certainly lost.
             patience=life.patience.find_limit() if is_probe else LONGEST,
         )
         self._term.orders.append(order)
 
     def _find_wait(self, life: Life, now: timedelta) -> timedelta:
-        """Return how long a look may be parked: until the progress of a run should be known."""
+        """Return how long a poll may be held: until the progress of a run should be checked."""
         wait = LOOK_WAIT
         for run in life.runs.values():
             job = self._jobs.jobs.get(run.task.job)
@@ -160,7 +165,7 @@
         return max(wait, SHORTEST_LOOK)
 
     def _find_first_end(self, life: Life, now: timedelta) -> timedelta:
-        """Return how long it is until the first of the runs is expected to end."""
+        """Return the time until the first of the runs is expected to end."""
         ends = (
             run.since + self._predict(job, run)
             for run in life.runs.values()
@@ -173,7 +178,7 @@
         return self._jobs.forecast.predict(job.record.queue.key, step)
 
     def _is_straggler(self, life: Life) -> bool:
-        """Whether a life is one of the last that have not answered this leader."""
+        """Return whether an instance is one of the last that have not answered this leader."""
         unseen = self._lives.unseen
         if life.info.id not in unseen or life.failed_looks >= STRAGGLER_LOOKS:
             return False
@@ -183,7 +188,7 @@
         return any(run.phase is RunPhase.UNSURE for run in life.runs.values())
 
     def take_failed_look(self, life: Life, failure: CallFailure, now: timedelta) -> None:
-        """Learn that a look brought no answer."""
+        """Handle a poll that brought no answer."""
         self._term.counts.failed_looks += 1
         if failure is CallFailure.FENCED:
             self._term.is_fenced_off = True
@@ -232,7 +237,7 @@
         )
 
     def _is_borne(self, run: Run, now: timedelta) -> bool:
-        """Whether the job of a run may still be submitted again."""
+        """Return whether the job of a run may still be submitted again."""
         return now < self._find_borne_until(run)
 
     def _find_borne_until(self, run: Run) -> timedelta:
@@ -240,7 +245,7 @@
         return run.since + (DISPUTED_GRACE if is_elsewhere else ORPHAN_BORNE)
 
     def judge_runs(self, life: Life, now: timedelta) -> None:
-        """Stop runs that stand still or are far too slow, so that they start elsewhere.
+        """Stop runs that make no progress or are far too slow, so that they start elsewhere.
 
         Called with the runs as an upstream has just listed them.
         """
@@ -280,10 +285,10 @@
                 health.take_pace(total / self._predict(job, run), now)
 
     def lapse(self, life: Life, now: timedelta) -> None:
-        """Give up all runs of a life whose leases have surely ended without an answer."""
+        """Abandon all runs of an instance whose lease has certainly ended without an answer."""
         if not life.runs or now < life.lapse_at:
             return
-        # A run cannot outlive the lease, whatever the last looks said.
+        # A run cannot outlive the lease, whatever the last polls reported.
         self._term.note(
             "lease_lapsed",
             {
@@ -305,7 +310,7 @@
             self._jobs.requeue(run.task, run.run, life.info.id)
 
     def end_life(self, life: Life, now: timedelta) -> None:
-        """A later life holds the address: nothing of this one can run any more."""
+        """Handle that a later instance holds the address: nothing of this one can run any more."""
         if life.is_over:
             return
         life.is_over = True
@@ -317,15 +322,16 @@
         )
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
         self._jobs.suspicion.note_end(life, queues, now)
-        # Until the log has counted it, what ran there may have crashed it.
+        # Until the log has counted the end, the tasks that ran there may have caused a crash.
         self._jobs.suspicion.note_lapse(life, now)
         self._give_up_runs(life)
 
     def cordon(self, now: timedelta) -> None:
-        """Put into the log which upstreams out of sight surely run nothing.
+        """Propose to cordon unreachable upstreams that certainly run nothing.
 
-        A leader knows at which upstreams it has started something; the next one does not, and had
-        to wait for the leases of all that it did not see, however long they had been gone.
+        A leader knows at which upstreams it has started something. The next leader does not, and
+        without this would have to wait for the leases of all upstreams that it has not seen,
+        however long they have been gone.
         """
         if not (self._out_of_sight and self._term.keeps_log):
             return
@@ -354,7 +360,7 @@
         return is_out_of_sight and is_lapsed and not (life.is_cordoned or life.is_over)
 
     def want_uncordoned(self, life: Life) -> None:
-        """Put into the log that an upstream is to be used again; until then it is not."""
+        """Propose to use an upstream again; until that is committed it is not used."""
         if life.is_cordoned and not life.is_uncordoning:
             life.is_uncordoning = True
             self._term.proposals.append(UncordonUpstream(upstream=life.info.id))
@@ -368,13 +374,14 @@
             self._term.note("upstream_uncordoned", {"upstream": upstream})
 
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
-        """Forget lives that have been silent, with nothing running.
+        """Forget instances that have been silent while nothing ran there.
 
-        Where `may_be_used` says that a deputy may order those that are not leaving, beyond a cut,
-        they stay in the record, cordoned, so that jobs which a deputy has begun wait for them.
+        Where `may_be_used` tells that an acting leader may send orders to those that are not
+        leaving, beyond a network partition, they stay in the replicated state, cordoned, so that
+        jobs which an acting leader has started wait for them.
         """
         if not self._term.keeps_log:
-            # Deputies get no heartbeats.
+            # Acting leaders get no heartbeats.
             return
         for life in self._lives.by_id.values():
             if life.is_over or life.runs or not _is_silent(life, now, SILENT_AFTER):
