--- a/bench/leader.py
+++ b/bench/leader.py
@@ -28,7 +28,7 @@
 from cottonlug.config.options import Address
 from cottonlug.core.cluster.calls import Answer, Call, Greet, Submit, call_decoder
 from cottonlug.core.cluster.identity import name_life
-from cottonlug.core.cluster.lives import choose_terms
+from cottonlug.core.cluster.instances import choose_terms
 from cottonlug.core.cluster.model import (
     Capacity,
     Configuration,
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -14,13 +14,13 @@
     filler,
     forecast,
     guards,
-    life_table,
-    lives,
+    instance_table,
+    instances,
     open_jobs,
     patience,
     progress,
     rooms,
-    suspicion,
+    crash_tracker,
     tempo,
     watcher,
 )
@@ -62,8 +62,8 @@
     return NO_TIME
 
 
-def _first_fit(batch: backlog.Batch, choice: Any) -> lives.Life | None:
-    return next((life for life in choice if life.has_room(batch.needs)), None)
+def _first_fit(batch: backlog.Batch, choice: Any) -> instances.Instance | None:
+    return next((instance for instance in choice if instance.has_room(batch.needs)), None)
 
 
 def _set_aside_without_trial(self: Any, now: timedelta) -> bool:
@@ -72,8 +72,8 @@
     return bool(is_new)
 
 
-def _find_one_pool(self: Any, life: lives.Life) -> Any:
-    return self._pools.setdefault(life.info.service, {}).setdefault("", rooms._Pool())
+def _find_one_pool(self: Any, instance: instances.Instance) -> Any:
+    return self._pools.setdefault(instance.info.service, {}).setdefault("", rooms._Pool())
 
 
 guards.Health.set_aside_unchanged = guards.Health._set_aside  # type: ignore[attr-defined]
@@ -96,10 +96,10 @@
     "first_fit": replacing((filler, "choose_life", _first_fit)),
     "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
     "no_moves": replacing((watcher, "MOST_MOVES", 0)),
-    "nobody_set_aside": replacing((life_table, "MOST_SET_ASIDE", -1.0)),
+    "nobody_set_aside": replacing((instance_table, "MOST_SET_ASIDE", -1.0)),
     "no_trial": replacing((guards.Health, "_set_aside", _set_aside_without_trial)),
     "nobody_blamed": replacing(
-        (suspicion.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
+        (crash_tracker.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
         (crashes.CrashCounts, "is_given_up", False),
     ),
     "in_any_domain": replacing((rooms.Rooms, "_find_pool", _find_one_pool)),
@@ -110,8 +110,8 @@
 FIGURES: dict[str, Variant] = {
     "failures_in_a_row_2": replacing((guards, "FAILURES_IN_A_ROW", 2)),
     "failures_in_a_row_6": replacing((guards, "FAILURES_IN_A_ROW", 6)),
-    "most_set_aside_0.17": replacing((life_table, "MOST_SET_ASIDE", 0.17)),
-    "most_set_aside_0.68": replacing((life_table, "MOST_SET_ASIDE", 0.68)),
+    "most_set_aside_0.17": replacing((instance_table, "MOST_SET_ASIDE", 0.17)),
+    "most_set_aside_0.68": replacing((instance_table, "MOST_SET_ASIDE", 0.68)),
     "pause_1_to_3_s": replacing(
         (guards, "FIRST_PAUSE", timedelta(seconds=1)),
         (guards, "LONGEST_PAUSE", timedelta(seconds=3)),
--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from .lives import Life
+from .instances import Instance
 
 USABLE_SHARE = 0.85
 """Wide tasks leave splinters: 28 of 32 cores hold two tasks of 14."""
@@ -27,9 +27,9 @@
     retry_after: timedelta
 
 
-def measure_room(lives: Iterable[Life]) -> float:
+def measure_room(instances: Iterable[Instance]) -> float:
     """Return the cores of upstreams that take work, less what splinters cost."""
-    whole = sum(life.info.capacity.cpu_millis for life in lives)
+    whole = sum(instance.info.capacity.cpu_millis for instance in instances)
     return whole / 1000 * USABLE_SHARE
 
 
--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -4,8 +4,8 @@
 
 from datetime import timedelta
 
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import Needs, RunReport
 from .open_job import OpenJob, TaskPhase
 from .open_jobs import OpenJobs
@@ -16,18 +16,18 @@
 class Adopter:
     """Keeps runs of an earlier leader or of an acting leader going where their jobs are known."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
 
-    def take_running(self, life: Life, report: RunReport, now: timedelta) -> None:
+    def take_running(self, instance: Instance, report: RunReport, now: timedelta) -> None:
         """Record that a run is active.
 
         A run that this leader did not start is adopted, tolerated for a while, or stopped.
         """
         key = (report.task, report.run)
-        run = life.runs.get(key)
+        run = instance.runs.get(key)
         if run is not None:
             _note_progress(run, report, now)
             return
@@ -50,27 +50,27 @@
             # running out.
             is_disputed=record is None,
         )
-        life.add_run(run)
+        instance.add_run(run)
         if run.is_orphan:
-            self._lives.may_have_orphans = True
+            self._instances.may_have_orphans = True
         # An earlier leader may have renewed the lease until this term began.
-        life.lapse_at = max(life.lapse_at, now + self._term.lease.lapse_after)
+        instance.lapse_at = max(instance.lapse_at, now + self._term.lease.lapse_after)
         if job is not None:
-            self._adopt(job, life, run)
-        elif not run.is_orphan or not self._lives.is_grace(now):
+            self._adopt(job, instance, run)
+        elif not run.is_orphan or not self._instances.is_grace(now):
             run.stop_wanted = True
 
-    def adopt_orphan(self, job: OpenJob, life: Life, run: Run) -> None:
+    def adopt_orphan(self, job: OpenJob, instance: Instance, run: Run) -> None:
         """Adopt a run whose job has just become known."""
-        life.remove_run((run.task, run.run))
+        instance.remove_run((run.task, run.run))
         steps = job.record.spec.steps
         if run.task.step < len(steps):
             run.needs = steps[run.task.step].needs
         run.is_orphan = run.is_disputed = False
-        life.add_run(run)
-        self._adopt(job, life, run)
+        instance.add_run(run)
+        self._adopt(job, instance, run)
 
-    def _adopt(self, job: OpenJob, life: Life, run: Run) -> None:
+    def _adopt(self, job: OpenJob, instance: Instance, run: Run) -> None:
         """Let a run continue that this leader did not start, or stop it if it is of no use."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
@@ -86,7 +86,7 @@
         # this run has ended.
         task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
         task.phase = TaskPhase.RUNNING
-        task.life = life.info.id
+        task.instance = instance.info.id
         task.run = run.run
         job.has_begun = True
 
--- a/cottonlug/core/cluster/suspicion.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -23,8 +23,8 @@
     assign_blame,
     is_explained,
 )
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import JobId, QueueKey, TaskRef
 from .orders import RunPhase
 from .term import Term
@@ -41,9 +41,9 @@
 class Suspicion:
     """Recent losses of upstreams and their possible causes; the log holds the counts."""
 
-    def __init__(self, *, term: Term, lives: LifeTable) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._losses: list[Loss] = []
         self.convicted: Counter[QueueKey] = Counter()
         """How many tasks of each queue were quarantined in this term for crashing upstreams."""
@@ -54,56 +54,61 @@
         self._told: dict[TaskRef, CrashCounts] = {}
         """Counts from earlier coordinators that gateways have reported and that the log does not
         contain."""
-        for life in lives.by_id.values():
-            self._lost_tasks.update(life.lost.tasks)
-            self._lost_starts.update(life.lost.all_tasks)
+        for instance in instances.by_id.values():
+            self._lost_tasks.update(instance.lost.tasks)
+            self._lost_starts.update(instance.lost.all_tasks)
 
-    def note_silent(self, life: Life, now: timedelta) -> None:
+    def note_silent(self, instance: Instance, now: timedelta) -> None:
         """Record that an upstream does not answer."""
-        if life.lost_at is not None:
+        if instance.lost_at is not None:
             return
-        life.lost_at = now
-        if life.runs:
-            self._check_neighbours(life)
+        instance.lost_at = now
+        if instance.runs:
+            self._check_neighbours(instance)
         self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
         self._losses.append(
-            Loss(upstream=life.info.id, at=now, domain=life.info.domain, labels=life.info.labels)
+            Loss(
+                upstream=instance.info.id,
+                at=now,
+                domain=instance.info.domain,
+                labels=instance.info.labels,
+            )
         )
 
-    def _check_neighbours(self, life: Life) -> None:
+    def _check_neighbours(self, instance: Instance) -> None:
         """Poll the upstreams that would be lost together with one, such as those of its rack.
 
         Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
         upstream would look like a crash of that one.
         """
         by_label = {
-            label: [each for each in self._lives.by_id.values() if label in each.info.labels]
-            for label in life.info.labels
+            label: [each for each in self._instances.by_id.values() if label in each.info.labels]
+            for label in instance.info.labels
         }
         for neighbours in by_label.values():
             if len(neighbours) <= LARGEST_RACK:
                 for each in neighbours:
                     each.must_check = True
-                    self._lives.touch(each)
+                    self._instances.touch(each)
 
-    def note_answer(self, life: Life) -> tuple[TaskRef, ...]:
+    def note_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Record that an upstream has not crashed; return what was active when it was lost."""
-        if life.lost_at is None and life.lost is NO_WORK:
+        if instance.lost_at is None and instance.lost is NO_WORK:
             return ()
-        cleared = self.forget(life)
-        if life.lost_at is not None:
-            life.lost_at = None
-            self._losses = [each for each in self._losses if each.upstream != life.info.id]
+        cleared = self.forget(instance)
+        if instance.lost_at is not None:
+            instance.lost_at = None
+            self._losses = [each for each in self._losses if each.upstream != instance.info.id]
         return cleared
 
-    def note_lapse(self, life: Life, now: timedelta) -> None:
+    def note_lapse(self, instance: Instance, now: timedelta) -> None:
         """Remember the tasks that were active at an upstream that may turn out to have crashed."""
-        self._set_lost(life, _find_at_work(life, now))
+        self._set_lost(instance, _find_at_work(instance, now))
 
-    def forget(self, life: Life) -> tuple[TaskRef, ...]:
+    def forget(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Forget an upstream that the log has removed; return the tasks that were lost there."""
-        lost = life.lost.all_tasks
-        self._set_lost(life, NO_WORK)
+        lost = instance.lost.all_tasks
+        self._set_lost(instance, NO_WORK)
         return lost
 
     def take_told(self, suspects: Iterable[Suspect]) -> None:
@@ -125,30 +130,32 @@
         counts = self._term.records.find_crashes(task)
         return counts.add(self._told.get(task, NO_CRASHES))
 
-    def note_end(self, life: Life, queues: Mapping[JobId, QueueKey], now: timedelta) -> None:
+    def note_end(
+        self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
+    ) -> None:
         """Record that an upstream has ended; propose to count a crash if it was not leaving."""
-        at_work = _find_at_work(life, now)
-        if life.draining or at_work == NO_WORK:
-            self._term.proposals.append(RemoveUpstreams(upstreams=(life.info.id,)))
+        at_work = _find_at_work(instance, now)
+        if instance.draining or at_work == NO_WORK:
+            self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
             return
-        self.note_silent(life, now)
-        blamed = [] if self._is_explained(life) else self._find_blamed(at_work.tasks, queues)
+        self.note_silent(instance, now)
+        blamed = [] if self._is_explained(instance) else self._find_blamed(at_work.tasks, queues)
         others = tuple(task for task in at_work.tasks if task not in blamed)
         self._term.counts.crashed_upstreams += 1
         self._term.note(
             "upstream_crashed",
             {
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "runs": len(at_work.tasks),
                 "unsure": len(at_work.unsure),
                 "blamed": " ".join(f"{task.job}.{task.step}.{task.place}" for task in blamed),
-                "lost_ms_ago": to_milliseconds(now - (life.lost_at or now)),
+                "lost_ms_ago": to_milliseconds(now - (instance.lost_at or now)),
             },
         )
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             NoteCrash(
-                upstream=life.info.id,
+                upstream=instance.info.id,
                 blamed=tuple(blamed),
                 others=others,
                 unanswered=at_work.unsure,
@@ -156,15 +163,15 @@
             )
         )
 
-    def note_gone(self, life: Life) -> None:
+    def note_gone(self, instance: Instance) -> None:
         """Record that a lost upstream does not come back; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             NoteCrash(
-                upstream=life.info.id,
+                upstream=instance.info.id,
                 blamed=(),
-                others=life.lost.tasks,
-                unanswered=life.lost.unsure,
+                others=instance.lost.tasks,
+                unanswered=instance.lost.unsure,
                 at_ms=at_ms,
             )
         )
@@ -184,18 +191,20 @@
         """Return whether any task may be restricted."""
         return bool(self._lost_starts or self._told or self._term.records.suspects)
 
-    def _set_lost(self, life: Life, at_work: AtWork) -> None:
-        self._lost_tasks.subtract(life.lost.tasks)
+    def _set_lost(self, instance: Instance, at_work: AtWork) -> None:
+        self._lost_tasks.subtract(instance.lost.tasks)
         self._lost_tasks.update(at_work.tasks)
-        self._lost_starts.subtract(life.lost.all_tasks)
+        self._lost_starts.subtract(instance.lost.all_tasks)
         self._lost_starts.update(at_work.all_tasks)
         # Unary plus drops tasks whose count has come down to zero.
         self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
-        life.lost = at_work
+        instance.lost = at_work
 
-    def _is_explained(self, life: Life) -> bool:
-        loss = next(each for each in self._losses if each.upstream == life.info.id)
-        infos = {id: (each.info.domain, each.info.labels) for id, each in self._lives.by_id.items()}
+    def _is_explained(self, instance: Instance) -> bool:
+        loss = next(each for each in self._losses if each.upstream == instance.info.id)
+        infos = {
+            id: (each.info.domain, each.info.labels) for id, each in self._instances.by_id.items()
+        }
         infos |= {each.upstream: (each.domain, each.labels) for each in self._losses}
         sizes: Counter[str] = Counter()
         for domain, labels in infos.values():
@@ -209,11 +218,11 @@
         return assign_blame(at_work, known, queues, self.convicted)
 
 
-def _find_at_work(life: Life, now: timedelta) -> AtWork:
+def _find_at_work(instance: Instance, now: timedelta) -> AtWork:
     """Return the tasks that are active at an upstream and were started recently."""
-    young = [run for run in life.runs.values() if now - run.since < YOUNG]
+    young = [run for run in instance.runs.values() if now - run.since < YOUNG]
     found = AtWork(
         tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
         unsure=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
     )
-    return found.join(life.lost)
+    return found.join(instance.lost)
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -25,10 +25,10 @@
     SetEvacuation,
     UncordonUpstream,
 )
-from .ends import Ends
+from .run_ends import Ends
 from .filler import Filler
-from .life_table import LifeTable
-from .lives import LeaseTerms, Life
+from .instance_table import InstanceTable
+from .instances import LeaseTerms, Instance
 from .model import (
     Heartbeat,
     JobId,
@@ -51,8 +51,8 @@
 from .records import JobRecord, Records, end_job
 from .registry import Registry
 from .reports import USUAL_REPORTS, ReportTerms, find_avoided
-from .settlement import Settlement
-from .suspicion import Suspicion
+from .reconciliation import Settlement
+from .crash_tracker import Suspicion
 from .term import DispatchCounts, Note, Term, WallTime
 from .wakes import Wakes
 from .watcher import Watcher
@@ -97,19 +97,26 @@
             reports=reports,
             known_until=known_until,
         )
-        self._lives = LifeTable(term=self._term)
-        suspicion = Suspicion(term=self._term, lives=self._lives)
-        self._jobs = OpenJobs(term=self._term, lives=self._lives, suspicion=suspicion)
-        self._watcher = Watcher(term=self._term, lives=self._lives, jobs=self._jobs)
-        self._adopter = Adopter(term=self._term, lives=self._lives, jobs=self._jobs)
-        self._filler = Filler(term=self._term, lives=self._lives, jobs=self._jobs)
-        self._settlement = Settlement(term=self._term, lives=self._lives, jobs=self._jobs)
+        self._instances = InstanceTable(term=self._term)
+        crash_tracker = Suspicion(term=self._term, instances=self._instances)
+        self._jobs = OpenJobs(
+            term=self._term, instances=self._instances, crash_tracker=crash_tracker
+        )
+        self._watcher = Watcher(term=self._term, instances=self._instances, jobs=self._jobs)
+        self._adopter = Adopter(term=self._term, instances=self._instances, jobs=self._jobs)
+        self._filler = Filler(term=self._term, instances=self._instances, jobs=self._jobs)
+        self._reconciliation = Settlement(
+            term=self._term, instances=self._instances, jobs=self._jobs
+        )
         self._ends = Ends(
-            term=self._term, lives=self._lives, jobs=self._jobs, settlement=self._settlement
+            term=self._term,
+            instances=self._instances,
+            jobs=self._jobs,
+            reconciliation=self._reconciliation,
         )
         self.may_be_stood_in_for: Callable[[], bool] = lambda: True
         """Whether a gateway that is out of touch may stand in for this host."""
-        self._registry = Registry(term=self._term, lives=self._lives)
+        self._registry = Registry(term=self._term, instances=self._instances)
         self._wakes = Wakes()
         self._sweep_due = now
 
@@ -121,9 +128,9 @@
         return self._jobs
 
     @property
-    def lives(self) -> dict[UpstreamId, Life]:
+    def instances(self) -> dict[UpstreamId, Instance]:
         """Lives of upstreams by id."""
-        return self._lives.by_id
+        return self._instances.by_id
 
     @property
     def counts(self) -> DispatchCounts:
@@ -161,16 +168,16 @@
 
     def note_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
         """Learn whether an order would reach an upstream at once."""
-        life = self._lives.by_id.get(upstream)
-        if life is not None:
-            life.is_listening = is_listening
+        instance = self._instances.by_id.get(upstream)
+        if instance is not None:
+            instance.is_listening = is_listening
 
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
         """Take a job that need not be kept; what another host started of it goes on."""
         # What runs at an upstream out of sight ends when its lease does.
-        is_new = self._settlement.is_settled and not submission.may_have_begun
+        is_new = self._reconciliation.is_settled and not submission.may_have_begun
         of_deputies = submission.may_be_of_deputy
-        is_unsure = not is_new and self._settlement.is_unsure(of_deputies=of_deputies)
+        is_unsure = not is_new and self._reconciliation.is_unsure(of_deputies=of_deputies)
         self._jobs.rejections.pop(record.id, None)
         self._jobs.given_up.discard(record.id)
         phase = TaskPhase.UNKNOWN if is_unsure else TaskPhase.QUEUED
@@ -183,18 +190,18 @@
         job.has_begun = job.has_begun or submission.may_have_begun
         if is_unsure:
             job.settle_at = now + submission.settle_after
-            self._settlement.note_unsure()
+            self._reconciliation.note_unsure()
         self._ends.claim(record, now)
-        if not self._lives.may_have_orphans and record.id not in self._jobs.left_behind:
+        if not self._instances.may_have_orphans and record.id not in self._jobs.left_behind:
             return
-        for life in self._lives.by_id.values():
-            for run in [each for each in life.runs.values() if each.task.job == record.id]:
-                self._adopter.adopt_orphan(job, life, run)
-                self._lives.touch(life)
+        for instance in self._instances.by_id.values():
+            for run in [each for each in instance.runs.values() if each.task.job == record.id]:
+                self._adopter.adopt_orphan(job, instance, run)
+                self._instances.touch(instance)
 
     def is_given_up(self, id: JobId) -> bool:
         """Whether a task of a job is not to be started again, for upstreams that have crashed."""
-        return any(each.counts.is_given_up for each in self._jobs.suspicion.list_suspects(id))
+        return any(each.counts.is_given_up for each in self._jobs.crash_tracker.list_suspects(id))
 
     def join(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
@@ -206,11 +213,11 @@
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
             return
         job.may_be_of_deputy = job.may_be_of_deputy or submission.may_be_of_deputy
-        if not self._settlement.is_unsure(of_deputies=job.may_be_of_deputy):
+        if not self._reconciliation.is_unsure(of_deputies=job.may_be_of_deputy):
             return
         job.settle_at = max(job.settle_at, now + submission.settle_after)
         self._jobs.doubt(job)
-        self._settlement.note_unsure()
+        self._reconciliation.note_unsure()
 
     def abandon(self, id: JobId, gateway: str, now: timedelta) -> None:
         """Give up a job that need not be kept, since its gateway waits for it no more.
@@ -264,8 +271,8 @@
         elif isinstance(command, AddUpstream):
             self._registry.take_added(command, now)
         elif isinstance(command, SetDraining):
-            if command.upstream in self._lives.by_id:
-                self._lives.by_id[command.upstream].draining = True
+            if command.upstream in self._instances.by_id:
+                self._instances.by_id[command.upstream].draining = True
         elif isinstance(command, SetEvacuation):
             self._take_evacuation(command, now)
         elif isinstance(command, UncordonUpstream):
@@ -280,7 +287,7 @@
 
     def _take_evacuation(self, command: SetEvacuation, now: timedelta) -> None:
         """Start nothing more in a domain, or take its upstreams back."""
-        runs = self._lives.set_evacuated(command.domain, now)
+        runs = self._instances.set_evacuated(command.domain, now)
         record = self._term.records.evacuations.get(command.domain)
         self._term.note(
             "domain_evacuated" if record.is_evacuated else "domain_taken_back",
@@ -290,11 +297,11 @@
             self._filler.reject_evacuated(now)
 
     def _drop(self, upstream: UpstreamId) -> None:
-        life = self._lives.by_id.get(upstream)
-        self._lives.drop(upstream)
-        if life is not None:
+        instance = self._instances.by_id.get(upstream)
+        self._instances.drop(upstream)
+        if instance is not None:
             # The log has counted its end, or it has left: its tasks wait for that no more.
-            self._jobs.release(self._jobs.suspicion.forget(life))
+            self._jobs.release(self._jobs.crash_tracker.forget(instance))
 
     def take_start_answer(
         self,
@@ -304,24 +311,24 @@
         now: timedelta,
     ) -> None:
         """Learn what became of a start."""
-        life = self._lives.by_id.get(order.upstream.id)
-        if life is None:
+        instance = self._instances.by_id.get(order.upstream.id)
+        if instance is None:
             return
-        self._lives.touch(life)
+        self._instances.touch(instance)
         if clock_ms is not None:
-            life.take_clock(clock_ms, now)
-        run = life.runs.get((order.task, order.run))
+            instance.take_clock(clock_ms, now)
+        run = instance.runs.get((order.task, order.run))
         if outcome is StartOutcome.FENCED:
             self._term.is_fenced_off = True
         if outcome is StartOutcome.LIFE_ENDED:
-            self._watcher.end_life(life, now)
+            self._watcher.end_life(instance, now)
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
-            life.patience.take_answer(now - run.since)
+            instance.patience.take_answer(now - run.since)
         if outcome is StartOutcome.STARTED:
             self._term.counts.started += 1
-            life.refusals = 0
+            instance.refusals = 0
             run.phase = RunPhase.RUNNING
             run.advanced_at = now
             return
@@ -331,46 +338,46 @@
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
             # A look under way tells sooner whether the upstream answers.
-            life.avoid_until = now + order.patience
+            instance.avoid_until = now + order.patience
             return
         self._term.counts.refused_starts += 1
         self._term.note(
             "start_refused",
-            {"upstream": life.info.id, "job": order.task.job, "reason": outcome.value},
+            {"upstream": instance.info.id, "job": order.task.job, "reason": outcome.value},
         )
-        life.avoid_until = now + self._find_avoided(life, outcome)
-        life.remove_run((order.task, order.run))
-        self._jobs.requeue(order.task, order.run, life.info.id)
+        instance.avoid_until = now + self._find_avoided(instance, outcome)
+        instance.remove_run((order.task, order.run))
+        self._jobs.requeue(order.task, order.run, instance.info.id)
 
-    def _find_avoided(self, life: Life, outcome: StartOutcome) -> timedelta:
+    def _find_avoided(self, instance: Instance, outcome: StartOutcome) -> timedelta:
         """Return how long nothing is started at an upstream after a refusal."""
         if outcome is not StartOutcome.NO_ROOM:
             return AVOID_AFTER_REFUSAL
         self._term.counts.starts_without_room += 1
-        life.refusals += 1
-        return find_avoided(life.refusals)
+        instance.refusals += 1
+        return find_avoided(instance.refusals)
 
     def take_stop_answer(
         self, order: StopOrder, failure: CallFailure | None, now: timedelta
     ) -> None:
         """Learn whether a stop has arrived."""
-        life = self._lives.by_id.get(order.upstream.id)
-        if life is None:
+        instance = self._instances.by_id.get(order.upstream.id)
+        if instance is None:
             return
-        self._lives.touch(life)
+        self._instances.touch(instance)
         if failure is CallFailure.FENCED:
             self._term.is_fenced_off = True
         if failure is CallFailure.LIFE_ENDED:
-            self._watcher.end_life(life, now)
+            self._watcher.end_life(instance, now)
             return
-        run = life.runs.get((order.task, order.run))
+        run = instance.runs.get((order.task, order.run))
         if run is None:
             return
         run.stop_is_out = False
         if failure is None:
             run.stopped_at = now
             # The next look shows whether it is gone; until then its task starts nowhere.
-            life.probe_due = now
+            instance.probe_due = now
         else:
             run.stop_due = now + STOP_RETRY
 
@@ -382,78 +389,78 @@
         now: timedelta,
     ) -> None:
         """Learn what runs and what has ended at an upstream."""
-        life = self._lives.by_id.get(order.upstream.id)
-        if life is None:
+        instance = self._instances.by_id.get(order.upstream.id)
+        if instance is None:
             return
-        self._lives.touch(life)
+        self._instances.touch(instance)
         if order.is_probe:
-            life.probe_is_out = False
+            instance.probe_is_out = False
         else:
-            life.look_is_out = False
+            instance.look_is_out = False
         if isinstance(reply, CallFailure):
-            self._watcher.take_failed_look(life, reply, now)
+            self._watcher.take_failed_look(instance, reply, now)
             return
-        life.failed_looks = 0
-        life.contact_at = now
-        life.look_due = now
-        life.confirmed = max(life.confirmed, order.last_seen)
-        life.take_clock(reply.clock_ms, now)
-        if not life.is_fenced:
-            life.is_fenced = True
-            self._term.note("upstream_adopted", {"upstream": life.info.id})
-        self._lives.unseen.discard(life.info.id)
-        self._jobs.release(self._jobs.suspicion.note_answer(life))
-        self._watcher.want_uncordoned(life)
-        self._ends.take_listed(life, reply.ended, now)
-        if reply.clock_ms <= life.listed_ms:
+        instance.failed_looks = 0
+        instance.contact_at = now
+        instance.look_due = now
+        instance.confirmed = max(instance.confirmed, order.last_seen)
+        instance.take_clock(reply.clock_ms, now)
+        if not instance.is_fenced:
+            instance.is_fenced = True
+            self._term.note("upstream_adopted", {"upstream": instance.info.id})
+        self._instances.unseen.discard(instance.info.id)
+        self._jobs.release(self._jobs.crash_tracker.note_answer(instance))
+        self._watcher.want_uncordoned(instance)
+        self._ends.take_listed(instance, reply.ended, now)
+        if reply.clock_ms <= instance.listed_ms:
             # Overtaken by a later answer on another connection: what it lists may have ended.
             self._term.note(
                 "list_overtaken",
                 {
-                    "upstream": life.info.id,
+                    "upstream": instance.info.id,
                     "clock_ms": reply.clock_ms,
-                    "newest_ms": life.listed_ms,
+                    "newest_ms": instance.listed_ms,
                     "sent_ms_ago": to_milliseconds(now - sent_at),
                     "ends": len(reply.ended),
                 },
             )
             return
-        life.listed_ms = reply.clock_ms
+        instance.listed_ms = reply.clock_ms
         for report in reply.running:
-            self._adopter.take_running(life, report, now)
-        self._watcher.judge_runs(life, now)
+            self._adopter.take_running(instance, report, now)
+        self._watcher.judge_runs(instance, now)
         if len(reply.ended) < LONGEST_LIST:
-            self._drop_vanished(life, reply, sent_at, now)
+            self._drop_vanished(instance, reply, sent_at, now)
 
     def tick(self, now: timedelta) -> None:
         """Do everything that is due and fill free room; take orders and proposals afterwards."""
         is_sweep = now >= self._sweep_due
-        self._jobs.open_due(self._settlement.first_phase, now)
-        self._settlement.settle(now)
+        self._jobs.open_due(self._reconciliation.first_phase, now)
+        self._reconciliation.settle(now)
         due = self._take_due(now)
-        lives = list(self._lives.by_id.values()) if is_sweep else due
-        for life in lives:
-            self._watcher.lapse(life, now)
-            self._watcher.stop_runs(life, now)
+        instances = list(self._instances.by_id.values()) if is_sweep else due
+        for instance in instances:
+            self._watcher.lapse(instance, now)
+            self._watcher.stop_runs(instance, now)
         if self._term.may_start:
-            self._filler.fill(now, None if is_sweep else lives)
-        changed = (*lives, *self._lives.take_touched())
-        for id, life in {each.info.id: each for each in changed}.items():
-            self._watcher.look(life, now)
-            if self._watcher.is_calm(life, now) and (self._wakes.has(id) or not life.runs):
+            self._filler.fill(now, None if is_sweep else instances)
+        changed = (*instances, *self._instances.take_touched())
+        for id, instance in {each.info.id: each for each in changed}.items():
+            self._watcher.look(instance, now)
+            if self._watcher.is_calm(instance, now) and (self._wakes.has(id) or not instance.runs):
                 # Nothing is due before its lease ends, and that moment only moves away.
                 continue
-            self._wakes.set(id, self._watcher.find_wake(life, now))
+            self._wakes.set(id, self._watcher.find_wake(instance, now))
         if is_sweep:
             self._sweep(now)
 
-    def _take_due(self, now: timedelta) -> list[Life]:
+    def _take_due(self, now: timedelta) -> list[Instance]:
         """Return the lives of which something was heard, and those for which something is due."""
         for id in self._wakes.take_due(now):
-            life = self._lives.by_id.get(id)
-            if life is not None:
-                self._lives.touch(life)
-        return self._lives.take_touched()
+            instance = self._instances.by_id.get(id)
+            if instance is not None:
+                self._instances.touch(instance)
+        return self._instances.take_touched()
 
     def _sweep(self, now: timedelta) -> None:
         """Forget what is long over."""
@@ -461,7 +468,7 @@
         self._watcher.cordon(now)
         self._watcher.forget_silent(now, may_be_used=self.may_be_stood_in_for)
         self._registry.doubt_capacities(now)
-        self._lives.look_for_orphans()
+        self._instances.look_for_orphans()
         self._jobs.forget_ended(now)
         self._ends.forget_orphans(now)
 
@@ -476,18 +483,18 @@
         return proposals
 
     def _drop_vanished(
-        self, life: Life, reply: LookReply, sent_at: timedelta, now: timedelta
+        self, instance: Instance, reply: LookReply, sent_at: timedelta, now: timedelta
     ) -> None:
         """Give up runs that were stopped before this look was sent and are not there.
 
         One whose start had no answer, and which is not there, may still begin: it is stopped.
         """
         there = {(report.task, report.run) for report in reply.running}
-        for key, run in list(life.runs.items()):
+        for key, run in list(instance.runs.items()):
             if key in there:
                 continue
             if run.phase is RunPhase.UNSURE and run.unsure_at <= sent_at:
                 run.stop_wanted = True
             if run.stopped_at is not None and run.stopped_at <= sent_at:
-                life.remove_run(key)
-                self._jobs.requeue(run.task, run.run, life.info.id)
+                instance.remove_run(key)
+                self._jobs.requeue(run.task, run.run, instance.info.id)
--- a/cottonlug/core/cluster/filler.py
+++ b/cottonlug/core/cluster/filler.py
@@ -8,8 +8,8 @@
 from .backlog import Batch, Tier
 from .crashes import HELD_FOR, LEFT_ALONE_FOR, Care
 from .forecast import LATE_FACTOR
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import JobSpec, Queue, RunNumber, ServiceName, TaskRef
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs, find_longest_wait
@@ -30,22 +30,22 @@
 class Filler:
     """Starts tasks."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
-        self._rooms = Rooms(lives=lives)
+        self._rooms = Rooms(instances=instances)
         self._least_needed = 0
         """No batch for which no room was found needs less than this, in core-thousandths."""
 
-    def fill(self, now: timedelta, changed: list[Life] | None) -> None:
+    def fill(self, now: timedelta, changed: list[Instance] | None) -> None:
         """Start waiting tasks as long as any of them fits.
 
         `changed` are the lives that may have more room than before, None where that is not known:
         a batch that found no room is tried again only where one of these has enough.
         """
-        for life in changed or ():
-            self._rooms.update(life, now)
+        for instance in changed or ():
+            self._rooms.update(instance, now)
         if changed is None:
             self._rooms.forget()
         backlog = self._jobs.backlog
@@ -58,7 +58,7 @@
             self._offer(changed, now)
         self._shed(now)
 
-    def _offer(self, changed: list[Life] | None, now: timedelta) -> None:
+    def _offer(self, changed: list[Instance] | None, now: timedelta) -> None:
         """Offer room to all batches, but not those again that need more than any life that changed.
 
         `changed` is None where any life may have changed.
@@ -80,7 +80,7 @@
         waiting = (batch.cpu_millis for batch in backlog if batch.waiting)
         self._least_needed = min(waiting, default=NOTHING_WAITS)
 
-    def _offer_changed(self, changed: list[Life], now: timedelta) -> None:
+    def _offer_changed(self, changed: list[Instance], now: timedelta) -> None:
         """Offer the room of some lives to the batches in their order, until none fits any more."""
         most = _find_most(changed)
         if most < self._least_needed:
@@ -109,7 +109,7 @@
         hopeless = self._jobs.backlog.list_tier(Tier.HOPELESS)
         if not hopeless:
             return
-        wait = estimate_wait(self._jobs.backlog.measure_work(), self._lives.measure_room(now))
+        wait = estimate_wait(self._jobs.backlog.measure_work(), self._instances.measure_room(now))
         for batch in hopeless:
             job = self._jobs.jobs.get(batch.job.id)
             if job is None or not batch.job.spec.best_effort:
@@ -125,7 +125,7 @@
         """Return why a job is not taken at the moment that has waited elsewhere, or None."""
         if spec.is_timed or spec.long_running:
             return None
-        if self._lives.is_evacuated(queue.service):
+        if self._instances.is_evacuated(queue.service):
             self._term.counts.evacuated_rejections += 1
             return Rejection(reason=EVACUATED, retry_after=EVACUATED_RETRY)
         objective = self._jobs.forecast.find_objective(queue, spec.steps)
@@ -135,7 +135,7 @@
         if not work_ms and waited <= objective * LATE_FACTOR:
             # Nothing goes before it, whatever room there is.
             return None
-        room = self._lives.measure_room(now)
+        room = self._instances.measure_room(now)
         if room <= 0.0:
             return None
         wait = estimate_wait(work_ms, room)
@@ -152,7 +152,7 @@
                 continue
             service = self._find_service(job.record)
             if service not in evacuated:
-                evacuated[service] = self._lives.is_evacuated(service)
+                evacuated[service] = self._instances.is_evacuated(service)
             if evacuated[service]:
                 self._term.counts.evacuated_rejections += 1
                 self._jobs.reject(job, EVACUATED, EVACUATED_RETRY, now)
@@ -184,37 +184,37 @@
         has_started = False
         job = self._jobs.jobs[batch.job.id]
         while batch.waiting:
-            lives = self._rooms.iterate_from(service, batch.cpu_millis, now, job.home)
-            life = choose_life(
-                batch, lives, is_in_order=True, needs_empty=self._needs_empty(batch, now)
+            instances = self._rooms.iterate_from(service, batch.cpu_millis, now, job.home)
+            instance = choose_life(
+                batch, instances, is_in_order=True, needs_empty=self._needs_empty(batch, now)
             )
-            if life is None:
+            if instance is None:
                 break
             has_started = True
-            self._start(batch, batch.waiting.pop(), life, now)
+            self._start(batch, batch.waiting.pop(), instance, now)
         self._jobs.backlog.has_empty |= not batch.waiting
         return has_started
 
-    def _start(self, batch: Batch, index: int, life: Life, now: timedelta) -> None:
+    def _start(self, batch: Batch, index: int, instance: Instance, now: timedelta) -> None:
         ref = TaskRef(batch.job.id, batch.occurrence, batch.number, index)
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
-        expires_ms = life.grant(now)
+        expires_ms = instance.grant(now)
         assert expires_ms is not None, "only a fenced life takes work, and its clock is known"
         known = batch.job.get_task(ref)
         last_run = max(task.run, known.last_run)
         task.run = RunNumber(max(last_run + 1, self._term.first_run))
         task.phase = TaskPhase.RUNNING
-        task.life = life.info.id
+        task.instance = instance.info.id
         job.has_begun = batch.has_begun = True
-        job.home = job.home or life.info.domain
+        job.home = job.home or instance.info.domain
         run = Run(task=ref, run=task.run, needs=batch.needs, phase=RunPhase.STARTING, since=now)
         run.resumes = bool(known.checkpoint)
         run.is_alone = batch.care is not Care.NONE
-        life.add_run(run)
-        self._rooms.update(life, now)
-        self._lives.touch(life)
-        life.look_due = min(life.look_due, now)
+        instance.add_run(run)
+        self._rooms.update(instance, now)
+        self._instances.touch(instance)
+        instance.look_due = min(instance.look_due, now)
         self._term.counts.starts += 1
         # A first start is routine; one beside which another run may be at work is always told.
         is_again = last_run > 0 or job.settle_at > timedelta()
@@ -224,24 +224,24 @@
                 "job": ref.job,
                 "task": f"{ref.step}.{ref.place}",
                 "run": task.run,
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "tier": batch.tier.value,
-                "free_cpu": life.free_cpu,
+                "free_cpu": instance.free_cpu,
                 "waiting": len(self._jobs.backlog),
             },
         )
         order = StartOrder(
-            upstream=life.info,
+            upstream=instance.info,
             task=ref,
             run=task.run,
             payload=batch.job.spec.payload,
             checkpoint=known.checkpoint,
             expires_ms=expires_ms,
-            patience=life.patience.find_limit(),
+            patience=instance.patience.find_limit(),
         )
         self._term.orders.append(order)
 
 
-def _find_most(lives: list[Life] | None) -> int:
+def _find_most(instances: list[Instance] | None) -> int:
     """Return the most room that any of some lives has, in core-thousandths."""
-    return max((life.free_cpu for life in lives or ()), default=0)
+    return max((instance.free_cpu for instance in instances or ()), default=0)
--- a/cottonlug/core/cluster/identity.py
+++ b/cottonlug/core/cluster/identity.py
@@ -19,18 +19,18 @@
     return UpstreamId(name if born_ms is None else f"{name}{SEPARATOR}{born_ms}")
 
 
-def get_name(life: UpstreamId) -> str:
+def get_name(instance: UpstreamId) -> str:
     """Return the id that the upstream of an instance announces."""
-    return life.partition(SEPARATOR)[0]
+    return instance.partition(SEPARATOR)[0]
 
 
-def find_birth(life: UpstreamId) -> int | None:
+def find_birth(instance: UpstreamId) -> int | None:
     """Return when an instance started, in Unix milliseconds, or None if that is unknown."""
-    born = life.partition(SEPARATOR)[2]
+    born = instance.partition(SEPARATOR)[2]
     return int(born) if born else None
 
 
-def is_earlier(life: UpstreamId, other: UpstreamId) -> bool:
+def is_earlier(instance: UpstreamId, other: UpstreamId) -> bool:
     """Return whether `other` is a later instance of the same upstream."""
-    born, later = find_birth(life), find_birth(other)
-    return get_name(life) == get_name(other) and later is not None and (born or 0) < later
+    born, later = find_birth(instance), find_birth(other)
+    return get_name(instance) == get_name(other) and later is not None and (born or 0) < later
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -8,7 +8,7 @@
 from .admission import measure_room
 from .guards import MOST_SET_ASIDE, Health
 from .identity import get_name, is_earlier
-from .lives import Life
+from .instances import Instance
 from .model import JobId, RunNumber, ServiceName, TaskRef, UpstreamInfo
 from .term import Term
 
@@ -19,14 +19,14 @@
 seen: gateways submit their jobs again, as a rule within 0.1 s."""
 
 
-class LifeTable:
+class InstanceTable:
     """Instances of upstreams by id."""
 
     def __init__(self, *, term: Term) -> None:
-        self.by_id: dict[UpstreamId, Life] = {}
+        self.by_id: dict[UpstreamId, Instance] = {}
         self.unseen: set[UpstreamId] = set()
         """Instances from earlier terms that have not answered in this one."""
-        self._touched: dict[UpstreamId, Life] = {}
+        self._touched: dict[UpstreamId, Instance] = {}
         self._added = 0
         self.may_have_orphans = False
         """Whether any upstream may have a run whose job is unknown."""
@@ -37,25 +37,25 @@
         """The newest instance under each upstream's own id."""
         self._health: dict[UpstreamId, Health] = {}
         for record in term.records.upstreams.values():
-            life = self.add(record.info, record.noted, record.draining, term.began_at)
-            life.sequence = record.sequence
-            life.is_capacity_doubted = record.is_capacity_doubted
-            life.lost = record.lost
+            instance = self.add(record.info, record.noted, record.draining, term.began_at)
+            instance.sequence = record.sequence
+            instance.is_capacity_doubted = record.is_capacity_doubted
+            instance.lost = record.lost
             if not record.is_capacity_doubted:
-                life.reported_at = term.known_until - term.reports.valid_for
+                instance.reported_at = term.known_until - term.reports.valid_for
             # An acting leader may have used it all the same, and the record may be an old one.
-            life.is_cordoned = record.is_cordoned and term.keeps_log
-            if not life.is_cordoned:
+            instance.is_cordoned = record.is_cordoned and term.keeps_log
+            if not instance.is_cordoned:
                 self.unseen.add(record.info.id)
 
     def is_grace(self, now: timedelta) -> bool:
         """Return whether the term is so young that unknown runs may still find their jobs."""
         return now < self._term.began_at + ORPHAN_GRACE
 
-    def add(self, info: UpstreamInfo, noted: int, draining: bool, now: timedelta) -> Life:
+    def add(self, info: UpstreamInfo, noted: int, draining: bool, now: timedelta) -> Instance:
         """Begin to track an instance, and poll an earlier one at its address or under its name."""
         self._added += 1
-        life = Life(
+        instance = Instance(
             info=info,
             terms=self._term.lease,
             noted=noted,
@@ -67,47 +67,47 @@
             heard_at=now,
             look_due=now,
         )
-        self.by_id[info.id] = life
-        self.touch(life)
-        self._check(self._by_address.get(info.address), life, now)
+        self.by_id[info.id] = instance
+        self.touch(instance)
+        self._check(self._by_address.get(info.address), instance, now)
         self._by_address[info.address] = info.id
         name = get_name(info.id)
         newest = self._newest.get(name)
         if newest is None or is_earlier(newest, info.id):
-            self._check(newest, life, now)
+            self._check(newest, instance, now)
             self._newest[name] = info.id
-        return life
+        return instance
 
-    def _check(self, earlier: UpstreamId | None, life: Life, now: timedelta) -> None:
+    def _check(self, earlier: UpstreamId | None, instance: Instance, now: timedelta) -> None:
         """Poll an earlier instance: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
-        if found is None or found is life:
+        if found is None or found is instance:
             return
         found.look_due = now
         found.must_check = True
         self.touch(found)
 
-    def find_later(self, id: UpstreamId) -> Life | None:
+    def find_later(self, id: UpstreamId) -> Instance | None:
         """Return the newest instance under the same name if it started after the given one."""
         newest = self._newest.get(get_name(id))
         return self.by_id[newest] if newest is not None and is_earlier(id, newest) else None
 
     def drop(self, upstream: UpstreamId) -> None:
         """Stop tracking an instance."""
-        life = self.by_id.pop(upstream, None)
+        instance = self.by_id.pop(upstream, None)
         self._touched.pop(upstream, None)
         self._health.pop(upstream, None)
         self.unseen.discard(upstream)
-        if life is not None and self._by_address.get(life.info.address) == upstream:
-            del self._by_address[life.info.address]
+        if instance is not None and self._by_address.get(instance.info.address) == upstream:
+            del self._by_address[instance.info.address]
         if self._newest.get(get_name(upstream)) == upstream:
             del self._newest[get_name(upstream)]
 
-    def touch(self, life: Life) -> None:
+    def touch(self, instance: Instance) -> None:
         """Have an instance processed in the next round, because something about it changed."""
-        self._touched[life.info.id] = life
+        self._touched[instance.info.id] = instance
 
-    def take_touched(self) -> list[Life]:
+    def take_touched(self) -> list[Instance]:
         """Return the instances that changed since the last call."""
         touched, self._touched = self._touched, {}
         return list(touched.values())
@@ -119,27 +119,28 @@
         too.
         """
         return any(
-            not (life.is_fenced or life.is_over) and (of_deputies or not life.is_cordoned)
-            for life in self.by_id.values()
+            not (instance.is_fenced or instance.is_over)
+            and (of_deputies or not instance.is_cordoned)
+            for instance in self.by_id.values()
         )
 
     def look_for_orphans(self) -> None:
         """Clear the flag for orphaned runs once the last of them is gone."""
         if self.may_have_orphans:
-            self.may_have_orphans = any(life.has_orphans for life in self.by_id.values())
+            self.may_have_orphans = any(instance.has_orphans for instance in self.by_id.values())
 
     def set_evacuated(self, domain: DomainName, now: timedelta) -> int:
         """Apply whether a domain is evacuated; return how many runs are active there."""
         is_evacuated = domain in self._term.records.evacuations.evacuated
-        lives = [life for life in self.by_id.values() if life.info.domain == domain]
-        for life in lives:
-            if life.is_evacuated and not is_evacuated:
+        instances = [instance for instance in self.by_id.values() if instance.info.domain == domain]
+        for instance in instances:
+            if instance.is_evacuated and not is_evacuated:
                 # Tasks may take longer there until its next heartbeat reports otherwise.
-                life.cold_until = now + self._term.reports.every
-            life.is_evacuated = is_evacuated
-            self.touch(life)
+                instance.cold_until = now + self._term.reports.every
+            instance.is_evacuated = is_evacuated
+            self.touch(instance)
         self._room = None
-        return sum(len(life.runs) for life in lives)
+        return sum(len(instance.runs) for instance in instances)
 
     def is_evacuated(self, service: ServiceName) -> bool:
         """Return whether a service has upstreams and all of them are in evacuated domains.
@@ -148,45 +149,55 @@
         """
         if not self._term.records.evacuations.evacuated:
             return False
-        lives = (life for life in self.by_id.values() if life.info.service == service)
-        there = [life for life in lives if not (life.is_over or life.draining or life.is_foreign)]
-        return bool(there) and all(life.is_evacuated for life in there)
-
-    def get_health(self, life: Life) -> Health:
+        instances = (
+            instance for instance in self.by_id.values() if instance.info.service == service
+        )
+        there = [
+            instance
+            for instance in instances
+            if not (instance.is_over or instance.draining or instance.is_foreign)
+        ]
+        return bool(there) and all(instance.is_evacuated for instance in there)
+
+    def get_health(self, instance: Instance) -> Health:
         """Return the health record of an instance."""
-        health = self._health.get(life.info.id)
+        health = self._health.get(instance.info.id)
         if health is None:
-            health = self._health[life.info.id] = Health()
+            health = self._health[instance.info.id] = Health()
         return health
 
-    def find_working(self, now: timedelta) -> dict[ServiceName, list[Life]]:
+    def find_working(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
         """Return the instances that accept work, by service, without those set aside.
 
         If too large a share of a service would be set aside, none of it is.
         """
-        by_service: dict[ServiceName, list[Life]] = {}
-        for life in self.by_id.values():
-            if self.takes_work(life, now):
-                by_service.setdefault(life.info.service, []).append(life)
-        for service, lives in by_service.items():
-            well = [life for life in lives if not self.get_health(life).is_set_aside(now)]
-            if len(well) >= len(lives) * (1.0 - MOST_SET_ASIDE):
+        by_service: dict[ServiceName, list[Instance]] = {}
+        for instance in self.by_id.values():
+            if self.takes_work(instance, now):
+                by_service.setdefault(instance.info.service, []).append(instance)
+        for service, instances in by_service.items():
+            well = [
+                instance
+                for instance in instances
+                if not self.get_health(instance).is_set_aside(now)
+            ]
+            if len(well) >= len(instances) * (1.0 - MOST_SET_ASIDE):
                 by_service[service] = well
         return by_service
 
-    def takes_work(self, life: Life, now: timedelta) -> bool:
+    def takes_work(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an instance accepts work at all, set aside or not."""
-        life.is_on_trial = self.get_health(life).is_on_trial
-        return life.takes_work(now) and not self._may_be_full(life, now)
+        instance.is_on_trial = self.get_health(instance).is_on_trial
+        return instance.takes_work(now) and not self._may_be_full(instance, now)
 
-    def _may_be_full(self, life: Life, now: timedelta) -> bool:
+    def _may_be_full(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an upstream that does not check its capacity may have less than is known.
 
         It has a run of unknown needs, or has not reported its capacity for a long time.
         """
-        if not life.has_orphans and self._is_report_valid(life, now):
+        if not instance.has_orphans and self._is_report_valid(instance, now):
             return False
-        return life.info.service in self._list_unguarded()
+        return instance.info.service in self._list_unguarded()
 
     def _list_unguarded(self) -> set[ServiceName]:
         """Return the services whose upstreams start runs without checking their own capacity."""
@@ -199,30 +210,34 @@
         unguarded = self._list_unguarded()
         if not unguarded:
             return []
-        doubted = [life for life in self.by_id.values() if self._is_missed(life, unguarded, now)]
-        for life in doubted:
-            life.is_capacity_doubted = True
-        return [life.info.id for life in doubted]
-
-    def _is_missed(self, life: Life, unguarded: set[ServiceName], now: timedelta) -> bool:
-        if life.is_capacity_doubted or life.info.service not in unguarded:
+        doubted = [
+            instance
+            for instance in self.by_id.values()
+            if self._is_missed(instance, unguarded, now)
+        ]
+        for instance in doubted:
+            instance.is_capacity_doubted = True
+        return [instance.info.id for instance in doubted]
+
+    def _is_missed(self, instance: Instance, unguarded: set[ServiceName], now: timedelta) -> bool:
+        if instance.is_capacity_doubted or instance.info.service not in unguarded:
             return False
         missed_after = self._term.reports.missed_after
-        return life.reported_at is None or now >= life.reported_at + missed_after
+        return instance.reported_at is None or now >= instance.reported_at + missed_after
 
-    def list_changes(self, life: Life) -> list[timedelta]:
+    def list_changes(self, instance: Instance) -> list[timedelta]:
         """Return the times at which it begins or ceases to accept work without any event."""
-        moments = [life.avoid_until, self.get_health(life).set_aside_until]
-        if life.reported_at is not None and life.info.service in self._list_unguarded():
-            moments.append(life.reported_at + self._term.reports.valid_for)
+        moments = [instance.avoid_until, self.get_health(instance).set_aside_until]
+        if instance.reported_at is not None and instance.info.service in self._list_unguarded():
+            moments.append(instance.reported_at + self._term.reports.valid_for)
         return moments
 
-    def _is_report_valid(self, life: Life, now: timedelta) -> bool:
+    def _is_report_valid(self, instance: Instance, now: timedelta) -> bool:
         """Return whether the last report is recent.
 
         Until then starts are tolerated even if the capacity has shrunk since the report.
         """
-        reported_at = life.reported_at
+        reported_at = instance.reported_at
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
     def measure_room(self, now: timedelta) -> float:
@@ -231,9 +246,9 @@
             return self._room[1]
         is_new = self.is_grace(now)
         room = measure_room(
-            life
-            for life in self.by_id.values()
-            if life.takes_work(now) or (is_new and _may_take_work(life))
+            instance
+            for instance in self.by_id.values()
+            if instance.takes_work(now) or (is_new and _may_take_work(instance))
         )
         self._room = (now + ROOM_KEPT, room)
         return room
@@ -244,21 +259,25 @@
         The next coordinator of the job waits for these leases only. A lease covers everything that
         runs at an upstream, so renewals for other runs would keep these alive.
         """
-        for life in self.by_id.values():
-            for key in [each for each in life.runs if each[0].job == job]:
-                life.dispute(key)
+        for instance in self.by_id.values():
+            for key in [each for each in instance.runs if each[0].job == job]:
+                instance.dispute(key)
 
     def want_stop(self, upstream: UpstreamId, ref: TaskRef, run: RunNumber) -> None:
         """Have a run stopped as soon as possible."""
-        life = self.by_id.get(upstream)
-        found = life.runs.get((ref, run)) if life is not None else None
-        if life is not None and found is not None:
+        instance = self.by_id.get(upstream)
+        found = instance.runs.get((ref, run)) if instance is not None else None
+        if instance is not None and found is not None:
             found.stop_wanted = True
-            self.touch(life)
+            self.touch(instance)
 
 
-def _may_take_work(life: Life) -> bool:
+def _may_take_work(instance: Instance) -> bool:
     """Return whether an upstream not seen in this term can be expected to accept work."""
     return not (
-        life.is_fenced or life.draining or life.is_evacuated or life.is_over or life.is_foreign
+        instance.is_fenced
+        or instance.draining
+        or instance.is_evacuated
+        or instance.is_over
+        or instance.is_foreign
     )
--- a/cottonlug/core/cluster/lives.py
+++ b/cottonlug/core/cluster/instances.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Life:
+class Instance:
     """One run of an upstream's process, from its start to its exit or crash."""
 
     info: UpstreamInfo
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -31,7 +31,7 @@
     """An unfinished task."""
 
     phase: TaskPhase
-    life: UpstreamId | None = None
+    instance: UpstreamId | None = None
     run: RunNumber = NO_RUN
     moves: int = 0
     """How often it was stopped to be started elsewhere."""
@@ -46,7 +46,7 @@
 
         A job that was given up and is submitted again has its runs numbered from the first again.
         """
-        return self.phase is TaskPhase.RUNNING and (self.run, self.life) == (run, upstream)
+        return self.phase is TaskPhase.RUNNING and (self.run, self.instance) == (run, upstream)
 
 
 @dataclass(slots=True, kw_only=True)
@@ -88,8 +88,8 @@
         """Return what a task of a step takes at the fastest of the other upstreams."""
         others = (
             total
-            for (number, life), total in self.paces.items()
-            if number == step and life != upstream
+            for (number, instance), total in self.paces.items()
+            if number == step and instance != upstream
         )
         return min(others, default=None)
 
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -11,11 +11,11 @@
 from .backlog import Backlog, Batch
 from .crashes import Care
 from .forecast import LATE_FACTOR, Forecast
-from .life_table import LifeTable
+from .instance_table import InstanceTable
 from .model import EndKind, EndReport, JobId, JobState, Queue, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
-from .suspicion import Suspicion
+from .crash_tracker import Suspicion
 from .tempo import Tempo
 from .term import Term
 
@@ -31,8 +31,8 @@
 class OpenJobs:
     """Open jobs by id, and the backlog of their tasks."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, suspicion: Suspicion) -> None:
-        self.suspicion = suspicion
+    def __init__(self, *, term: Term, instances: InstanceTable, crash_tracker: Suspicion) -> None:
+        self.crash_tracker = crash_tracker
         self.jobs: dict[JobId, OpenJob] = {}
         self.backlog = Backlog()
         self.forecast = Forecast()
@@ -51,7 +51,7 @@
         self._timed: dict[JobId, OpenJob] = {}
         """Timed jobs with occurrences that are not due yet."""
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._forget_at = term.began_at + KEEP_ENDED
         for record in term.records.jobs.values():
             if record.is_open:
@@ -146,12 +146,12 @@
         """Queue tasks of one step of an occurrence; those that may crash upstreams apart."""
         if not indexes:
             return
-        if not self.suspicion.may_suspect_any():
+        if not self.crash_tracker.may_suspect_any():
             self._queue(job, occurrence, number, indexes, Care.NONE)
             return
         by_care: dict[Care, list[int]] = {}
         for index in indexes:
-            care = self.suspicion.find_care(TaskRef(job.record.id, occurrence, number, index))
+            care = self.crash_tracker.find_care(TaskRef(job.record.id, occurrence, number, index))
             by_care.setdefault(care, []).append(index)
         for care, alike in by_care.items():
             self._queue(job, occurrence, number, alike, care)
@@ -212,11 +212,11 @@
     def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
         """End the jobs of tasks that are given up, for upstreams that have crashed under them."""
         for ref in refs:
-            counts = self.suspicion.find_counts(ref)
+            counts = self.crash_tracker.find_counts(ref)
             job = self.jobs.get(ref.job)
             if job is None or ref not in job.tasks or not counts.is_given_up:
                 continue
-            self.suspicion.convicted[job.record.queue.key] += 1
+            self.crash_tracker.convicted[job.record.queue.key] += 1
             self._term.counts.crashing_tasks += 1
             self._term.note(
                 "task_crashes_upstreams",
@@ -293,12 +293,12 @@
         if any(task.phase is TaskPhase.QUEUED for task in job.tasks.values()):
             self.backlog.drop_job(id)
         for ref, task in job.tasks.items():
-            if task.phase is TaskPhase.RUNNING and task.life is not None:
-                self._lives.want_stop(task.life, ref, task.run)
+            if task.phase is TaskPhase.RUNNING and task.instance is not None:
+                self._instances.want_stop(task.instance, ref, task.run)
                 self.left_behind[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
             # Its caller may send it again, to another host that decides.
-            self._lives.dispute(id)
+            self._instances.dispute(id)
         took_ms = to_milliseconds(now - job.opened_at)
         objective_ms = to_milliseconds(job.objective)
         if job.record.state is not JobState.COMPLETED:
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -5,44 +5,48 @@
 from collections.abc import Iterable
 
 from .backlog import Batch
-from .lives import Life
+from .instances import Instance
 
 
 def choose_life(
-    batch: Batch, lives: Iterable[Life], *, is_in_order: bool = False, needs_empty: bool = False
-) -> Life | None:
+    batch: Batch,
+    instances: Iterable[Instance],
+    *,
+    is_in_order: bool = False,
+    needs_empty: bool = False,
+) -> Instance | None:
     """Return the life that a task fits best: near its data, then with the least room left over.
 
     Tasks are wide (14 of 32 cores): the least room left keeps whole upstreams free for wide ones.
     `is_in_order` tells that the lives come with the least room first, so that one which is best in
     all else need not be compared with those after it. With `needs_empty` nothing may run there.
     """
-    best: Life | None = None
+    best: Instance | None = None
     best_score: tuple[int, int, int] | None = None
-    for life in lives:
-        if not life.has_room(batch.needs) or not _is_allowed(batch, life):
+    for instance in instances:
+        if not instance.has_room(batch.needs) or not _is_allowed(batch, instance):
             continue
-        if (life.is_on_trial or needs_empty) and life.runs:
+        if (instance.is_on_trial or needs_empty) and instance.runs:
             continue
         rack = batch.step.data_rack
-        is_far = 1 if rack and rack not in life.info.labels else 0
-        score = (is_far, 0 if life.is_listening else 1, life.free_cpu)
+        is_far = 1 if rack and rack not in instance.info.labels else 0
+        score = (is_far, 0 if instance.is_listening else 1, instance.free_cpu)
         if best_score is None or score < best_score:
-            best, best_score = life, score
+            best, best_score = instance, score
             if is_in_order and score[:2] == (0, 0):
                 break
     return best
 
 
-def _is_allowed(batch: Batch, life: Life) -> bool:
+def _is_allowed(batch: Batch, instance: Instance) -> bool:
     step = batch.step
-    if step.required_label and step.required_label not in life.info.labels:
+    if step.required_label and step.required_label not in instance.info.labels:
         return False
     if not step.max_per_upstream:
         return True
     same = sum(
         1
-        for run in life.runs.values()
+        for run in instance.runs.values()
         if run.task[:3] == (batch.job.id, batch.occurrence, batch.number)
     )
     return same < step.max_per_upstream
--- a/cottonlug/core/cluster/settlement.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .life_table import LifeTable
+from .instance_table import InstanceTable
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .term import Term
@@ -14,11 +14,11 @@
 class Settlement:
     """Tracks tasks that may be active at an unreachable upstream without this leader knowing."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self.is_settled = False
         """Whether all leases of earlier terms have ended, or all upstreams have answered."""
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
 
     @property
@@ -31,7 +31,7 @@
 
         With `of_deputies`, runs of acting leaders count as well.
         """
-        return self._lives.is_any_unseen(of_deputies=of_deputies)
+        return self._instances.is_any_unseen(of_deputies=of_deputies)
 
     def note_unsure(self) -> None:
         """Check again whether tasks are unknown."""
@@ -39,11 +39,11 @@
 
     def settle(self, now: timedelta) -> None:
         """Queue what an earlier leader left open, once no unknown run of it can be active."""
-        if not self.is_settled and (not self._lives.unseen or now >= self._term.lapsed_at):
+        if not self.is_settled and (not self._instances.unseen or now >= self._term.lapsed_at):
             self.is_settled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
             self._term.note(
-                "term_settled", {"term": self._term.number, "unseen": len(self._lives.unseen)}
+                "term_settled", {"term": self._term.number, "unseen": len(self._instances.unseen)}
             )
         if not self._jobs.has_unsure:
             return
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -6,8 +6,8 @@
 
 from ..ids import UpstreamId
 from .commands import AddUpstream, DoubtCapacities, ResizeUpstream, SetDraining
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import Heartbeat
 from .term import Term
 
@@ -15,20 +15,20 @@
 class Registry:
     """Processes heartbeats, and proposes to the log what every later leader must know."""
 
-    def __init__(self, *, term: Term, lives: LifeTable) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._joining: dict[UpstreamId, Heartbeat] = {}
         """The newest heartbeat of each upstream that is not yet registered in the log."""
 
     def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record that an upstream is alive, what its capacity is, and whether it is leaving."""
-        life = self._lives.by_id.get(heartbeat.info.id)
-        later = self._lives.find_later(heartbeat.info.id) if life is None else None
+        instance = self._instances.by_id.get(heartbeat.info.id)
+        later = self._instances.find_later(heartbeat.info.id) if instance is None else None
         if later is not None:
             self._note_overtaken(later, heartbeat)
             return
-        if life is None:
+        if instance is None:
             joining = self._joining.get(heartbeat.info.id)
             if joining is None:
                 add = AddUpstream(info=heartbeat.info, sequence=heartbeat.sequence)
@@ -38,28 +38,28 @@
             if heartbeat.draining:
                 self._term.proposals.append(SetDraining(upstream=heartbeat.info.id))
             return
-        if heartbeat.sequence < life.sequence:
-            self._note_overtaken(life, heartbeat)
+        if heartbeat.sequence < instance.sequence:
+            self._note_overtaken(instance, heartbeat)
             return
-        self._lives.touch(life)
-        self._take_report(life, heartbeat, now)
-        life.heard_at = now
-        life.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
+        self._instances.touch(instance)
+        self._take_report(instance, heartbeat, now)
+        instance.heard_at = now
+        instance.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
         if heartbeat.clock_ms is not None:
-            life.take_clock(heartbeat.clock_ms, now)
+            instance.take_clock(heartbeat.clock_ms, now)
         if heartbeat.draining:
-            self.take_leave(life.info.id)
-        if not life.is_fenced and not life.look_is_out:
-            life.look_due = now
+            self.take_leave(instance.info.id)
+        if not instance.is_fenced and not instance.look_is_out:
+            instance.look_due = now
 
-    def _note_overtaken(self, life: Life, heartbeat: Heartbeat) -> None:
+    def _note_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
         self._term.note(
             "heartbeat_overtaken",
             {
                 "upstream": heartbeat.info.id,
-                "by": life.info.id,
+                "by": instance.info.id,
                 "sequence": heartbeat.sequence,
-                "newest": life.sequence,
+                "newest": instance.sequence,
                 "clock_ms": heartbeat.clock_ms or 0,
             },
         )
@@ -68,58 +68,58 @@
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
         """Record that another host has answered a heartbeat that contained nothing new."""
-        life = self._lives.by_id.get(id)
-        if life is None or sequence < life.sequence:
+        instance = self._instances.by_id.get(id)
+        if instance is None or sequence < instance.sequence:
             return
-        life.take_report(life.info.capacity, sequence, at)
-        life.heard_at = max(at, life.heard_at or at)
+        instance.take_report(instance.info.capacity, sequence, at)
+        instance.heard_at = max(at, instance.heard_at or at)
         if clock_ms is not None:
-            life.take_clock(clock_ms, at)
-        if not life.is_fenced and not life.look_is_out:
-            life.look_due = min(life.look_due, at)
-            self._lives.touch(life)
+            instance.take_clock(clock_ms, at)
+        if not instance.is_fenced and not instance.look_is_out:
+            instance.look_due = min(instance.look_due, at)
+            self._instances.touch(instance)
 
-    def _take_report(self, life: Life, heartbeat: Heartbeat, now: timedelta) -> None:
+    def _take_report(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
-        if heartbeat.has_no_capacity and not life.is_unreadable:
-            self._term.note("capacity_unreadable", {"upstream": life.info.id})
-        life.is_unreadable = heartbeat.has_no_capacity
-        before, capacity = life.info.capacity, heartbeat.info.capacity
-        sent_at = now - life.find_age(heartbeat.clock_ms, now)
-        if not life.take_report(capacity, heartbeat.sequence, sent_at):
+        if heartbeat.has_no_capacity and not instance.is_unreadable:
+            self._term.note("capacity_unreadable", {"upstream": instance.info.id})
+        instance.is_unreadable = heartbeat.has_no_capacity
+        before, capacity = instance.info.capacity, heartbeat.info.capacity
+        sent_at = now - instance.find_age(heartbeat.clock_ms, now)
+        if not instance.take_report(capacity, heartbeat.sequence, sent_at):
             return
         self._term.counts.resized_upstreams += 1
         self._term.note(
             "upstream_resized",
             {
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "cpu_millis": capacity.cpu_millis,
                 "cpu_millis_before": before.cpu_millis,
                 "memory_mb": capacity.memory_mb,
                 "gpus": capacity.gpus,
                 "sequence": heartbeat.sequence,
-                "free_cpu": life.free_cpu,
+                "free_cpu": instance.free_cpu,
             },
         )
         resize = ResizeUpstream(
-            upstream=life.info.id, capacity=capacity, sequence=heartbeat.sequence
+            upstream=instance.info.id, capacity=capacity, sequence=heartbeat.sequence
         )
         self._term.proposals.append(resize)
 
     def take_leave(self, upstream: UpstreamId) -> None:
         """Send no more work to an upstream."""
-        life = self._lives.by_id.get(upstream)
-        if life is not None and not life.draining:
-            life.draining = True
+        instance = self._instances.by_id.get(upstream)
+        if instance is not None and not instance.draining:
+            instance.draining = True
             self._term.proposals.append(SetDraining(upstream=upstream))
             self._term.note("upstream_leaving", {"upstream": upstream})
 
     def take_added(self, command: AddUpstream, now: timedelta) -> None:
         """Begin to track an upstream that the log has just registered."""
         joining = self._joining.pop(command.info.id, None)
-        if command.info.id not in self._lives.by_id:
-            life = self._lives.add(command.info, 0, False, now)
-            life.sequence = command.sequence
+        if command.info.id not in self._instances.by_id:
+            instance = self._instances.add(command.info, 0, False, now)
+            instance.sequence = command.sequence
         if joining is not None:
             # It may have reported something new while the log was registering it.
             self.take_heartbeat(joining, now)
@@ -129,6 +129,6 @@
 
         The next coordinator then knows that their capacity may have changed.
         """
-        doubted = self._lives.find_newly_doubted(now)
+        doubted = self._instances.find_newly_doubted(now)
         if doubted and self._term.keeps_log:
             self._term.proposals.append(DoubtCapacities(upstreams=tuple(doubted)))
--- a/cottonlug/core/cluster/rooms.py
+++ b/cottonlug/core/cluster/rooms.py
@@ -19,11 +19,11 @@
 from datetime import timedelta
 
 from ..ids import DomainName, UpstreamId
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import ServiceName
 
-_Entry = tuple[int, int, Life]
+_Entry = tuple[int, int, Instance]
 """Room, number and life: no two lives have one number, so that no two are compared themselves."""
 
 
@@ -47,8 +47,8 @@
 class Rooms:
     """The lives that take work, with the least room first."""
 
-    def __init__(self, *, lives: LifeTable) -> None:
-        self._lives = lives
+    def __init__(self, *, instances: InstanceTable) -> None:
+        self._instances = instances
         self._pools: dict[ServiceName, dict[DomainName, _Pool]] = {}
         self._entries: dict[UpstreamId, _Entry] = {}
         self._is_fresh = False
@@ -67,29 +67,29 @@
         self._entries = {}
         self._pools = {}
         self._all_used = set()
-        for service, working in self._lives.find_working(now).items():
-            if any(self._is_set_aside(life, now) for life in working):
+        for service, working in self._instances.find_working(now).items():
+            if any(self._is_set_aside(instance, now) for instance in working):
                 self._all_used.add(service)
-            entries = [(life.free_cpu, life.number, life) for life in working]
+            entries = [(instance.free_cpu, instance.number, instance) for instance in working]
             # Each goes to the end of its pool.
             for entry in sorted(entries):
                 self._add(entry)
         return True
 
-    def update(self, life: Life, now: timedelta) -> None:
+    def update(self, instance: Instance, now: timedelta) -> None:
         """Put a life that has changed in its place."""
-        id, service = life.info.id, life.info.service
+        id, service = instance.info.id, instance.info.service
         old = self._entries.get(id)
-        takes_work = self._is_known(life) and self._lives.takes_work(life, now)
+        takes_work = self._is_known(instance) and self._instances.takes_work(instance, now)
         if takes_work and service not in self._all_used:
-            takes_work = not self._is_set_aside(life, now)
+            takes_work = not self._is_set_aside(instance, now)
         if old is not None:
-            if takes_work and old[0] == life.free_cpu:
+            if takes_work and old[0] == instance.free_cpu:
                 return
-            self._find_pool(life).remove(old)
+            self._find_pool(instance).remove(old)
             del self._entries[id]
         if takes_work:
-            self._add((life.free_cpu, life.number, life))
+            self._add((instance.free_cpu, instance.number, instance))
 
     def find_most(self, service: ServiceName) -> int:
         """Return the most room that any upstream of a service has left, in core-thousandths."""
@@ -98,38 +98,38 @@
 
     def iterate_from(
         self, service: ServiceName, cpu: int, now: timedelta, first: DomainName | None
-    ) -> Iterator[Life]:
+    ) -> Iterator[Instance]:
         """Yield the lives of a service with at least so much room, the least first in each domain.
 
         The domain `first` comes first, then those with the most room left, and cold ones last.
         """
         pools = self._pools.get(service, {})
-        cold: list[Life] = []
+        cold: list[Instance] = []
         for domain in sorted(pools, key=lambda each: (each != first, -pools[each].free_cpu)):
             entries = pools[domain].entries
             # No life has the number 0.
             for at in range(bisect.bisect_left(entries, (cpu, 0)), len(entries)):
-                life = entries[at][2]
+                instance = entries[at][2]
                 # What has changed since it was put here must not be overlooked.
-                if not (self._is_known(life) and self._lives.takes_work(life, now)):
+                if not (self._is_known(instance) and self._instances.takes_work(instance, now)):
                     continue
-                if life.is_cold(now):
-                    cold.append(life)
+                if instance.is_cold(now):
+                    cold.append(instance)
                 else:
-                    yield life
+                    yield instance
         yield from cold
 
     def _add(self, entry: _Entry) -> None:
-        life = entry[2]
-        self._entries[life.info.id] = entry
-        self._find_pool(life).add(entry)
+        instance = entry[2]
+        self._entries[instance.info.id] = entry
+        self._find_pool(instance).add(entry)
 
-    def _find_pool(self, life: Life) -> _Pool:
-        pools = self._pools.setdefault(life.info.service, {})
-        return pools.setdefault(life.info.domain, _Pool())
+    def _find_pool(self, instance: Instance) -> _Pool:
+        pools = self._pools.setdefault(instance.info.service, {})
+        return pools.setdefault(instance.info.domain, _Pool())
 
-    def _is_known(self, life: Life) -> bool:
-        return self._lives.by_id.get(life.info.id) is life
+    def _is_known(self, instance: Instance) -> bool:
+        return self._instances.by_id.get(instance.info.id) is instance
 
-    def _is_set_aside(self, life: Life, now: timedelta) -> bool:
-        return self._lives.get_health(life).is_set_aside(now)
+    def _is_set_aside(self, instance: Instance, now: timedelta) -> bool:
+        return self._instances.get_health(instance).is_set_aside(now)
--- a/cottonlug/core/cluster/ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -7,14 +7,14 @@
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
 from .commands import NoteEnds
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .model import EndKind, EndReport, JobId
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
 from .records import JobRecord, note_end
-from .settlement import Settlement
+from .reconciliation import Settlement
 from .term import Term
 
 
@@ -22,41 +22,41 @@
     """Processes run ends that upstreams list; those of durable jobs go through the log first."""
 
     def __init__(
-        self, *, term: Term, lives: LifeTable, jobs: OpenJobs, settlement: Settlement
+        self, *, term: Term, instances: InstanceTable, jobs: OpenJobs, reconciliation: Settlement
     ) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
-        self._settlement = settlement
+        self._reconciliation = reconciliation
         self._orphans: dict[JobId, list[EndReport]] = {}
         """Ends of jobs that are unknown so far but may be submitted again."""
 
-    def take_listed(self, life: Life, ended: tuple[EndReport, ...], now: timedelta) -> None:
+    def take_listed(self, instance: Instance, ended: tuple[EndReport, ...], now: timedelta) -> None:
         """Record ends that an upstream has listed: here, or through the log for durable jobs."""
-        new = tuple(end for end in ended if end.number > max(life.proposed, life.noted))
+        new = tuple(end for end in ended if end.number > max(instance.proposed, instance.noted))
         if not new:
             return
-        awaits_record = life.proposed > life.noted
-        life.proposed = new[-1].number
+        awaits_record = instance.proposed > instance.noted
+        instance.proposed = new[-1].number
         self._term.counts.ends += len(new)
         self._jobs.tempo.take_ends(len(new), now)
         kept: list[EndReport] = []
         for end in new:
-            run = life.remove_run((end.task, end.run))
+            run = instance.remove_run((end.task, end.run))
             if run is not None:
-                self._look_for_another(life, run, end)
-                self._judge(life, run, end, now)
-            self._jobs.mark_noting(end, life.info.id)
+                self._look_for_another(instance, run, end)
+                self._judge(instance, run, end, now)
+            self._jobs.mark_noting(end, instance.info.id)
             if end.task.job in self._term.records.jobs:
                 kept.append(end)
             else:
-                self._note_here(end, life.info.id, now)
+                self._note_here(end, instance.info.id, now)
         if not kept and not awaits_record:
-            life.noted = max(life.noted, life.proposed)
+            instance.noted = max(instance.noted, instance.proposed)
             return
         command = NoteEnds(
-            upstream=life.info.id,
-            through=life.proposed,
+            upstream=instance.info.id,
+            through=instance.proposed,
             ends=tuple(kept),
             at_ms=self._term.wall_ms(),
         )
@@ -64,11 +64,11 @@
 
     def take_noted(self, command: NoteEnds, now: timedelta) -> None:
         """Act on ends that the log has committed."""
-        life = self._lives.by_id.get(command.upstream)
-        if life is not None:
-            life.noted = max(life.noted, command.through)
-            life.look_due = now
-            self._lives.touch(life)
+        instance = self._instances.by_id.get(command.upstream)
+        if instance is not None:
+            instance.noted = max(instance.noted, command.through)
+            instance.look_due = now
+            self._instances.touch(instance)
         for end in command.ends:
             self._take_noted_end(end, command.upstream, now)
 
@@ -80,10 +80,10 @@
 
     def forget_orphans(self, now: timedelta) -> None:
         """Drop ends of jobs that nobody has submitted again in time."""
-        if self._orphans and not self._lives.is_grace(now):
+        if self._orphans and not self._instances.is_grace(now):
             self._orphans.clear()
 
-    def _look_for_another(self, life: Life, run: Run, end: EndReport) -> None:
+    def _look_for_another(self, instance: Instance, run: Run, end: EndReport) -> None:
         """Detect, from a stop that another host sent, that a host with a higher token coordinates.
 
         That host may have started the task again by now.
@@ -91,12 +91,12 @@
         if end.how is EndKind.STOPPED and not run.stop_wanted:
             self._term.is_fenced_off = True
             self._term.note(
-                "run_stopped_elsewhere", {"upstream": life.info.id, "job": end.task.job}
+                "run_stopped_elsewhere", {"upstream": instance.info.id, "job": end.task.job}
             )
 
-    def _judge(self, life: Life, run: Run, end: EndReport, now: timedelta) -> None:
+    def _judge(self, instance: Instance, run: Run, end: EndReport, now: timedelta) -> None:
         """Update the expected run time of a step and the health of an upstream."""
-        health = self._lives.get_health(life)
+        health = self._instances.get_health(instance)
         job = self._jobs.jobs.get(end.task.job)
         if job is None or run.is_orphan:
             return
@@ -109,7 +109,7 @@
             {
                 "job": end.task.job,
                 "task": f"{end.task.step}.{end.task.place}",
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "how": end.how.value,
                 "took_ms": to_milliseconds(taken),
                 "expected_ms": to_milliseconds(expected),
@@ -120,11 +120,11 @@
             return
         if end.how is EndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
-            job.learn_pace(end.task.step, life.info.id, taken)
+            job.learn_pace(end.task.step, instance.info.id, taken)
             if health.take_done(taken / expected, now):
-                self._term.note("upstream_slow", {"upstream": life.info.id})
+                self._term.note("upstream_slow", {"upstream": instance.info.id})
         elif end.how is EndKind.FAILED and health.take_failure(now):
-            self._term.note("upstream_failing", {"upstream": life.info.id})
+            self._term.note("upstream_failing", {"upstream": instance.info.id})
 
     def _note_here(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
         """Record the end of a run of a best-effort job."""
@@ -132,7 +132,7 @@
         if job is not None:
             note_end(job.record, end, self._term.wall_ms())
             self._take_noted_end(end, upstream, now)
-        elif self._lives.is_grace(now):
+        elif self._instances.is_grace(now):
             self._orphans.setdefault(end.task.job, []).append(end)
 
     def _take_noted_end(self, end: EndReport, upstream: UpstreamId | None, now: timedelta) -> None:
@@ -148,8 +148,8 @@
             return
         if job.record.get_task(end.task).is_done:
             # A run that was abandoned may have ended as done before its lease did.
-            if task.phase is TaskPhase.RUNNING and task.life is not None:
-                self._lives.want_stop(task.life, end.task, task.run)
+            if task.phase is TaskPhase.RUNNING and task.instance is not None:
+                self._instances.want_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
                 self._jobs.unqueue(end.task)
             del job.tasks[end.task]
@@ -158,7 +158,7 @@
         elif task.phase is TaskPhase.NOTING and task.is_unknown:
             # The end of one run says nothing of a later run at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
-            self._settlement.note_unsure()
+            self._reconciliation.note_unsure()
         elif task.phase is TaskPhase.NOTING and task.noted == (upstream, end.run):
             # An older end recorded in the meantime must not requeue a task whose later run has
             # succeeded.
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -8,7 +8,7 @@
 
 from ..ids import DomainName
 from .commands import Command
-from .lives import LeaseTerms
+from .instances import LeaseTerms
 from .model import JobId, RunNumber
 from .orders import Order
 from .records import Records
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -9,8 +9,8 @@
 from ..ids import UpstreamId
 from .commands import CordonUpstreams, RemoveUpstreams, UncordonUpstream
 from .crashes import NO_WORK, LostRuns
-from .life_table import LifeTable
-from .lives import Life
+from .instance_table import InstanceTable
+from .instances import Instance
 from .open_job import OpenJob
 from .open_jobs import OpenJobs
 from .orders import CallFailure, LookOrder, Run, RunPhase, StopOrder
@@ -56,106 +56,111 @@
 class Watcher:
     """Keeps leases alive and finds out what has become of runs."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
-        self._out_of_sight: dict[UpstreamId, Life] = {}
+        self._out_of_sight: dict[UpstreamId, Instance] = {}
         """Instances whose last poll failed, or that have answered since and are not yet removed
         here."""
 
-    def look(self, life: Life, now: timedelta) -> None:
+    def look(self, instance: Instance, now: timedelta) -> None:
         """Poll an upstream if its lease or its run ends require it."""
-        if life.is_over or life.is_foreign:
+        if instance.is_over or instance.is_foreign:
             return
-        is_straggler = self._is_straggler(life)
-        is_unsure = is_straggler or self._awaits_stop(life)
-        if is_unsure and life.look_is_out and not life.probe_is_out and now >= life.probe_due:
+        is_straggler = self._is_straggler(instance)
+        is_unsure = is_straggler or self._awaits_stop(instance)
+        if (
+            is_unsure
+            and instance.look_is_out
+            and not instance.probe_is_out
+            and now >= instance.probe_due
+        ):
             # The long poll answers only when a run ends.
-            life.probe_due = now + (STRAGGLER_PATIENCE if is_straggler else LOOK_RETRY)
-            self._send_look(life, timedelta(), now)
+            instance.probe_due = now + (STRAGGLER_PATIENCE if is_straggler else LOOK_RETRY)
+            self._send_look(instance, timedelta(), now)
             return
-        if life.look_is_out or now < life.look_due or life.proposed > life.noted:
+        if instance.look_is_out or now < instance.look_due or instance.proposed > instance.noted:
             return
-        has_news = life.noted > life.confirmed
-        if life.is_fenced and not life.runs and not has_news and not life.must_check:
+        has_news = instance.noted > instance.confirmed
+        if instance.is_fenced and not instance.runs and not has_news and not instance.must_check:
             return
-        life.must_check = False
-        is_calm = life.is_fenced and life.failed_looks == 0 and not is_unsure
-        wait = self._find_wait(life, now) if life.runs and is_calm else timedelta()
-        self._send_look(life, wait, now)
+        instance.must_check = False
+        is_calm = instance.is_fenced and instance.failed_looks == 0 and not is_unsure
+        wait = self._find_wait(instance, now) if instance.runs and is_calm else timedelta()
+        self._send_look(instance, wait, now)
 
-    def is_calm(self, life: Life, now: timedelta) -> bool:
+    def is_calm(self, instance: Instance, now: timedelta) -> bool:
         """Return whether nothing at an upstream depends on the clock but its lease's end."""
         return (
-            life.is_fenced
-            and life.failed_looks == 0
-            and now >= life.avoid_until
-            and not life.has_orphans
-            and not self._lives.get_health(life).is_set_aside(now)
+            instance.is_fenced
+            and instance.failed_looks == 0
+            and now >= instance.avoid_until
+            and not instance.has_orphans
+            and not self._instances.get_health(instance).is_set_aside(now)
             and not any(
-                run.stop_wanted or run.phase is RunPhase.UNSURE for run in life.runs.values()
+                run.stop_wanted or run.phase is RunPhase.UNSURE for run in instance.runs.values()
             )
         )
 
-    def find_wake(self, life: Life, now: timedelta) -> timedelta | None:
+    def find_wake(self, instance: Instance, now: timedelta) -> timedelta | None:
         """Return the next time at which something is due at an upstream, or None.
 
         Called once everything that was due is done. None means that only an event can change
         anything.
         """
-        if life.is_over:
+        if instance.is_over:
             return None
         moments = [
-            life.lapse_at if life.runs else None,
-            self._find_look_due(life, now),
-            *(self._find_stop_due(run) for run in life.runs.values()),
-            *self._lives.list_changes(life),
+            instance.lapse_at if instance.runs else None,
+            self._find_look_due(instance, now),
+            *(self._find_stop_due(run) for run in instance.runs.values()),
+            *self._instances.list_changes(instance),
         ]
         return min((each for each in moments if each is not None and each > now), default=None)
 
-    def _find_look_due(self, life: Life, now: timedelta) -> timedelta | None:
-        if life.is_foreign:
+    def _find_look_due(self, instance: Instance, now: timedelta) -> timedelta | None:
+        if instance.is_foreign:
             return None
-        if not life.look_is_out:
-            return life.look_due
-        may_be_probed = not life.is_fenced or self._awaits_stop(life)
-        if life.probe_is_out or not may_be_probed:
+        if not instance.look_is_out:
+            return instance.look_due
+        may_be_probed = not instance.is_fenced or self._awaits_stop(instance)
+        if instance.probe_is_out or not may_be_probed:
             return None
-        return max(life.probe_due, now + PROBE_CHECK)
+        return max(instance.probe_due, now + PROBE_CHECK)
 
     def _find_stop_due(self, run: Run) -> timedelta | None:
         if run.stop_wanted:
             return run.stop_due
         return self._find_borne_until(run) if run.is_orphan else None
 
-    def _send_look(self, life: Life, wait: timedelta, now: timedelta) -> None:
+    def _send_look(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
         # A poll that is not answered may still renew the lease, which then would not lapse for as
         # long as polls are repeated: the lease is extended only for upstreams that answer.
-        renews = bool(life.runs) and life.failed_looks == 0 and not life.has_disputed
-        expires_ms = life.grant(now) if renews else None
-        is_probe = life.look_is_out
-        if not is_probe and not life.is_fenced:
-            life.probe_due = now + STRAGGLER_PATIENCE
-        life.probe_is_out = life.probe_is_out or is_probe
-        life.look_is_out = True
+        renews = bool(instance.runs) and instance.failed_looks == 0 and not instance.has_disputed
+        expires_ms = instance.grant(now) if renews else None
+        is_probe = instance.look_is_out
+        if not is_probe and not instance.is_fenced:
+            instance.probe_due = now + STRAGGLER_PATIENCE
+        instance.probe_is_out = instance.probe_is_out or is_probe
+        instance.look_is_out = True
         self._term.counts.looks += 1
         order = LookOrder(
-            upstream=life.info,
-            last_seen=life.noted,
+            upstream=instance.info,
+            last_seen=instance.noted,
             expires_ms=expires_ms,
             wait=wait,
-            first_end=self._find_first_end(life, now),
+            first_end=self._find_first_end(instance, now),
             is_probe=is_probe,
             # Other polls renew leases: these are abandoned only when an answer is certainly lost.
-            patience=life.patience.find_limit() if is_probe else LONGEST,
+            patience=instance.patience.find_limit() if is_probe else LONGEST,
         )
         self._term.orders.append(order)
 
-    def _find_wait(self, life: Life, now: timedelta) -> timedelta:
+    def _find_wait(self, instance: Instance, now: timedelta) -> timedelta:
         """Return how long a poll may be held: until the progress of a run should be checked."""
         wait = LOOK_WAIT
-        for run in life.runs.values():
+        for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
             if job is None or run.stop_wanted or job.record.spec.long_running:
                 continue
@@ -164,11 +169,11 @@
                 wait = min(wait, due - now)
         return max(wait, SHORTEST_LOOK)
 
-    def _find_first_end(self, life: Life, now: timedelta) -> timedelta:
+    def _find_first_end(self, instance: Instance, now: timedelta) -> timedelta:
         """Return the time until the first of the runs is expected to end."""
         ends = (
             run.since + self._predict(job, run)
-            for run in life.runs.values()
+            for run in instance.runs.values()
             if (job := self._jobs.jobs.get(run.task.job)) is not None
         )
         return max(min(ends, default=now) - now, timedelta())
@@ -177,59 +182,61 @@
         step = job.record.spec.steps[run.task.step]
         return self._jobs.forecast.predict(job.record.queue.key, step)
 
-    def _is_straggler(self, life: Life) -> bool:
+    def _is_straggler(self, instance: Instance) -> bool:
         """Return whether an instance is one of the last that have not answered this leader."""
-        unseen = self._lives.unseen
-        if life.info.id not in unseen or life.failed_looks >= STRAGGLER_LOOKS:
+        unseen = self._instances.unseen
+        if instance.info.id not in unseen or instance.failed_looks >= STRAGGLER_LOOKS:
             return False
-        return len(unseen) <= STRAGGLERS_SHARE * len(self._lives.by_id)
+        return len(unseen) <= STRAGGLERS_SHARE * len(self._instances.by_id)
 
-    def _awaits_stop(self, life: Life) -> bool:
-        return any(run.phase is RunPhase.UNSURE for run in life.runs.values())
+    def _awaits_stop(self, instance: Instance) -> bool:
+        return any(run.phase is RunPhase.UNSURE for run in instance.runs.values())
 
-    def take_failed_look(self, life: Life, failure: CallFailure, now: timedelta) -> None:
+    def take_failed_look(self, instance: Instance, failure: CallFailure, now: timedelta) -> None:
         """Handle a poll that brought no answer."""
         self._term.counts.failed_looks += 1
         if failure is CallFailure.FENCED:
             self._term.is_fenced_off = True
         if failure is CallFailure.LIFE_ENDED:
-            self.end_life(life, now)
+            self.end_life(instance, now)
             return
-        is_gone = life.is_cordoned and _is_silent(life, now, SILENT_AFTER)
-        retry = SILENT_LOOK if is_gone else LOOK_RETRY * min(life.failed_looks, MOST_RETRY_STEPS)
-        life.look_due = now if self._is_straggler(life) else now + retry
-        life.failed_looks += 1
-        self._jobs.suspicion.note_silent(life, now)
-        self._out_of_sight[life.info.id] = life
-        for run in life.runs.values():
+        is_gone = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
+        retry = (
+            SILENT_LOOK if is_gone else LOOK_RETRY * min(instance.failed_looks, MOST_RETRY_STEPS)
+        )
+        instance.look_due = now if self._is_straggler(instance) else now + retry
+        instance.failed_looks += 1
+        self._jobs.crash_tracker.note_silent(instance, now)
+        self._out_of_sight[instance.info.id] = instance
+        for run in instance.runs.values():
             if run.phase is RunPhase.UNSURE:
                 run.stop_wanted = True
 
-    def stop_runs(self, life: Life, now: timedelta) -> None:
+    def stop_runs(self, instance: Instance, now: timedelta) -> None:
         """Send the stops that are due."""
-        if life.is_over:
+        if instance.is_over:
             return
-        for run in life.runs.values():
+        for run in instance.runs.values():
             if run.is_orphan and not run.stop_wanted and not self._is_borne(run, now):
                 run.stop_wanted = True
-                self._note_unclaimed(life, run, now)
+                self._note_unclaimed(instance, run, now)
             wanted = run.stop_wanted and run.stopped_at is None and not run.stop_is_out
             if wanted and now >= run.stop_due and run.phase is not RunPhase.STARTING:
                 run.stop_is_out = True
                 self._term.counts.stops += 1
                 order = StopOrder(
-                    upstream=life.info,
+                    upstream=instance.info,
                     task=run.task,
                     run=run.run,
-                    patience=life.patience.find_limit(),
+                    patience=instance.patience.find_limit(),
                 )
                 self._term.orders.append(order)
 
-    def _note_unclaimed(self, life: Life, run: Run, now: timedelta) -> None:
+    def _note_unclaimed(self, instance: Instance, run: Run, now: timedelta) -> None:
         self._term.note(
             "run_unclaimed",
             {
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "job": run.task.job,
                 "run": run.run,
                 "borne_ms": to_milliseconds(now - run.since),
@@ -244,12 +251,12 @@
         is_elsewhere = self._term.may_be_decided_elsewhere(run.run)
         return run.since + (DISPUTED_GRACE if is_elsewhere else ORPHAN_BORNE)
 
-    def judge_runs(self, life: Life, now: timedelta) -> None:
+    def judge_runs(self, instance: Instance, now: timedelta) -> None:
         """Stop runs that make no progress or are far too slow, so that they start elsewhere.
 
         Called with the runs as an upstream has just listed them.
         """
-        for run in life.runs.values():
+        for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
             if job is None or run.stop_wanted or run.phase is not RunPhase.RUNNING:
                 continue
@@ -260,8 +267,8 @@
                 continue
             total = find_total(run)
             if total is not None:
-                job.learn_pace(run.task.step, life.info.id, total)
-            sibling = job.find_sibling_pace(run.task.step, life.info.id)
+                job.learn_pace(run.task.step, instance.info.id, total)
+            sibling = job.find_sibling_pace(run.task.step, instance.info.id)
             pace = judge_pace(run, self._predict(job, run), sibling)
             if pace is Pace.FINE:
                 continue
@@ -271,60 +278,62 @@
             self._term.note(
                 "run_stalled",
                 {
-                    "upstream": life.info.id,
+                    "upstream": instance.info.id,
                     "job": run.task.job,
                     "pace": pace.value,
                     "percent": run.percent,
                     "watched_ms": to_milliseconds(now - run.since),
                 },
             )
-            health = self._lives.get_health(life)
+            health = self._instances.get_health(instance)
             if pace is Pace.STANDS_STILL:
                 health.take_stall(now)
             elif total is not None:
                 health.take_pace(total / self._predict(job, run), now)
 
-    def lapse(self, life: Life, now: timedelta) -> None:
+    def lapse(self, instance: Instance, now: timedelta) -> None:
         """Abandon all runs of an instance whose lease has certainly ended without an answer."""
-        if not life.runs or now < life.lapse_at:
+        if not instance.runs or now < instance.lapse_at:
             return
         # A run cannot outlive the lease, whatever the last polls reported.
         self._term.note(
             "lease_lapsed",
             {
-                "upstream": life.info.id,
-                "runs": len(life.runs),
-                "asked_ms_ago": to_milliseconds(now - life.lapse_at + life.terms.lapse_after),
-                "failed_looks": life.failed_looks,
-                "disputed": int(life.has_disputed),
+                "upstream": instance.info.id,
+                "runs": len(instance.runs),
+                "asked_ms_ago": to_milliseconds(
+                    now - instance.lapse_at + instance.terms.lapse_after
+                ),
+                "failed_looks": instance.failed_looks,
+                "disputed": int(instance.has_disputed),
             },
         )
-        life.is_fenced = False
-        self._jobs.suspicion.note_lapse(life, now)
-        self._give_up_runs(life)
+        instance.is_fenced = False
+        self._jobs.crash_tracker.note_lapse(instance, now)
+        self._give_up_runs(instance)
 
-    def _give_up_runs(self, life: Life) -> None:
-        for key, run in list(life.runs.items()):
+    def _give_up_runs(self, instance: Instance) -> None:
+        for key, run in list(instance.runs.items()):
             self._term.counts.lapsed_runs += 1
-            life.remove_run(key)
-            self._jobs.requeue(run.task, run.run, life.info.id)
+            instance.remove_run(key)
+            self._jobs.requeue(run.task, run.run, instance.info.id)
 
-    def end_life(self, life: Life, now: timedelta) -> None:
+    def end_life(self, instance: Instance, now: timedelta) -> None:
         """Handle that a later instance holds the address: nothing of this one can run any more."""
-        if life.is_over:
+        if instance.is_over:
             return
-        life.is_over = True
-        self._lives.unseen.discard(life.info.id)
-        self._term.note("upstream_gone", {"upstream": life.info.id, "runs": len(life.runs)})
+        instance.is_over = True
+        self._instances.unseen.discard(instance.info.id)
+        self._term.note("upstream_gone", {"upstream": instance.info.id, "runs": len(instance.runs)})
         runs = (
-            *(run.task.job for run in life.runs.values()),
-            *(task.job for task in life.lost.tasks),
+            *(run.task.job for run in instance.runs.values()),
+            *(task.job for task in instance.lost.tasks),
         )
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
-        self._jobs.suspicion.note_end(life, queues, now)
+        self._jobs.crash_tracker.note_end(instance, queues, now)
         # Until the log has counted the end, the tasks that ran there may have caused a crash.
-        self._jobs.suspicion.note_lapse(life, now)
-        self._give_up_runs(life)
+        self._jobs.crash_tracker.note_lapse(instance, now)
+        self._give_up_runs(instance)
 
     def cordon(self, now: timedelta) -> None:
         """Propose to cordon unreachable upstreams that certainly run nothing.
@@ -336,41 +345,45 @@
         if not (self._out_of_sight and self._term.keeps_log):
             return
         self._out_of_sight = {
-            id: life
-            for id, life in self._out_of_sight.items()
-            if life.failed_looks and id in self._lives.by_id
+            id: instance
+            for id, instance in self._out_of_sight.items()
+            if instance.failed_looks and id in self._instances.by_id
         }
-        idle = [life for life in self._out_of_sight.values() if self._is_surely_idle(life, now)]
+        idle = [
+            instance
+            for instance in self._out_of_sight.values()
+            if self._is_surely_idle(instance, now)
+        ]
         if not idle:
             return
-        for life in idle:
-            life.is_cordoned = True
-            self._term.note("upstream_cordoned", {"upstream": life.info.id})
-        cordoned = tuple(life.info.id for life in idle)
+        for instance in idle:
+            instance.is_cordoned = True
+            self._term.note("upstream_cordoned", {"upstream": instance.info.id})
+        cordoned = tuple(instance.info.id for instance in idle)
         lost = tuple(
-            LostRuns(upstream=life.info.id, at_work=life.lost)
-            for life in idle
-            if life.lost != NO_WORK
+            LostRuns(upstream=instance.info.id, at_work=instance.lost)
+            for instance in idle
+            if instance.lost != NO_WORK
         )
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
-    def _is_surely_idle(self, life: Life, now: timedelta) -> bool:
-        is_out_of_sight = not life.is_fenced and life.failed_looks >= LOOKS_BEFORE_CORDON
-        is_lapsed = not life.runs and now >= max(life.lapse_at, self._term.lapsed_at)
-        return is_out_of_sight and is_lapsed and not (life.is_cordoned or life.is_over)
+    def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
+        is_out_of_sight = not instance.is_fenced and instance.failed_looks >= LOOKS_BEFORE_CORDON
+        is_lapsed = not instance.runs and now >= max(instance.lapse_at, self._term.lapsed_at)
+        return is_out_of_sight and is_lapsed and not (instance.is_cordoned or instance.is_over)
 
-    def want_uncordoned(self, life: Life) -> None:
+    def want_uncordoned(self, instance: Instance) -> None:
         """Propose to use an upstream again; until that is committed it is not used."""
-        if life.is_cordoned and not life.is_uncordoning:
-            life.is_uncordoning = True
-            self._term.proposals.append(UncordonUpstream(upstream=life.info.id))
+        if instance.is_cordoned and not instance.is_uncordoning:
+            instance.is_uncordoning = True
+            self._term.proposals.append(UncordonUpstream(upstream=instance.info.id))
 
     def uncordon(self, upstream: UpstreamId) -> None:
         """Use an upstream again, now that every later leader will know."""
-        life = self._lives.by_id.get(upstream)
-        if life is not None:
-            life.is_cordoned = life.is_uncordoning = False
-            self._lives.touch(life)
+        instance = self._instances.by_id.get(upstream)
+        if instance is not None:
+            instance.is_cordoned = instance.is_uncordoning = False
+            self._instances.touch(instance)
             self._term.note("upstream_uncordoned", {"upstream": upstream})
 
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
@@ -383,26 +396,26 @@
         if not self._term.keeps_log:
             # Acting leaders get no heartbeats.
             return
-        for life in self._lives.by_id.values():
-            if life.is_over or life.runs or not _is_silent(life, now, SILENT_AFTER):
+        for instance in self._instances.by_id.values():
+            if instance.is_over or instance.runs or not _is_silent(instance, now, SILENT_AFTER):
                 continue
-            may_be_kept = not (life.draining or _is_silent(life, now, FORGOTTEN_AFTER))
+            may_be_kept = not (instance.draining or _is_silent(instance, now, FORGOTTEN_AFTER))
             if may_be_kept and may_be_used():
-                self._cordon_silent(life)
+                self._cordon_silent(instance)
                 continue
-            life.is_over = True
-            self._term.note("upstream_silent", {"upstream": life.info.id})
-            if life.lost != NO_WORK:
-                self._jobs.suspicion.note_gone(life)
+            instance.is_over = True
+            self._term.note("upstream_silent", {"upstream": instance.info.id})
+            if instance.lost != NO_WORK:
+                self._jobs.crash_tracker.note_gone(instance)
             else:
-                self._term.proposals.append(RemoveUpstreams(upstreams=(life.info.id,)))
+                self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
 
-    def _cordon_silent(self, life: Life) -> None:
-        if not life.is_cordoned:
-            life.is_cordoned, life.is_fenced = True, False
-            self._term.proposals.append(CordonUpstreams(upstreams=(life.info.id,)))
+    def _cordon_silent(self, instance: Instance) -> None:
+        if not instance.is_cordoned:
+            instance.is_cordoned, instance.is_fenced = True, False
+            self._term.proposals.append(CordonUpstreams(upstreams=(instance.info.id,)))
 
 
-def _is_silent(life: Life, now: timedelta, span: timedelta) -> bool:
-    heard_at = max(life.heard_at or timedelta(), life.contact_at or timedelta())
+def _is_silent(instance: Instance, now: timedelta, span: timedelta) -> bool:
+    heard_at = max(instance.heard_at or timedelta(), instance.contact_at or timedelta())
     return now - heard_at >= span
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -21,7 +21,7 @@
     Leave,
     Outcome,
 )
-from ..core.cluster.checks import find_configuration_problem
+from ..core.cluster.validation import find_configuration_problem
 from ..core.cluster.evacuations import EvacuationRecord
 from ..core.ids import DomainName
 from ..net.asgi import Handler, HttpRequest, HttpResponse
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -40,18 +40,18 @@
         "counts": dispatch.counts,
         "upstreams": [
             {
-                "id": life.info.id,
-                "fenced": life.is_fenced,
-                "draining": life.draining,
-                "evacuated": life.is_evacuated,
-                "runs": len(life.runs),
-                "free_cpu": life.free_cpu,
-                "capacity": life.info.capacity,
-                "reported_at_s": _read_seconds(life.reported_at),
-                "refusals": life.refusals,
-                "failed_looks": life.failed_looks,
+                "id": instance.info.id,
+                "fenced": instance.is_fenced,
+                "draining": instance.draining,
+                "evacuated": instance.is_evacuated,
+                "runs": len(instance.runs),
+                "free_cpu": instance.free_cpu,
+                "capacity": instance.info.capacity,
+                "reported_at_s": _read_seconds(instance.reported_at),
+                "refusals": instance.refusals,
+                "failed_looks": instance.failed_looks,
             }
-            for life in dispatch.lives.values()
+            for instance in dispatch.instances.values()
         ],
     }
 
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -109,24 +109,26 @@
 def _gauge_dispatch(host: ControlHost) -> dict[str, float]:
     assert host.leading is not None
     dispatch = host.leading.dispatch
-    lives = list(dispatch.lives.values())
+    instances = list(dispatch.instances.values())
     evacuated = host.leading.list_evacuated_ms()
-    working = [life for life in lives if life.is_fenced and not life.draining]
+    working = [instance for instance in instances if instance.is_fenced and not instance.draining]
     return {
         "settled_after_ms": dispatch.counts.settled_after_ms,
         "open_jobs": dispatch.jobs.count_jobs(),
         "unsure_jobs": sum(job.is_unsure() for job in dispatch.jobs.jobs.values()),
         "waiting_tasks": dispatch.jobs.backlog.count_tasks(),
-        "upstreams": len(lives),
+        "upstreams": len(instances),
         "upstreams_working": len(working),
-        "upstreams_draining": sum(life.draining for life in lives),
+        "upstreams_draining": sum(instance.draining for instance in instances),
         "suspects": len(host.replicated.records.suspects),
         "heartbeat_desks": host.leading.count_desks(),
         "domains_evacuated": len(evacuated),
         "evacuated_for_ms": max(evacuated, default=0.0),
-        "runs_evacuated": sum(len(life.runs) for life in lives if life.is_evacuated),
-        "free_cpu_millis": sum(life.free_cpu for life in working),
-        "capacity_cpu_millis": sum(life.info.capacity.cpu_millis for life in working),
+        "runs_evacuated": sum(
+            len(instance.runs) for instance in instances if instance.is_evacuated
+        ),
+        "free_cpu_millis": sum(instance.free_cpu for instance in working),
+        "capacity_cpu_millis": sum(instance.info.capacity.cpu_millis for instance in working),
         "oldest_report_ms": host.leading.find_oldest_report() / timedelta(milliseconds=1),
     }
 
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -24,7 +24,7 @@
     call_decoder,
 )
 from ..core.cluster.forecast import find_last_use
-from ..core.cluster.lives import LeaseTerms, choose_terms
+from ..core.cluster.instances import LeaseTerms, choose_terms
 from ..core.cluster.reports import LONGEST_ELECTION, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -18,7 +18,7 @@
 from ..config.options import Address
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import Answer, Greet, Outcome, Roster
-from ..core.cluster.rosters import choose_asked, find_own_domain
+from ..core.cluster.failover_state import choose_asked, find_own_domain
 from ..core.ids import DomainName
 from .deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE, Deputy
 from .events import Event, log_event
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -24,7 +24,7 @@
 from ..core.cluster.calls import Roster
 from ..core.cluster.commands import decode_commands
 from ..core.cluster.evacuations import Evacuations
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
 from .gateways import GATEWAY_SILENT
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -8,7 +8,7 @@
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import Contact, GatewayInfo, Greet, Roster
 from ..core.cluster.records import Records
-from ..core.cluster.rosters import RosterLog
+from ..core.cluster.failover_state import RosterLog
 from ..core.ids import DomainName
 from .events import Event, log_event
 
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -19,10 +19,10 @@
     Outcome,
     Submit,
 )
-from ..core.cluster.checks import JOB_ID_PATTERN, find_job_problem, find_unsupported
+from ..core.cluster.validation import JOB_ID_PATTERN, find_job_problem, find_unsupported
 from ..core.cluster.commands import AcceptJob, CancelJob, Command
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import JobId, JobState, Queue
 from ..core.cluster.open_job import Submission
 from ..core.cluster.records import JobRecord, Records
@@ -91,7 +91,7 @@
             return Answer(outcome=Outcome.DONE)
         if call.spec.best_effort and self._dispatch.jobs.find_ended(job) is not None:
             return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_ended(job))
-        self._dispatch.jobs.suspicion.take_told(call.suspects)
+        self._dispatch.jobs.crash_tracker.take_told(call.suspects)
         if call.spec.best_effort and self._dispatch.is_given_up(job):
             return Answer(outcome=Outcome.DONE, state=JobState.FAILED)
         if call.spec.best_effort and self._dispatch.jobs.is_open(job):
@@ -214,7 +214,7 @@
 
     async def _wait_end(self, job: JobId) -> Answer:
         if self._dispatch.jobs.is_open(job) and not await self._waiters.wait_for(("end", job)):
-            suspects = self._dispatch.jobs.suspicion.list_suspects(job)
+            suspects = self._dispatch.jobs.crash_tracker.list_suspects(job)
             detail = "this host does not lead any more"
             return Answer(outcome=Outcome.UNKNOWN, detail=detail, suspects=suspects)
         rejection = self._dispatch.jobs.rejections.get(job)
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -41,7 +41,7 @@
     encode_commands,
 )
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import Heartbeat, JobId
 from ..core.cluster.orders import (
     Order,
@@ -209,8 +209,12 @@
     def find_oldest_report(self) -> timedelta:
         """Return how long ago the upstream told its capacity that has told it the longest ago."""
         now = self.read_clock()
-        lives = (life for life in self.dispatch.lives.values() if not life.is_over)
-        ages = (now - life.reported_at for life in lives if life.reported_at is not None)
+        instances = (
+            instance for instance in self.dispatch.instances.values() if not instance.is_over
+        )
+        ages = (
+            now - instance.reported_at for instance in instances if instance.reported_at is not None
+        )
         return max(ages, default=timedelta())
 
     def count_desks(self) -> int:
--- a/cottonlug/runtime/order_answers.py
+++ b/cottonlug/runtime/order_answers.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable, Hashable
 
 from ..core.cluster.calls import NO_CONFIGURATION, Answer, Configure, Evacuate, Outcome
-from ..core.cluster.checks import find_configuration_problem
+from ..core.cluster.validation import find_configuration_problem
 from ..core.cluster.commands import Command, SetConfiguration, SetEvacuation
 from ..core.cluster.records import Records
 from ..core.ids import DomainName
--- a/cottonlug/runtime/roster_keeper.py
+++ b/cottonlug/runtime/roster_keeper.py
@@ -5,7 +5,7 @@
 from ..core.clock import Clock
 from ..core.cluster.calls import Answer, Roster
 from ..core.cluster.queues import QueueIndex
-from ..core.cluster.rosters import merge_roster
+from ..core.cluster.failover_state import merge_roster
 
 
 class RosterKeeper:
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -15,7 +15,7 @@
 from enum import Enum
 
 from ..core.cluster.crashes import MOST_CRASHES
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 
 from ..core.cluster.commands import Command
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.model import JobId, JobSpec
 from ..core.cluster.open_job import Submission
 from ..core.cluster.orders import Order, StopOrder
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -17,7 +17,7 @@
 
 from ..core.cluster.commands import AcceptJob, Command
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import (
     Capacity,
     EndKind,
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -16,7 +16,7 @@
 
 from ..core.cluster.calls import Beat, Outcome
 from ..core.cluster.commands import Command, ResizeUpstream, SetConfiguration
-from ..core.cluster.life_table import LifeTable
+from ..core.cluster.instance_table import InstanceTable
 from ..core.cluster.model import (
     Capacity,
     Configuration,
@@ -168,7 +168,7 @@
     beat(leader, upstreams[FIRST])
     run_for(world, 50)
     leader.dispatch.take_heartbeat(late, world.now)
-    assert leader.dispatch.lives[FIRST].info.capacity.cpu_millis == HALF
+    assert leader.dispatch.instances[FIRST].info.capacity.cpu_millis == HALF
     run_for(world, 50)
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
 
@@ -181,7 +181,7 @@
     upstreams[FIRST].resize(HALF)
     beat(leader, upstreams[FIRST])
     run_for(world, 100)
-    assert leader.dispatch.lives[FIRST].info.capacity.cpu_millis == HALF
+    assert leader.dispatch.instances[FIRST].info.capacity.cpu_millis == HALF
     assert records.upstreams[FIRST].info.capacity.cpu_millis == HALF
 
 
@@ -236,7 +236,7 @@
     run_for(world, 4_000)
     upstreams[FIRST].resize(HALF)
     leader.dispatch.take_heartbeat(held_up, world.now)
-    reported_at = leader.dispatch.lives[FIRST].reported_at
+    reported_at = leader.dispatch.instances[FIRST].reported_at
     assert reported_at is not None
     assert reported_at < milliseconds(300)
 
@@ -339,7 +339,7 @@
 
 def test_the_campaign_would_find_a_start_by_an_old_report(monkeypatch: pytest.MonkeyPatch) -> None:
     """Broken on purpose: reports that hold for ever."""
-    monkeypatch.setattr(LifeTable, "_is_report_valid", lambda self, life, now: True)
+    monkeypatch.setattr(InstanceTable, "_is_report_valid", lambda self, instance, now: True)
     with pytest.raises(AssertionError, match="a start brings"):
         for seed in range(20):
             play_campaign(seed)
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -22,7 +22,7 @@
 
 from ..core.clock import ManualClock
 from ..core.cluster.calls import Abandon, Answer, Call, GivenUp, Greet, Outcome, Submit
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.model import JobId
 from ..core.cluster.records import UpstreamRecord
 from ..runtime.deputy import DEPUTY_AFTER_SILENCE, DeputyAuthority
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -73,7 +73,7 @@
     leader.world.run_until(leader.world.now + timedelta(seconds=2))
     leader.submit(JOB, build_spec(tasks=8), build_queue())
     leader.world.run_until(leader.world.now + milliseconds(100))
-    assert leader.dispatch.lives[GONE].is_fenced
+    assert leader.dispatch.instances[GONE].is_fenced
     assert not upstream.runs
     leader.commits = lambda command: True
     leader._commit(UncordonUpstream(upstream=GONE))
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -57,7 +57,7 @@
     leaders: list[Leader] = field(default_factory=list)
     back_after: Callable[[], timedelta]
     run_ms: Callable[[], float]
-    lives: itertools.count[int] = field(default_factory=lambda: itertools.count(2))
+    instances: itertools.count[int] = field(default_factory=lambda: itertools.count(2))
     jobs: itertools.count[int] = field(default_factory=lambda: itertools.count(1))
 
     @property
@@ -81,7 +81,7 @@
 
         def begin() -> None:
             crashed.is_replaced = True
-            name = f"{crashed.info.id.partition('v')[0]}v{next(self.lives)}"
+            name = f"{crashed.info.id.partition('v')[0]}v{next(self.instances)}"
             fresh = self.add(name, 0, crashed.info.domain)
             fresh.info = msgspec.structs.replace(fresh.info, labels=crashed.info.labels)
             self.beat(fresh)
@@ -235,7 +235,7 @@
     site.world.poison.add(ref)
     spec = build_spec(tasks=1)
     told = Suspect(task=ref, counts=ONE_CRASH)
-    site.leader.dispatch.jobs.suspicion.take_told([told])
+    site.leader.dispatch.jobs.crash_tracker.take_told([told])
     record = JobRecord(id=id, queue=PATIENT, spec=spec, accepted_ms=0)
     submission = Submission(gateway="", may_have_begun=True, settle_after=SETTLE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
@@ -253,10 +253,10 @@
     ((_, where),) = site.world.running.items()
     site.leader.cut_off = {UpstreamId(where)}
     site.run_for(2.0)
-    assert site.leader.dispatch.lives[UpstreamId(where)].lost != NO_WORK
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost != NO_WORK
     site.leader.cut_off = set()
     site.run_for(10)
-    assert site.leader.dispatch.lives[UpstreamId(where)].lost == NO_WORK
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost == NO_WORK
     assert not site.records.suspects
     assert site.find_state(job) is JobState.COMPLETED
 
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -19,9 +19,9 @@
     Outcome,
     Submit,
 )
-from ..core.cluster.lives import LEAST_LEASE, choose_terms
+from ..core.cluster.instances import LEAST_LEASE, choose_terms
 from ..core.cluster.records import UpstreamRecord
-from ..core.cluster.rosters import (
+from ..core.cluster.failover_state import (
     MOST_FOR_ONE_DEPUTY,
     choose_asked,
 )
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -119,7 +119,7 @@
     second = start_leader(world, upstreams, records, 2)
     world.run_until(milliseconds(3_000))
     assert not world.running
-    assert all(not life.runs for life in second.dispatch.lives.values())
+    assert all(not instance.runs for instance in second.dispatch.instances.values())
 
 
 def test_a_job_that_may_have_begun_is_not_rejected() -> None:
@@ -233,7 +233,7 @@
     world.run_until(milliseconds(1_000))
     assert ref not in world.running
     leader.dispatch.take_look(order, old, milliseconds(110), world.now)
-    assert not leader.dispatch.lives[upstream.info.id].runs
+    assert not leader.dispatch.instances[upstream.info.id].runs
 
 
 def test_an_old_end_does_not_free_a_task_that_runs_elsewhere() -> None:
@@ -298,8 +298,8 @@
         end = EndReport(number=number, task=ref, run=RunNumber(4_096), how=EndKind.FAILED)
         reply = LookReply(clock_ms=90 + number, running=(), ended=(end,))
         leader.dispatch.take_look(look, reply, world.now, world.now)
-    life = leader.dispatch.lives[info.id]
-    assert life.noted == 0
+    instance = leader.dispatch.instances[info.id]
+    assert instance.noted == 0
     noted = [each for each in leader.dispatch.take_proposals() if isinstance(each, NoteEnds)]
     assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
 
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -92,7 +92,7 @@
         cut_off=others,
     )
     world.run_until(world.now + TERMS.lapse_after * 2)
-    assert again.dispatch.lives[where].is_fenced
+    assert again.dispatch.instances[where].is_fenced
     ((_, moved_to),) = world.running.items()
     assert moved_to != where
 
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from ..core.cluster.checks import find_job_problem, find_unsupported
+from ..core.cluster.validation import find_job_problem, find_unsupported
 from ..core.cluster.commands import CancelJob
 from ..core.cluster.model import JobId, JobSpec, JobState, StepSpec
 from ..core.cluster.records import Records
--- a/cottonlug/tests/test_cluster_orphans.py
+++ b/cottonlug/tests/test_cluster_orphaned_runs.py
@@ -60,8 +60,8 @@
     """Return a site led from the north: a job of a gateway there has just begun in the south."""
     site = build_site(seed)
     assert site.leader is not None
-    for life in site.leader.dispatch.lives.values():
-        life.draining = life.info.domain != SOUTH
+    for instance in site.leader.dispatch.instances.values():
+        instance.draining = instance.info.domain != SOUTH
     site.submit(JOB, site.gateways[0])
     site.world.run_until(milliseconds(500))
     ((_, where),) = site.world.running.items()
--- a/cottonlug/tests/test_cluster_overtaken.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -37,7 +37,7 @@
         info = build_info("u1", cpu=cpu)
         beat = Heartbeat(info=info, sequence=sequence, draining=False, clock_ms=70)
         dispatch.take_heartbeat(beat, milliseconds(sequence))
-    assert dispatch.lives[INFO.id].info.capacity.cpu_millis == 8_000
+    assert dispatch.instances[INFO.id].info.capacity.cpu_millis == 8_000
     expected = {
         "upstream": INFO.id,
         "by": INFO.id,
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -10,10 +10,10 @@
 
 from ..core.cluster.admission import estimate_wait
 from ..core.cluster.backlog import Backlog, Batch, Tier
-from ..core.cluster.checks import find_configuration_problem, find_job_problem
+from ..core.cluster.validation import find_configuration_problem, find_job_problem
 from ..core.cluster.forecast import Forecast
 from ..core.cluster.guards import FAILURES_IN_A_ROW, LONGEST_PAUSE, Health
-from ..core.cluster.lives import Life
+from ..core.cluster.instances import Instance
 from ..core.cluster.model import (
     Configuration,
     ConfigurationVersion,
@@ -195,21 +195,21 @@
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def build_life(name: str, cpu: int) -> Life:
-    return Life(info=build_info(name, cpu), terms=TERMS, noted=0)
+def build_life(name: str, cpu: int) -> Instance:
+    return Instance(info=build_info(name, cpu), terms=TERMS, noted=0)
 
 
 def test_the_tightest_fit_is_taken() -> None:
-    lives = [build_life("u1", 32_000), build_life("u2", 15_000), build_life("u3", 20_000)]
+    instances = [build_life("u1", 32_000), build_life("u2", 15_000), build_life("u3", 20_000)]
     batch = build_batch("a", latest_start=0, last_use=0, cpu=14_000)
-    chosen = choose_life(batch, lives)
+    chosen = choose_life(batch, instances)
     assert chosen is not None
     assert chosen.info.id == "u2"
 
 
 def test_room_is_left_for_runs_whose_jobs_are_not_known() -> None:
     """57 starts refused after changes of leader."""
-    life = build_life("u1", 32_000)
+    instance = build_life("u1", 32_000)
     batch = build_batch("a", latest_start=0, last_use=0, cpu=14_000)
     orphan = Run(
         task=TaskRef(JobId("b"), 0, 0, 0),
@@ -219,12 +219,12 @@
         since=timedelta(),
         is_orphan=True,
     )
-    life.add_run(orphan)
-    assert choose_life(batch, [life]) is life
-    life.add_run(replace(orphan, run=RunNumber(2)))
-    assert choose_life(batch, [life]) is None
-    life.remove_run((orphan.task, orphan.run))
-    assert choose_life(batch, [life]) is life
+    instance.add_run(orphan)
+    assert choose_life(batch, [instance]) is instance
+    instance.add_run(replace(orphan, run=RunNumber(2)))
+    assert choose_life(batch, [instance]) is None
+    instance.remove_run((orphan.task, orphan.run))
+    assert choose_life(batch, [instance]) is instance
 
 
 def test_an_upstream_that_guards_nothing_gets_no_work_beside_unknown_runs() -> None:
@@ -326,10 +326,10 @@
     health = Health()
     assert health.take_stall(timedelta())
     assert health.is_on_trial
-    life = build_life("u1", 32_000)
-    life.is_on_trial = True
+    instance = build_life("u1", 32_000)
+    instance.is_on_trial = True
     batch = build_batch("a", latest_start=0, last_use=0, cpu=7_000)
-    assert choose_life(batch, [life]) is life
+    assert choose_life(batch, [instance]) is instance
     ref = TaskRef(JobId("a"), 0, 0, 0)
     run = Run(
         task=ref,
@@ -338,7 +338,7 @@
         phase=RunPhase.RUNNING,
         since=timedelta(),
     )
-    life.add_run(run)
-    assert choose_life(batch, [life]) is None
+    instance.add_run(run)
+    assert choose_life(batch, [instance]) is None
     health.take_done(1.0, LONGEST_PAUSE)
     assert not health.is_on_trial
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -122,11 +122,11 @@
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
     where = start_one_run(leader, 500)
-    life = leader.dispatch.lives[where]
-    (run,) = life.runs.values()
+    instance = leader.dispatch.instances[where]
+    (run,) = instance.runs.values()
     run.phase = RunPhase.STARTING
     order = StartOrder(
-        upstream=life.info, task=run.task, run=run.run, payload="", checkpoint="", expires_ms=0
+        upstream=instance.info, task=run.task, run=run.run, payload="", checkpoint="", expires_ms=0
     )
     leader.dispatch.take_start_answer(order, StartOutcome.UNKNOWN, None, world.now)
     leader.act()
--- a/cottonlug/tests/test_cluster_rooms.py
+++ b/cottonlug/tests/test_cluster_rooms.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from ..core.cluster.life_table import LifeTable
-from ..core.cluster.lives import Life
+from ..core.cluster.instance_table import InstanceTable
+from ..core.cluster.instances import Instance
 from ..core.cluster.model import JobId, JobSpec, Needs, StepSpec
 from ..core.cluster.records import Records
 from ..core.cluster.rooms import Rooms
@@ -50,13 +50,13 @@
     """
     leader = build_leader(UPSTREAMS)
     tries = [0]
-    has_room = Life.has_room
+    has_room = Instance.has_room
 
-    def count(self: Life, needs: Needs) -> bool:
+    def count(self: Instance, needs: Needs) -> bool:
         tries[0] += 1
         return has_room(self, needs)
 
-    monkeypatch.setattr(Life, "has_room", count)
+    monkeypatch.setattr(Instance, "has_room", count)
     queue = msgspec.structs.replace(build_queue(), target_latency_ms=5_000)
     for number in range(JOBS):
         leader.submit(f"{number:016x}", build_spec(tasks=2, run_ms=400), queue)
@@ -88,7 +88,7 @@
     assert dispatch.counts.starts == 3
 
 
-def build_rooms(*cpus: int) -> tuple[Rooms, list[Life]]:
+def build_rooms(*cpus: int) -> tuple[Rooms, list[Instance]]:
     """Return upstreams with so much room, in the order in which they came."""
     term = Term(
         number=1,
@@ -99,20 +99,20 @@
         note=lambda name, fields: None,
         on_end=lambda job: None,
     )
-    table = LifeTable(term=term)
-    lives = [
+    table = InstanceTable(term=term)
+    instances = [
         table.add(build_info(f"u{number}", cpu), 0, False, timedelta())
         for number, cpu in enumerate(cpus, start=1)
     ]
-    for life in lives:
-        life.is_fenced = True
-    rooms = Rooms(lives=table)
+    for instance in instances:
+        instance.is_fenced = True
+    rooms = Rooms(instances=table)
     rooms.refresh_if_due(timedelta())
-    return rooms, lives
+    return rooms, instances
 
 
 def list_names(rooms: Rooms, cpu: int) -> list[str]:
-    return [life.info.id for life in rooms.iterate_from(SERVICE, cpu, timedelta(), None)]
+    return [instance.info.id for instance in rooms.iterate_from(SERVICE, cpu, timedelta(), None)]
 
 
 def test_upstreams_come_with_the_least_room_first_and_alike_ones_as_they_joined() -> None:
@@ -123,13 +123,13 @@
 
 
 def test_an_upstream_that_takes_no_work_any_more_is_passed_over() -> None:
-    rooms, lives = build_rooms(16_000, 32_000, 48_000)
-    lives[0].draining = True
+    rooms, instances = build_rooms(16_000, 32_000, 48_000)
+    instances[0].draining = True
     assert list_names(rooms, 0) == ["u2", "u3"]
-    rooms.update(lives[0], timedelta())
-    lives[2].is_over = True
-    rooms.update(lives[2], timedelta())
+    rooms.update(instances[0], timedelta())
+    instances[2].is_over = True
+    rooms.update(instances[2], timedelta())
     assert rooms.find_most(SERVICE) == 32_000
-    lives[0].draining = False
-    rooms.update(lives[0], timedelta())
+    instances[0].draining = False
+    rooms.update(instances[0], timedelta())
     assert list_names(rooms, 0) == ["u1", "u2"]
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -153,16 +153,16 @@
     async def play() -> None:
         leading, _ = lead(IdlePort())
         upstream = UpstreamId("u1")
-        life = leading.dispatch.lives[upstream]
-        first = beat(sequence=1, info=life.info)
+        instance = leading.dispatch.instances[upstream]
+        first = beat(sequence=1, info=instance.info)
         assert (await leading.answer(Beat(heartbeat=first))).leader_control is None
         monkeypatch.setattr("cottonlug.runtime.leading.SPREAD_FROM", 2)
         told = HeardUpstream(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
         assert (await leading.answer(Heard(desk=DESK, upstreams=(told,)))).outcome is Outcome.DONE
-        assert life.sequence == 2
-        assert life.heard_at is not None
-        assert leading.read_clock() - life.heard_at <= timedelta(milliseconds=40)
-        second = beat(sequence=3, info=life.info)
+        assert instance.sequence == 2
+        assert instance.heard_at is not None
+        assert leading.read_clock() - instance.heard_at <= timedelta(milliseconds=40)
+        second = beat(sequence=3, info=instance.info)
         assert (await leading.answer(Beat(heartbeat=second))).leader_control == DESK
         leading.stop()
 
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -14,7 +14,7 @@
 
 from ..core.cluster.calls import Answer, Outcome, Submit
 from ..core.cluster.commands import AddUpstream
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.model import EndKind, JobId, LookReply
 from ..core.cluster.orders import CallFailure, LookOrder
 from ..core.cluster.records import Records, UpstreamRecord
@@ -261,8 +261,8 @@
                     leader.beat(each, sequence=int(world.now / milliseconds(1)))
 
     live(timedelta(seconds=13))
-    looked = leader.dispatch.lives[old.info.id].failed_looks
+    looked = leader.dispatch.instances[old.info.id].failed_looks
     info = msgspec.structs.replace(build_info("u9"), address=old.info.address)
     upstreams[info.id] = ModelUpstream(world=world, info=info, rate=1.0, run_times=old.run_times)
     live(timedelta(seconds=14))
-    assert leader.dispatch.lives[old.info.id].failed_looks > looked
+    assert leader.dispatch.instances[old.info.id].failed_looks > looked
--- a/cottonlug/tests/test_cluster_wakes.py
+++ b/cottonlug/tests/test_cluster_wakes.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ..core.cluster.dispatch import SWEEP_EVERY
-from ..core.cluster.lives import Life
+from ..core.cluster.instances import Instance
 from ..core.cluster.wakes import Wakes
 from ..core.cluster.watcher import Watcher
 from ..core.ids import UpstreamId
@@ -46,9 +46,9 @@
     looked: list[UpstreamId] = []
     look = Watcher.look
 
-    def count(self: Watcher, life: Life, now: timedelta) -> None:
-        looked.append(life.info.id)
-        look(self, life, now)
+    def count(self: Watcher, instance: Instance, now: timedelta) -> None:
+        looked.append(instance.info.id)
+        look(self, instance, now)
 
     monkeypatch.setattr(Watcher, "look", count)
     leader.submit(f"{1:016x}", build_spec(tasks=2, run_ms=3_000), build_queue())
@@ -65,12 +65,12 @@
     leader.world.run_until(leader.world.now + milliseconds(submitted_after_ms))
     leader.submit(f"{1:016x}", build_spec(tasks=1, run_ms=3_000), build_queue())
     leader.world.run_until(leader.world.now + milliseconds(300))
-    life = next(each for each in leader.dispatch.lives.values() if each.runs)
-    leader.cut_off.add(life.info.id)
+    instance = next(each for each in leader.dispatch.instances.values() if each.runs)
+    leader.cut_off.add(instance.info.id)
     # What is under way may still renew it.
     leader.world.run_until(leader.world.now + milliseconds(250))
-    lapses_at = life.lapse_at
+    lapses_at = instance.lapse_at
     leader.world.run_until(lapses_at - milliseconds(1))
-    assert life.is_fenced and life.runs
+    assert instance.is_fenced and instance.runs
     leader.world.run_until(lapses_at + milliseconds(20))
-    assert not life.is_fenced and not life.runs
+    assert not instance.is_fenced and not instance.runs
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from ..core.cluster import lives
+from ..core.cluster import instances
 from ..core.cluster.open_job import Task
-from ..core.cluster.settlement import Settlement
+from ..core.cluster.reconciliation import Settlement
 from ..platform import heartbeats, workers
 from .fault_explorer import Fault, Play, Script, describe, explore
 
@@ -50,8 +50,8 @@
 
 def put_back_fast_clock(patch: pytest.MonkeyPatch) -> None:
     """A lease counts as ended by our clock, though the upstream's may be slower."""
-    patch.setattr(lives, "SLOWEST_CLOCK", 1.0)
-    patch.setattr(lives, "LAPSE_MARGIN", lives.LAPSE_MARGIN * 0)
+    patch.setattr(instances, "SLOWEST_CLOCK", 1.0)
+    patch.setattr(instances, "LAPSE_MARGIN", instances.LAPSE_MARGIN * 0)
 
 
 def put_back_ends_of_any_upstream(patch: pytest.MonkeyPatch) -> None:
--- a/cottonlug/tests/test_cluster_rosters.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -15,7 +15,7 @@
     Roster,
 )
 from ..core.cluster.records import Records
-from ..core.cluster.rosters import (
+from ..core.cluster.failover_state import (
     KEPT_CHANGES,
     PART,
     merge_roster,
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -11,7 +11,7 @@
 
 from ..core.clock import ManualClock
 from ..core.cluster.calls import Answer, Beat, Call, HeartbeatOrders, HeartbeatStart, Outcome
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import (
     EndKind,
     EndReport,
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -10,19 +10,19 @@
 import msgspec
 import pytest
 
-from ..core.cluster import life_table
+from ..core.cluster import instance_table
 from ..core.cluster.commands import AddUpstream, RemoveUpstreams, ResizeUpstream, SetDraining
 from ..core.cluster.identity import is_earlier, name_life
 from ..core.cluster.model import Capacity, Heartbeat, JobId, JobState, LookReply, UpstreamInfo
 from ..core.cluster.orders import StartOrder
 from ..core.cluster.records import Records
-from ..core.cluster.rosters import merge_roster
+from ..core.cluster.failover_state import merge_roster
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from ..runtime.gateways import Gateways
 from .gateway_builders import build_clock, greet
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
-from .test_cluster_overtaken import build_dispatch
+from .test_cluster_out_of_order import build_dispatch
 from .test_cluster_spread import beat, build_desk, tell
 from .test_heartbeat_orders import REF, RUN, TOKEN, Exchange, play, settle
 from .wire_site import WireLeader, build_hosts
@@ -99,7 +99,7 @@
     world.run_until(milliseconds(1_500))
     assert deputy.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
     assert world.starts == 4
-    assert list(deputy.dispatch.lives) == [name_life(host.name, host.born_ms)]
+    assert list(deputy.dispatch.instances) == [name_life(host.name, host.born_ms)]
 
 
 def test_a_host_that_does_not_lead_passes_on_the_first_heartbeat_of_a_later_life() -> None:
@@ -135,11 +135,11 @@
 ) -> None:
     compared = itertools.count()
 
-    def count(life: UpstreamId, other: UpstreamId) -> bool:
+    def count(instance: UpstreamId, other: UpstreamId) -> bool:
         next(compared)
-        return is_earlier(life, other)
+        return is_earlier(instance, other)
 
-    monkeypatch.setattr(life_table, "is_earlier", count)
+    monkeypatch.setattr(instance_table, "is_earlier", count)
     dispatch = build_dispatch([])
     for number in range(2, 500):
         dispatch.take_heartbeat(
@@ -147,7 +147,7 @@
         )
         for command in dispatch.take_proposals():
             dispatch.take_applied(command, NOW)
-    assert len(dispatch.lives) == 499
+    assert len(dispatch.instances) == 499
     assert next(compared) <= 2 * 499
 
 
@@ -156,9 +156,9 @@
     moved = msgspec.structs.replace(build_life(1), address="10.9.9.9:80")
     for info in (build_life(0), moved):
         dispatch.take_applied(AddUpstream(info=info), NOW)
-    life = dispatch.lives[build_life(0).id]
-    assert life.must_check and life.look_due == NOW
-    assert not dispatch.lives[moved.id].must_check
+    instance = dispatch.instances[build_life(0).id]
+    assert instance.must_check and instance.look_due == NOW
+    assert not dispatch.instances[moved.id].must_check
     earlier = msgspec.structs.replace(beat(sequence=90), info=build_life(0))
     dispatch.take_applied(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
     dispatch.take_heartbeat(earlier, NOW)
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -38,15 +38,15 @@
 
 
 def test_ids_of_lives_are_read_as_they_are_written() -> None:
-    life = name_life("i-1", BORN)
-    assert (get_name(life), find_birth(life)) == ("i-1", BORN)
+    instance = name_life("i-1", BORN)
+    assert (get_name(instance), find_birth(instance)) == ("i-1", BORN)
     plain = name_life("i-1", None)
     assert (get_name(plain), find_birth(plain)) == ("i-1", None)
-    assert is_earlier(life, name_life("i-1", BORN + 1))
-    assert is_earlier(plain, life)
-    assert not is_earlier(life, life)
-    assert not is_earlier(life, plain)
-    assert not is_earlier(life, name_life("i-2", BORN + 1))
+    assert is_earlier(instance, name_life("i-1", BORN + 1))
+    assert is_earlier(plain, instance)
+    assert not is_earlier(instance, instance)
+    assert not is_earlier(instance, plain)
+    assert not is_earlier(instance, name_life("i-2", BORN + 1))
 
 
 def test_each_start_of_an_upstream_is_a_life_of_its_own() -> None:
@@ -84,17 +84,17 @@
 
 def test_whoever_leaves_without_telling_which_life_is_the_one_that_said_so_or_the_newest() -> None:
     records = Records()
-    lives = [name_life("u1", BORN + number) for number in (0, 2, 1)]
-    for life in lives:
-        records.apply(AddUpstream(info=msgspec.structs.replace(build_info("u1"), id=life)))
+    instances = [name_life("u1", BORN + number) for number in (0, 2, 1)]
+    for instance in instances:
+        records.apply(AddUpstream(info=msgspec.structs.replace(build_info("u1"), id=instance)))
     plain = UpstreamId("u1")
     found = records.find_leaving(plain)
-    assert found is not None and found.info.id == lives[1]
-    records.apply(SetDraining(upstream=lives[0]))
+    assert found is not None and found.info.id == instances[1]
+    records.apply(SetDraining(upstream=instances[0]))
     found = records.find_leaving(plain)
-    assert found is not None and found.info.id == lives[0]
-    found = records.find_leaving(lives[2])
-    assert found is not None and found.info.id == lives[2]
+    assert found is not None and found.info.id == instances[0]
+    found = records.find_leaving(instances[2])
+    assert found is not None and found.info.id == instances[2]
     assert records.find_leaving(name_life("u1", BORN + 9)) is None
     assert records.find_leaving(UpstreamId("u2")) is None
 
--- a/cottonlug/tests/test_upstreams_that_start_again.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_terms
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
