--- a/bench/leader.py
+++ b/bench/leader.py
@@ -27,8 +27,8 @@
 
 from cottonlug.config.options import Address
 from cottonlug.core.cluster.calls import Answer, Call, Greet, Submit, call_decoder
-from cottonlug.core.cluster.identity import name_life
-from cottonlug.core.cluster.instances import choose_terms
+from cottonlug.core.cluster.identity import build_instance_id
+from cottonlug.core.cluster.instances import choose_lease_terms
 from cottonlug.core.cluster.model import (
     Capacity,
     Configuration,
@@ -95,7 +95,7 @@
     """Return what the stand-ins would say of themselves."""
     return [
         UpstreamInfo(
-            id=name_life(f"u{number}", BORN_MS),
+            id=build_instance_id(f"u{number}", BORN_MS),
             service=SERVICE,
             address=f"{build_address(number)}:{port}",
             domain=DomainName("domain"),
@@ -125,7 +125,7 @@
             clock=clock,
             on_failure=fail,
             settings=LeadingSettings(
-                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+                terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
                 keep_ended=timedelta(seconds=120),
                 caller_retry=CALLER_RETRY,
                 control_address=None,
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -14,7 +14,7 @@
     filler,
     forecast,
     guards,
-    instance_table,
+    life_table,
     instances,
     open_jobs,
     patience,
@@ -63,7 +63,7 @@
 
 
 def _first_fit(batch: backlog.Batch, choice: Any) -> instances.Instance | None:
-    return next((instance for instance in choice if instance.has_room(batch.needs)), None)
+    return next((instance for instance in choice if instance.has_free_capacity(batch.needs)), None)
 
 
 def _set_aside_without_trial(self: Any, now: timedelta) -> bool:
@@ -95,23 +95,27 @@
     ),
     "first_fit": replacing((filler, "choose_life", _first_fit)),
     "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
-    "no_moves": replacing((watcher, "MOST_MOVES", 0)),
-    "nobody_set_aside": replacing((instance_table, "MOST_SET_ASIDE", -1.0)),
+    "no_moves": replacing((watcher, "MAX_MOVES", 0)),
+    "nobody_set_aside": replacing((life_table, "MOST_SET_ASIDE", -1.0)),
     "no_trial": replacing((guards.Health, "_set_aside", _set_aside_without_trial)),
     "nobody_blamed": replacing(
-        (crash_tracker.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
+        (
+            crash_tracker.CrashTracker,
+            "find_restriction",
+            lambda self, task: crashes.StartRestriction.NONE,
+        ),
         (crashes.CrashCounts, "is_given_up", False),
     ),
     "in_any_domain": replacing((rooms.Rooms, "_find_pool", _find_one_pool)),
-    "no_cordon": replacing((watcher.Watcher, "cordon", lambda self, now: None)),
+    "no_cordon": replacing((watcher.Watcher, "cordon_idle", lambda self, now: None)),
     "patience_not_learnt": replacing((patience, "SHORTEST", patience.LONGEST)),
 }
 
 FIGURES: dict[str, Variant] = {
     "failures_in_a_row_2": replacing((guards, "FAILURES_IN_A_ROW", 2)),
     "failures_in_a_row_6": replacing((guards, "FAILURES_IN_A_ROW", 6)),
-    "most_set_aside_0.17": replacing((instance_table, "MOST_SET_ASIDE", 0.17)),
-    "most_set_aside_0.68": replacing((instance_table, "MOST_SET_ASIDE", 0.68)),
+    "most_set_aside_0.17": replacing((life_table, "MOST_SET_ASIDE", 0.17)),
+    "most_set_aside_0.68": replacing((life_table, "MOST_SET_ASIDE", 0.68)),
     "pause_1_to_3_s": replacing(
         (guards, "FIRST_PAUSE", timedelta(seconds=1)),
         (guards, "LONGEST_PAUSE", timedelta(seconds=3)),
--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -4,7 +4,7 @@
 
 from datetime import timedelta
 
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import Needs, RunReport
 from .open_job import OpenJob, TaskPhase
@@ -13,7 +13,7 @@
 from .term import Term
 
 
-class Adopter:
+class RunAdopter:
     """Keeps runs of an earlier leader or of an acting leader going where their jobs are known."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
@@ -21,7 +21,7 @@
         self._instances = instances
         self._jobs = jobs
 
-    def take_running(self, instance: Instance, report: RunReport, now: timedelta) -> None:
+    def handle_listed_run(self, instance: Instance, report: RunReport, now: timedelta) -> None:
         """Record that a run is active.
 
         A run that this leader did not start is adopted, tolerated for a while, or stopped.
@@ -29,7 +29,7 @@
         key = (report.task, report.run)
         run = instance.runs.get(key)
         if run is not None:
-            _note_progress(run, report, now)
+            _update_progress(run, report, now)
             return
         job = self._jobs.jobs.get(report.task.job)
         record = job.record if job is not None else self._term.records.jobs.get(report.task.job)
@@ -45,28 +45,28 @@
             first_percent=report.percent,
             seen_at=now,
             advanced_at=now,
-            is_orphan=record is None,
+            is_orphaned=record is None,
             # The host that has the job now, or gets it from its caller, relies on this lease
             # running out.
             is_disputed=record is None,
         )
         instance.add_run(run)
-        if run.is_orphan:
-            self._instances.may_have_orphans = True
+        if run.is_orphaned:
+            self._instances.may_have_orphaned_runs = True
         # An earlier leader may have renewed the lease until this term began.
         instance.lapse_at = max(instance.lapse_at, now + self._term.lease.lapse_after)
         if job is not None:
             self._adopt(job, instance, run)
-        elif not run.is_orphan or not self._instances.is_grace(now):
-            run.stop_wanted = True
+        elif not run.is_orphaned or not self._instances.is_in_grace_period(now):
+            run.stop_requested = True
 
-    def adopt_orphan(self, job: OpenJob, instance: Instance, run: Run) -> None:
+    def adopt_orphaned_run(self, job: OpenJob, instance: Instance, run: Run) -> None:
         """Adopt a run whose job has just become known."""
         instance.remove_run((run.task, run.run))
         steps = job.record.spec.steps
         if run.task.step < len(steps):
             run.needs = steps[run.task.step].needs
-        run.is_orphan = run.is_disputed = False
+        run.is_orphaned = run.is_disputed = False
         instance.add_run(run)
         self._adopt(job, instance, run)
 
@@ -76,7 +76,7 @@
         task = job.tasks.get(run.task)
         waits = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
         if task is None or task.phase not in waits:
-            run.stop_wanted = True
+            run.stop_requested = True
             return
         # A run that is being stopped holds its task as well: no other run of the task may begin
         # until this one has ended.
@@ -91,7 +91,7 @@
         job.has_begun = True
 
 
-def _note_progress(run: Run, report: RunReport, now: timedelta) -> None:
+def _update_progress(run: Run, report: RunReport, now: timedelta) -> None:
     if report.percent > run.percent or run.phase is not RunPhase.RUNNING:
         run.advanced_at = now
     run.percent = report.percent
--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -16,7 +16,7 @@
 from datetime import timedelta
 from enum import Enum
 
-from .crashes import Care
+from .crashes import StartRestriction
 from .model import JobId, Needs, StepSpec
 from .records import JobRecord
 
@@ -51,7 +51,7 @@
     tier: Tier = Tier.ON_TIME
     has_begun: bool = False
     """Whether a task of the job has started: to leave off now would waste that."""
-    care: Care = Care.NONE
+    care: StartRestriction = StartRestriction.NONE
     """Whether its tasks may crash an upstream."""
     offered_since: timedelta | None = None
     """When room was first looked for."""
--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -39,7 +39,7 @@
     at_ms: int
 
 
-class NoteEnds(Value, frozen=True, tag="ends"):
+class RecordRunEnds(Value, frozen=True, tag="ends"):
     """Record run ends that an upstream has listed, in its order, up to the number `through`.
 
     Ends of best-effort jobs are left out.
@@ -90,7 +90,7 @@
     upstreams: tuple[UpstreamId, ...]
 
 
-class NoteCrash(Value, frozen=True, tag="crash"):
+class RecordCrash(Value, frozen=True, tag="crash"):
     """Remove an upstream that ended without leaving, and count the crash against its active tasks.
 
     Tasks in `blamed` may have caused the crash; those in `others` were active there as well. The
@@ -146,12 +146,12 @@
 Command = (
     AcceptJob
     | CancelJob
-    | NoteEnds
+    | RecordRunEnds
     | ForgetJobs
     | AddUpstream
     | ResizeUpstream
     | DoubtCapacities
-    | NoteCrash
+    | RecordCrash
     | RemoveUpstreams
     | SetDraining
     | CordonUpstreams
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -7,23 +7,23 @@
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .commands import NoteCrash, RemoveUpstreams
+from .commands import RecordCrash, RemoveUpstreams
 from .crashes import (
-    MOST_CRASHES,
-    MOST_LOSSES,
-    MOST_UNRESOLVED,
+    MAX_CRASHES,
+    MAX_LOSSES,
+    MAX_UNRESOLVED_STARTS,
     NO_CRASHES,
-    NO_WORK,
-    YOUNG,
-    AtWork,
-    Care,
+    NO_ACTIVE_TASKS,
+    CRASH_ON_START_WITHIN,
+    ActiveTasks,
+    StartRestriction,
     CrashCounts,
     Loss,
     Suspect,
     assign_blame,
-    is_explained,
+    has_common_cause,
 )
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import JobId, QueueKey, TaskRef
 from .orders import RunPhase
@@ -34,37 +34,37 @@
 
 LARGEST_RACK = 64
 """A label that more upstreams have than this does not name a rack."""
-MOST_TOLD = 1_000
+MAX_REPORTED_SUSPECTS = 1_000
 """Suspects that gateways have reported; the oldest belong to jobs that ended long ago."""
 
 
-class Suspicion:
+class CrashTracker:
     """Recent losses of upstreams and their possible causes; the log holds the counts."""
 
     def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
         self._instances = instances
         self._losses: list[Loss] = []
-        self.convicted: Counter[QueueKey] = Counter()
+        self.quarantined: Counter[QueueKey] = Counter()
         """How many tasks of each queue were quarantined in this term for crashing upstreams."""
         self._lost_tasks: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it was active and that may have crashed."""
         self._lost_starts: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it may have been started."""
-        self._told: dict[TaskRef, CrashCounts] = {}
+        self._reported: dict[TaskRef, CrashCounts] = {}
         """Counts from earlier coordinators that gateways have reported and that the log does not
         contain."""
         for instance in instances.by_id.values():
             self._lost_tasks.update(instance.lost.tasks)
             self._lost_starts.update(instance.lost.all_tasks)
 
-    def note_silent(self, instance: Instance, now: timedelta) -> None:
+    def record_no_answer(self, instance: Instance, now: timedelta) -> None:
         """Record that an upstream does not answer."""
         if instance.lost_at is not None:
             return
         instance.lost_at = now
         if instance.runs:
-            self._check_neighbours(instance)
+            self._poll_neighbours(instance)
         self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
         self._losses.append(
             Loss(
@@ -75,7 +75,7 @@
             )
         )
 
-    def _check_neighbours(self, instance: Instance) -> None:
+    def _poll_neighbours(self, instance: Instance) -> None:
         """Poll the upstreams that would be lost together with one, such as those of its rack.
 
         Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
@@ -88,12 +88,12 @@
         for neighbours in by_label.values():
             if len(neighbours) <= LARGEST_RACK:
                 for each in neighbours:
-                    each.must_check = True
+                    each.must_poll = True
                     self._instances.touch(each)
 
-    def note_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
+    def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Record that an upstream has not crashed; return what was active when it was lost."""
-        if instance.lost_at is None and instance.lost is NO_WORK:
+        if instance.lost_at is None and instance.lost is NO_ACTIVE_TASKS:
             return ()
         cleared = self.forget(instance)
         if instance.lost_at is not None:
@@ -101,45 +101,47 @@
             self._losses = [each for each in self._losses if each.upstream != instance.info.id]
         return cleared
 
-    def note_lapse(self, instance: Instance, now: timedelta) -> None:
+    def record_lapse(self, instance: Instance, now: timedelta) -> None:
         """Remember the tasks that were active at an upstream that may turn out to have crashed."""
-        self._set_lost(instance, _find_at_work(instance, now))
+        self._set_lost(instance, _find_active_tasks(instance, now))
 
     def forget(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Forget an upstream that the log has removed; return the tasks that were lost there."""
         lost = instance.lost.all_tasks
-        self._set_lost(instance, NO_WORK)
+        self._set_lost(instance, NO_ACTIVE_TASKS)
         return lost
 
-    def take_told(self, suspects: Iterable[Suspect]) -> None:
+    def record_reported_suspects(self, suspects: Iterable[Suspect]) -> None:
         """Record the crashes that earlier coordinators have counted for a gateway's job."""
         for suspect in suspects:
-            more = suspect.counts.subtract(self.find_counts(suspect.task))
-            self._told[suspect.task] = self._told.get(suspect.task, NO_CRASHES).add(more)
-        while len(self._told) > MOST_TOLD:
-            del self._told[next(iter(self._told))]
+            more = suspect.counts.subtract(self.get_counts(suspect.task))
+            self._reported[suspect.task] = self._reported.get(suspect.task, NO_CRASHES).add(more)
+        while len(self._reported) > MAX_REPORTED_SUSPECTS:
+            del self._reported[next(iter(self._reported))]
 
     def list_suspects(self, job: JobId) -> tuple[Suspect, ...]:
         """Return the tasks of a job under which upstreams have ended."""
-        tasks = {*self._told, *self._term.records.suspects}
+        tasks = {*self._reported, *self._term.records.suspects}
         of_job = sorted(task for task in tasks if task.job == job)
-        return tuple(Suspect(task=task, counts=self.find_counts(task)) for task in of_job)
+        return tuple(Suspect(task=task, counts=self.get_counts(task)) for task in of_job)
 
-    def find_counts(self, task: TaskRef) -> CrashCounts:
+    def get_counts(self, task: TaskRef) -> CrashCounts:
         """Return the known counts of upstream ends under a task."""
-        counts = self._term.records.find_crashes(task)
-        return counts.add(self._told.get(task, NO_CRASHES))
+        counts = self._term.records.get_crash_counts(task)
+        return counts.add(self._reported.get(task, NO_CRASHES))
 
     def note_end(
         self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
     ) -> None:
         """Record that an upstream has ended; propose to count a crash if it was not leaving."""
-        at_work = _find_at_work(instance, now)
-        if instance.draining or at_work == NO_WORK:
+        at_work = _find_active_tasks(instance, now)
+        if instance.draining or at_work == NO_ACTIVE_TASKS:
             self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
             return
-        self.note_silent(instance, now)
-        blamed = [] if self._is_explained(instance) else self._find_blamed(at_work.tasks, queues)
+        self.record_no_answer(instance, now)
+        blamed = (
+            [] if self._has_common_cause(instance) else self._find_blamed(at_work.tasks, queues)
+        )
         others = tuple(task for task in at_work.tasks if task not in blamed)
         self._term.counts.crashed_upstreams += 1
         self._term.note(
@@ -154,7 +156,7 @@
         )
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
-            NoteCrash(
+            RecordCrash(
                 upstream=instance.info.id,
                 blamed=tuple(blamed),
                 others=others,
@@ -163,11 +165,11 @@
             )
         )
 
-    def note_gone(self, instance: Instance) -> None:
+    def record_removal(self, instance: Instance) -> None:
         """Record that a lost upstream does not come back; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
-            NoteCrash(
+            RecordCrash(
                 upstream=instance.info.id,
                 blamed=(),
                 others=instance.lost.tasks,
@@ -176,22 +178,22 @@
             )
         )
 
-    def find_care(self, task: TaskRef) -> Care:
+    def find_restriction(self, task: TaskRef) -> StartRestriction:
         """Return how the next start of a task is restricted by the outcomes of earlier ones."""
-        counts = self.find_counts(task)
+        counts = self.get_counts(task)
         unsure = self._lost_starts[task]
         if not unsure:
-            return Care.ALONE if counts.crashes else Care.NONE
+            return StartRestriction.ALONE if counts.crashes else StartRestriction.NONE
         starts = counts.starts + unsure
-        if starts >= MOST_UNRESOLVED or counts.losses + self._lost_tasks[task] >= MOST_LOSSES:
-            return Care.BARRED
-        return Care.HELD if starts >= MOST_CRASHES else Care.ALONE
+        if starts >= MAX_UNRESOLVED_STARTS or counts.losses + self._lost_tasks[task] >= MAX_LOSSES:
+            return StartRestriction.BARRED
+        return StartRestriction.HELD if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
         """Return whether any task may be restricted."""
-        return bool(self._lost_starts or self._told or self._term.records.suspects)
+        return bool(self._lost_starts or self._reported or self._term.records.suspects)
 
-    def _set_lost(self, instance: Instance, at_work: AtWork) -> None:
+    def _set_lost(self, instance: Instance, at_work: ActiveTasks) -> None:
         self._lost_tasks.subtract(instance.lost.tasks)
         self._lost_tasks.update(at_work.tasks)
         self._lost_starts.subtract(instance.lost.all_tasks)
@@ -200,7 +202,7 @@
         self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
         instance.lost = at_work
 
-    def _is_explained(self, instance: Instance) -> bool:
+    def _has_common_cause(self, instance: Instance) -> bool:
         loss = next(each for each in self._losses if each.upstream == instance.info.id)
         infos = {
             id: (each.info.domain, each.info.labels) for id, each in self._instances.by_id.items()
@@ -209,19 +211,19 @@
         sizes: Counter[str] = Counter()
         for domain, labels in infos.values():
             sizes.update((domain, *labels))
-        return is_explained(loss, self._losses, sizes)
+        return has_common_cause(loss, self._losses, sizes)
 
     def _find_blamed(
         self, at_work: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
     ) -> list[TaskRef]:
-        known = {task: self.find_counts(task) for task in at_work}
-        return assign_blame(at_work, known, queues, self.convicted)
+        known = {task: self.get_counts(task) for task in at_work}
+        return assign_blame(at_work, known, queues, self.quarantined)
 
 
-def _find_at_work(instance: Instance, now: timedelta) -> AtWork:
+def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
     """Return the tasks that are active at an upstream and were started recently."""
-    young = [run for run in instance.runs.values() if now - run.since < YOUNG]
-    found = AtWork(
+    young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
+    found = ActiveTasks(
         tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
         unsure=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
     )
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -18,32 +18,32 @@
 from ..ids import DomainName, UpstreamId
 from .model import JobId, QueueKey, TaskRef, Value
 
-MOST_CRASHES = 2
+MAX_CRASHES = 2
 """Unexplained upstream ends after which a task is quarantined; the platform's rules allow this from
 the second one on."""
-MOST_LOSSES = 3
+MAX_LOSSES = 3
 """Upstream ends, explained or not, after which a task is quarantined."""
-MOST_STARTS = 5
+MAX_STARTS = 5
 """Starts at upstreams that have ended, answered or not, after which a task is quarantined: after
 three crashes a task may be started at most twice more."""
-MOST_UNRESOLVED = 4
+MAX_UNRESOLVED_STARTS = 4
 """Starts at upstreams that may have crashed, after which further starts wait until that is known.
 """
-AT_ONCE = timedelta(milliseconds=150)
+SIMULTANEOUS_WITHIN = timedelta(milliseconds=150)
 """Upstreams lost within this time of each other may share a cause: the exit of a process is noticed
 at once, silence within 80 ms."""
-MOST_BY_CHANCE = 2
+MAX_COINCIDENT_LOSSES = 2
 """Other upstreams that may be lost at the same time by coincidence. At six crashes a second (600
 jobs a second, one in a hundred with a crashing task) more than these coincide in 27 percent of the
 cases, which then count as losses only."""
-LOST_GROUP = 0.5
+LOST_GROUP_SHARE = 0.5
 """Share of a rack or a domain that must be lost at the same time to explain the loss of each
 member."""
-YOUNG = timedelta(seconds=10)
+CRASH_ON_START_WITHIN = timedelta(seconds=10)
 """A run that has lasted longer did not crash its upstream by its start."""
-LEFT_ALONE_FOR = timedelta(seconds=1)
+EXCLUSIVE_WAIT = timedelta(seconds=1)
 """How long a suspect waits for an upstream where nothing runs; after that any other will do."""
-HELD_FOR = timedelta(seconds=2)
+THIRD_START_DELAY = timedelta(seconds=2)
 """How long a task's third start waits while it is unknown whether two earlier ones caused crashes.
 
 Crashed upstreams are back after some seconds, and a durable job with nothing running for three
@@ -52,7 +52,7 @@
 """
 
 
-class Care(Enum):
+class StartRestriction(Enum):
     """Restrictions on the next start of a task."""
 
     NONE = "none"
@@ -84,8 +84,8 @@
     @property
     def is_given_up(self) -> bool:
         """Whether the task must not be started again."""
-        is_convicted = self.crashes >= MOST_CRASHES or self.losses >= MOST_LOSSES
-        return is_convicted or self.starts >= MOST_STARTS
+        is_convicted = self.crashes >= MAX_CRASHES or self.losses >= MAX_LOSSES
+        return is_convicted or self.starts >= MAX_STARTS
 
     def add(self, other: CrashCounts) -> CrashCounts:
         """Return the sum of two counts."""
@@ -130,7 +130,7 @@
 seconds, or not at all."""
 
 
-class AtWork(Value, frozen=True):
+class ActiveTasks(Value, frozen=True):
     """Tasks that were active at an upstream, as far as its leader knew."""
 
     tasks: tuple[TaskRef, ...] = ()
@@ -143,23 +143,23 @@
         """Return the confirmed and the unanswered tasks."""
         return (*self.tasks, *self.unsure)
 
-    def join(self, other: AtWork) -> AtWork:
+    def join(self, other: ActiveTasks) -> ActiveTasks:
         """Return the union of both; a task confirmed in either counts as confirmed."""
         tasks = dict.fromkeys((*self.tasks, *other.tasks))
         unsure = dict.fromkeys((*self.unsure, *other.unsure))
-        return AtWork(
+        return ActiveTasks(
             tasks=tuple(tasks), unsure=tuple(task for task in unsure if task not in tasks)
         )
 
 
-NO_WORK = AtWork()
+NO_ACTIVE_TASKS = ActiveTasks()
 
 
 class LostRuns(Value, frozen=True):
     """Tasks that were active at an upstream when it became unreachable."""
 
     upstream: UpstreamId
-    at_work: AtWork
+    at_work: ActiveTasks
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -172,7 +172,7 @@
     labels: tuple[str, ...]
 
 
-def is_explained(loss: Loss, losses: Iterable[Loss], sizes: Mapping[str, int]) -> bool:
+def has_common_cause(loss: Loss, losses: Iterable[Loss], sizes: Mapping[str, int]) -> bool:
     """Return whether so much else was lost at the same time that a task is an unlikely cause.
 
     `sizes` gives the number of upstreams of each domain, and of each label, which may name a rack.
@@ -180,12 +180,12 @@
     others = [
         each
         for each in losses
-        if each.upstream != loss.upstream and abs(each.at - loss.at) <= AT_ONCE
+        if each.upstream != loss.upstream and abs(each.at - loss.at) <= SIMULTANEOUS_WITHIN
     ]
-    if len(others) > MOST_BY_CHANCE:
+    if len(others) > MAX_COINCIDENT_LOSSES:
         return True
     return any(
-        _count_in_group(name, others) >= max(LOST_GROUP * sizes.get(name, 0) - 1, 1)
+        _count_in_group(name, others) >= max(LOST_GROUP_SHARE * sizes.get(name, 0) - 1, 1)
         for name in (loss.domain, *loss.labels)
     )
 
@@ -198,7 +198,7 @@
     tasks: Sequence[TaskRef],
     known: Mapping[TaskRef, CrashCounts],
     queues: Mapping[JobId, QueueKey],
-    convicted: Mapping[QueueKey, int],
+    quarantined: Mapping[QueueKey, int],
 ) -> list[TaskRef]:
     """Return the tasks active at a crashed upstream that may have caused the crash.
 
@@ -208,7 +208,7 @@
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
         return [task for task in tasks if known.get(task, NO_CRASHES).crashes == worst]
-    of_such_kind = [task for task in tasks if convicted.get(queues.get(task.job) or _NO_QUEUE)]
+    of_such_kind = [task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)]
     return of_such_kind or list(tasks)
 
 
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -12,22 +12,22 @@
 from ..clock import to_milliseconds
 from ..ids import DomainName, UpstreamId
 from .admission import Rejection
-from .adoption import Adopter
+from .adoption import RunAdopter
 from .commands import (
     AcceptJob,
     AddUpstream,
     CancelJob,
     Command,
-    NoteCrash,
-    NoteEnds,
+    RecordCrash,
+    RecordRunEnds,
     RemoveUpstreams,
     SetDraining,
     SetEvacuation,
     UncordonUpstream,
 )
-from .run_ends import Ends
+from .run_ends import RunEndHandler
 from .filler import Filler
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import LeaseTerms, Instance
 from .model import (
     Heartbeat,
@@ -41,7 +41,7 @@
 from .open_jobs import OpenJobs
 from .orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     Order,
     RunPhase,
     StartOrder,
@@ -51,9 +51,9 @@
 from .records import JobRecord, Records, end_job
 from .registry import Registry
 from .reports import USUAL_REPORTS, ReportTerms, find_avoided
-from .reconciliation import Settlement
-from .crash_tracker import Suspicion
-from .term import DispatchCounts, Note, Term, WallTime
+from .reconciliation import Reconciliation
+from .crash_tracker import CrashTracker
+from .term import DispatchCounts, DecisionLog, Term, WallTime
 from .wakes import Wakes
 from .watcher import Watcher
 
@@ -77,8 +77,8 @@
         terms: LeaseTerms,
         now: timedelta,
         wall_ms: WallTime,
-        note: Note,
-        on_end: Callable[[JobId], None],
+        note: DecisionLog,
+        on_job_end: Callable[[JobId], None],
         domain: DomainName | None = None,
         keeps_log: bool = True,
         reports: ReportTerms = USUAL_REPORTS,
@@ -91,24 +91,24 @@
             lease=terms,
             wall_ms=wall_ms,
             note=note,
-            on_end=on_end,
+            on_job_end=on_job_end,
             domain=domain,
             keeps_log=keeps_log,
             reports=reports,
             known_until=known_until,
         )
         self._instances = InstanceTable(term=self._term)
-        crash_tracker = Suspicion(term=self._term, instances=self._instances)
+        crash_tracker = CrashTracker(term=self._term, instances=self._instances)
         self._jobs = OpenJobs(
             term=self._term, instances=self._instances, crash_tracker=crash_tracker
         )
         self._watcher = Watcher(term=self._term, instances=self._instances, jobs=self._jobs)
-        self._adopter = Adopter(term=self._term, instances=self._instances, jobs=self._jobs)
+        self._adopter = RunAdopter(term=self._term, instances=self._instances, jobs=self._jobs)
         self._filler = Filler(term=self._term, instances=self._instances, jobs=self._jobs)
-        self._reconciliation = Settlement(
+        self._reconciliation = Reconciliation(
             term=self._term, instances=self._instances, jobs=self._jobs
         )
-        self._ends = Ends(
+        self._ends = RunEndHandler(
             term=self._term,
             instances=self._instances,
             jobs=self._jobs,
@@ -138,13 +138,13 @@
         return self._term.counts
 
     @property
-    def is_fenced_off(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether an upstream has taken orders under a higher token."""
-        return self._term.is_fenced_off
+        return self._term.is_superseded
 
-    def forgive_fence(self) -> None:
+    def clear_superseded(self) -> None:
         """Forget the higher token, since a later term is asked for."""
-        self._term.is_fenced_off = False
+        self._term.is_superseded = False
 
     def find_rejection(
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
@@ -175,7 +175,7 @@
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
         """Take a job that need not be kept; what another host started of it goes on."""
         # What runs at an upstream out of sight ends when its lease does.
-        is_new = self._reconciliation.is_settled and not submission.may_have_begun
+        is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
         of_deputies = submission.may_be_of_deputy
         is_unsure = not is_new and self._reconciliation.is_unsure(of_deputies=of_deputies)
         self._jobs.rejections.pop(record.id, None)
@@ -190,13 +190,13 @@
         job.has_begun = job.has_begun or submission.may_have_begun
         if is_unsure:
             job.settle_at = now + submission.settle_after
-            self._reconciliation.note_unsure()
-        self._ends.claim(record, now)
-        if not self._instances.may_have_orphans and record.id not in self._jobs.left_behind:
+            self._reconciliation.request_recheck()
+        self._ends.claim_orphaned_ends(record, now)
+        if not self._instances.may_have_orphaned_runs and record.id not in self._jobs.left_behind:
             return
         for instance in self._instances.by_id.values():
             for run in [each for each in instance.runs.values() if each.task.job == record.id]:
-                self._adopter.adopt_orphan(job, instance, run)
+                self._adopter.adopt_orphaned_run(job, instance, run)
                 self._instances.touch(instance)
 
     def is_given_up(self, id: JobId) -> bool:
@@ -217,7 +217,7 @@
             return
         job.settle_at = max(job.settle_at, now + submission.settle_after)
         self._jobs.doubt(job)
-        self._reconciliation.note_unsure()
+        self._reconciliation.request_recheck()
 
     def abandon(self, id: JobId, gateway: str, now: timedelta) -> None:
         """Give up a job that need not be kept, since its gateway waits for it no more.
@@ -264,12 +264,12 @@
             job = self._term.records.jobs.get(command.job)
             if job is not None and job.is_open and job.id not in self._jobs.jobs:
                 self._jobs.open(job, TaskPhase.QUEUED, now, self._jobs.find_age(job))
-        elif isinstance(command, NoteEnds):
-            self._ends.take_noted(command, now)
+        elif isinstance(command, RecordRunEnds):
+            self._ends.handle_recorded_ends(command, now)
         elif isinstance(command, CancelJob):
             self._jobs.close_if_ended(command.job, now)
         elif isinstance(command, AddUpstream):
-            self._registry.take_added(command, now)
+            self._registry.handle_added_upstream(command, now)
         elif isinstance(command, SetDraining):
             if command.upstream in self._instances.by_id:
                 self._instances.by_id[command.upstream].draining = True
@@ -277,7 +277,7 @@
             self._take_evacuation(command, now)
         elif isinstance(command, UncordonUpstream):
             self._watcher.uncordon(command.upstream)
-        elif isinstance(command, NoteCrash):
+        elif isinstance(command, RecordCrash):
             self._drop(command.upstream)
             suspects = (*command.blamed, *command.others, *command.unanswered)
             self._jobs.fail_crashing(suspects, now)
@@ -287,7 +287,7 @@
 
     def _take_evacuation(self, command: SetEvacuation, now: timedelta) -> None:
         """Start nothing more in a domain, or take its upstreams back."""
-        runs = self._instances.set_evacuated(command.domain, now)
+        runs = self._instances.apply_evacuation(command.domain, now)
         record = self._term.records.evacuations.get(command.domain)
         self._term.note(
             "domain_evacuated" if record.is_evacuated else "domain_taken_back",
@@ -316,12 +316,12 @@
             return
         self._instances.touch(instance)
         if clock_ms is not None:
-            instance.take_clock(clock_ms, now)
+            instance.record_clock(clock_ms, now)
         run = instance.runs.get((order.task, order.run))
         if outcome is StartOutcome.FENCED:
-            self._term.is_fenced_off = True
-        if outcome is StartOutcome.LIFE_ENDED:
-            self._watcher.end_life(instance, now)
+            self._term.is_superseded = True
+        if outcome is StartOutcome.INSTANCE_ENDED:
+            self._watcher.end_instance(instance, now)
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
@@ -366,14 +366,14 @@
             return
         self._instances.touch(instance)
         if failure is CallFailure.FENCED:
-            self._term.is_fenced_off = True
-        if failure is CallFailure.LIFE_ENDED:
-            self._watcher.end_life(instance, now)
+            self._term.is_superseded = True
+        if failure is CallFailure.INSTANCE_ENDED:
+            self._watcher.end_instance(instance, now)
             return
         run = instance.runs.get((order.task, order.run))
         if run is None:
             return
-        run.stop_is_out = False
+        run.is_stop_pending = False
         if failure is None:
             run.stopped_at = now
             # The next look shows whether it is gone; until then its task starts nowhere.
@@ -383,7 +383,7 @@
 
     def take_look(
         self,
-        order: LookOrder,
+        order: PollOrder,
         reply: LookReply | CallFailure,
         sent_at: timedelta,
         now: timedelta,
@@ -394,24 +394,24 @@
             return
         self._instances.touch(instance)
         if order.is_probe:
-            instance.probe_is_out = False
+            instance.is_probe_pending = False
         else:
-            instance.look_is_out = False
+            instance.is_poll_pending = False
         if isinstance(reply, CallFailure):
-            self._watcher.take_failed_look(instance, reply, now)
+            self._watcher.handle_failed_poll(instance, reply, now)
             return
         instance.failed_looks = 0
         instance.contact_at = now
-        instance.look_due = now
-        instance.confirmed = max(instance.confirmed, order.last_seen)
-        instance.take_clock(reply.clock_ms, now)
+        instance.poll_due = now
+        instance.confirmed_through = max(instance.confirmed_through, order.last_seen)
+        instance.record_clock(reply.clock_ms, now)
         if not instance.is_fenced:
             instance.is_fenced = True
             self._term.note("upstream_adopted", {"upstream": instance.info.id})
         self._instances.unseen.discard(instance.info.id)
-        self._jobs.release(self._jobs.crash_tracker.note_answer(instance))
-        self._watcher.want_uncordoned(instance)
-        self._ends.take_listed(instance, reply.ended, now)
+        self._jobs.release(self._jobs.crash_tracker.record_answer(instance))
+        self._watcher.request_uncordon(instance)
+        self._ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
             # Overtaken by a later answer on another connection: what it lists may have ended.
             self._term.note(
@@ -427,15 +427,15 @@
             return
         instance.listed_ms = reply.clock_ms
         for report in reply.running:
-            self._adopter.take_running(instance, report, now)
-        self._watcher.judge_runs(instance, now)
+            self._adopter.handle_listed_run(instance, report, now)
+        self._watcher.evaluate_progress(instance, now)
         if len(reply.ended) < LONGEST_LIST:
             self._drop_vanished(instance, reply, sent_at, now)
 
     def tick(self, now: timedelta) -> None:
         """Do everything that is due and fill free room; take orders and proposals afterwards."""
         is_sweep = now >= self._sweep_due
-        self._jobs.open_due(self._reconciliation.first_phase, now)
+        self._jobs.open_due(self._reconciliation.initial_phase, now)
         self._reconciliation.settle(now)
         due = self._take_due(now)
         instances = list(self._instances.by_id.values()) if is_sweep else due
@@ -444,13 +444,13 @@
             self._watcher.stop_runs(instance, now)
         if self._term.may_start:
             self._filler.fill(now, None if is_sweep else instances)
-        changed = (*instances, *self._instances.take_touched())
+        changed = (*instances, *self._instances.pop_changed())
         for id, instance in {each.info.id: each for each in changed}.items():
             self._watcher.look(instance, now)
             if self._watcher.is_calm(instance, now) and (self._wakes.has(id) or not instance.runs):
                 # Nothing is due before its lease ends, and that moment only moves away.
                 continue
-            self._wakes.set(id, self._watcher.find_wake(instance, now))
+            self._wakes.set(id, self._watcher.find_timer(instance, now))
         if is_sweep:
             self._sweep(now)
 
@@ -460,17 +460,17 @@
             instance = self._instances.by_id.get(id)
             if instance is not None:
                 self._instances.touch(instance)
-        return self._instances.take_touched()
+        return self._instances.pop_changed()
 
     def _sweep(self, now: timedelta) -> None:
         """Forget what is long over."""
         self._sweep_due = now + SWEEP_EVERY
-        self._watcher.cordon(now)
+        self._watcher.cordon_idle(now)
         self._watcher.forget_silent(now, may_be_used=self.may_be_stood_in_for)
         self._registry.doubt_capacities(now)
-        self._instances.look_for_orphans()
+        self._instances.update_orphaned_flag()
         self._jobs.forget_ended(now)
-        self._ends.forget_orphans(now)
+        self._ends.forget_orphaned_ends(now)
 
     def take_orders(self) -> list[Order]:
         """Return what is to be sent to upstreams."""
@@ -494,7 +494,7 @@
             if key in there:
                 continue
             if run.phase is RunPhase.UNSURE and run.unsure_at <= sent_at:
-                run.stop_wanted = True
+                run.stop_requested = True
             if run.stopped_at is not None and run.stopped_at <= sent_at:
                 instance.remove_run(key)
                 self._jobs.requeue(run.task, run.run, instance.info.id)
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -21,7 +21,7 @@
     AddUpstream,
     Command,
     DoubtCapacities,
-    NoteCrash,
+    RecordCrash,
     RemoveUpstreams,
     ResizeUpstream,
     SetConfiguration,
@@ -30,19 +30,19 @@
 )
 from .records import Records
 
-KEPT_CHANGES = 512
+MAX_KEPT_CHANGES = 512
 """A gateway that has missed more changes than this gets the whole state again."""
-PART = 128
+MAX_UPSTREAMS_PER_PART = 128
 """Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
-FEW = 16
+SMALL_PART = 16
 """Upstreams in an answer that costs hardly more than one without any."""
 _FIRST = UpstreamId("")
 """Sorts before all ids of upstreams."""
-OWN_DOMAIN_ASKED = 3
-OTHER_DOMAINS_ASKED = 2
+OWN_DOMAIN_QUERIED = 3
+OTHER_DOMAINS_QUERIED = 2
 """Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
-MOST_FOR_ONE_DEPUTY = 64
+MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER = 64
 """Upstreams; a gateway has half a core, and twice as many overload it."""
 
 
@@ -56,14 +56,14 @@
     """Of the initial upstreams those up to this id are known; None if all of them are."""
 
 
-class RosterLog:
+class FailoverStateLog:
     """Changes of the failover state under one leader."""
 
     def __init__(self, *, term: int, takes_calls: bool) -> None:
         self._term = term
         self._takes_calls = takes_calls
         self._number = 0
-        self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=KEPT_CHANGES)
+        self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
         """Number of each change, and the upstream that it concerns, if any."""
         self._configured = 0
         """Number of the last change of the configuration."""
@@ -75,35 +75,35 @@
         """Version of the current state."""
         return f"{self._term}.{self._number}"
 
-    def note_upstream(self, upstream: UpstreamId) -> None:
+    def record_upstream_change(self, upstream: UpstreamId) -> None:
         """Count that an upstream has joined, changed or left."""
         self._number += 1
         self._changes.append((self._number, upstream))
 
-    def note_configuration(self) -> None:
+    def record_configuration_change(self) -> None:
         """Count that another configuration is active."""
         self._number += 1
         self._changes.append((self._number, None))
         self._configured = self._number
 
-    def note_other(self) -> None:
+    def record_other_change(self) -> None:
         """Count any other change."""
         self._number += 1
         self._changes.append((self._number, None))
 
-    def note_command(self, command: Command) -> None:
+    def record_command(self, command: Command) -> None:
         """Count what a command of the log has changed, if the failover state contains it."""
         if isinstance(command, AddUpstream):
-            self.note_upstream(command.info.id)
-        elif isinstance(command, SetDraining | ResizeUpstream | NoteCrash):
-            self.note_upstream(command.upstream)
+            self.record_upstream_change(command.info.id)
+        elif isinstance(command, SetDraining | ResizeUpstream | RecordCrash):
+            self.record_upstream_change(command.upstream)
         elif isinstance(command, RemoveUpstreams | DoubtCapacities):
             for upstream in command.upstreams:
-                self.note_upstream(upstream)
+                self.record_upstream_change(upstream)
         elif isinstance(command, SetConfiguration):
-            self.note_configuration()
+            self.record_configuration_change()
         elif isinstance(command, SetEvacuation):
-            self.note_other()
+            self.record_other_change()
 
     def build(
         self,
@@ -119,7 +119,7 @@
         position = self._find_position(known)
         start = position or _Position(number=self._number, after=_FIRST)
         changed, number = self._list_changed(start.number)
-        begun, after = self._list_next(records, start.after, PART - len(changed))
+        begun, after = self._list_next(records, start.after, MAX_UPSTREAMS_PER_PART - len(changed))
         ids = dict.fromkeys((*changed, *begun))
         is_new = position is None or position.number < self._configured
         configuration = records.configuration if is_new else None
@@ -145,8 +145,8 @@
         """Return whether the next part for a gateway contains many upstreams."""
         position = self._find_position(known)
         if position is None or position.after is not None:
-            return len(records.upstreams) > FEW
-        return self._number - position.number > FEW
+            return len(records.upstreams) > SMALL_PART
+        return self._number - position.number > SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
         """Return the upstreams in the next part of the changes, and its last change's number."""
@@ -154,7 +154,7 @@
         for number, upstream in self._changes:
             if number <= since or upstream is None or upstream in ids:
                 continue
-            if len(ids) == PART:
+            if len(ids) == MAX_UPSTREAMS_PER_PART:
                 return list(ids), number - 1
             ids[upstream] = None
         return list(ids), self._number
@@ -185,14 +185,14 @@
         return _Position(number=int(number), after=UpstreamId(after) if has_cursor else None)
 
 
-def find_own_domain(roster: Roster, own: str) -> DomainName | None:
+def find_acting_domain(roster: Roster, own: str) -> DomainName | None:
     """Return the one domain that an acting leader manages, or None where one manages all."""
-    if len(roster.upstreams) <= MOST_FOR_ONE_DEPUTY:
+    if len(roster.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
     return next((each.domain for each in roster.gateways if each.address == own), None)
 
 
-def merge_roster(known: Roster | None, received: Roster) -> Roster | None:
+def merge_failover_state(known: Roster | None, received: Roster) -> Roster | None:
     """Return the state after merging what was received; None if that does not follow on `known`."""
     if not received.base:
         return received
@@ -212,7 +212,7 @@
     )
 
 
-def choose_asked(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
+def choose_queried_gateways(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
     """Return the gateways that a gateway queries if it reaches no leader.
 
     These are the lowest addresses of each domain, because the lowest gateway that can be reached
@@ -223,7 +223,7 @@
     asked: list[str] = []
     left: dict[DomainName, int] = {}
     for gateway in sorted(gateways, key=lambda each: each.address):
-        most = OWN_DOMAIN_ASKED if gateway.domain == home else OTHER_DOMAINS_ASKED
+        most = OWN_DOMAIN_QUERIED if gateway.domain == home else OTHER_DOMAINS_QUERIED
         count = left.setdefault(gateway.domain, most)
         if gateway.address != own and count:
             left[gateway.domain] = count - 1
--- a/cottonlug/core/cluster/filler.py
+++ b/cottonlug/core/cluster/filler.py
@@ -6,9 +6,9 @@
 
 from .admission import Rejection, estimate_wait
 from .backlog import Batch, Tier
-from .crashes import HELD_FOR, LEFT_ALONE_FOR, Care
+from .crashes import THIRD_START_DELAY, EXCLUSIVE_WAIT, StartRestriction
 from .forecast import LATE_FACTOR
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import JobSpec, Queue, RunNumber, ServiceName, TaskRef
 from .open_job import TaskPhase
@@ -165,19 +165,23 @@
 
     def _is_held(self, batch: Batch, now: timedelta) -> bool:
         """Whether the tasks of a batch had better not be started yet."""
-        if batch.care is Care.NONE:
+        if batch.care is StartRestriction.NONE:
             return False
         if batch.offered_since is None:
             batch.offered_since = now
-        is_early = now < batch.offered_since + HELD_FOR
-        return batch.care is Care.BARRED or (batch.care is Care.HELD and is_early)
+        is_early = now < batch.offered_since + THIRD_START_DELAY
+        return batch.care is StartRestriction.BARRED or (
+            batch.care is StartRestriction.HELD and is_early
+        )
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
         """Whether the tasks of a batch go only where nothing runs."""
         since = batch.offered_since
-        if batch.care is Care.NONE or since is None:
+        if batch.care is StartRestriction.NONE or since is None:
             return False
-        return now < since + LEFT_ALONE_FOR + (HELD_FOR if batch.care is Care.HELD else timedelta())
+        return now < since + EXCLUSIVE_WAIT + (
+            THIRD_START_DELAY if batch.care is StartRestriction.HELD else timedelta()
+        )
 
     def _fill_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
         """Start tasks of a batch as long as any fits; return whether any did."""
@@ -199,7 +203,7 @@
         ref = TaskRef(batch.job.id, batch.occurrence, batch.number, index)
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
-        expires_ms = instance.grant(now)
+        expires_ms = instance.grant_lease(now)
         assert expires_ms is not None, "only a fenced life takes work, and its clock is known"
         known = batch.job.get_task(ref)
         last_run = max(task.run, known.last_run)
@@ -210,11 +214,11 @@
         job.home = job.home or instance.info.domain
         run = Run(task=ref, run=task.run, needs=batch.needs, phase=RunPhase.STARTING, since=now)
         run.resumes = bool(known.checkpoint)
-        run.is_alone = batch.care is not Care.NONE
+        run.is_exclusive = batch.care is not StartRestriction.NONE
         instance.add_run(run)
         self._rooms.update(instance, now)
         self._instances.touch(instance)
-        instance.look_due = min(instance.look_due, now)
+        instance.poll_due = min(instance.poll_due, now)
         self._term.counts.starts += 1
         # A first start is routine; one beside which another run may be at work is always told.
         is_again = last_run > 0 or job.settle_at > timedelta()
--- a/cottonlug/core/cluster/identity.py
+++ b/cottonlug/core/cluster/identity.py
@@ -14,23 +14,27 @@
 """Never part of an upstream's own id."""
 
 
-def name_life(name: str, born_ms: int | None) -> UpstreamId:
+def build_instance_id(name: str, started_ms: int | None) -> UpstreamId:
     """Return the id of an instance; `started_ms` is None if the upstream does not tell it."""
-    return UpstreamId(name if born_ms is None else f"{name}{SEPARATOR}{born_ms}")
+    return UpstreamId(name if started_ms is None else f"{name}{SEPARATOR}{started_ms}")
 
 
-def get_name(instance: UpstreamId) -> str:
+def get_upstream_name(instance: UpstreamId) -> str:
     """Return the id that the upstream of an instance announces."""
     return instance.partition(SEPARATOR)[0]
 
 
-def find_birth(instance: UpstreamId) -> int | None:
+def find_start_ms(instance: UpstreamId) -> int | None:
     """Return when an instance started, in Unix milliseconds, or None if that is unknown."""
     born = instance.partition(SEPARATOR)[2]
     return int(born) if born else None
 
 
-def is_earlier(instance: UpstreamId, other: UpstreamId) -> bool:
+def is_earlier_instance(instance: UpstreamId, other: UpstreamId) -> bool:
     """Return whether `other` is a later instance of the same upstream."""
-    born, later = find_birth(instance), find_birth(other)
-    return get_name(instance) == get_name(other) and later is not None and (born or 0) < later
+    born, later = find_start_ms(instance), find_start_ms(other)
+    return (
+        get_upstream_name(instance) == get_upstream_name(other)
+        and later is not None
+        and (born or 0) < later
+    )
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -8,18 +8,18 @@
 import msgspec
 
 from ..clock import to_milliseconds
-from .crashes import NO_WORK, AtWork
+from .crashes import NO_ACTIVE_TASKS, ActiveTasks
 from .model import Capacity, Needs, RunNumber, TaskRef, UpstreamInfo
 from .orders import Run
 from .patience import Patience
 
 RunKey = tuple[TaskRef, RunNumber]
 
-SLOWEST_CLOCK = 0.98
+MIN_CLOCK_RATE = 0.98
 """Lowest rate of an upstream's monotonic clock relative to ours (the platform's bound: 2% slow)."""
 LAPSE_MARGIN = timedelta(milliseconds=60)
 """Added to the end of a lease before anybody relies on it, for timers that fire late."""
-LEAST_LEASE = timedelta(milliseconds=500)
+MIN_LEASE = timedelta(milliseconds=500)
 """A shorter lease would not outlast a change of leader."""
 
 
@@ -34,11 +34,11 @@
     @property
     def lapse_after(self) -> timedelta:
         """The time after which a lease that is requested now has certainly ended."""
-        return self.delivery + self.longest / SLOWEST_CLOCK + LAPSE_MARGIN
+        return self.delivery + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
 
 
-def choose_terms(
-    longest: timedelta, caller_retry: timedelta, silence_borne: timedelta
+def choose_lease_terms(
+    longest: timedelta, caller_retry: timedelta, silence_tolerated: timedelta
 ) -> LeaseTerms:
     """Return terms of leases that end before a lost caller's job can be submitted again.
 
@@ -46,8 +46,8 @@
     abandons the job once it has not heard that gateway for `silence_tolerated`. What still runs
     then, at an unreachable upstream, has lost its lease by the time the job arrives again.
     """
-    ended_in_time = (caller_retry - silence_borne - LAPSE_MARGIN) * SLOWEST_CLOCK
-    return LeaseTerms(longest=min(longest, max(ended_in_time, LEAST_LEASE)))
+    ended_in_time = (caller_retry - silence_tolerated - LAPSE_MARGIN) * MIN_CLOCK_RATE
+    return LeaseTerms(longest=min(longest, max(ended_in_time, MIN_LEASE)))
 
 
 @dataclass(slots=True, kw_only=True)
@@ -69,13 +69,13 @@
     either."""
     is_uncordoning: bool = False
     """Whether a command to use it again has been proposed to the log."""
-    is_foreign: bool = False
+    is_managed_elsewhere: bool = False
     """Whether another host sends its orders in this term."""
     is_fenced: bool = False
     """Whether it has answered a poll of this leader's term, so that its runs are known."""
     proposed: int = 0
     """Number of the last run end that was proposed to the log."""
-    confirmed: int = 0
+    confirmed_through: int = 0
     """Number of the last run end whose recording was confirmed to the upstream."""
     sequence: int = 0
     """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
@@ -90,12 +90,12 @@
     heard_at: timedelta | None = None
     contact_at: timedelta | None = None
     failed_looks: int = 0
-    look_is_out: bool = False
-    probe_is_out: bool = False
+    is_poll_pending: bool = False
+    is_probe_pending: bool = False
     listed_ms: int = -1
     """When its runs were last listed, on its own clock: an older list that arrives later is
     ignored."""
-    look_due: timedelta = timedelta()
+    poll_due: timedelta = timedelta()
     probe_due: timedelta = timedelta()
     is_on_trial: bool = False
     """Whether it gets one run at a time, after it was found failing, stalled or slow."""
@@ -104,11 +104,11 @@
     avoid_until: timedelta = timedelta()
     cold_until: timedelta = timedelta()
     """Until then tasks take longer there than usual, so that it is used last."""
-    must_check: bool = False
+    must_poll: bool = False
     """Whether it is to be polled soon although nothing runs there."""
     lost_at: timedelta | None = None
     """When it was first found not to answer; None once it has answered again."""
-    lost: AtWork = NO_WORK
+    lost: ActiveTasks = NO_ACTIVE_TASKS
     """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
     lapse_at: timedelta = timedelta()
     """From then on nothing can run there unless a lease is renewed."""
@@ -117,20 +117,20 @@
     _used_cpu: int = 0
     _used_memory: int = 0
     _used_gpus: int = 0
-    _orphans: int = 0
+    _orphaned: int = 0
     _disputed: int = 0
-    _alone: int = 0
+    _exclusive: int = 0
     _clock_ms: float | None = None
     _clock_at: timedelta = timedelta()
 
-    def take_clock(self, clock_ms: int, now: timedelta) -> None:
+    def record_clock(self, clock_ms: int, now: timedelta) -> None:
         """Update the lower bound of the upstream's clock from an answer."""
         known = self._estimate_clock(now)
         if known is None or clock_ms >= known:
             self._clock_ms = float(clock_ms)
             self._clock_at = now
 
-    def take_report(self, capacity: Capacity, sequence: int, reported_at: timedelta) -> bool:
+    def record_capacity(self, capacity: Capacity, sequence: int, reported_at: timedelta) -> bool:
         """Store the reported capacity; return whether it differs from the replicated state.
 
         Active runs stay even if they exceed a capacity that has shrunk; only starts may not exceed
@@ -152,7 +152,7 @@
             return timedelta()
         return timedelta(milliseconds=max(known - clock_ms, 0.0))
 
-    def grant(self, now: timedelta) -> int | None:
+    def grant_lease(self, now: timedelta) -> int | None:
         """Return a lease end on the upstream's clock, and count the lease as granted.
 
         None if the upstream's clock is unknown.
@@ -166,16 +166,16 @@
     def add_run(self, run: Run) -> None:
         """Add a run and count its needs as used."""
         self.runs[(run.task, run.run)] = run
-        self._change_use(run, 1)
+        self._adjust_usage(run, 1)
 
     def remove_run(self, key: RunKey) -> Run | None:
         """Remove a run and free what it used."""
         run = self.runs.pop(key, None)
         if run is not None:
-            self._change_use(run, -1)
+            self._adjust_usage(run, -1)
         return run
 
-    def dispute(self, key: RunKey) -> None:
+    def mark_disputed(self, key: RunKey) -> None:
         """Renew no lease here until a run is gone, because another host relies on its end."""
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
@@ -188,29 +188,29 @@
         return self.info.capacity.cpu_millis - self._used_cpu
 
     @property
-    def has_orphans(self) -> bool:
+    def has_orphaned_runs(self) -> bool:
         """Whether there are runs whose jobs, and therefore whose needs, are unknown."""
-        return self._orphans > 0
+        return self._orphaned > 0
 
     @property
     def has_disputed(self) -> bool:
         """Whether a run's lease must run out: nothing is started or renewed here."""
         return self._disputed > 0
 
-    def has_room(self, needs: Needs) -> bool:
+    def has_free_capacity(self, needs: Needs) -> bool:
         """Return whether a task fits.
 
         Each orphaned run, whose needs are unknown, counts as much as the task.
         """
         capacity = self.info.capacity
-        alike = 1 + self._orphans
+        alike = 1 + self._orphaned
         return (
             needs.cpu_millis * alike <= capacity.cpu_millis - self._used_cpu
             and needs.memory_mb * alike <= capacity.memory_mb - self._used_memory
             and needs.gpus * alike <= capacity.gpus - self._used_gpus
         )
 
-    def takes_work(self, now: timedelta) -> bool:
+    def accepts_work(self, now: timedelta) -> bool:
         """Return whether a start may be sent at all."""
         return (
             self.is_fenced
@@ -218,7 +218,7 @@
             and not self.draining
             and not self.is_evacuated
             and not self.has_disputed
-            and not self._alone
+            and not self._exclusive
             and not self.is_over
             and self.failed_looks == 0
             and now >= self.avoid_until
@@ -228,16 +228,16 @@
         """Return whether tasks take longer there than usual."""
         return now < self.cold_until
 
-    def _change_use(self, run: Run, sign: int) -> None:
+    def _adjust_usage(self, run: Run, sign: int) -> None:
         self._used_cpu += sign * run.needs.cpu_millis
         self._used_memory += sign * run.needs.memory_mb
         self._used_gpus += sign * run.needs.gpus
-        self._orphans += sign * run.is_orphan
+        self._orphaned += sign * run.is_orphaned
         self._disputed += sign * run.is_disputed
-        self._alone += sign * run.is_alone
+        self._exclusive += sign * run.is_exclusive
 
     def _estimate_clock(self, now: timedelta) -> float | None:
         if self._clock_ms is None:
             return None
         elapsed = (now - self._clock_at) / timedelta(milliseconds=1)
-        return self._clock_ms + elapsed * SLOWEST_CLOCK
+        return self._clock_ms + elapsed * MIN_CLOCK_RATE
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -7,12 +7,12 @@
 from ..ids import DomainName, UpstreamId
 from .admission import measure_room
 from .guards import MOST_SET_ASIDE, Health
-from .identity import get_name, is_earlier
+from .identity import get_upstream_name, is_earlier_instance
 from .instances import Instance
 from .model import JobId, RunNumber, ServiceName, TaskRef, UpstreamInfo
 from .term import Term
 
-ROOM_KEPT = timedelta(milliseconds=20)
+USABLE_CORES_CACHED_FOR = timedelta(milliseconds=20)
 """How long the measured capacity is reused: it only changes as upstreams come and go."""
 ORPHAN_GRACE = timedelta(milliseconds=800)
 """How long a new leader keeps run ends of unknown jobs, and counts on upstreams that it has not
@@ -26,11 +26,11 @@
         self.by_id: dict[UpstreamId, Instance] = {}
         self.unseen: set[UpstreamId] = set()
         """Instances from earlier terms that have not answered in this one."""
-        self._touched: dict[UpstreamId, Instance] = {}
+        self._changed: dict[UpstreamId, Instance] = {}
         self._added = 0
-        self.may_have_orphans = False
+        self.may_have_orphaned_runs = False
         """Whether any upstream may have a run whose job is unknown."""
-        self._room: tuple[timedelta, float] | None = None
+        self._cached_usable_cores: tuple[timedelta, float] | None = None
         self._term = term
         self._by_address: dict[str, UpstreamId] = {}
         self._newest: dict[str, UpstreamId] = {}
@@ -48,7 +48,7 @@
             if not instance.is_cordoned:
                 self.unseen.add(record.info.id)
 
-    def is_grace(self, now: timedelta) -> bool:
+    def is_in_grace_period(self, now: timedelta) -> bool:
         """Return whether the term is so young that unknown runs may still find their jobs."""
         return now < self._term.began_at + ORPHAN_GRACE
 
@@ -63,53 +63,55 @@
             proposed=noted,
             draining=draining,
             is_evacuated=info.domain in self._term.records.evacuations.evacuated,
-            is_foreign=self._term.domain not in (None, info.domain),
+            is_managed_elsewhere=self._term.domain not in (None, info.domain),
             heard_at=now,
-            look_due=now,
+            poll_due=now,
         )
         self.by_id[info.id] = instance
         self.touch(instance)
-        self._check(self._by_address.get(info.address), instance, now)
+        self._poll_earlier(self._by_address.get(info.address), instance, now)
         self._by_address[info.address] = info.id
-        name = get_name(info.id)
+        name = get_upstream_name(info.id)
         newest = self._newest.get(name)
-        if newest is None or is_earlier(newest, info.id):
-            self._check(newest, instance, now)
+        if newest is None or is_earlier_instance(newest, info.id):
+            self._poll_earlier(newest, instance, now)
             self._newest[name] = info.id
         return instance
 
-    def _check(self, earlier: UpstreamId | None, instance: Instance, now: timedelta) -> None:
+    def _poll_earlier(self, earlier: UpstreamId | None, instance: Instance, now: timedelta) -> None:
         """Poll an earlier instance: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
         if found is None or found is instance:
             return
-        found.look_due = now
-        found.must_check = True
+        found.poll_due = now
+        found.must_poll = True
         self.touch(found)
 
     def find_later(self, id: UpstreamId) -> Instance | None:
         """Return the newest instance under the same name if it started after the given one."""
-        newest = self._newest.get(get_name(id))
-        return self.by_id[newest] if newest is not None and is_earlier(id, newest) else None
+        newest = self._newest.get(get_upstream_name(id))
+        return (
+            self.by_id[newest] if newest is not None and is_earlier_instance(id, newest) else None
+        )
 
     def drop(self, upstream: UpstreamId) -> None:
         """Stop tracking an instance."""
         instance = self.by_id.pop(upstream, None)
-        self._touched.pop(upstream, None)
+        self._changed.pop(upstream, None)
         self._health.pop(upstream, None)
         self.unseen.discard(upstream)
         if instance is not None and self._by_address.get(instance.info.address) == upstream:
             del self._by_address[instance.info.address]
-        if self._newest.get(get_name(upstream)) == upstream:
-            del self._newest[get_name(upstream)]
+        if self._newest.get(get_upstream_name(upstream)) == upstream:
+            del self._newest[get_upstream_name(upstream)]
 
     def touch(self, instance: Instance) -> None:
         """Have an instance processed in the next round, because something about it changed."""
-        self._touched[instance.info.id] = instance
+        self._changed[instance.info.id] = instance
 
-    def take_touched(self) -> list[Instance]:
+    def pop_changed(self) -> list[Instance]:
         """Return the instances that changed since the last call."""
-        touched, self._touched = self._touched, {}
+        touched, self._changed = self._changed, {}
         return list(touched.values())
 
     def is_any_unseen(self, *, of_deputies: bool) -> bool:
@@ -124,12 +126,14 @@
             for instance in self.by_id.values()
         )
 
-    def look_for_orphans(self) -> None:
+    def update_orphaned_flag(self) -> None:
         """Clear the flag for orphaned runs once the last of them is gone."""
-        if self.may_have_orphans:
-            self.may_have_orphans = any(instance.has_orphans for instance in self.by_id.values())
+        if self.may_have_orphaned_runs:
+            self.may_have_orphaned_runs = any(
+                instance.has_orphaned_runs for instance in self.by_id.values()
+            )
 
-    def set_evacuated(self, domain: DomainName, now: timedelta) -> int:
+    def apply_evacuation(self, domain: DomainName, now: timedelta) -> int:
         """Apply whether a domain is evacuated; return how many runs are active there."""
         is_evacuated = domain in self._term.records.evacuations.evacuated
         instances = [instance for instance in self.by_id.values() if instance.info.domain == domain]
@@ -139,7 +143,7 @@
                 instance.cold_until = now + self._term.reports.every
             instance.is_evacuated = is_evacuated
             self.touch(instance)
-        self._room = None
+        self._cached_usable_cores = None
         return sum(len(instance.runs) for instance in instances)
 
     def is_evacuated(self, service: ServiceName) -> bool:
@@ -155,7 +159,7 @@
         there = [
             instance
             for instance in instances
-            if not (instance.is_over or instance.draining or instance.is_foreign)
+            if not (instance.is_over or instance.draining or instance.is_managed_elsewhere)
         ]
         return bool(there) and all(instance.is_evacuated for instance in there)
 
@@ -166,14 +170,14 @@
             health = self._health[instance.info.id] = Health()
         return health
 
-    def find_working(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
+    def find_accepting(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
         """Return the instances that accept work, by service, without those set aside.
 
         If too large a share of a service would be set aside, none of it is.
         """
         by_service: dict[ServiceName, list[Instance]] = {}
         for instance in self.by_id.values():
-            if self.takes_work(instance, now):
+            if self.accepts_work(instance, now):
                 by_service.setdefault(instance.info.service, []).append(instance)
         for service, instances in by_service.items():
             well = [
@@ -185,17 +189,17 @@
                 by_service[service] = well
         return by_service
 
-    def takes_work(self, instance: Instance, now: timedelta) -> bool:
+    def accepts_work(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an instance accepts work at all, set aside or not."""
         instance.is_on_trial = self.get_health(instance).is_on_trial
-        return instance.takes_work(now) and not self._may_be_full(instance, now)
+        return instance.accepts_work(now) and not self._may_be_full(instance, now)
 
     def _may_be_full(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an upstream that does not check its capacity may have less than is known.
 
         It has a run of unknown needs, or has not reported its capacity for a long time.
         """
-        if not instance.has_orphans and self._is_report_valid(instance, now):
+        if not instance.has_orphaned_runs and self._is_report_valid(instance, now):
             return False
         return instance.info.service in self._list_unguarded()
 
@@ -213,19 +217,21 @@
         doubted = [
             instance
             for instance in self.by_id.values()
-            if self._is_missed(instance, unguarded, now)
+            if self._has_missed_heartbeat(instance, unguarded, now)
         ]
         for instance in doubted:
             instance.is_capacity_doubted = True
         return [instance.info.id for instance in doubted]
 
-    def _is_missed(self, instance: Instance, unguarded: set[ServiceName], now: timedelta) -> bool:
+    def _has_missed_heartbeat(
+        self, instance: Instance, unguarded: set[ServiceName], now: timedelta
+    ) -> bool:
         if instance.is_capacity_doubted or instance.info.service not in unguarded:
             return False
         missed_after = self._term.reports.missed_after
         return instance.reported_at is None or now >= instance.reported_at + missed_after
 
-    def list_changes(self, instance: Instance) -> list[timedelta]:
+    def list_availability_changes(self, instance: Instance) -> list[timedelta]:
         """Return the times at which it begins or ceases to accept work without any event."""
         moments = [instance.avoid_until, self.get_health(instance).set_aside_until]
         if instance.reported_at is not None and instance.info.service in self._list_unguarded():
@@ -242,18 +248,18 @@
 
     def measure_room(self, now: timedelta) -> float:
         """Return the usable cores; early in a term also those of upstreams not seen yet."""
-        if self._room is not None and now < self._room[0]:
-            return self._room[1]
-        is_new = self.is_grace(now)
+        if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
+            return self._cached_usable_cores[1]
+        is_new = self.is_in_grace_period(now)
         room = measure_room(
             instance
             for instance in self.by_id.values()
-            if instance.takes_work(now) or (is_new and _may_take_work(instance))
+            if instance.accepts_work(now) or (is_new and _may_accept_work(instance))
         )
-        self._room = (now + ROOM_KEPT, room)
+        self._cached_usable_cores = (now + USABLE_CORES_CACHED_FOR, room)
         return room
 
-    def dispute(self, job: JobId) -> None:
+    def mark_disputed(self, job: JobId) -> None:
         """Let the leases of a job's runs run out, even where the stops do not arrive.
 
         The next coordinator of the job waits for these leases only. A lease covers everything that
@@ -261,23 +267,23 @@
         """
         for instance in self.by_id.values():
             for key in [each for each in instance.runs if each[0].job == job]:
-                instance.dispute(key)
+                instance.mark_disputed(key)
 
-    def want_stop(self, upstream: UpstreamId, ref: TaskRef, run: RunNumber) -> None:
+    def request_stop(self, upstream: UpstreamId, ref: TaskRef, run: RunNumber) -> None:
         """Have a run stopped as soon as possible."""
         instance = self.by_id.get(upstream)
         found = instance.runs.get((ref, run)) if instance is not None else None
         if instance is not None and found is not None:
-            found.stop_wanted = True
+            found.stop_requested = True
             self.touch(instance)
 
 
-def _may_take_work(instance: Instance) -> bool:
+def _may_accept_work(instance: Instance) -> bool:
     """Return whether an upstream not seen in this term can be expected to accept work."""
     return not (
         instance.is_fenced
         or instance.draining
         or instance.is_evacuated
         or instance.is_over
-        or instance.is_foreign
+        or instance.is_managed_elsewhere
     )
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -9,13 +9,13 @@
 from ..ids import UpstreamId
 from .admission import Rejection
 from .backlog import Backlog, Batch
-from .crashes import Care
+from .crashes import StartRestriction
 from .forecast import LATE_FACTOR, Forecast
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .model import EndKind, EndReport, JobId, JobState, Queue, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
-from .crash_tracker import Suspicion
+from .crash_tracker import CrashTracker
 from .tempo import Tempo
 from .term import Term
 
@@ -31,7 +31,9 @@
 class OpenJobs:
     """Open jobs by id, and the backlog of their tasks."""
 
-    def __init__(self, *, term: Term, instances: InstanceTable, crash_tracker: Suspicion) -> None:
+    def __init__(
+        self, *, term: Term, instances: InstanceTable, crash_tracker: CrashTracker
+    ) -> None:
         self.crash_tracker = crash_tracker
         self.jobs: dict[JobId, OpenJob] = {}
         self.backlog = Backlog()
@@ -56,7 +58,7 @@
         for record in term.records.jobs.values():
             if record.is_open:
                 self.open(record, TaskPhase.UNKNOWN, term.began_at, self.find_age(record))
-                self.jobs[record.id].settle_at = term.lapsed_at
+                self.jobs[record.id].settle_at = term.earlier_leases_lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
         """Return how long ago a kept job arrived; clocks of hosts may differ a little."""
@@ -147,17 +149,19 @@
         if not indexes:
             return
         if not self.crash_tracker.may_suspect_any():
-            self._queue(job, occurrence, number, indexes, Care.NONE)
+            self._queue(job, occurrence, number, indexes, StartRestriction.NONE)
             return
-        by_care: dict[Care, list[int]] = {}
+        by_care: dict[StartRestriction, list[int]] = {}
         for index in indexes:
-            care = self.crash_tracker.find_care(TaskRef(job.record.id, occurrence, number, index))
+            care = self.crash_tracker.find_restriction(
+                TaskRef(job.record.id, occurrence, number, index)
+            )
             by_care.setdefault(care, []).append(index)
         for care, alike in by_care.items():
             self._queue(job, occurrence, number, alike, care)
 
     def _queue(
-        self, job: OpenJob, occurrence: int, number: int, indexes: list[int], care: Care
+        self, job: OpenJob, occurrence: int, number: int, indexes: list[int], care: StartRestriction
     ) -> None:
         step = job.record.spec.steps[number]
         for index in indexes:
@@ -212,11 +216,11 @@
     def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
         """End the jobs of tasks that are given up, for upstreams that have crashed under them."""
         for ref in refs:
-            counts = self.crash_tracker.find_counts(ref)
+            counts = self.crash_tracker.get_counts(ref)
             job = self.jobs.get(ref.job)
             if job is None or ref not in job.tasks or not counts.is_given_up:
                 continue
-            self.crash_tracker.convicted[job.record.queue.key] += 1
+            self.crash_tracker.quarantined[job.record.queue.key] += 1
             self._term.counts.crashing_tasks += 1
             self._term.note(
                 "task_crashes_upstreams",
@@ -294,11 +298,11 @@
             self.backlog.drop_job(id)
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.RUNNING and task.instance is not None:
-                self._instances.want_stop(task.instance, ref, task.run)
+                self._instances.request_stop(task.instance, ref, task.run)
                 self.left_behind[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
             # Its caller may send it again, to another host that decides.
-            self._instances.dispute(id)
+            self._instances.mark_disputed(id)
         took_ms = to_milliseconds(now - job.opened_at)
         objective_ms = to_milliseconds(job.objective)
         if job.record.state is not JobState.COMPLETED:
@@ -316,7 +320,7 @@
                 "objective_ms": objective_ms,
             },
         )
-        self._term.on_end(id)
+        self._term.on_job_end(id)
 
     def reject(self, job: OpenJob, reason: str, wait: timedelta, now: timedelta) -> None:
         """End a job of which nothing has run, and tell its caller when to come back."""
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LookOrder:
+class PollOrder:
     """Lists all runs and run ends, renews the lease, and confirms ends up to `last_seen`.
 
     The upstream may hold the answer for up to `wait` until a run ends. Without `expires_ms` the
@@ -54,7 +54,7 @@
     """How long its answer is waited for, beyond `wait`."""
 
 
-Order = StartOrder | StopOrder | LookOrder
+Order = StartOrder | StopOrder | PollOrder
 
 
 class StartOutcome(Enum):
@@ -67,7 +67,7 @@
     NO_ROOM = "no_room"
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
-    LIFE_ENDED = "life_ended"
+    INSTANCE_ENDED = "life_ended"
     IGNORED = "ignored"
     """Received but not carried out, for an unknown reason."""
     NOT_SENT = "not_sent"
@@ -77,7 +77,7 @@
 class CallFailure(Enum):
     """Reasons why a stop or a poll brought no answer."""
 
-    LIFE_ENDED = "life_ended"
+    INSTANCE_ENDED = "life_ended"
     NO_ANSWER = "no_answer"
     FENCED = "fenced"
     """The upstream has seen a higher token than ours."""
@@ -111,16 +111,16 @@
     """When it was last seen to have made progress, at the earliest its start."""
     resumes: bool = False
     """Whether it resumed from a checkpoint, so that it makes no progress at first."""
-    is_alone: bool = False
+    is_exclusive: bool = False
     """Whether nothing else may be started beside it, because it may crash its upstream."""
-    is_orphan: bool = False
+    is_orphaned: bool = False
     """Whether its job is unknown but may still be submitted again."""
     is_disputed: bool = False
     """Whether, in addition, an unreachable host may rely on its lease running out."""
     unsure_at: timedelta = timedelta()
     """When its start was found to have no answer."""
-    stop_wanted: bool = False
+    stop_requested: bool = False
     stop_due: timedelta = timedelta()
-    stop_is_out: bool = False
+    is_stop_pending: bool = False
     stopped_at: timedelta | None = None
     """When the upstream acknowledged the stop."""
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -24,7 +24,7 @@
     best: Instance | None = None
     best_score: tuple[int, int, int] | None = None
     for instance in instances:
-        if not instance.has_room(batch.needs) or not _is_allowed(batch, instance):
+        if not instance.has_free_capacity(batch.needs) or not _is_allowed(batch, instance):
             continue
         if (instance.is_on_trial or needs_empty) and instance.runs:
             continue
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -5,26 +5,26 @@
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .term import Term
 
 
-class Settlement:
+class Reconciliation:
     """Tracks tasks that may be active at an unreachable upstream without this leader knowing."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
-        self.is_settled = False
+        self.is_reconciled = False
         """Whether all leases of earlier terms have ended, or all upstreams have answered."""
         self._term = term
         self._instances = instances
         self._jobs = jobs
 
     @property
-    def first_phase(self) -> TaskPhase:
+    def initial_phase(self) -> TaskPhase:
         """The phase of a task that comes up now and that an earlier leader may have started."""
-        return TaskPhase.QUEUED if self.is_settled else TaskPhase.UNKNOWN
+        return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
 
     def is_unsure(self, *, of_deputies: bool) -> bool:
         """Return whether a run of another leader may be active at an upstream not seen yet.
@@ -33,14 +33,16 @@
         """
         return self._instances.is_any_unseen(of_deputies=of_deputies)
 
-    def note_unsure(self) -> None:
+    def request_recheck(self) -> None:
         """Check again whether tasks are unknown."""
         self._jobs.has_unsure = True
 
     def settle(self, now: timedelta) -> None:
         """Queue what an earlier leader left open, once no unknown run of it can be active."""
-        if not self.is_settled and (not self._instances.unseen or now >= self._term.lapsed_at):
-            self.is_settled = True
+        if not self.is_reconciled and (
+            not self._instances.unseen or now >= self._term.earlier_leases_lapsed_at
+        ):
+            self.is_reconciled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
             self._term.note(
                 "term_settled", {"term": self._term.number, "unseen": len(self._instances.unseen)}
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -19,8 +19,8 @@
     CordonUpstreams,
     DoubtCapacities,
     ForgetJobs,
-    NoteCrash,
-    NoteEnds,
+    RecordCrash,
+    RecordRunEnds,
     RemoveUpstreams,
     ResizeUpstream,
     SetConfiguration,
@@ -31,17 +31,17 @@
 from .crashes import (
     KEEP_SUSPECTS_MS,
     NO_CRASHES,
-    NO_WORK,
+    NO_ACTIVE_TASKS,
     ONE_CRASH,
     ONE_LOSS,
     ONE_UNANSWERED,
-    AtWork,
+    ActiveTasks,
     CrashCounts,
     LostRuns,
     SuspectRecord,
 )
 from .evacuations import EvacuationRecord, Evacuations
-from .identity import find_birth, get_name
+from .identity import find_start_ms, get_upstream_name
 from .model import (
     Configuration,
     EndKind,
@@ -88,11 +88,11 @@
 
     def get_task(self, ref: TaskRef) -> TaskRecord:
         """Return the record of a task, for reading only."""
-        return self.tasks.get(_name(ref), _NEW_TASK)
+        return self.tasks.get(_build_task_key(ref), _NEW_TASK)
 
-    def open_task(self, ref: TaskRef) -> TaskRecord:
+    def get_or_add_task(self, ref: TaskRef) -> TaskRecord:
         """Return the record of a task for changing, adding it if necessary."""
-        return self.tasks.setdefault(_name(ref), TaskRecord())
+        return self.tasks.setdefault(_build_task_key(ref), TaskRecord())
 
     def list_refs(self, occurrence: int) -> Iterator[TaskRef]:
         """Yield every task of one occurrence."""
@@ -125,11 +125,11 @@
     it."""
     is_capacity_doubted: bool = False
     """Whether a heartbeat has been missed since then."""
-    lost: AtWork = NO_WORK
+    lost: ActiveTasks = NO_ACTIVE_TASKS
     """Tasks that were active when it became unreachable, kept until it answers again."""
 
 
-class Saved(Value, frozen=True):
+class RecordsSnapshot(Value, frozen=True):
     """The whole state as a snapshot stores it."""
 
     configuration: Configuration | None
@@ -139,7 +139,7 @@
     evacuations: tuple[EvacuationRecord, ...] = ()
 
 
-_decoder = msgspec.json.Decoder(Saved)
+_decoder = msgspec.json.Decoder(RecordsSnapshot)
 
 
 class Records:
@@ -155,8 +155,8 @@
 
     def apply(self, command: Command) -> None:
         """Apply one committed command; applying it again changes nothing."""
-        if isinstance(command, NoteEnds):
-            self._note_ends(command)
+        if isinstance(command, RecordRunEnds):
+            self._record_run_ends(command)
         elif isinstance(command, AcceptJob):
             self._accept(command)
         elif isinstance(command, CancelJob):
@@ -183,9 +183,9 @@
             for upstream in command.upstreams:
                 self._set_cordoned(upstream, True)
             for each in command.lost:
-                self._note_lost(each)
-        elif isinstance(command, NoteCrash):
-            self._note_crash(command)
+                self._record_lost_runs(each)
+        elif isinstance(command, RecordCrash):
+            self._record_crash(command)
         elif isinstance(command, UncordonUpstream):
             self._set_cordoned(command.upstream, False)
         elif isinstance(command, SetEvacuation):
@@ -195,7 +195,7 @@
 
     def encode(self) -> str:
         """Return the whole state as the data of a snapshot."""
-        saved = Saved(
+        saved = RecordsSnapshot(
             configuration=self.configuration,
             jobs=tuple(self.jobs.values()),
             upstreams=tuple(self.upstreams.values()),
@@ -206,7 +206,11 @@
 
     def restore(self, data: str) -> None:
         """Replace the whole state by that of a snapshot; empty data gives the initial state."""
-        saved = _decoder.decode(data) if data else Saved(configuration=None, jobs=(), upstreams=())
+        saved = (
+            _decoder.decode(data)
+            if data
+            else RecordsSnapshot(configuration=None, jobs=(), upstreams=())
+        )
         self.put_in_force(saved.configuration)
         self.jobs = {job.id: job for job in saved.jobs}
         self.upstreams = {record.info.id: record for record in saved.upstreams}
@@ -221,13 +225,15 @@
         """
         if id in self.upstreams:
             return self.upstreams[id]
-        if find_birth(id) is not None:
+        if find_start_ms(id) is not None:
             return None
-        alike = [each for each in self.upstreams.values() if get_name(each.info.id) == id]
+        alike = [each for each in self.upstreams.values() if get_upstream_name(each.info.id) == id]
         draining = [each for each in alike if each.draining]
-        return max(draining or alike, key=lambda each: find_birth(each.info.id) or 0, default=None)
+        return max(
+            draining or alike, key=lambda each: find_start_ms(each.info.id) or 0, default=None
+        )
 
-    def find_crashes(self, task: TaskRef) -> CrashCounts:
+    def get_crash_counts(self, task: TaskRef) -> CrashCounts:
         """Return the counts of upstream ends under a task."""
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
@@ -252,7 +258,7 @@
         if job is not None and job.is_open:
             end_job(job, JobState.CANCELLED, command.at_ms)
 
-    def _note_ends(self, command: NoteEnds) -> None:
+    def _record_run_ends(self, command: RecordRunEnds) -> None:
         upstream = self.upstreams.get(command.upstream)
         noted = upstream.noted if upstream is not None else 0
         for end in command.ends:
@@ -267,14 +273,14 @@
         if record is not None:
             record.is_cordoned = is_cordoned
             if not is_cordoned:
-                record.lost = NO_WORK
+                record.lost = NO_ACTIVE_TASKS
 
-    def _note_lost(self, lost: LostRuns) -> None:
+    def _record_lost_runs(self, lost: LostRuns) -> None:
         record = self.upstreams.get(lost.upstream)
         if record is not None:
             record.lost = lost.at_work
 
-    def _note_crash(self, command: NoteCrash) -> None:
+    def _record_crash(self, command: RecordCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
             # Two leaders may have seen the same crash.
             return
@@ -292,7 +298,7 @@
         }
 
     def _count_crash(self, task: TaskRef, counts: CrashCounts, at_ms: int) -> None:
-        counts = self.find_crashes(task).add(counts)
+        counts = self.get_crash_counts(task).add(counts)
         self.suspects[task] = SuspectRecord(task=task, counts=counts, at_ms=at_ms)
         job = self.jobs.get(task.job)
         if job is None or not job.is_open or job.get_task(task).is_done:
@@ -321,7 +327,7 @@
     """Record the end of one run in the record of its job."""
     if not job.is_open:
         return
-    task = job.open_task(end.task)
+    task = job.get_or_add_task(end.task)
     task.last_run = max(task.last_run, end.run)
     if end.checkpoint:
         task.checkpoint = end.checkpoint
@@ -347,5 +353,5 @@
     job.spec = msgspec.structs.replace(job.spec, payload="")
 
 
-def _name(ref: TaskRef) -> str:
+def _build_task_key(ref: TaskRef) -> str:
     return f"{ref.occurrence}.{ref.step}.{ref.place}"
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -6,7 +6,7 @@
 
 from ..ids import UpstreamId
 from .commands import AddUpstream, DoubtCapacities, ResizeUpstream, SetDraining
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import Heartbeat
 from .term import Term
@@ -26,7 +26,7 @@
         instance = self._instances.by_id.get(heartbeat.info.id)
         later = self._instances.find_later(heartbeat.info.id) if instance is None else None
         if later is not None:
-            self._note_overtaken(later, heartbeat)
+            self._log_overtaken(later, heartbeat)
             return
         if instance is None:
             joining = self._joining.get(heartbeat.info.id)
@@ -39,20 +39,20 @@
                 self._term.proposals.append(SetDraining(upstream=heartbeat.info.id))
             return
         if heartbeat.sequence < instance.sequence:
-            self._note_overtaken(instance, heartbeat)
+            self._log_overtaken(instance, heartbeat)
             return
         self._instances.touch(instance)
-        self._take_report(instance, heartbeat, now)
+        self._record_capacity(instance, heartbeat, now)
         instance.heard_at = now
         instance.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
         if heartbeat.clock_ms is not None:
-            instance.take_clock(heartbeat.clock_ms, now)
+            instance.record_clock(heartbeat.clock_ms, now)
         if heartbeat.draining:
             self.take_leave(instance.info.id)
-        if not instance.is_fenced and not instance.look_is_out:
-            instance.look_due = now
+        if not instance.is_fenced and not instance.is_poll_pending:
+            instance.poll_due = now
 
-    def _note_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
+    def _log_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
         self._term.note(
             "heartbeat_overtaken",
             {
@@ -71,22 +71,22 @@
         instance = self._instances.by_id.get(id)
         if instance is None or sequence < instance.sequence:
             return
-        instance.take_report(instance.info.capacity, sequence, at)
+        instance.record_capacity(instance.info.capacity, sequence, at)
         instance.heard_at = max(at, instance.heard_at or at)
         if clock_ms is not None:
-            instance.take_clock(clock_ms, at)
-        if not instance.is_fenced and not instance.look_is_out:
-            instance.look_due = min(instance.look_due, at)
+            instance.record_clock(clock_ms, at)
+        if not instance.is_fenced and not instance.is_poll_pending:
+            instance.poll_due = min(instance.poll_due, at)
             self._instances.touch(instance)
 
-    def _take_report(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
+    def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
         if heartbeat.has_no_capacity and not instance.is_unreadable:
             self._term.note("capacity_unreadable", {"upstream": instance.info.id})
         instance.is_unreadable = heartbeat.has_no_capacity
         before, capacity = instance.info.capacity, heartbeat.info.capacity
         sent_at = now - instance.find_age(heartbeat.clock_ms, now)
-        if not instance.take_report(capacity, heartbeat.sequence, sent_at):
+        if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
             return
         self._term.counts.resized_upstreams += 1
         self._term.note(
@@ -114,7 +114,7 @@
             self._term.proposals.append(SetDraining(upstream=upstream))
             self._term.note("upstream_leaving", {"upstream": upstream})
 
-    def take_added(self, command: AddUpstream, now: timedelta) -> None:
+    def handle_added_upstream(self, command: AddUpstream, now: timedelta) -> None:
         """Begin to track an upstream that the log has just registered."""
         joining = self._joining.pop(command.info.id, None)
         if command.info.id not in self._instances.by_id:
--- a/cottonlug/core/cluster/rooms.py
+++ b/cottonlug/core/cluster/rooms.py
@@ -19,7 +19,7 @@
 from datetime import timedelta
 
 from ..ids import DomainName, UpstreamId
-from .instance_table import InstanceTable
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import ServiceName
 
@@ -67,7 +67,7 @@
         self._entries = {}
         self._pools = {}
         self._all_used = set()
-        for service, working in self._instances.find_working(now).items():
+        for service, working in self._instances.find_accepting(now).items():
             if any(self._is_set_aside(instance, now) for instance in working):
                 self._all_used.add(service)
             entries = [(instance.free_cpu, instance.number, instance) for instance in working]
@@ -80,15 +80,15 @@
         """Put a life that has changed in its place."""
         id, service = instance.info.id, instance.info.service
         old = self._entries.get(id)
-        takes_work = self._is_known(instance) and self._instances.takes_work(instance, now)
-        if takes_work and service not in self._all_used:
-            takes_work = not self._is_set_aside(instance, now)
+        accepts_work = self._is_known(instance) and self._instances.accepts_work(instance, now)
+        if accepts_work and service not in self._all_used:
+            accepts_work = not self._is_set_aside(instance, now)
         if old is not None:
-            if takes_work and old[0] == instance.free_cpu:
+            if accepts_work and old[0] == instance.free_cpu:
                 return
             self._find_pool(instance).remove(old)
             del self._entries[id]
-        if takes_work:
+        if accepts_work:
             self._add((instance.free_cpu, instance.number, instance))
 
     def find_most(self, service: ServiceName) -> int:
@@ -111,7 +111,7 @@
             for at in range(bisect.bisect_left(entries, (cpu, 0)), len(entries)):
                 instance = entries[at][2]
                 # What has changed since it was put here must not be overlooked.
-                if not (self._is_known(instance) and self._instances.takes_work(instance, now)):
+                if not (self._is_known(instance) and self._instances.accepts_work(instance, now)):
                     continue
                 if instance.is_cold(now):
                     cold.append(instance)
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -6,32 +6,39 @@
 
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
-from .commands import NoteEnds
-from .instance_table import InstanceTable
+from .commands import RecordRunEnds
+from .life_table import InstanceTable
 from .instances import Instance
 from .model import EndKind, EndReport, JobId
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
 from .records import JobRecord, note_end
-from .reconciliation import Settlement
+from .reconciliation import Reconciliation
 from .term import Term
 
 
-class Ends:
+class RunEndHandler:
     """Processes run ends that upstreams list; those of durable jobs go through the log first."""
 
     def __init__(
-        self, *, term: Term, instances: InstanceTable, jobs: OpenJobs, reconciliation: Settlement
+        self,
+        *,
+        term: Term,
+        instances: InstanceTable,
+        jobs: OpenJobs,
+        reconciliation: Reconciliation,
     ) -> None:
         self._term = term
         self._instances = instances
         self._jobs = jobs
         self._reconciliation = reconciliation
-        self._orphans: dict[JobId, list[EndReport]] = {}
+        self._orphaned: dict[JobId, list[EndReport]] = {}
         """Ends of jobs that are unknown so far but may be submitted again."""
 
-    def take_listed(self, instance: Instance, ended: tuple[EndReport, ...], now: timedelta) -> None:
+    def handle_listed_ends(
+        self, instance: Instance, ended: tuple[EndReport, ...], now: timedelta
+    ) -> None:
         """Record ends that an upstream has listed: here, or through the log for durable jobs."""
         new = tuple(end for end in ended if end.number > max(instance.proposed, instance.noted))
         if not new:
@@ -44,17 +51,17 @@
         for end in new:
             run = instance.remove_run((end.task, end.run))
             if run is not None:
-                self._look_for_another(instance, run, end)
-                self._judge(instance, run, end, now)
+                self._detect_other_coordinator(instance, run, end)
+                self._evaluate_end(instance, run, end, now)
             self._jobs.mark_noting(end, instance.info.id)
             if end.task.job in self._term.records.jobs:
                 kept.append(end)
             else:
-                self._note_here(end, instance.info.id, now)
+                self._record_locally(end, instance.info.id, now)
         if not kept and not awaits_record:
             instance.noted = max(instance.noted, instance.proposed)
             return
-        command = NoteEnds(
+        command = RecordRunEnds(
             upstream=instance.info.id,
             through=instance.proposed,
             ends=tuple(kept),
@@ -62,43 +69,43 @@
         )
         self._term.proposals.append(command)
 
-    def take_noted(self, command: NoteEnds, now: timedelta) -> None:
+    def handle_recorded_ends(self, command: RecordRunEnds, now: timedelta) -> None:
         """Act on ends that the log has committed."""
         instance = self._instances.by_id.get(command.upstream)
         if instance is not None:
             instance.noted = max(instance.noted, command.through)
-            instance.look_due = now
+            instance.poll_due = now
             self._instances.touch(instance)
         for end in command.ends:
-            self._take_noted_end(end, command.upstream, now)
+            self._apply_recorded_end(end, command.upstream, now)
 
-    def claim(self, record: JobRecord, now: timedelta) -> None:
+    def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
         """Apply ends that were listed before their job was submitted again."""
-        for end in self._orphans.pop(record.id, []):
+        for end in self._orphaned.pop(record.id, []):
             note_end(record, end, self._term.wall_ms())
-            self._take_noted_end(end, None, now)
+            self._apply_recorded_end(end, None, now)
 
-    def forget_orphans(self, now: timedelta) -> None:
+    def forget_orphaned_ends(self, now: timedelta) -> None:
         """Drop ends of jobs that nobody has submitted again in time."""
-        if self._orphans and not self._instances.is_grace(now):
-            self._orphans.clear()
+        if self._orphaned and not self._instances.is_in_grace_period(now):
+            self._orphaned.clear()
 
-    def _look_for_another(self, instance: Instance, run: Run, end: EndReport) -> None:
+    def _detect_other_coordinator(self, instance: Instance, run: Run, end: EndReport) -> None:
         """Detect, from a stop that another host sent, that a host with a higher token coordinates.
 
         That host may have started the task again by now.
         """
-        if end.how is EndKind.STOPPED and not run.stop_wanted:
-            self._term.is_fenced_off = True
+        if end.how is EndKind.STOPPED and not run.stop_requested:
+            self._term.is_superseded = True
             self._term.note(
                 "run_stopped_elsewhere", {"upstream": instance.info.id, "job": end.task.job}
             )
 
-    def _judge(self, instance: Instance, run: Run, end: EndReport, now: timedelta) -> None:
+    def _evaluate_end(self, instance: Instance, run: Run, end: EndReport, now: timedelta) -> None:
         """Update the expected run time of a step and the health of an upstream."""
         health = self._instances.get_health(instance)
         job = self._jobs.jobs.get(end.task.job)
-        if job is None or run.is_orphan:
+        if job is None or run.is_orphaned:
             return
         step = job.record.spec.steps[end.task.step]
         queue = job.record.queue.key
@@ -126,16 +133,18 @@
         elif end.how is EndKind.FAILED and health.take_failure(now):
             self._term.note("upstream_failing", {"upstream": instance.info.id})
 
-    def _note_here(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
+    def _record_locally(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
         """Record the end of a run of a best-effort job."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
             note_end(job.record, end, self._term.wall_ms())
-            self._take_noted_end(end, upstream, now)
-        elif self._instances.is_grace(now):
-            self._orphans.setdefault(end.task.job, []).append(end)
+            self._apply_recorded_end(end, upstream, now)
+        elif self._instances.is_in_grace_period(now):
+            self._orphaned.setdefault(end.task.job, []).append(end)
 
-    def _take_noted_end(self, end: EndReport, upstream: UpstreamId | None, now: timedelta) -> None:
+    def _apply_recorded_end(
+        self, end: EndReport, upstream: UpstreamId | None, now: timedelta
+    ) -> None:
         job = self._jobs.jobs.get(end.task.job)
         if job is None:
             return
@@ -149,7 +158,7 @@
         if job.record.get_task(end.task).is_done:
             # A run that was abandoned may have ended as done before its lease did.
             if task.phase is TaskPhase.RUNNING and task.instance is not None:
-                self._instances.want_stop(task.instance, end.task, task.run)
+                self._instances.request_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
                 self._jobs.unqueue(end.task)
             del job.tasks[end.task]
@@ -158,7 +167,7 @@
         elif task.phase is TaskPhase.NOTING and task.is_unknown:
             # The end of one run says nothing of a later run at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
-            self._reconciliation.note_unsure()
+            self._reconciliation.request_recheck()
         elif task.phase is TaskPhase.NOTING and task.noted == (upstream, end.run):
             # An older end recorded in the meantime must not requeue a task whose later run has
             # succeeded.
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -14,7 +14,7 @@
 from .records import Records
 from .reports import USUAL_REPORTS, ReportTerms
 
-Note = Callable[[str, dict[str, str | int]], None]
+DecisionLog = Callable[[str, dict[str, str | int]], None]
 """Called for each decision that is logged, with its name and inputs."""
 WallTime = Callable[[], int]
 """Returns the wall-clock time in milliseconds."""
@@ -66,8 +66,8 @@
     records: Records
     lease: LeaseTerms
     wall_ms: WallTime
-    note: Note
-    on_end: Callable[[JobId], None]
+    note: DecisionLog
+    on_job_end: Callable[[JobId], None]
     domain: DomainName | None = None
     """The only failure domain whose upstreams this term may send orders to; None for all."""
     keeps_log: bool = True
@@ -79,7 +79,7 @@
     known_until: timedelta = timedelta()
     """Until then the capacities in the replicated state are valid without a report to this leader.
     """
-    is_fenced_off: bool = False
+    is_superseded: bool = False
     """Whether an upstream has accepted orders under a higher token: this term has ended there."""
 
     @property
@@ -90,9 +90,9 @@
         at all other upstreams until its next term, because an acting leader coordinates its own
         failure domain only.
         """
-        return self.keeps_log or not self.is_fenced_off
+        return self.keeps_log or not self.is_superseded
 
-    def may_be_decided_elsewhere(self, run: RunNumber) -> bool:
+    def may_be_coordinated_elsewhere(self, run: RunNumber) -> bool:
         """Return whether the host that started a run of another term may still coordinate its job.
 
         An earlier leader does not, because it has lost its own lease. An acting leader may, in a
@@ -101,7 +101,7 @@
         return not self.keeps_log or (run // RUNS_PER_TERM) % TOKENS_PER_TERM != 0
 
     @property
-    def lapsed_at(self) -> timedelta:
+    def earlier_leases_lapsed_at(self) -> timedelta:
         """From then on no run of an earlier term can be active at an upstream not heard since."""
         return self.began_at + self.lease.lapse_after
 
--- a/cottonlug/core/cluster/validation.py
+++ b/cottonlug/core/cluster/validation.py
@@ -60,7 +60,7 @@
     return None
 
 
-def find_unsupported(spec: JobSpec) -> str | None:
+def find_unsupported_feature(spec: JobSpec) -> str | None:
     """Return the first requested feature that is not implemented (docs/jobs.md), or None."""
     for step in spec.steps:
         if step.gang:
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -8,48 +8,48 @@
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
 from .commands import CordonUpstreams, RemoveUpstreams, UncordonUpstream
-from .crashes import NO_WORK, LostRuns
-from .instance_table import InstanceTable
+from .crashes import NO_ACTIVE_TASKS, LostRuns
+from .life_table import InstanceTable
 from .instances import Instance
 from .open_job import OpenJob
 from .open_jobs import OpenJobs
-from .orders import CallFailure, LookOrder, Run, RunPhase, StopOrder
+from .orders import CallFailure, PollOrder, Run, RunPhase, StopOrder
 from .patience import LONGEST
 from .progress import Pace, find_next_check, find_total, judge_pace
 from .term import Term
 
-LOOK_WAIT = timedelta(milliseconds=200)
+LONG_POLL_WAIT = timedelta(milliseconds=200)
 """Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
-SHORTEST_LOOK = timedelta(milliseconds=20)
+MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
 """Shorter long polls would cost more calls than their answers are worth."""
-LOOK_RETRY = timedelta(milliseconds=100)
-STRAGGLERS_SHARE = 0.1
+POLL_RETRY = timedelta(milliseconds=100)
+MAX_STRAGGLERS_SHARE = 0.1
 """While a smaller share of the upstreams than this has not answered a new leader, these are polled
 by several calls at once: all jobs wait for what runs there."""
-STRAGGLER_PATIENCE = timedelta(milliseconds=30)
-PROBE_CHECK = timedelta(milliseconds=20)
+STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
+PROBE_CHECK_EVERY = timedelta(milliseconds=20)
 """Whether an upstream is one of the last depends on all others, so it is checked again this often.
 """
-STRAGGLER_LOOKS = 8
+MAX_STRAGGLER_POLLS = 8
 """After this many failed polls an upstream counts as unreachable, and is polled like any other."""
-MOST_RETRY_STEPS = 10
-ORPHAN_BORNE = timedelta(milliseconds=300)
+MAX_RETRY_STEPS = 10
+ORPHAN_TOLERATED_FOR = timedelta(milliseconds=300)
 """How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
 that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
 renewed."""
-DISPUTED_GRACE = timedelta(milliseconds=100)
+DISPUTED_TOLERATED_FOR = timedelta(milliseconds=100)
 """The same for a run that an acting leader, or a leader beside one, may still coordinate."""
-LOOKS_BEFORE_CORDON = 2
+POLLS_BEFORE_CORDON = 2
 """Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
 """Silence, with nothing running, after which an instance is forgotten, unless it may be beyond a
 network partition, where an acting leader uses it."""
-SILENT_LOOK = timedelta(seconds=5)
+SILENT_POLL_EVERY = timedelta(seconds=5)
 """Interval between polls of such an instance: a later one at its address answers that it is over.
 """
 FORGOTTEN_AFTER = timedelta(hours=1)
 """Longer than domains are usually cut off (minutes)."""
-MOST_MOVES = 2
+MAX_MOVES = 2
 """How often a task is moved: one that makes no progress anywhere is not moved forever."""
 
 
@@ -60,35 +60,39 @@
         self._term = term
         self._instances = instances
         self._jobs = jobs
-        self._out_of_sight: dict[UpstreamId, Instance] = {}
+        self._unreachable: dict[UpstreamId, Instance] = {}
         """Instances whose last poll failed, or that have answered since and are not yet removed
         here."""
 
     def look(self, instance: Instance, now: timedelta) -> None:
         """Poll an upstream if its lease or its run ends require it."""
-        if instance.is_over or instance.is_foreign:
+        if instance.is_over or instance.is_managed_elsewhere:
             return
         is_straggler = self._is_straggler(instance)
         is_unsure = is_straggler or self._awaits_stop(instance)
         if (
             is_unsure
-            and instance.look_is_out
-            and not instance.probe_is_out
+            and instance.is_poll_pending
+            and not instance.is_probe_pending
             and now >= instance.probe_due
         ):
             # The long poll answers only when a run ends.
-            instance.probe_due = now + (STRAGGLER_PATIENCE if is_straggler else LOOK_RETRY)
-            self._send_look(instance, timedelta(), now)
+            instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY)
+            self._send_poll(instance, timedelta(), now)
             return
-        if instance.look_is_out or now < instance.look_due or instance.proposed > instance.noted:
+        if (
+            instance.is_poll_pending
+            or now < instance.poll_due
+            or instance.proposed > instance.noted
+        ):
             return
-        has_news = instance.noted > instance.confirmed
-        if instance.is_fenced and not instance.runs and not has_news and not instance.must_check:
+        has_news = instance.noted > instance.confirmed_through
+        if instance.is_fenced and not instance.runs and not has_news and not instance.must_poll:
             return
-        instance.must_check = False
+        instance.must_poll = False
         is_calm = instance.is_fenced and instance.failed_looks == 0 and not is_unsure
-        wait = self._find_wait(instance, now) if instance.runs and is_calm else timedelta()
-        self._send_look(instance, wait, now)
+        wait = self._find_poll_wait(instance, now) if instance.runs and is_calm else timedelta()
+        self._send_poll(instance, wait, now)
 
     def is_calm(self, instance: Instance, now: timedelta) -> bool:
         """Return whether nothing at an upstream depends on the clock but its lease's end."""
@@ -96,14 +100,14 @@
             instance.is_fenced
             and instance.failed_looks == 0
             and now >= instance.avoid_until
-            and not instance.has_orphans
+            and not instance.has_orphaned_runs
             and not self._instances.get_health(instance).is_set_aside(now)
             and not any(
-                run.stop_wanted or run.phase is RunPhase.UNSURE for run in instance.runs.values()
+                run.stop_requested or run.phase is RunPhase.UNSURE for run in instance.runs.values()
             )
         )
 
-    def find_wake(self, instance: Instance, now: timedelta) -> timedelta | None:
+    def find_timer(self, instance: Instance, now: timedelta) -> timedelta | None:
         """Return the next time at which something is due at an upstream, or None.
 
         Called once everything that was due is done. None means that only an event can change
@@ -113,39 +117,39 @@
             return None
         moments = [
             instance.lapse_at if instance.runs else None,
-            self._find_look_due(instance, now),
+            self._find_poll_due(instance, now),
             *(self._find_stop_due(run) for run in instance.runs.values()),
-            *self._instances.list_changes(instance),
+            *self._instances.list_availability_changes(instance),
         ]
         return min((each for each in moments if each is not None and each > now), default=None)
 
-    def _find_look_due(self, instance: Instance, now: timedelta) -> timedelta | None:
-        if instance.is_foreign:
+    def _find_poll_due(self, instance: Instance, now: timedelta) -> timedelta | None:
+        if instance.is_managed_elsewhere:
             return None
-        if not instance.look_is_out:
-            return instance.look_due
+        if not instance.is_poll_pending:
+            return instance.poll_due
         may_be_probed = not instance.is_fenced or self._awaits_stop(instance)
-        if instance.probe_is_out or not may_be_probed:
+        if instance.is_probe_pending or not may_be_probed:
             return None
-        return max(instance.probe_due, now + PROBE_CHECK)
+        return max(instance.probe_due, now + PROBE_CHECK_EVERY)
 
     def _find_stop_due(self, run: Run) -> timedelta | None:
-        if run.stop_wanted:
+        if run.stop_requested:
             return run.stop_due
-        return self._find_borne_until(run) if run.is_orphan else None
+        return self._find_tolerated_until(run) if run.is_orphaned else None
 
-    def _send_look(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
+    def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
         # A poll that is not answered may still renew the lease, which then would not lapse for as
         # long as polls are repeated: the lease is extended only for upstreams that answer.
         renews = bool(instance.runs) and instance.failed_looks == 0 and not instance.has_disputed
-        expires_ms = instance.grant(now) if renews else None
-        is_probe = instance.look_is_out
+        expires_ms = instance.grant_lease(now) if renews else None
+        is_probe = instance.is_poll_pending
         if not is_probe and not instance.is_fenced:
-            instance.probe_due = now + STRAGGLER_PATIENCE
-        instance.probe_is_out = instance.probe_is_out or is_probe
-        instance.look_is_out = True
+            instance.probe_due = now + STRAGGLER_PROBE_AFTER
+        instance.is_probe_pending = instance.is_probe_pending or is_probe
+        instance.is_poll_pending = True
         self._term.counts.looks += 1
-        order = LookOrder(
+        order = PollOrder(
             upstream=instance.info,
             last_seen=instance.noted,
             expires_ms=expires_ms,
@@ -157,17 +161,17 @@
         )
         self._term.orders.append(order)
 
-    def _find_wait(self, instance: Instance, now: timedelta) -> timedelta:
+    def _find_poll_wait(self, instance: Instance, now: timedelta) -> timedelta:
         """Return how long a poll may be held: until the progress of a run should be checked."""
-        wait = LOOK_WAIT
+        wait = LONG_POLL_WAIT
         for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
-            if job is None or run.stop_wanted or job.record.spec.long_running:
+            if job is None or run.stop_requested or job.record.spec.long_running:
                 continue
             due = find_next_check(run, self._predict(job, run), now)
             if due is not None:
                 wait = min(wait, due - now)
-        return max(wait, SHORTEST_LOOK)
+        return max(wait, MIN_LONG_POLL_WAIT)
 
     def _find_first_end(self, instance: Instance, now: timedelta) -> timedelta:
         """Return the time until the first of the runs is expected to end."""
@@ -185,44 +189,46 @@
     def _is_straggler(self, instance: Instance) -> bool:
         """Return whether an instance is one of the last that have not answered this leader."""
         unseen = self._instances.unseen
-        if instance.info.id not in unseen or instance.failed_looks >= STRAGGLER_LOOKS:
+        if instance.info.id not in unseen or instance.failed_looks >= MAX_STRAGGLER_POLLS:
             return False
-        return len(unseen) <= STRAGGLERS_SHARE * len(self._instances.by_id)
+        return len(unseen) <= MAX_STRAGGLERS_SHARE * len(self._instances.by_id)
 
     def _awaits_stop(self, instance: Instance) -> bool:
         return any(run.phase is RunPhase.UNSURE for run in instance.runs.values())
 
-    def take_failed_look(self, instance: Instance, failure: CallFailure, now: timedelta) -> None:
+    def handle_failed_poll(self, instance: Instance, failure: CallFailure, now: timedelta) -> None:
         """Handle a poll that brought no answer."""
         self._term.counts.failed_looks += 1
         if failure is CallFailure.FENCED:
-            self._term.is_fenced_off = True
-        if failure is CallFailure.LIFE_ENDED:
-            self.end_life(instance, now)
+            self._term.is_superseded = True
+        if failure is CallFailure.INSTANCE_ENDED:
+            self.end_instance(instance, now)
             return
         is_gone = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
         retry = (
-            SILENT_LOOK if is_gone else LOOK_RETRY * min(instance.failed_looks, MOST_RETRY_STEPS)
+            SILENT_POLL_EVERY
+            if is_gone
+            else POLL_RETRY * min(instance.failed_looks, MAX_RETRY_STEPS)
         )
-        instance.look_due = now if self._is_straggler(instance) else now + retry
+        instance.poll_due = now if self._is_straggler(instance) else now + retry
         instance.failed_looks += 1
-        self._jobs.crash_tracker.note_silent(instance, now)
-        self._out_of_sight[instance.info.id] = instance
+        self._jobs.crash_tracker.record_no_answer(instance, now)
+        self._unreachable[instance.info.id] = instance
         for run in instance.runs.values():
             if run.phase is RunPhase.UNSURE:
-                run.stop_wanted = True
+                run.stop_requested = True
 
     def stop_runs(self, instance: Instance, now: timedelta) -> None:
         """Send the stops that are due."""
         if instance.is_over:
             return
         for run in instance.runs.values():
-            if run.is_orphan and not run.stop_wanted and not self._is_borne(run, now):
-                run.stop_wanted = True
-                self._note_unclaimed(instance, run, now)
-            wanted = run.stop_wanted and run.stopped_at is None and not run.stop_is_out
+            if run.is_orphaned and not run.stop_requested and not self._is_tolerated(run, now):
+                run.stop_requested = True
+                self._log_unclaimed(instance, run, now)
+            wanted = run.stop_requested and run.stopped_at is None and not run.is_stop_pending
             if wanted and now >= run.stop_due and run.phase is not RunPhase.STARTING:
-                run.stop_is_out = True
+                run.is_stop_pending = True
                 self._term.counts.stops += 1
                 order = StopOrder(
                     upstream=instance.info,
@@ -232,7 +238,7 @@
                 )
                 self._term.orders.append(order)
 
-    def _note_unclaimed(self, instance: Instance, run: Run, now: timedelta) -> None:
+    def _log_unclaimed(self, instance: Instance, run: Run, now: timedelta) -> None:
         self._term.note(
             "run_unclaimed",
             {
@@ -243,27 +249,27 @@
             },
         )
 
-    def _is_borne(self, run: Run, now: timedelta) -> bool:
+    def _is_tolerated(self, run: Run, now: timedelta) -> bool:
         """Return whether the job of a run may still be submitted again."""
-        return now < self._find_borne_until(run)
+        return now < self._find_tolerated_until(run)
 
-    def _find_borne_until(self, run: Run) -> timedelta:
-        is_elsewhere = self._term.may_be_decided_elsewhere(run.run)
-        return run.since + (DISPUTED_GRACE if is_elsewhere else ORPHAN_BORNE)
+    def _find_tolerated_until(self, run: Run) -> timedelta:
+        is_elsewhere = self._term.may_be_coordinated_elsewhere(run.run)
+        return run.since + (DISPUTED_TOLERATED_FOR if is_elsewhere else ORPHAN_TOLERATED_FOR)
 
-    def judge_runs(self, instance: Instance, now: timedelta) -> None:
+    def evaluate_progress(self, instance: Instance, now: timedelta) -> None:
         """Stop runs that make no progress or are far too slow, so that they start elsewhere.
 
         Called with the runs as an upstream has just listed them.
         """
         for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
-            if job is None or run.stop_wanted or run.phase is not RunPhase.RUNNING:
+            if job is None or run.stop_requested or run.phase is not RunPhase.RUNNING:
                 continue
             if job.record.spec.long_running:
                 continue
             task = job.tasks.get(run.task)
-            if task is None or task.moves >= MOST_MOVES:
+            if task is None or task.moves >= MAX_MOVES:
                 continue
             total = find_total(run)
             if total is not None:
@@ -274,7 +280,7 @@
                 continue
             task.moves += 1
             self._term.counts.moved_runs += 1
-            run.stop_wanted = True
+            run.stop_requested = True
             self._term.note(
                 "run_stalled",
                 {
@@ -309,16 +315,16 @@
             },
         )
         instance.is_fenced = False
-        self._jobs.crash_tracker.note_lapse(instance, now)
-        self._give_up_runs(instance)
+        self._jobs.crash_tracker.record_lapse(instance, now)
+        self._abandon_runs(instance)
 
-    def _give_up_runs(self, instance: Instance) -> None:
+    def _abandon_runs(self, instance: Instance) -> None:
         for key, run in list(instance.runs.items()):
             self._term.counts.lapsed_runs += 1
             instance.remove_run(key)
             self._jobs.requeue(run.task, run.run, instance.info.id)
 
-    def end_life(self, instance: Instance, now: timedelta) -> None:
+    def end_instance(self, instance: Instance, now: timedelta) -> None:
         """Handle that a later instance holds the address: nothing of this one can run any more."""
         if instance.is_over:
             return
@@ -332,26 +338,26 @@
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
         self._jobs.crash_tracker.note_end(instance, queues, now)
         # Until the log has counted the end, the tasks that ran there may have caused a crash.
-        self._jobs.crash_tracker.note_lapse(instance, now)
-        self._give_up_runs(instance)
+        self._jobs.crash_tracker.record_lapse(instance, now)
+        self._abandon_runs(instance)
 
-    def cordon(self, now: timedelta) -> None:
+    def cordon_idle(self, now: timedelta) -> None:
         """Propose to cordon unreachable upstreams that certainly run nothing.
 
         A leader knows at which upstreams it has started something. The next leader does not, and
         without this would have to wait for the leases of all upstreams that it has not seen,
         however long they have been gone.
         """
-        if not (self._out_of_sight and self._term.keeps_log):
+        if not (self._unreachable and self._term.keeps_log):
             return
-        self._out_of_sight = {
+        self._unreachable = {
             id: instance
-            for id, instance in self._out_of_sight.items()
+            for id, instance in self._unreachable.items()
             if instance.failed_looks and id in self._instances.by_id
         }
         idle = [
             instance
-            for instance in self._out_of_sight.values()
+            for instance in self._unreachable.values()
             if self._is_surely_idle(instance, now)
         ]
         if not idle:
@@ -363,16 +369,18 @@
         lost = tuple(
             LostRuns(upstream=instance.info.id, at_work=instance.lost)
             for instance in idle
-            if instance.lost != NO_WORK
+            if instance.lost != NO_ACTIVE_TASKS
         )
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
-        is_out_of_sight = not instance.is_fenced and instance.failed_looks >= LOOKS_BEFORE_CORDON
-        is_lapsed = not instance.runs and now >= max(instance.lapse_at, self._term.lapsed_at)
+        is_out_of_sight = not instance.is_fenced and instance.failed_looks >= POLLS_BEFORE_CORDON
+        is_lapsed = not instance.runs and now >= max(
+            instance.lapse_at, self._term.earlier_leases_lapsed_at
+        )
         return is_out_of_sight and is_lapsed and not (instance.is_cordoned or instance.is_over)
 
-    def want_uncordoned(self, instance: Instance) -> None:
+    def request_uncordon(self, instance: Instance) -> None:
         """Propose to use an upstream again; until that is committed it is not used."""
         if instance.is_cordoned and not instance.is_uncordoning:
             instance.is_uncordoning = True
@@ -405,8 +413,8 @@
                 continue
             instance.is_over = True
             self._term.note("upstream_silent", {"upstream": instance.info.id})
-            if instance.lost != NO_WORK:
-                self._jobs.crash_tracker.note_gone(instance)
+            if instance.lost != NO_ACTIVE_TASKS:
+                self._jobs.crash_tracker.record_removal(instance)
             else:
                 self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
 
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -13,7 +13,7 @@
 from returns.result import Result, Success
 
 from ..core.cluster.calls import Beat, Leave
-from ..core.cluster.identity import SEPARATOR, name_life
+from ..core.cluster.identity import SEPARATOR, build_instance_id
 from ..core.cluster.model import Capacity, Heartbeat, ServiceName, UpstreamInfo
 from ..core.ids import DomainName, UpstreamId
 from ..net.connections import parse_address
@@ -125,7 +125,7 @@
 
 
 def _name_life(name: str, born: int | msgspec.UnsetType) -> UpstreamId:
-    return name_life(name, None if isinstance(born, msgspec.UnsetType) else born)
+    return build_instance_id(name, None if isinstance(born, msgspec.UnsetType) else born)
 
 
 def _read_capacity(body: Any) -> Capacity | None:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -10,7 +10,7 @@
 from returns.result import Result
 
 from ..core.clock import to_milliseconds
-from ..core.cluster.identity import find_birth, get_name
+from ..core.cluster.identity import find_start_ms, get_upstream_name
 from ..core.cluster.model import (
     EndKind,
     EndReport,
@@ -21,7 +21,7 @@
 )
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -97,7 +97,7 @@
             return _find_lost_call(sent.failure())
         return _find_failure(sent.unwrap())
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: PollOrder, token: int) -> LookReply | CallFailure:
         """Ask what runs and what has ended, and renew the lease."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": order.last_seen}
         if order.expires_ms is not None:
@@ -114,8 +114,8 @@
         read = _read_reply(sent.unwrap())
         if read is not None and read.born is not None and not _is_born(order.upstream, read):
             # Known by its id alone, as in logs of earlier versions, it may be this life or not.
-            is_known = find_birth(order.upstream.id) is not None
-            return CallFailure.LIFE_ENDED if is_known else CallFailure.REFUSED
+            is_known = find_start_ms(order.upstream.id) is not None
+            return CallFailure.INSTANCE_ENDED if is_known else CallFailure.REFUSED
         lists = read_lists(read.clock_ms, read.running, read.finished) if read else None
         return lists if lists is not None else CallFailure.REFUSED
 
@@ -126,10 +126,10 @@
         if address is None:
             return Err(TransportError(message=f"{upstream.address} is no address", unsent=True))
         pool = self._pools.get(address)
-        headers = {LIFE_HEADER: get_name(upstream.id)}
+        headers = {LIFE_HEADER: get_upstream_name(upstream.id)}
         data = msgspec.json.encode(body)
         handshake = None
-        if find_birth(upstream.id) is not None:
+        if find_start_ms(upstream.id) is not None:
             changes_nothing = path == LOOK and not body["last_seen"] and "expires_ms" not in body
             handshake = _build_handshake(upstream, body["fencing_token"], changes_nothing)
         return await pool.call(
@@ -151,17 +151,17 @@
 
 
 def _is_born(upstream: UpstreamInfo, read: _ReplyBody | None) -> bool:
-    return read is not None and read.born == find_birth(upstream.id)
+    return read is not None and read.born == find_start_ms(upstream.id)
 
 
 def _find_lost_start(error: TransportError) -> StartOutcome:
     if error.is_identity_mismatch:
-        return StartOutcome.LIFE_ENDED
+        return StartOutcome.INSTANCE_ENDED
     return StartOutcome.NOT_SENT if error.unsent else StartOutcome.UNKNOWN
 
 
 def _find_lost_call(error: TransportError) -> CallFailure:
-    return CallFailure.LIFE_ENDED if error.is_identity_mismatch else CallFailure.NO_ANSWER
+    return CallFailure.INSTANCE_ENDED if error.is_identity_mismatch else CallFailure.NO_ANSWER
 
 
 def read_lists(
@@ -189,7 +189,7 @@
     if status in (429, 503):
         return StartOutcome.UNHEALTHY
     if status == ANOTHER_LIFE:
-        return StartOutcome.LIFE_ENDED
+        return StartOutcome.INSTANCE_ENDED
     if status == 400:
         return StartOutcome.INVALID
     return StartOutcome.UNKNOWN
@@ -199,7 +199,7 @@
     if reply.status == 200:
         return None
     if reply.status == ANOTHER_LIFE:
-        return CallFailure.LIFE_ENDED
+        return CallFailure.INSTANCE_ENDED
     read = _read_reply(reply)
     is_fenced = reply.status == 409 and read is not None and read.reason == FENCED
     return CallFailure.FENCED if is_fenced else CallFailure.REFUSED
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -24,7 +24,7 @@
     call_decoder,
 )
 from ..core.cluster.forecast import find_last_use
-from ..core.cluster.instances import LeaseTerms, choose_terms
+from ..core.cluster.instances import LeaseTerms, choose_lease_terms
 from ..core.cluster.reports import LONGEST_ELECTION, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
@@ -251,7 +251,7 @@
 
     def _choose_terms(self) -> LeaseTerms:
         settings = self._settings
-        terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
+        terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
         if settings.orders is OrdersBy.HEARTBEAT:
             return LeaseTerms(longest=settings.longest_lease, delivery=DELIVERY)
         return terms
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -18,7 +18,7 @@
 from ..config.options import Address
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import Answer, Greet, Outcome, Roster
-from ..core.cluster.failover_state import choose_asked, find_own_domain
+from ..core.cluster.failover_state import choose_queried_gateways, find_acting_domain
 from ..core.ids import DomainName
 from .deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE, Deputy
 from .events import Event, log_event
@@ -396,10 +396,12 @@
         """Follow a gateway that reaches a leader or stands in, or stand in where none can be."""
         if all(gateway.address != self.own for gateway in roster.gateways):
             return
-        answers = await self._ask_gateways(choose_asked(roster.gateways, self.own), roster)
+        answers = await self._ask_gateways(
+            choose_queried_gateways(roster.gateways, self.own), roster
+        )
         if self.is_led_directly():
             return
-        own_domain = find_own_domain(roster, self.own)
+        own_domain = find_acting_domain(roster, self.own)
         for gateway, answer in answers.items():
             if _can_be_followed(answer, own_domain):
                 self._follow_gateway(gateway, answer)
@@ -469,7 +471,7 @@
         self.deputy = Deputy(
             roster=roster,
             level=level,
-            domain=find_own_domain(roster, self.own),
+            domain=find_acting_domain(roster, self.own),
             port=self._port,
             clock=self._clock,
             longest_lease=self._settings.longest_lease,
@@ -505,7 +507,7 @@
 
 def _list_rivals(roster: Roster, own: str) -> list[str]:
     """Return the gateways that would stand in rather than this one, if they can be reached."""
-    domain = find_own_domain(roster, own)
+    domain = find_acting_domain(roster, own)
     return [
         gateway.address
         for gateway in roster.gateways
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -24,7 +24,7 @@
 from ..core.cluster.calls import Roster
 from ..core.cluster.commands import decode_commands
 from ..core.cluster.evacuations import Evacuations
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
 from .gateways import GATEWAY_SILENT
@@ -104,7 +104,7 @@
             clock=clock,
             on_failure=on_failure,
             settings=LeadingSettings(
-                terms=choose_terms(longest_lease, caller_retry, GATEWAY_SILENT),
+                terms=choose_lease_terms(longest_lease, caller_retry, GATEWAY_SILENT),
                 keep_ended=timedelta(),
                 caller_retry=caller_retry,
                 control_address=None,
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -8,7 +8,7 @@
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import Contact, GatewayInfo, Greet, Roster
 from ..core.cluster.records import Records
-from ..core.cluster.failover_state import RosterLog
+from ..core.cluster.failover_state import FailoverStateLog
 from ..core.ids import DomainName
 from .events import Event, log_event
 
@@ -30,7 +30,7 @@
     """Gateways by the address that they greet with."""
 
     def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
-        self.log = RosterLog(term=term, takes_calls=takes_calls)
+        self.log = FailoverStateLog(term=term, takes_calls=takes_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
         """Called with how old each greeting was when it was taken in, in milliseconds."""
         self._vouched_until = timedelta()
@@ -56,7 +56,7 @@
         """Tell whether jobs are under way that must be kept."""
         if are_open != self._keeps_jobs:
             self._keeps_jobs = are_open
-            self.log.note_other()
+            self.log.record_other_change()
 
     def take_greeting(self, greeting: Greet) -> None:
         """Know a gateway, and count on it for as long as its contact allows."""
@@ -65,7 +65,7 @@
             return
         if gateway not in self._domains:
             self._domains[gateway] = greeting.domain
-            self.log.note_other()
+            self.log.record_other_change()
         if self._lives.setdefault(gateway, greeting.life) != greeting.life:
             self._lives[gateway] = greeting.life
             self.on_restart(gateway)
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -20,7 +20,7 @@
 from ..core.cluster.model import Heartbeat, LookReply, RunNumber, TaskRef
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     Order,
     StartOrder,
     StartOutcome,
@@ -111,7 +111,7 @@
         item = await self._send(order)
         return None if item.settled.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: PollOrder, token: int) -> LookReply | CallFailure:
         """Renew a lease, and return the lists of the heartbeat after that."""
         item = await self._send(order)
         lists = item.settled.result() if item.settled.done() else None
@@ -163,7 +163,7 @@
         began_at = self._clock.monotonic()
         while not self._is_over and heartbeat.sequence == line.sequence:
             line.news.clear()
-            if any(not isinstance(item.order, LookOrder) for item in line.waiting):
+            if any(not isinstance(item.order, PollOrder) for item in line.waiting):
                 return
             left = began_at + _find_kept(line, heartbeat) - self._clock.monotonic()
             if left <= timedelta():
@@ -218,7 +218,7 @@
 
 def _find_kept(line: _Line, heartbeat: Heartbeat) -> timedelta:
     """Return how long an answer is kept while there is no start or stop to go with it."""
-    looks = [item.order for item in line.waiting if isinstance(item.order, LookOrder)]
+    looks = [item.order for item in line.waiting if isinstance(item.order, PollOrder)]
     if not looks:
         return NEWS_KEPT if heartbeat.draining or _is_busy(heartbeat) else IDLE_KEPT
     if any(not order.wait for order in looks):
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -19,7 +19,7 @@
     Outcome,
     Submit,
 )
-from ..core.cluster.validation import JOB_ID_PATTERN, find_job_problem, find_unsupported
+from ..core.cluster.validation import JOB_ID_PATTERN, find_job_problem, find_unsupported_feature
 from ..core.cluster.commands import AcceptJob, CancelJob, Command
 from ..core.cluster.dispatch import Dispatch
 from ..core.cluster.instances import LeaseTerms
@@ -91,7 +91,7 @@
             return Answer(outcome=Outcome.DONE)
         if call.spec.best_effort and self._dispatch.jobs.find_ended(job) is not None:
             return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_ended(job))
-        self._dispatch.jobs.crash_tracker.take_told(call.suspects)
+        self._dispatch.jobs.crash_tracker.record_reported_suspects(call.suspects)
         if call.spec.best_effort and self._dispatch.is_given_up(job):
             return Answer(outcome=Outcome.DONE, state=JobState.FAILED)
         if call.spec.best_effort and self._dispatch.jobs.is_open(job):
@@ -105,7 +105,7 @@
         problem = find_job_problem(call.spec)
         if problem is not None:
             return Answer(outcome=Outcome.INVALID, detail=problem)
-        unsupported = find_unsupported(call.spec)
+        unsupported = find_unsupported_feature(call.spec)
         if unsupported is not None:
             return Answer(outcome=Outcome.UNSUPPORTED, detail=unsupported)
         waited = timedelta(milliseconds=call.waited_ms)
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -145,7 +145,7 @@
             now=clock.monotonic(),
             wall_ms=self._read_wall,
             note=note_decision,
-            on_end=self._take_end,
+            on_job_end=self._take_end,
             domain=settings.domain,
             keeps_log=settings.keeps_log,
             reports=settings.reports,
@@ -367,7 +367,7 @@
         if self._is_over:
             return
         self.dispatch.take_applied(command, self._clock.monotonic())
-        self.gateways.log.note_command(command)
+        self.gateways.log.record_command(command)
         if isinstance(command, AcceptJob):
             self.waiters.resolve(("job", command.job))
         elif isinstance(command, CancelJob):
@@ -426,8 +426,8 @@
             self._has_waited = True
             return
         self._has_waited = False
-        if self.dispatch.is_fenced_off and self.gateways.is_any_heard():
-            self.dispatch.forgive_fence()
+        if self.dispatch.is_superseded and self.gateways.is_any_heard():
+            self.dispatch.clear_superseded()
             self._authority.renew()
             return
         if self.gateways.may_be_silent():
--- a/cottonlug/runtime/ports.py
+++ b/cottonlug/runtime/ports.py
@@ -8,7 +8,7 @@
 from ..core.cluster.model import LookReply
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -28,7 +28,7 @@
         """Send a stop."""
         ...
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: PollOrder, token: int) -> LookReply | CallFailure:
         """Ask what runs and what has ended."""
         ...
 
--- a/cottonlug/runtime/roster_keeper.py
+++ b/cottonlug/runtime/roster_keeper.py
@@ -5,7 +5,7 @@
 from ..core.clock import Clock
 from ..core.cluster.calls import Answer, Roster
 from ..core.cluster.queues import QueueIndex
-from ..core.cluster.failover_state import merge_roster
+from ..core.cluster.failover_state import merge_failover_state
 
 
 class RosterKeeper:
@@ -44,7 +44,7 @@
         Return whether the next roster is whole by now, and so takes the place of the last.
         """
         known = self._next or self.whole
-        roster = merge_roster(known, received)
+        roster = merge_failover_state(known, received)
         if roster is None:
             return False
         if known is None or roster.configuration is not known.configuration:
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -14,15 +14,15 @@
 from datetime import timedelta
 from enum import Enum
 
-from ..core.cluster.crashes import MOST_CRASHES
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.crashes import MAX_CRASHES
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from .model_upstreams import World, build_queue, build_spec, milliseconds
 from .wire_site import Fate, WireHost, WireLeader, beat_forever, build_hosts
 
-TERMS = choose_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
+TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
 JOB = JobId("a" * 16)
 OTHER = JobId("b" * 16)
 RUN = milliseconds(1_600)
@@ -48,7 +48,7 @@
 
     ORDER_LOST = "the order is lost"
     ANSWER_LOST = "its answer is lost"
-    HELD = "it is carried out 0.5 s later, unanswered"
+    DELAYED = "it is carried out 0.5 s later, unanswered"
     STARTS_AGAIN = "its upstream starts again"
     CUT = "its upstream is cut off"
     LEADER_LOST = "the leader is lost"
@@ -107,7 +107,7 @@
     def _may_have_crashed(self, ended: JobState | None) -> bool:
         """Whether a job may have failed since two upstreams have crashed under one of its tasks."""
         starts = list(self.script.values()).count(Fault.STARTS_AGAIN)
-        return ended is JobState.FAILED and starts >= MOST_CRASHES
+        return ended is JobState.FAILED and starts >= MAX_CRASHES
 
     def _find_leader(self) -> WireLeader:
         return self.leaders[-1]
@@ -150,7 +150,7 @@
             return Fate(there=None, back=None)
         if fault is Fault.ANSWER_LOST:
             return Fate(there=NEAR, back=None)
-        if fault is Fault.HELD:
+        if fault is Fault.DELAYED:
             return Fate(there=NEAR, back=None, held=milliseconds(500))
         if fault is Fault.STARTS_AGAIN:
             # Its clock begins anew, far below or above.
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -21,7 +21,7 @@
     Submit,
 )
 from ..core.cluster.model import Configuration, ConfigurationVersion, LookReply, Service
-from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome, StopOrder
+from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import DomainName, HostId
 from ..runtime.deputy import DEPUTY_AFTER_SILENCE
@@ -48,7 +48,7 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         return None
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: PollOrder, token: int) -> LookReply | CallFailure:
         self.tokens.add(token)
         await asyncio.sleep(order.wait.total_seconds())
         return LookReply(clock_ms=1_000, running=(), ended=())
@@ -150,7 +150,7 @@
 def add_upstream(gateways: Gateways, records: Records, name: str) -> None:
     info = build_info(name)
     records.upstreams[info.id] = UpstreamRecord(info=info)
-    gateways.log.note_upstream(info.id)
+    gateways.log.record_upstream_change(info.id)
 
 
 def stand_in() -> tuple[Gateway, ManualClock]:
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -15,7 +15,7 @@
 from datetime import timedelta
 
 from ..core.cluster.commands import Command
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId, JobSpec
 from ..core.cluster.open_job import Submission
 from ..core.cluster.orders import Order, StopOrder
@@ -41,7 +41,7 @@
 
 CALLER_RETRY = milliseconds(1_300)
 PATIENCE = milliseconds(1_460)
-TERMS = choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT)
+TERMS = choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT)
 SETTLE_AFTER = TERMS.lapse_after + GATEWAY_SILENT
 LEADER_LEASE = milliseconds(280)
 HOP = milliseconds(1)
@@ -320,10 +320,10 @@
 
     def turn_forever(self) -> None:
         """Have each gateway take its turn."""
-        if self.leader is not None and self.leader.dispatch.is_fenced_off:
+        if self.leader is not None and self.leader.dispatch.is_superseded:
             self.lead_from(self.leader.home)
         for deputy in self.deputies.values():
-            deputy.is_over = deputy.is_over or deputy.dispatch.is_fenced_off
+            deputy.is_over = deputy.is_over or deputy.dispatch.is_superseded
         for gateway in self.gateways:
             gateway.turn()
         self.world.at(TURN, self.turn_forever)
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -36,7 +36,7 @@
     UpstreamInfo,
 )
 from ..core.cluster.open_job import Submission
-from ..core.cluster.orders import CallFailure, LookOrder, Order, StartOrder, StartOutcome, StopOrder
+from ..core.cluster.orders import CallFailure, PollOrder, Order, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import JobRecord, Records
 from ..core.cluster.reports import USUAL_REPORTS
 from ..core.ids import DomainName, UpstreamId
@@ -46,7 +46,7 @@
 SERVICE = ServiceName("service")
 TASK_CPU = 7_000
 """Every task takes as much, of 16,000: two fit an upstream."""
-COMMIT = timedelta(milliseconds=15)
+COMMIT_DELAY = timedelta(milliseconds=15)
 CRASHES_AFTER = timedelta(milliseconds=5)
 """From the start of a task that crashes its upstream to the crash."""
 
@@ -111,8 +111,8 @@
     events: list[tuple[timedelta, int, Callable[[], None]]] = field(default_factory=list)
     counter: itertools.count[int] = field(default_factory=itertools.count)
     running: dict[TaskRef, str] = field(default_factory=dict)
-    noted_done: set[TaskRef] = field(default_factory=set)
-    lasting: set[JobId] = field(default_factory=set)
+    recorded_done: set[TaskRef] = field(default_factory=set)
+    long_running_jobs: set[JobId] = field(default_factory=set)
     """Jobs whose tasks are begun again however they end."""
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
     """Every start, and when it was."""
@@ -127,7 +127,7 @@
     """What a task of a job takes, where it is not the usual."""
     starts_after_three: dict[TaskRef, int] = field(default_factory=dict)
     """Starts of each kept task after three upstreams had crashed under it, by hosts in touch."""
-    in_touch_from: timedelta = timedelta()
+    connected_from: timedelta = timedelta()
     """Until then the control hosts have been without faults for too short a time."""
     starts: int = 0
     started_jobs: set[JobId] = field(default_factory=set)
@@ -199,7 +199,7 @@
         if present is not None or is_over:
             self._extend(order.expires_ms)
             return StartOutcome.NO_ROOM
-        borne = self.find_borne_size()
+        borne = self.find_tolerated_size()
         assert wanted <= borne, f"a start brings {self.info.id} to {wanted} of {borne}"
         self._begin(order, needs)
         return StartOutcome.STARTED
@@ -210,13 +210,13 @@
         capacity = msgspec.structs.replace(self.info.capacity, cpu_millis=cpu_millis)
         self.info = msgspec.structs.replace(self.info, capacity=capacity)
 
-    def find_borne_size(self) -> int:
+    def find_tolerated_size(self) -> int:
         """Return up to which room starts are borne: one that has shrunk counts after a while."""
         since = self.world.now - USUAL_REPORTS.valid_for
         borne = [size for until, size in self.earlier_sizes if until >= since]
         return max([self.info.capacity.cpu_millis, *borne])
 
-    def make_heartbeat(self, *, draining: bool = False) -> Heartbeat:
+    def build_heartbeat(self, *, draining: bool = False) -> Heartbeat:
         """Return what it says of itself now."""
         self.sequence += 1
         return Heartbeat(
@@ -238,7 +238,7 @@
             self._end(run, EndKind.STOPPED)
         return None
 
-    def hold(self, order: LookOrder, token: int) -> CallFailure | None:
+    def hold(self, order: PollOrder, token: int) -> CallFailure | None:
         """Take in a look; the reply is made by `report`."""
         self._advance()
         if token < self.token:
@@ -246,7 +246,7 @@
         self.token = token
         for end in self.ended:
             if end.number <= order.last_seen and end.how is EndKind.DONE:
-                self.world.noted_done.add(end.task)
+                self.world.recorded_done.add(end.task)
         self.ended = [end for end in self.ended if end.number > order.last_seen]
         if order.expires_ms is not None:
             self._extend(order.expires_ms)
@@ -280,9 +280,9 @@
         assert (
             ref not in world.running
         ), f"{ref} runs at {world.running.get(ref)} and {self.info.id}"
-        if ref.job in world.kept - world.lasting:
-            assert ref not in world.noted_done, f"{ref} starts again after its end was noted"
-        is_in_touch = world.now >= world.in_touch_from
+        if ref.job in world.kept - world.long_running_jobs:
+            assert ref not in world.recorded_done, f"{ref} starts again after its end was noted"
+        is_in_touch = world.now >= world.connected_from
         if ref.job in world.kept and world.crashes.get(ref, 0) >= 3 and is_in_touch:
             world.starts_after_three[ref] = world.starts_after_three.get(ref, 0) + 1
             assert world.starts_after_three[ref] < 3, f"{ref} is started after three crashes"
@@ -338,9 +338,9 @@
 
 
 _ENDED: dict[type, object] = {
-    StartOrder: StartOutcome.LIFE_ENDED,
-    StopOrder: CallFailure.LIFE_ENDED,
-    LookOrder: CallFailure.LIFE_ENDED,
+    StartOrder: StartOutcome.INSTANCE_ENDED,
+    StopOrder: CallFailure.INSTANCE_ENDED,
+    PollOrder: CallFailure.INSTANCE_ENDED,
 }
 
 
@@ -373,7 +373,7 @@
             now=self.world.now,
             wall_ms=lambda: int(self.world.now / milliseconds(1)),
             note=lambda name, fields: None,
-            on_end=self._note_end,
+            on_job_end=self._note_end,
             domain=self.domain,
             keeps_log=not self.is_deputy,
             known_until=self.known_until,
@@ -398,7 +398,7 @@
         """Submit a job as a gateway does, or put it into the log where it must be kept."""
         job = JobId(id)
         if spec.long_running:
-            self.world.lasting.add(job)
+            self.world.long_running_jobs.add(job)
         if not spec.best_effort:
             self.world.kept.add(job)
             self._commit(AcceptJob(job=job, queue=queue, spec=spec, at_ms=0))
@@ -430,7 +430,7 @@
         for order in self.dispatch.take_orders():
             self._send(order)
         for command in filter(self.commits, self.dispatch.take_proposals()):
-            self.world.at(COMMIT, lambda command=command: self._commit(command))  # type: ignore[misc]
+            self.world.at(COMMIT_DELAY, lambda command=command: self._commit(command))  # type: ignore[misc]
 
     def _commit(self, command: Command) -> None:
         # What a leader has proposed may be committed after it was lost.
@@ -448,12 +448,12 @@
         world = self.world
         upstream = self.upstreams[order.upstream.id]
         sent_at = world.now
-        if isinstance(order, LookOrder) and world.kept:
+        if isinstance(order, PollOrder) and world.kept:
             noted = self.records.upstreams[order.upstream.id].noted
             for end in upstream.ended:
                 is_early = noted < end.number <= order.last_seen and end.task.job in world.kept
                 assert not is_early, "an end is confirmed before it is in the record"
-        wait = order.wait if isinstance(order, LookOrder) else timedelta()
+        wait = order.wait if isinstance(order, PollOrder) else timedelta()
         answered = [False]
 
         def answer(value: object) -> None:
@@ -538,7 +538,7 @@
             self.dispatch.take_look(order, reply, sent_at, now)
 
 
-def lead_site(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
+def start_site_leader(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
     """Return a leader that has heard all these upstreams, 0.1 s after its term began."""
     world = World(random=random.Random(seed))
     upstreams = {
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -16,7 +16,7 @@
 
 from ..core.cluster.calls import Beat, Outcome
 from ..core.cluster.commands import Command, ResizeUpstream, SetConfiguration
-from ..core.cluster.instance_table import InstanceTable
+from ..core.cluster.life_table import InstanceTable
 from ..core.cluster.model import (
     Capacity,
     Configuration,
@@ -93,7 +93,7 @@
 def beat(leader: Leader, *upstreams: ModelUpstream) -> None:
     """Deliver a heartbeat of each upstream at once."""
     for upstream in upstreams:
-        leader.dispatch.take_heartbeat(upstream.make_heartbeat(), leader.world.now)
+        leader.dispatch.take_heartbeat(upstream.build_heartbeat(), leader.world.now)
     leader.act()
 
 
@@ -163,7 +163,7 @@
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
     run_for(world, 50)
-    late = upstreams[FIRST].make_heartbeat()
+    late = upstreams[FIRST].build_heartbeat()
     upstreams[FIRST].resize(HALF)
     beat(leader, upstreams[FIRST])
     run_for(world, 50)
@@ -191,7 +191,7 @@
     first = lead(world, upstreams, records)
     beat(first, upstreams[FIRST])
     run_for(world, 50)
-    late = upstreams[FIRST].make_heartbeat()
+    late = upstreams[FIRST].build_heartbeat()
     upstreams[FIRST].resize(HALF)
     beat(first, upstreams[FIRST])
     run_for(world, 50)
@@ -232,7 +232,7 @@
     leader = lead(world, upstreams, records)
     beat(leader, upstreams[FIRST])
     run_for(world, 100)
-    held_up = upstreams[FIRST].make_heartbeat()
+    held_up = upstreams[FIRST].build_heartbeat()
     run_for(world, 4_000)
     upstreams[FIRST].resize(HALF)
     leader.dispatch.take_heartbeat(held_up, world.now)
@@ -370,7 +370,7 @@
     upstreams[FIRST].resize(0)
     for _ in range(3):
         unreadable = msgspec.structs.replace(
-            upstreams[FIRST].make_heartbeat(), has_no_capacity=True
+            upstreams[FIRST].build_heartbeat(), has_no_capacity=True
         )
         leader.dispatch.take_heartbeat(unreadable, world.now)
         run_for(world, 50)
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -22,7 +22,7 @@
 
 from ..core.clock import ManualClock
 from ..core.cluster.calls import Abandon, Answer, Call, GivenUp, Greet, Outcome, Submit
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId
 from ..core.cluster.records import UpstreamRecord
 from ..runtime.deputy import DEPUTY_AFTER_SILENCE, DeputyAuthority
@@ -85,7 +85,7 @@
     info = build_info("u1")
     replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     settings = LeadingSettings(
-        terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+        terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
         keep_ended=timedelta(),
         caller_retry=CALLER_RETRY,
         control_address=None,
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -12,15 +12,15 @@
 import pytest
 
 from ..core.cluster.crashes import (
-    AT_ONCE,
+    SIMULTANEOUS_WITHIN,
     NO_CRASHES,
-    NO_WORK,
+    NO_ACTIVE_TASKS,
     ONE_CRASH,
     CrashCounts,
     Loss,
     Suspect,
     assign_blame,
-    is_explained,
+    has_common_cause,
 )
 from ..core.cluster.model import JobId, JobState, QueueKey, TaskRef
 from ..core.cluster.open_job import Submission
@@ -93,7 +93,7 @@
         if not upstream.is_up:
             return
         if not self.leader.is_over and upstream.info.id not in self.leader.cut_off:
-            self.leader.dispatch.take_heartbeat(upstream.make_heartbeat(), self.world.now)
+            self.leader.dispatch.take_heartbeat(upstream.build_heartbeat(), self.world.now)
             self.leader.act()
         self.world.at(milliseconds(500), lambda: self.beat(upstream))
 
@@ -101,7 +101,7 @@
         """Have another host lead, once it is elected and has carried out all that was committed."""
         if self.leaders:
             self.leader.is_over = True
-            self.world.in_touch_from = self.world.now + IN_TOUCH_AFTER
+            self.world.connected_from = self.world.now + IN_TOUCH_AFTER
             self.run_for(ELECTION_SECONDS)
         token = term * TOKENS_PER_TERM
         leader = Leader(
@@ -235,7 +235,7 @@
     site.world.poison.add(ref)
     spec = build_spec(tasks=1)
     told = Suspect(task=ref, counts=ONE_CRASH)
-    site.leader.dispatch.jobs.crash_tracker.take_told([told])
+    site.leader.dispatch.jobs.crash_tracker.record_reported_suspects([told])
     record = JobRecord(id=id, queue=PATIENT, spec=spec, accepted_ms=0)
     submission = Submission(gateway="", may_have_begun=True, settle_after=SETTLE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
@@ -253,10 +253,10 @@
     ((_, where),) = site.world.running.items()
     site.leader.cut_off = {UpstreamId(where)}
     site.run_for(2.0)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost != NO_WORK
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost != NO_ACTIVE_TASKS
     site.leader.cut_off = set()
     site.run_for(10)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost == NO_WORK
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost == NO_ACTIVE_TASKS
     assert not site.records.suspects
     assert site.find_state(job) is JobState.COMPLETED
 
@@ -342,8 +342,8 @@
     ],
 )
 def test_what_is_lost_at_once_with_others_is_explained(losses: list[Loss], expected: bool) -> None:
-    assert is_explained(losses[0], losses, SIZES) is expected
-    assert milliseconds(500) > AT_ONCE
+    assert has_common_cause(losses[0], losses, SIZES) is expected
+    assert milliseconds(500) > SIMULTANEOUS_WITHIN
 
 
 def test_blame_goes_to_the_worst_suspect_then_to_the_kind_then_to_all() -> None:
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -19,11 +19,11 @@
     Outcome,
     Submit,
 )
-from ..core.cluster.instances import LEAST_LEASE, choose_terms
+from ..core.cluster.instances import MIN_LEASE, choose_lease_terms
 from ..core.cluster.records import UpstreamRecord
 from ..core.cluster.failover_state import (
-    MOST_FOR_ONE_DEPUTY,
-    choose_asked,
+    MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER,
+    choose_queried_gateways,
 )
 from ..core.ids import DomainName
 from ..runtime.decider import CALLS_LOST_AFTER, STAND_IN_AGAIN_AFTER, Via
@@ -91,7 +91,7 @@
         )
         upstreams = tuple(
             UpstreamRecord(info=build_info(f"u{number}", domain="north"))
-            for number in range(MOST_FOR_ONE_DEPUTY + 1)
+            for number in range(MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER + 1)
         )
         roster = msgspec.structs.replace(build_roster(4), gateways=infos, upstreams=upstreams)
         for gateway in gateways:
@@ -237,14 +237,14 @@
 def test_leases_have_ended_before_a_lost_caller_can_come_again(longest_ms: float) -> None:
     """For 1.1 s each job of a cut-off domain waited for 0.24 s."""
     longest, retry = milliseconds(longest_ms), timedelta(milliseconds=1_300)
-    terms = choose_terms(longest, retry, GATEWAY_SILENT)
+    terms = choose_lease_terms(longest, retry, GATEWAY_SILENT)
     assert terms.lapse_after + GATEWAY_SILENT <= retry
     assert terms.longest <= longest
 
 
 def test_leases_are_never_too_short_to_outlast_a_change_of_leader() -> None:
-    terms = choose_terms(timedelta(seconds=1), milliseconds(200), GATEWAY_SILENT)
-    assert terms.longest == LEAST_LEASE
+    terms = choose_lease_terms(timedelta(seconds=1), milliseconds(200), GATEWAY_SILENT)
+    assert terms.longest == MIN_LEASE
 
 
 def test_a_gateway_without_a_leader_asks_few_of_many_others() -> None:
@@ -254,7 +254,7 @@
         for domain in range(1, 5)
         for number in range(10, 21)
     ]
-    asked = choose_asked(gateways, "10.2.0.15:7000")
+    asked = choose_queried_gateways(gateways, "10.2.0.15:7000")
     assert asked == [
         "10.1.0.10:7000", "10.1.0.11:7000",
         "10.2.0.10:7000", "10.2.0.11:7000", "10.2.0.12:7000",
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ..core.cluster.commands import NoteEnds
+from ..core.cluster.commands import RecordRunEnds
 from ..core.cluster.model import (
     EndKind,
     EndReport,
@@ -17,7 +17,7 @@
     RunNumber,
     TaskRef,
 )
-from ..core.cluster.orders import LookOrder
+from ..core.cluster.orders import PollOrder
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName, UpstreamId
@@ -229,7 +229,7 @@
     ((ref, where),) = world.running.items()
     upstream = upstreams[UpstreamId(where)]
     old = upstream.report()
-    order = LookOrder(upstream=upstream.info, last_seen=0, expires_ms=None, wait=timedelta())
+    order = PollOrder(upstream=upstream.info, last_seen=0, expires_ms=None, wait=timedelta())
     world.run_until(milliseconds(1_000))
     assert ref not in world.running
     leader.dispatch.take_look(order, old, milliseconds(110), world.now)
@@ -292,7 +292,7 @@
     world.run_until(milliseconds(100))
     leader.submit("a" * 16, build_spec(tasks=1, kept=True), build_queue())
     info = upstreams[UpstreamId("u1")].info
-    look = LookOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
+    look = PollOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
     for number, job in ((1, "a" * 16), (2, "b" * 16)):
         ref = TaskRef(JobId(job), 0, 0, 0)
         end = EndReport(number=number, task=ref, run=RunNumber(4_096), how=EndKind.FAILED)
@@ -300,7 +300,7 @@
         leader.dispatch.take_look(look, reply, world.now, world.now)
     instance = leader.dispatch.instances[info.id]
     assert instance.noted == 0
-    noted = [each for each in leader.dispatch.take_proposals() if isinstance(each, NoteEnds)]
+    noted = [each for each in leader.dispatch.take_proposals() if isinstance(each, RecordRunEnds)]
     assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
 
 
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -18,7 +18,7 @@
 STANDS_IN_AFTER = milliseconds(670)
 
 
-def stand_in(first: Leader, upstreams: set[UpstreamId], level: int) -> Leader:
+def act_as_leader(first: Leader, upstreams: set[UpstreamId], level: int) -> Leader:
     """Have a deputy decide about some upstreams, with a roster of its own."""
     records = Records()
     records.restore(first.records.encode())
@@ -49,7 +49,7 @@
     leader, where = start_long_run(1)
     leader.cut_off = {where}
     leader.world.run_until(leader.world.now + STANDS_IN_AFTER)
-    stand_in(leader, {where}, 1_001)
+    act_as_leader(leader, {where}, 1_001)
     leader.world.run_until(leader.world.now + TERMS.lapse_after * 2)
     ((_, again),) = leader.world.running.items()
     assert again != where
@@ -59,7 +59,7 @@
     leader, where = start_long_run(2)
     leader.is_over = True
     leader.world.run_until(leader.world.now + STANDS_IN_AFTER)
-    deputy = stand_in(leader, {where}, 1_001)
+    deputy = act_as_leader(leader, {where}, 1_001)
     deputy.world.run_until(deputy.world.now + milliseconds(60))
     spec = build_spec(tasks=1, run_ms=2_600)
     deputy.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
@@ -74,7 +74,7 @@
     world = leader.world
     world.run_until(milliseconds(3_000))
     assert not world.running
-    deputy = stand_in(leader, set(leader.upstreams), 1_001)
+    deputy = act_as_leader(leader, set(leader.upstreams), 1_001)
     leader.is_over = True
     world.run_until(world.now + milliseconds(100))
     deputy.submit("b" * 16, build_spec(tasks=1, run_ms=2_600), build_queue())
@@ -116,7 +116,7 @@
                 decider.cut_off ^= {chance.choice(list(upstreams))}
         if deputy is None and chance.random() < 0.2:
             seen = {id for id in upstreams if chance.random() < 0.5}
-            deputy = stand_in(leader, seen, 1_001 + step)
+            deputy = act_as_leader(leader, seen, 1_001 + step)
         elif deputy is not None and chance.random() < 0.1:
             deputy.is_over = True
             deputy = None
@@ -157,7 +157,7 @@
     world = first.world
     world.run_until(milliseconds(3_000))
     first.is_over = True
-    deputy = stand_in(first, set(first.upstreams), 1_001)
+    deputy = act_as_leader(first, set(first.upstreams), 1_001)
     world.run_until(world.now + milliseconds(100))
     deputy.submit(JOB, build_spec(tasks=1, run_ms=2_600), build_queue())
     world.run_until(world.now + milliseconds(50))
@@ -198,6 +198,6 @@
     deputy, _, where = let_a_leader_stop_a_run_of_a_deputy(12)
     starts = deputy.dispatch.counts.starts
     deputy.world.run_until(deputy.world.now + milliseconds(30))
-    assert deputy.dispatch.is_fenced_off
+    assert deputy.dispatch.is_superseded
     assert not deputy.upstreams[where].runs
     assert deputy.dispatch.counts.starts == starts
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -18,7 +18,7 @@
     build_info,
     build_queue,
     build_spec,
-    lead_site,
+    start_site_leader,
     milliseconds,
 )
 
@@ -32,7 +32,7 @@
         build_info(f"u{number + 1}", domain=DOMAINS[number % len(DOMAINS)])
         for number in range(len(DOMAINS) * EACH)
     ]
-    return lead_site(infos, seed=seed, run_ms=run_ms)
+    return start_site_leader(infos, seed=seed, run_ms=run_ms)
 
 
 def submit(leader: Leader, number: int, home: DomainName | None, tasks: int) -> JobId:
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from ..core.cluster.validation import find_job_problem, find_unsupported
+from ..core.cluster.validation import find_job_problem, find_unsupported_feature
 from ..core.cluster.commands import CancelJob
 from ..core.cluster.model import JobId, JobSpec, JobState, StepSpec
 from ..core.cluster.records import Records
@@ -167,8 +167,8 @@
 
 
 def test_lasting_and_timed_jobs_are_supported_but_not_together() -> None:
-    assert find_unsupported(build_lasting()) is None
-    assert find_unsupported(build_timed()) is None
+    assert find_unsupported_feature(build_lasting()) is None
+    assert find_unsupported_feature(build_timed()) is None
     assert find_job_problem(build_timed()) is None
     assert find_job_problem(msgspec.structs.replace(build_timed(), long_running=True))
     assert find_job_problem(msgspec.structs.replace(build_timed(), interval_ms=-1))
--- a/cottonlug/tests/test_cluster_out_of_order.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -8,7 +8,7 @@
 from ..core.cluster.commands import AddUpstream
 from ..core.cluster.dispatch import Dispatch
 from ..core.cluster.model import Heartbeat, LookReply
-from ..core.cluster.orders import LookOrder
+from ..core.cluster.orders import PollOrder
 from ..core.cluster.records import Records
 from .model_upstreams import TERMS, ModelUpstream, World, build_info, milliseconds
 
@@ -26,7 +26,7 @@
         now=timedelta(),
         wall_ms=lambda: 0,
         note=lambda name, fields: notes.append((name, fields)),
-        on_end=lambda job: None,
+        on_job_end=lambda job: None,
     )
 
 
@@ -57,7 +57,7 @@
         rate=1.0,
         run_times=lambda job: timedelta(),
     )
-    order = LookOrder(upstream=INFO, last_seen=0, expires_ms=None, wait=timedelta())
+    order = PollOrder(upstream=INFO, last_seen=0, expires_ms=None, wait=timedelta())
     newer = upstream.report()
     older = LookReply(clock_ms=newer.clock_ms - 1, running=(), ended=())
     for reply in (newer, older):
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -217,7 +217,7 @@
         needs=Needs(),
         phase=RunPhase.RUNNING,
         since=timedelta(),
-        is_orphan=True,
+        is_orphaned=True,
     )
     instance.add_run(orphan)
     assert choose_life(batch, [instance]) is instance
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ..core.cluster.orders import LookOrder, Order
+from ..core.cluster.orders import PollOrder, Order
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
@@ -56,7 +56,7 @@
     def lose(self: Leader, order: Order) -> None:
         id = order.upstream.id
         is_lost = self.token == 2 * TOKENS_PER_TERM and lost.get(id, 0) > 0
-        if isinstance(order, LookOrder) and is_lost:
+        if isinstance(order, PollOrder) and is_lost:
             lost[id] -= 1
             self.cut_off = {id}
             send(self, order)
--- a/cottonlug/tests/test_cluster_rooms.py
+++ b/cottonlug/tests/test_cluster_rooms.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from ..core.cluster.instance_table import InstanceTable
+from ..core.cluster.life_table import InstanceTable
 from ..core.cluster.instances import Instance
 from ..core.cluster.model import JobId, JobSpec, Needs, StepSpec
 from ..core.cluster.records import Records
@@ -20,7 +20,7 @@
     build_info,
     build_queue,
     build_spec,
-    lead_site,
+    start_site_leader,
     milliseconds,
 )
 
@@ -32,7 +32,7 @@
 
 def build_leader(count: int, run_ms: int = 400) -> Leader:
     infos = [build_info(f"u{number + 1}") for number in range(count)]
-    return lead_site(infos, seed=1, run_ms=run_ms)
+    return start_site_leader(infos, seed=1, run_ms=run_ms)
 
 
 def build_wide(cpu_millis: int) -> JobSpec:
@@ -50,13 +50,13 @@
     """
     leader = build_leader(UPSTREAMS)
     tries = [0]
-    has_room = Instance.has_room
+    has_free_capacity = Instance.has_free_capacity
 
     def count(self: Instance, needs: Needs) -> bool:
         tries[0] += 1
-        return has_room(self, needs)
+        return has_free_capacity(self, needs)
 
-    monkeypatch.setattr(Instance, "has_room", count)
+    monkeypatch.setattr(Instance, "has_free_capacity", count)
     queue = msgspec.structs.replace(build_queue(), target_latency_ms=5_000)
     for number in range(JOBS):
         leader.submit(f"{number:016x}", build_spec(tasks=2, run_ms=400), queue)
@@ -97,7 +97,7 @@
         lease=TERMS,
         wall_ms=lambda: 0,
         note=lambda name, fields: None,
-        on_end=lambda job: None,
+        on_job_end=lambda job: None,
     )
     table = InstanceTable(term=term)
     instances = [
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -14,9 +14,9 @@
 
 from ..core.cluster.calls import Answer, Outcome, Submit
 from ..core.cluster.commands import AddUpstream
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import EndKind, JobId, LookReply
-from ..core.cluster.orders import CallFailure, LookOrder
+from ..core.cluster.orders import CallFailure, PollOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
 from ..runtime.deputy import DeputyAuthority
@@ -63,7 +63,7 @@
         self.looks = 0
         self._answers = answers
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def look(self, order: PollOrder, token: int) -> LookReply | CallFailure:
         self.looks += 1
         if not self._answers:
             await asyncio.sleep(3_600)
@@ -86,7 +86,7 @@
         clock=build_clock(),
         on_failure=fail,
         settings=LeadingSettings(
-            terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+            terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
             keep_ended=timedelta(),
             caller_retry=CALLER_RETRY,
             control_address=None,
@@ -143,7 +143,7 @@
     (run,) = second.runs.values()
     assert second is not first
     world.run_until(run.ends_at - milliseconds(4))
-    look = LookOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
+    look = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
     reply = first.report()
     assert [end.how for end in reply.ended] == [EndKind.LAPSED]
     leader.cut_off = set()
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -164,7 +164,7 @@
 def test_a_cold_upstream_is_used_last() -> None:
     leader = build_leader(1)
     cold = next(each for each in leader.upstreams.values() if each.info.domain == HOME)
-    heartbeat = msgspec.structs.replace(cold.make_heartbeat(), sequence=9, cold_left_ms=400)
+    heartbeat = msgspec.structs.replace(cold.build_heartbeat(), sequence=9, cold_left_ms=400)
     leader.dispatch.take_heartbeat(heartbeat, leader.world.now)
     submit(leader, 1, HOME, tasks=EACH * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -11,7 +11,7 @@
 
 from ..core.cluster import instances
 from ..core.cluster.open_job import Task
-from ..core.cluster.reconciliation import Settlement
+from ..core.cluster.reconciliation import Reconciliation
 from ..platform import heartbeats, workers
 from .fault_explorer import Fault, Play, Script, describe, explore
 
@@ -39,7 +39,7 @@
 
 def put_back_identity(patch: pytest.MonkeyPatch) -> None:
     """A life is known by the id of its upstream alone."""
-    patch.setattr(heartbeats, "name_life", lambda name, born: name)
+    patch.setattr(heartbeats, "build_instance_id", lambda name, born: name)
     put_back_unchecked_lists(patch)
 
 
@@ -50,7 +50,7 @@
 
 def put_back_fast_clock(patch: pytest.MonkeyPatch) -> None:
     """A lease counts as ended by our clock, though the upstream's may be slower."""
-    patch.setattr(instances, "SLOWEST_CLOCK", 1.0)
+    patch.setattr(instances, "MIN_CLOCK_RATE", 1.0)
     patch.setattr(instances, "LAPSE_MARGIN", instances.LAPSE_MARGIN * 0)
 
 
@@ -61,7 +61,7 @@
 
 def put_back_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
     """A new leader begins what an earlier one may have at work at an upstream out of sight."""
-    patch.setattr(Settlement, "is_unsure", lambda self, *, of_deputies: False)
+    patch.setattr(Reconciliation, "is_unsure", lambda self, *, of_deputies: False)
 
 
 # Guards against a model in which the causes that were mended could not show.
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -16,9 +16,9 @@
 )
 from ..core.cluster.records import Records
 from ..core.cluster.failover_state import (
-    KEPT_CHANGES,
-    PART,
-    merge_roster,
+    MAX_KEPT_CHANGES,
+    MAX_UPSTREAMS_PER_PART,
+    merge_failover_state,
 )
 from ..core.ids import UpstreamId
 from ..runtime.decider import GREET_TIMEOUT
@@ -48,7 +48,7 @@
     assert roster.configuration.queues
     gateways.take_greeting(greet("10.0.0.2:7000"))
     assert gateways.build_roster(records, roster.version) is None
-    gateways.log.note_other()
+    gateways.log.record_other_change()
     assert gateways.build_roster(records, roster.version) is not None
 
 
@@ -79,15 +79,15 @@
     assert whole is not None and not whole.base
     add_upstream(gateways, records, "u3")
     records.upstreams[UpstreamId("u1")].draining = True
-    gateways.log.note_upstream(UpstreamId("u1"))
+    gateways.log.record_upstream_change(UpstreamId("u1"))
     del records.upstreams[UpstreamId("u0")]
-    gateways.log.note_upstream(UpstreamId("u0"))
+    gateways.log.record_upstream_change(UpstreamId("u0"))
     update = gateways.build_roster(records, whole.version)
     assert update is not None
     assert (update.base, update.configuration) == (whole.version, None)
     assert [record.info.id for record in update.upstreams] == ["u3", "u1"]
     assert update.removed == ("u0",)
-    merged = merge_roster(whole, update)
+    merged = merge_failover_state(whole, update)
     fresh = gateways.build_roster(records, "")
     assert merged is not None and fresh is not None
     assert merged.configuration == fresh.configuration
@@ -105,8 +105,8 @@
     assert whole is not None
     update = gateways.build_roster(records, whole.version)
     assert update is not None
-    assert merge_roster(None, update) is None
-    assert merge_roster(msgspec.structs.replace(whole, version="2.9"), update) is None
+    assert merge_failover_state(None, update) is None
+    assert merge_failover_state(msgspec.structs.replace(whole, version="2.9"), update) is None
 
 
 def collect(gateways: Gateways, records: Records, version: str) -> tuple[Roster, int]:
@@ -116,7 +116,7 @@
         part = gateways.build_roster(records, version)
         assert part is not None
         assert bool(part.base) == (asked > 1)
-        known = merge_roster(known, part)
+        known = merge_failover_state(known, part)
         assert known is not None
         version = known.version
         if not known.is_partial:
@@ -128,12 +128,12 @@
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     known = gateways.log.version
-    for number in range(KEPT_CHANGES + 1):
+    for number in range(MAX_KEPT_CHANGES + 1):
         add_upstream(gateways, records, f"u{number}")
     for version in (known, "2.5", "", "x.y"):
         roster, asked = collect(gateways, records, version)
         assert {each.info.id: each for each in roster.upstreams} == records.upstreams
-        assert asked == math.ceil((KEPT_CHANGES + 1) / PART)
+        assert asked == math.ceil((MAX_KEPT_CHANGES + 1) / MAX_UPSTREAMS_PER_PART)
         assert gateways.build_roster(records, roster.version) is None
 
 
@@ -155,7 +155,7 @@
         part = gateways.build_roster(records, version)
         assert part is not None
         assert len(msgspec.json.encode(part)) < most
-        roster = merge_roster(roster, part)
+        roster = merge_failover_state(roster, part)
         assert roster is not None
         version = roster.version
     assert len(roster.upstreams) == 999
@@ -164,16 +164,20 @@
 def test_many_changes_come_in_parts() -> None:
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    for number in range(3 * PART):
+    for number in range(3 * MAX_UPSTREAMS_PER_PART):
         add_upstream(gateways, records, f"u{number}")
     roster, _ = collect(gateways, records, "")
     for id in list(records.upstreams):
         records.upstreams[id].draining = True
-        gateways.log.note_upstream(id)
+        gateways.log.record_upstream_change(id)
     for left in (True, True, False):
         part = gateways.build_roster(records, roster.version)
-        assert part is not None and len(part.upstreams) == PART and part.is_partial is left
-        merged = merge_roster(roster, part)
+        assert (
+            part is not None
+            and len(part.upstreams) == MAX_UPSTREAMS_PER_PART
+            and part.is_partial is left
+        )
+        merged = merge_failover_state(roster, part)
         assert merged is not None
         roster = merged
     assert all(each.draining for each in roster.upstreams)
@@ -184,7 +188,7 @@
     chance = random.Random(seed)
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    for number in range(4 * PART):
+    for number in range(4 * MAX_UPSTREAMS_PER_PART):
         add_upstream(gateways, records, f"u{number}")
     known: Roster | None = None
     for turn in range(60):
@@ -195,13 +199,13 @@
                 add_upstream(gateways, records, f"v{chance.randrange(1 << 30)}")
             elif fate < 0.6:
                 del records.upstreams[id]
-                gateways.log.note_upstream(id)
+                gateways.log.record_upstream_change(id)
             else:
                 records.upstreams[id].sequence += 1
-                gateways.log.note_upstream(id)
+                gateways.log.record_upstream_change(id)
         part = gateways.build_roster(records, known.version if known is not None else "")
         if part is not None and chance.random() < 0.8:
-            known = merge_roster(known, part)
+            known = merge_failover_state(known, part)
     assert known is not None and not known.is_partial
     assert {each.info.id: each for each in known.upstreams} == records.upstreams
 
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -22,7 +22,7 @@
     RunReport,
     TaskRef,
 )
-from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome, StopOrder
+from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.ids import UpstreamId
 from ..net.asgi import HttpRequest
 from ..platform.control import build_control_handler
@@ -84,8 +84,8 @@
     )
 
 
-def build_look(last_seen: int = 0) -> LookOrder:
-    return LookOrder(upstream=INFO, last_seen=last_seen, expires_ms=2_000, wait=timedelta())
+def build_look(last_seen: int = 0) -> PollOrder:
+    return PollOrder(upstream=INFO, last_seen=last_seen, expires_ms=2_000, wait=timedelta())
 
 
 async def settle() -> None:
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -10,13 +10,13 @@
 import msgspec
 import pytest
 
-from ..core.cluster import instance_table
+from ..core.cluster import life_table
 from ..core.cluster.commands import AddUpstream, RemoveUpstreams, ResizeUpstream, SetDraining
-from ..core.cluster.identity import is_earlier, name_life
+from ..core.cluster.identity import is_earlier_instance, build_instance_id
 from ..core.cluster.model import Capacity, Heartbeat, JobId, JobState, LookReply, UpstreamInfo
 from ..core.cluster.orders import StartOrder
 from ..core.cluster.records import Records
-from ..core.cluster.failover_state import merge_roster
+from ..core.cluster.failover_state import merge_failover_state
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from ..runtime.gateways import Gateways
@@ -33,7 +33,7 @@
 
 
 def build_life(number: int, name: str = "u1") -> UpstreamInfo:
-    return msgspec.structs.replace(build_info(name), id=name_life(name, BORN + number))
+    return msgspec.structs.replace(build_info(name), id=build_instance_id(name, BORN + number))
 
 
 FIRST, SECOND = build_life(1), build_life(2)
@@ -67,10 +67,10 @@
     assert known is not None
     assert [each.info.id for each in known.upstreams] == [FIRST.id, SECOND.id]
     del records.upstreams[FIRST.id]
-    gateways.log.note_upstream(FIRST.id)
+    gateways.log.record_upstream_change(FIRST.id)
     received = gateways.build_roster(records, known.version)
     assert received is not None
-    merged = merge_roster(known, received)
+    merged = merge_failover_state(known, received)
     assert merged is not None
     assert [each.info.id for each in merged.upstreams] == [SECOND.id]
 
@@ -85,7 +85,7 @@
     host.start_again()
     records = Records()
     for born in (earlier, host.born_ms):
-        info = msgspec.structs.replace(host.info, id=name_life(host.name, born))
+        info = msgspec.structs.replace(host.info, id=build_instance_id(host.name, born))
         records.apply(AddUpstream(info=info))
     deputy = WireLeader(
         world=world,
@@ -99,7 +99,7 @@
     world.run_until(milliseconds(1_500))
     assert deputy.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
     assert world.starts == 4
-    assert list(deputy.dispatch.instances) == [name_life(host.name, host.born_ms)]
+    assert list(deputy.dispatch.instances) == [build_instance_id(host.name, host.born_ms)]
 
 
 def test_a_host_that_does_not_lead_passes_on_the_first_heartbeat_of_a_later_life() -> None:
@@ -137,9 +137,9 @@
 
     def count(instance: UpstreamId, other: UpstreamId) -> bool:
         next(compared)
-        return is_earlier(instance, other)
+        return is_earlier_instance(instance, other)
 
-    monkeypatch.setattr(instance_table, "is_earlier", count)
+    monkeypatch.setattr(life_table, "is_earlier_instance", count)
     dispatch = build_dispatch([])
     for number in range(2, 500):
         dispatch.take_heartbeat(
@@ -157,8 +157,8 @@
     for info in (build_life(0), moved):
         dispatch.take_applied(AddUpstream(info=info), NOW)
     instance = dispatch.instances[build_life(0).id]
-    assert instance.must_check and instance.look_due == NOW
-    assert not dispatch.instances[moved.id].must_check
+    assert instance.must_poll and instance.poll_due == NOW
+    assert not dispatch.instances[moved.id].must_poll
     earlier = msgspec.structs.replace(beat(sequence=90), info=build_life(0))
     dispatch.take_applied(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
     dispatch.take_heartbeat(earlier, NOW)
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -24,7 +24,7 @@
     Submit,
 )
 from ..core.cluster.model import Capacity, EndKind, JobId, JobState, LookReply, RunNumber, TaskRef
-from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome
+from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools
 from ..net.transport import HttpReply, TransportError
@@ -286,7 +286,7 @@
 START = StartOrder(
     upstream=build_info("u1"), task=REF, run=RunNumber(2), payload="t", checkpoint="", expires_ms=9
 )
-LOOK = LookOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
+LOOK = PollOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
 
 
 @pytest.mark.parametrize(
@@ -298,7 +298,7 @@
         (409, b'{"clock_ms":5,"reason":"late"}', StartOutcome.LATE),
         (409, b'{"clock_ms":5,"reason":"room"}', StartOutcome.NO_ROOM),
         (503, b"", StartOutcome.UNHEALTHY),
-        (421, b"", StartOutcome.LIFE_ENDED),
+        (421, b"", StartOutcome.INSTANCE_ENDED),
         (400, b"", StartOutcome.INVALID),
         (500, b"", StartOutcome.UNKNOWN),
         (200, b"no json", StartOutcome.STARTED),
@@ -331,7 +331,7 @@
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
     assert asyncio.run(fenced.look(LOOK, 7)) is CallFailure.FENCED
     gone = FixedClient(Success(HttpReply(status=421, body=b"")))
-    assert asyncio.run(gone.look(LOOK, 7)) is CallFailure.LIFE_ENDED
+    assert asyncio.run(gone.look(LOOK, 7)) is CallFailure.INSTANCE_ENDED
 
 
 def test_templates_name_only_settings_that_exist() -> None:
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -10,7 +10,12 @@
 
 from ..core.cluster.calls import Answer, Beat, Call, Leave, Outcome
 from ..core.cluster.commands import AddUpstream, SetDraining
-from ..core.cluster.identity import find_birth, get_name, is_earlier, name_life
+from ..core.cluster.identity import (
+    find_start_ms,
+    get_upstream_name,
+    is_earlier_instance,
+    build_instance_id,
+)
 from ..core.cluster.model import LookReply
 from ..core.cluster.orders import CallFailure
 from ..core.cluster.records import Records
@@ -38,15 +43,15 @@
 
 
 def test_ids_of_lives_are_read_as_they_are_written() -> None:
-    instance = name_life("i-1", BORN)
-    assert (get_name(instance), find_birth(instance)) == ("i-1", BORN)
-    plain = name_life("i-1", None)
-    assert (get_name(plain), find_birth(plain)) == ("i-1", None)
-    assert is_earlier(instance, name_life("i-1", BORN + 1))
-    assert is_earlier(plain, instance)
-    assert not is_earlier(instance, instance)
-    assert not is_earlier(instance, plain)
-    assert not is_earlier(instance, name_life("i-2", BORN + 1))
+    instance = build_instance_id("i-1", BORN)
+    assert (get_upstream_name(instance), find_start_ms(instance)) == ("i-1", BORN)
+    plain = build_instance_id("i-1", None)
+    assert (get_upstream_name(plain), find_start_ms(plain)) == ("i-1", None)
+    assert is_earlier_instance(instance, build_instance_id("i-1", BORN + 1))
+    assert is_earlier_instance(plain, instance)
+    assert not is_earlier_instance(instance, instance)
+    assert not is_earlier_instance(instance, plain)
+    assert not is_earlier_instance(instance, build_instance_id("i-2", BORN + 1))
 
 
 def test_each_start_of_an_upstream_is_a_life_of_its_own() -> None:
@@ -58,7 +63,7 @@
         beat = calls[0]
         assert isinstance(beat, Beat)
         ids.append(beat.heartbeat.info.id)
-    assert ids == [name_life("i-1", BORN), name_life("i-1", BORN + 1)]
+    assert ids == [build_instance_id("i-1", BORN), build_instance_id("i-1", BORN + 1)]
 
 
 @pytest.mark.parametrize(
@@ -79,12 +84,12 @@
 def test_leaving_names_a_life_where_it_tells_which() -> None:
     assert send("DELETE", b"")[1] == [Leave(upstream=UpstreamId("i-1"))]
     body = b'{"born":%d}' % BORN
-    assert send("DELETE", body)[1] == [Leave(upstream=name_life("i-1", BORN))]
+    assert send("DELETE", body)[1] == [Leave(upstream=build_instance_id("i-1", BORN))]
 
 
 def test_whoever_leaves_without_telling_which_life_is_the_one_that_said_so_or_the_newest() -> None:
     records = Records()
-    instances = [name_life("u1", BORN + number) for number in (0, 2, 1)]
+    instances = [build_instance_id("u1", BORN + number) for number in (0, 2, 1)]
     for instance in instances:
         records.apply(AddUpstream(info=msgspec.structs.replace(build_info("u1"), id=instance)))
     plain = UpstreamId("u1")
@@ -95,18 +100,18 @@
     assert found is not None and found.info.id == instances[0]
     found = records.find_leaving(instances[2])
     assert found is not None and found.info.id == instances[2]
-    assert records.find_leaving(name_life("u1", BORN + 9)) is None
+    assert records.find_leaving(build_instance_id("u1", BORN + 9)) is None
     assert records.find_leaving(UpstreamId("u2")) is None
 
 
 def test_a_list_of_another_life_is_not_taken_for_that_of_the_one_asked() -> None:
     """Failed before: both answer under the id that the header names."""
-    info = msgspec.structs.replace(build_info("u1"), id=name_life("u1", BORN))
+    info = msgspec.structs.replace(build_info("u1"), id=build_instance_id("u1", BORN))
     order = LOOK.__class__(upstream=info, last_seen=0, expires_ms=None, wait=LOOK.wait)
     same = asyncio.run(FixedClient(answer_lists(BORN)).look(order, 7))
     assert isinstance(same, LookReply)
     other = asyncio.run(FixedClient(answer_lists(BORN + 1)).look(order, 7))
-    assert other is CallFailure.LIFE_ENDED
+    assert other is CallFailure.INSTANCE_ENDED
 
 
 # Guards against TWICE on an upgrade: what the log knows by its id alone was taken to have ended.
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from ..core.cluster.instances import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from .model_upstreams import World, build_queue, build_spec, milliseconds
 from .wire_site import WireHost, WireLeader, beat_forever, build_hosts
 
-TERMS = choose_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
+TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
 """As on the users' platform: 0.92 s, where upstreams grant 1 s at the most."""
 SEEDS = 20
 JOB = "a" * 16
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -20,7 +20,7 @@
 from ..core.cluster.model import Needs, RunNumber, UpstreamInfo
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     Order,
     StartOrder,
     StartOutcome,
@@ -253,7 +253,7 @@
 
     def _take_look(self, body: dict[str, Any], reply: Callable[[WireReply], None]) -> None:
         wait = milliseconds(body.get("wait_ms", 0))
-        order = LookOrder(
+        order = PollOrder(
             upstream=self.info,
             last_seen=body["last_seen"],
             expires_ms=body.get("expires_ms"),
@@ -372,7 +372,7 @@
                 self._take(order, end.value, sent_at)
                 self.act()
 
-        wait = order.wait if isinstance(order, LookOrder) else timedelta()
+        wait = order.wait if isinstance(order, PollOrder) else timedelta()
         world.at(order.patience + wait, lambda: finish(LOST))
         self._transmit(order, calling.send(None), finish)
 
