--- a/bench/leader.py
+++ b/bench/leader.py
@@ -112,7 +112,7 @@
 
     def __init__(self, *, address: Address, infos: list[UpstreamInfo]) -> None:
         replicated = ReplicatedRecords()
-        replicated.records.put_in_force(build_configuration())
+        replicated.records.activate_configuration(build_configuration())
         for info in infos:
             replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
         self._address = address
--- a/bench/load.py
+++ b/bench/load.py
@@ -148,7 +148,7 @@
         )
         for upstream in self.upstreams.values():
             if upstream.is_up:
-                self.leader.beat(upstream, self.token)
+                self.leader.deliver_heartbeat(upstream, self.token)
         for job, submitted in self.jobs.items():
             is_open = submitted.ended_at is None and submitted.refused_at is None
             if is_open and self.world.now - submitted.at < submitted.objective * LATE_FACTOR:
@@ -175,7 +175,7 @@
             if not upstream.is_up:
                 name = f"{id}v{self.life}"
                 fresh = self._add_upstream(name, upstream.info.capacity.cpu_millis)
-                self.leader.beat(fresh, 1)
+                self.leader.deliver_heartbeat(fresh, 1)
 
     def _come_back(self, crashed: ModelUpstream) -> None:
         """Have an upstream that a task has crashed begin another life."""
@@ -189,7 +189,7 @@
             fresh.info = msgspec.structs.replace(fresh.info, address=crashed.info.address)
             crashed.is_replaced = True
             if not self.leader.is_over:
-                self.leader.beat(fresh, 1)
+                self.leader.deliver_heartbeat(fresh, 1)
 
         self.world.at(BACK_AFTER, begin)
 
--- a/bench/shortage.py
+++ b/bench/shortage.py
@@ -46,7 +46,7 @@
     waiting = self._jobs.backlog
     if not waiting.list_tier(Tier.ON_TIME):
         return
-    wait = filler.estimate_wait(waiting.measure_work(), self._instances.measure_room(now))
+    wait = filler.estimate_wait(waiting.measure_work(), self._instances.measure_usable_cores(now))
     for batch in waiting.list_tier(Tier.LATE):
         job = self._jobs.jobs.get(batch.job.id)
         if job is not None and not job.has_begun:
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -104,7 +104,7 @@
             "find_restriction",
             lambda self, task: crashes.StartRestriction.NONE,
         ),
-        (crashes.CrashCounts, "is_given_up", False),
+        (crashes.CrashCounts, "is_quarantined", False),
     ),
     "in_any_domain": replacing((rooms.Rooms, "_find_pool", _find_one_pool)),
     "no_cordon": replacing((watcher.Watcher, "cordon_idle", lambda self, now: None)),
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -89,13 +89,13 @@
             if len(neighbours) <= LARGEST_RACK:
                 for each in neighbours:
                     each.must_poll = True
-                    self._instances.touch(each)
+                    self._instances.mark_changed(each)
 
     def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Record that an upstream has not crashed; return what was active when it was lost."""
         if instance.lost_at is None and instance.lost is NO_ACTIVE_TASKS:
             return ()
-        cleared = self.forget(instance)
+        cleared = self.forget_instance(instance)
         if instance.lost_at is not None:
             instance.lost_at = None
             self._losses = [each for each in self._losses if each.upstream != instance.info.id]
@@ -105,7 +105,7 @@
         """Remember the tasks that were active at an upstream that may turn out to have crashed."""
         self._set_lost(instance, _find_active_tasks(instance, now))
 
-    def forget(self, instance: Instance) -> tuple[TaskRef, ...]:
+    def forget_instance(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Forget an upstream that the log has removed; return the tasks that were lost there."""
         lost = instance.lost.all_tasks
         self._set_lost(instance, NO_ACTIVE_TASKS)
@@ -130,7 +130,7 @@
         counts = self._term.records.get_crash_counts(task)
         return counts.add(self._reported.get(task, NO_CRASHES))
 
-    def note_end(
+    def record_instance_end(
         self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
     ) -> None:
         """Record that an upstream has ended; propose to count a crash if it was not leaving."""
@@ -144,7 +144,7 @@
         )
         others = tuple(task for task in at_work.tasks if task not in blamed)
         self._term.counts.crashed_upstreams += 1
-        self._term.note(
+        self._term.log_decision(
             "upstream_crashed",
             {
                 "upstream": instance.info.id,
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -82,7 +82,7 @@
         return self.losses + self.unanswered
 
     @property
-    def is_given_up(self) -> bool:
+    def is_quarantined(self) -> bool:
         """Whether the task must not be started again."""
         is_convicted = self.crashes >= MAX_CRASHES or self.losses >= MAX_LOSSES
         return is_convicted or self.starts >= MAX_STARTS
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -77,7 +77,7 @@
         terms: LeaseTerms,
         now: timedelta,
         wall_ms: WallTime,
-        note: DecisionLog,
+        log_decision: DecisionLog,
         on_job_end: Callable[[JobId], None],
         domain: DomainName | None = None,
         keeps_log: bool = True,
@@ -90,7 +90,7 @@
             records=records,
             lease=terms,
             wall_ms=wall_ms,
-            note=note,
+            log_decision=log_decision,
             on_job_end=on_job_end,
             domain=domain,
             keeps_log=keeps_log,
@@ -154,17 +154,17 @@
 
     def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
         """Learn that an upstream lives, what it has to give, and whether it is leaving."""
-        self._registry.take_heartbeat(heartbeat, now)
+        self._registry.handle_heartbeat(heartbeat, now)
 
     def take_heard(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
         """Learn that another host has answered a heartbeat in which nothing was new."""
-        self._registry.take_heard(upstream, sequence, clock_ms, at)
+        self._registry.handle_reported_heartbeat(upstream, sequence, clock_ms, at)
 
     def take_leave(self, upstream: UpstreamId) -> None:
         """Send no more work to an upstream."""
-        self._registry.take_leave(upstream)
+        self._registry.handle_leave(upstream)
 
     def note_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
         """Learn whether an order would reach an upstream at once."""
@@ -177,7 +177,7 @@
         # What runs at an upstream out of sight ends when its lease does.
         is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
         of_deputies = submission.may_be_of_deputy
-        is_unsure = not is_new and self._reconciliation.is_unsure(of_deputies=of_deputies)
+        is_unsure = not is_new and self._reconciliation.may_miss_runs(of_deputies=of_deputies)
         self._jobs.rejections.pop(record.id, None)
         self._jobs.given_up.discard(record.id)
         phase = TaskPhase.UNKNOWN if is_unsure else TaskPhase.QUEUED
@@ -197,11 +197,13 @@
         for instance in self._instances.by_id.values():
             for run in [each for each in instance.runs.values() if each.task.job == record.id]:
                 self._adopter.adopt_orphaned_run(job, instance, run)
-                self._instances.touch(instance)
+                self._instances.mark_changed(instance)
 
     def is_given_up(self, id: JobId) -> bool:
         """Whether a task of a job is not to be started again, for upstreams that have crashed."""
-        return any(each.counts.is_given_up for each in self._jobs.crash_tracker.list_suspects(id))
+        return any(
+            each.counts.is_quarantined for each in self._jobs.crash_tracker.list_suspects(id)
+        )
 
     def join(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
@@ -213,7 +215,7 @@
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
             return
         job.may_be_of_deputy = job.may_be_of_deputy or submission.may_be_of_deputy
-        if not self._reconciliation.is_unsure(of_deputies=job.may_be_of_deputy):
+        if not self._reconciliation.may_miss_runs(of_deputies=job.may_be_of_deputy):
             return
         job.settle_at = max(job.settle_at, now + submission.settle_after)
         self._jobs.doubt(job)
@@ -249,7 +251,9 @@
             if job.gateway not in heard:
                 heard[job.gateway] = is_heard(job.gateway)
             if not heard[job.gateway] and now >= job.vouched_until:
-                self._term.note("gateway_silent", {"gateway": job.gateway, "job": job.record.id})
+                self._term.log_decision(
+                    "gateway_silent", {"gateway": job.gateway, "job": job.record.id}
+                )
                 self._give_up(job, now)
 
     def abandon_gateway(self, gateway: str, now: timedelta) -> None:
@@ -289,7 +293,7 @@
         """Start nothing more in a domain, or take its upstreams back."""
         runs = self._instances.apply_evacuation(command.domain, now)
         record = self._term.records.evacuations.get(command.domain)
-        self._term.note(
+        self._term.log_decision(
             "domain_evacuated" if record.is_evacuated else "domain_taken_back",
             {"domain": command.domain, "revision": record.revision, "runs": runs},
         )
@@ -298,10 +302,10 @@
 
     def _drop(self, upstream: UpstreamId) -> None:
         instance = self._instances.by_id.get(upstream)
-        self._instances.drop(upstream)
+        self._instances.remove(upstream)
         if instance is not None:
             # The log has counted its end, or it has left: its tasks wait for that no more.
-            self._jobs.release(self._jobs.crash_tracker.forget(instance))
+            self._jobs.release(self._jobs.crash_tracker.forget_instance(instance))
 
     def take_start_answer(
         self,
@@ -314,7 +318,7 @@
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
-        self._instances.touch(instance)
+        self._instances.mark_changed(instance)
         if clock_ms is not None:
             instance.record_clock(clock_ms, now)
         run = instance.runs.get((order.task, order.run))
@@ -325,7 +329,7 @@
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
-            instance.patience.take_answer(now - run.since)
+            instance.response_timeout.take_answer(now - run.since)
         if outcome is StartOutcome.STARTED:
             self._term.counts.started += 1
             instance.refusals = 0
@@ -338,10 +342,10 @@
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
             # A look under way tells sooner whether the upstream answers.
-            instance.avoid_until = now + order.patience
+            instance.avoid_until = now + order.response_timeout
             return
         self._term.counts.refused_starts += 1
-        self._term.note(
+        self._term.log_decision(
             "start_refused",
             {"upstream": instance.info.id, "job": order.task.job, "reason": outcome.value},
         )
@@ -364,7 +368,7 @@
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
-        self._instances.touch(instance)
+        self._instances.mark_changed(instance)
         if failure is CallFailure.FENCED:
             self._term.is_superseded = True
         if failure is CallFailure.INSTANCE_ENDED:
@@ -392,7 +396,7 @@
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
-        self._instances.touch(instance)
+        self._instances.mark_changed(instance)
         if order.is_probe:
             instance.is_probe_pending = False
         else:
@@ -400,21 +404,21 @@
         if isinstance(reply, CallFailure):
             self._watcher.handle_failed_poll(instance, reply, now)
             return
-        instance.failed_looks = 0
+        instance.failed_polls = 0
         instance.contact_at = now
         instance.poll_due = now
         instance.confirmed_through = max(instance.confirmed_through, order.last_seen)
         instance.record_clock(reply.clock_ms, now)
         if not instance.is_fenced:
             instance.is_fenced = True
-            self._term.note("upstream_adopted", {"upstream": instance.info.id})
+            self._term.log_decision("upstream_adopted", {"upstream": instance.info.id})
         self._instances.unseen.discard(instance.info.id)
         self._jobs.release(self._jobs.crash_tracker.record_answer(instance))
         self._watcher.request_uncordon(instance)
         self._ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
             # Overtaken by a later answer on another connection: what it lists may have ended.
-            self._term.note(
+            self._term.log_decision(
                 "list_overtaken",
                 {
                     "upstream": instance.info.id,
@@ -436,7 +440,7 @@
         """Do everything that is due and fill free room; take orders and proposals afterwards."""
         is_sweep = now >= self._sweep_due
         self._jobs.open_due(self._reconciliation.initial_phase, now)
-        self._reconciliation.settle(now)
+        self._reconciliation.reconcile(now)
         due = self._take_due(now)
         instances = list(self._instances.by_id.values()) if is_sweep else due
         for instance in instances:
@@ -446,7 +450,7 @@
             self._filler.fill(now, None if is_sweep else instances)
         changed = (*instances, *self._instances.pop_changed())
         for id, instance in {each.info.id: each for each in changed}.items():
-            self._watcher.look(instance, now)
+            self._watcher.poll(instance, now)
             if self._watcher.is_calm(instance, now) and (self._wakes.has(id) or not instance.runs):
                 # Nothing is due before its lease ends, and that moment only moves away.
                 continue
@@ -459,7 +463,7 @@
         for id in self._wakes.take_due(now):
             instance = self._instances.by_id.get(id)
             if instance is not None:
-                self._instances.touch(instance)
+                self._instances.mark_changed(instance)
         return self._instances.pop_changed()
 
     def _sweep(self, now: timedelta) -> None:
--- a/cottonlug/core/cluster/filler.py
+++ b/cottonlug/core/cluster/filler.py
@@ -109,7 +109,9 @@
         hopeless = self._jobs.backlog.list_tier(Tier.HOPELESS)
         if not hopeless:
             return
-        wait = estimate_wait(self._jobs.backlog.measure_work(), self._instances.measure_room(now))
+        wait = estimate_wait(
+            self._jobs.backlog.measure_work(), self._instances.measure_usable_cores(now)
+        )
         for batch in hopeless:
             job = self._jobs.jobs.get(batch.job.id)
             if job is None or not batch.job.spec.best_effort:
@@ -125,7 +127,7 @@
         """Return why a job is not taken at the moment that has waited elsewhere, or None."""
         if spec.is_timed or spec.long_running:
             return None
-        if self._instances.is_evacuated(queue.service):
+        if self._instances.is_service_evacuated(queue.service):
             self._term.counts.evacuated_rejections += 1
             return Rejection(reason=EVACUATED, retry_after=EVACUATED_RETRY)
         objective = self._jobs.forecast.find_objective(queue, spec.steps)
@@ -135,7 +137,7 @@
         if not work_ms and waited <= objective * LATE_FACTOR:
             # Nothing goes before it, whatever room there is.
             return None
-        room = self._instances.measure_room(now)
+        room = self._instances.measure_usable_cores(now)
         if room <= 0.0:
             return None
         wait = estimate_wait(work_ms, room)
@@ -152,7 +154,7 @@
                 continue
             service = self._find_service(job.record)
             if service not in evacuated:
-                evacuated[service] = self._instances.is_evacuated(service)
+                evacuated[service] = self._instances.is_service_evacuated(service)
             if evacuated[service]:
                 self._term.counts.evacuated_rejections += 1
                 self._jobs.reject(job, EVACUATED, EVACUATED_RETRY, now)
@@ -217,12 +219,12 @@
         run.is_exclusive = batch.care is not StartRestriction.NONE
         instance.add_run(run)
         self._rooms.update(instance, now)
-        self._instances.touch(instance)
+        self._instances.mark_changed(instance)
         instance.poll_due = min(instance.poll_due, now)
         self._term.counts.starts += 1
         # A first start is routine; one beside which another run may be at work is always told.
         is_again = last_run > 0 or job.settle_at > timedelta()
-        self._term.note(
+        self._term.log_decision(
             "run_started_again" if is_again else "run_started",
             {
                 "job": ref.job,
@@ -241,7 +243,7 @@
             payload=batch.job.spec.payload,
             checkpoint=known.checkpoint,
             expires_ms=expires_ms,
-            patience=instance.patience.find_limit(),
+            response_timeout=instance.response_timeout.find_limit(),
         )
         self._term.orders.append(order)
 
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -56,7 +56,7 @@
 
     info: UpstreamInfo
     terms: LeaseTerms
-    noted: int
+    recorded_through: int
     """Number of the last run end that the replicated state has recorded."""
     number: int = 0
     """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
@@ -73,7 +73,7 @@
     """Whether another host sends its orders in this term."""
     is_fenced: bool = False
     """Whether it has answered a poll of this leader's term, so that its runs are known."""
-    proposed: int = 0
+    proposed_through: int = 0
     """Number of the last run end that was proposed to the log."""
     confirmed_through: int = 0
     """Number of the last run end whose recording was confirmed to the upstream."""
@@ -89,7 +89,7 @@
     """Starts refused for lack of capacity since the last successful start or capacity report."""
     heard_at: timedelta | None = None
     contact_at: timedelta | None = None
-    failed_looks: int = 0
+    failed_polls: int = 0
     is_poll_pending: bool = False
     is_probe_pending: bool = False
     listed_ms: int = -1
@@ -112,7 +112,7 @@
     """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
     lapse_at: timedelta = timedelta()
     """From then on nothing can run there unless a lease is renewed."""
-    patience: Patience = field(default_factory=Patience)
+    response_timeout: Patience = field(default_factory=Patience)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
     _used_memory: int = 0
@@ -220,7 +220,7 @@
             and not self.has_disputed
             and not self._exclusive
             and not self.is_over
-            and self.failed_looks == 0
+            and self.failed_polls == 0
             and now >= self.avoid_until
         )
 
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -37,7 +37,9 @@
         """The newest instance under each upstream's own id."""
         self._health: dict[UpstreamId, Health] = {}
         for record in term.records.upstreams.values():
-            instance = self.add(record.info, record.noted, record.draining, term.began_at)
+            instance = self.add(
+                record.info, record.recorded_through, record.draining, term.began_at
+            )
             instance.sequence = record.sequence
             instance.is_capacity_doubted = record.is_capacity_doubted
             instance.lost = record.lost
@@ -52,15 +54,17 @@
         """Return whether the term is so young that unknown runs may still find their jobs."""
         return now < self._term.began_at + ORPHAN_GRACE
 
-    def add(self, info: UpstreamInfo, noted: int, draining: bool, now: timedelta) -> Instance:
+    def add(
+        self, info: UpstreamInfo, recorded_through: int, draining: bool, now: timedelta
+    ) -> Instance:
         """Begin to track an instance, and poll an earlier one at its address or under its name."""
         self._added += 1
         instance = Instance(
             info=info,
             terms=self._term.lease,
-            noted=noted,
+            recorded_through=recorded_through,
             number=self._added,
-            proposed=noted,
+            proposed_through=recorded_through,
             draining=draining,
             is_evacuated=info.domain in self._term.records.evacuations.evacuated,
             is_managed_elsewhere=self._term.domain not in (None, info.domain),
@@ -68,7 +72,7 @@
             poll_due=now,
         )
         self.by_id[info.id] = instance
-        self.touch(instance)
+        self.mark_changed(instance)
         self._poll_earlier(self._by_address.get(info.address), instance, now)
         self._by_address[info.address] = info.id
         name = get_upstream_name(info.id)
@@ -85,7 +89,7 @@
             return
         found.poll_due = now
         found.must_poll = True
-        self.touch(found)
+        self.mark_changed(found)
 
     def find_later(self, id: UpstreamId) -> Instance | None:
         """Return the newest instance under the same name if it started after the given one."""
@@ -94,7 +98,7 @@
             self.by_id[newest] if newest is not None and is_earlier_instance(id, newest) else None
         )
 
-    def drop(self, upstream: UpstreamId) -> None:
+    def remove(self, upstream: UpstreamId) -> None:
         """Stop tracking an instance."""
         instance = self.by_id.pop(upstream, None)
         self._changed.pop(upstream, None)
@@ -105,7 +109,7 @@
         if self._newest.get(get_upstream_name(upstream)) == upstream:
             del self._newest[get_upstream_name(upstream)]
 
-    def touch(self, instance: Instance) -> None:
+    def mark_changed(self, instance: Instance) -> None:
         """Have an instance processed in the next round, because something about it changed."""
         self._changed[instance.info.id] = instance
 
@@ -142,11 +146,11 @@
                 # Tasks may take longer there until its next heartbeat reports otherwise.
                 instance.cold_until = now + self._term.reports.every
             instance.is_evacuated = is_evacuated
-            self.touch(instance)
+            self.mark_changed(instance)
         self._cached_usable_cores = None
         return sum(len(instance.runs) for instance in instances)
 
-    def is_evacuated(self, service: ServiceName) -> bool:
+    def is_service_evacuated(self, service: ServiceName) -> bool:
         """Return whether a service has upstreams and all of them are in evacuated domains.
 
         Upstreams that are leaving, over, or managed by another host do not count.
@@ -246,7 +250,7 @@
         reported_at = instance.reported_at
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
-    def measure_room(self, now: timedelta) -> float:
+    def measure_usable_cores(self, now: timedelta) -> float:
         """Return the usable cores; early in a term also those of upstreams not seen yet."""
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
@@ -275,7 +279,7 @@
         found = instance.runs.get((ref, run)) if instance is not None else None
         if instance is not None and found is not None:
             found.stop_requested = True
-            self.touch(instance)
+            self.mark_changed(instance)
 
 
 def _may_accept_work(instance: Instance) -> bool:
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -75,7 +75,7 @@
         self.jobs[record.id] = job
         if not record.spec.best_effort:
             self._kept.add(record.id)
-        self._term.note(
+        self._term.log_decision(
             "job_taken",
             {
                 "job": record.id,
@@ -218,11 +218,11 @@
         for ref in refs:
             counts = self.crash_tracker.get_counts(ref)
             job = self.jobs.get(ref.job)
-            if job is None or ref not in job.tasks or not counts.is_given_up:
+            if job is None or ref not in job.tasks or not counts.is_quarantined:
                 continue
             self.crash_tracker.quarantined[job.record.queue.key] += 1
             self._term.counts.crashing_tasks += 1
-            self._term.note(
+            self._term.log_decision(
                 "task_crashes_upstreams",
                 {
                     "job": ref.job,
@@ -311,7 +311,7 @@
             name = "job_late"
         else:
             name = "job_ended"
-        self._term.note(
+        self._term.log_decision(
             name,
             {
                 "job": id,
@@ -326,7 +326,9 @@
         """End a job of which nothing has run, and tell its caller when to come back."""
         self._term.counts.rejected_jobs += 1
         self.rejections[job.record.id] = Rejection(reason=reason, retry_after=wait)
-        self._term.note("job_rejected", {"job": job.record.id, "wait_ms": to_milliseconds(wait)})
+        self._term.log_decision(
+            "job_rejected", {"job": job.record.id, "wait_ms": to_milliseconds(wait)}
+        )
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -20,7 +20,7 @@
     payload: str
     checkpoint: str
     expires_ms: int
-    patience: timedelta = LONGEST
+    response_timeout: timedelta = LONGEST
     """How long its answer is waited for."""
 
 
@@ -31,7 +31,7 @@
     upstream: UpstreamInfo
     task: TaskRef
     run: RunNumber
-    patience: timedelta = LONGEST
+    response_timeout: timedelta = LONGEST
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -50,7 +50,7 @@
     """Time until a run there is expected to end; zero if one should have ended already."""
     is_probe: bool = False
     """Whether it is sent beside a long poll, to learn at once what became of a run."""
-    patience: timedelta = LONGEST
+    response_timeout: timedelta = LONGEST
     """How long its answer is waited for, beyond `wait`."""
 
 
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -26,7 +26,7 @@
         """The phase of a task that comes up now and that an earlier leader may have started."""
         return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
 
-    def is_unsure(self, *, of_deputies: bool) -> bool:
+    def may_miss_runs(self, *, of_deputies: bool) -> bool:
         """Return whether a run of another leader may be active at an upstream not seen yet.
 
         With `of_deputies`, runs of acting leaders count as well.
@@ -37,20 +37,20 @@
         """Check again whether tasks are unknown."""
         self._jobs.has_unsure = True
 
-    def settle(self, now: timedelta) -> None:
+    def reconcile(self, now: timedelta) -> None:
         """Queue what an earlier leader left open, once no unknown run of it can be active."""
         if not self.is_reconciled and (
             not self._instances.unseen or now >= self._term.earlier_leases_lapsed_at
         ):
             self.is_reconciled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
-            self._term.note(
+            self._term.log_decision(
                 "term_settled", {"term": self._term.number, "unseen": len(self._instances.unseen)}
             )
         if not self._jobs.has_unsure:
             return
         self._jobs.has_unsure = False
-        is_unsure = {each: self.is_unsure(of_deputies=each) for each in (False, True)}
+        is_unsure = {each: self.may_miss_runs(of_deputies=each) for each in (False, True)}
         for job in self._jobs.jobs.values():
             if now >= job.settle_at or not is_unsure[job.may_be_of_deputy]:
                 self._jobs.queue_unknown(job)
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -116,7 +116,7 @@
     """A known instance of an upstream, and the number of its last recorded run end."""
 
     info: UpstreamInfo
-    noted: int = 0
+    recorded_through: int = msgspec.field(name="noted", default=0)
     draining: bool = False
     is_cordoned: bool = False
     """Whether no leader has anything active there."""
@@ -211,7 +211,7 @@
             if data
             else RecordsSnapshot(configuration=None, jobs=(), upstreams=())
         )
-        self.put_in_force(saved.configuration)
+        self.activate_configuration(saved.configuration)
         self.jobs = {job.id: job for job in saved.jobs}
         self.upstreams = {record.info.id: record for record in saved.upstreams}
         self.suspects = {suspect.task: suspect for suspect in saved.suspects}
@@ -238,7 +238,7 @@
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
 
-    def put_in_force(self, configuration: Configuration | None) -> None:
+    def activate_configuration(self, configuration: Configuration | None) -> None:
         """Use a configuration from now on."""
         self.configuration = configuration
         self.queues = None if configuration is None else QueueIndex(configuration=configuration)
@@ -260,13 +260,13 @@
 
     def _record_run_ends(self, command: RecordRunEnds) -> None:
         upstream = self.upstreams.get(command.upstream)
-        noted = upstream.noted if upstream is not None else 0
+        noted = upstream.recorded_through if upstream is not None else 0
         for end in command.ends:
             job = self.jobs.get(end.task.job)
             if end.number > noted and job is not None:
-                note_end(job, end, command.at_ms)
+                record_run_end(job, end, command.at_ms)
         if upstream is not None:
-            upstream.noted = max(noted, command.through)
+            upstream.recorded_through = max(noted, command.through)
 
     def _set_cordoned(self, upstream: UpstreamId, is_cordoned: bool) -> None:
         record = self.upstreams.get(upstream)
@@ -303,7 +303,7 @@
         job = self.jobs.get(task.job)
         if job is None or not job.is_open or job.get_task(task).is_done:
             return
-        if counts.is_given_up:
+        if counts.is_quarantined:
             end_job(job, JobState.FAILED, at_ms)
 
     def _is_open(self, id: JobId) -> bool:
@@ -320,10 +320,10 @@
     def _configure(self, command: SetConfiguration) -> None:
         current = self.configuration
         if current is None or command.configuration.version > current.version:
-            self.put_in_force(command.configuration)
+            self.activate_configuration(command.configuration)
 
 
-def note_end(job: JobRecord, end: EndReport, at_ms: int) -> None:
+def record_run_end(job: JobRecord, end: EndReport, at_ms: int) -> None:
     """Record the end of one run in the record of its job."""
     if not job.is_open:
         return
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -21,7 +21,7 @@
         self._joining: dict[UpstreamId, Heartbeat] = {}
         """The newest heartbeat of each upstream that is not yet registered in the log."""
 
-    def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record that an upstream is alive, what its capacity is, and whether it is leaving."""
         instance = self._instances.by_id.get(heartbeat.info.id)
         later = self._instances.find_later(heartbeat.info.id) if instance is None else None
@@ -41,19 +41,19 @@
         if heartbeat.sequence < instance.sequence:
             self._log_overtaken(instance, heartbeat)
             return
-        self._instances.touch(instance)
+        self._instances.mark_changed(instance)
         self._record_capacity(instance, heartbeat, now)
         instance.heard_at = now
         instance.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
         if heartbeat.clock_ms is not None:
             instance.record_clock(heartbeat.clock_ms, now)
         if heartbeat.draining:
-            self.take_leave(instance.info.id)
+            self.handle_leave(instance.info.id)
         if not instance.is_fenced and not instance.is_poll_pending:
             instance.poll_due = now
 
     def _log_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
-        self._term.note(
+        self._term.log_decision(
             "heartbeat_overtaken",
             {
                 "upstream": heartbeat.info.id,
@@ -64,7 +64,7 @@
             },
         )
 
-    def take_heard(
+    def handle_reported_heartbeat(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
         """Record that another host has answered a heartbeat that contained nothing new."""
@@ -77,19 +77,19 @@
             instance.record_clock(clock_ms, at)
         if not instance.is_fenced and not instance.is_poll_pending:
             instance.poll_due = min(instance.poll_due, at)
-            self._instances.touch(instance)
+            self._instances.mark_changed(instance)
 
     def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
         if heartbeat.has_no_capacity and not instance.is_unreadable:
-            self._term.note("capacity_unreadable", {"upstream": instance.info.id})
+            self._term.log_decision("capacity_unreadable", {"upstream": instance.info.id})
         instance.is_unreadable = heartbeat.has_no_capacity
         before, capacity = instance.info.capacity, heartbeat.info.capacity
         sent_at = now - instance.find_age(heartbeat.clock_ms, now)
         if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
             return
         self._term.counts.resized_upstreams += 1
-        self._term.note(
+        self._term.log_decision(
             "upstream_resized",
             {
                 "upstream": instance.info.id,
@@ -106,13 +106,13 @@
         )
         self._term.proposals.append(resize)
 
-    def take_leave(self, upstream: UpstreamId) -> None:
+    def handle_leave(self, upstream: UpstreamId) -> None:
         """Send no more work to an upstream."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None and not instance.draining:
             instance.draining = True
             self._term.proposals.append(SetDraining(upstream=upstream))
-            self._term.note("upstream_leaving", {"upstream": upstream})
+            self._term.log_decision("upstream_leaving", {"upstream": upstream})
 
     def handle_added_upstream(self, command: AddUpstream, now: timedelta) -> None:
         """Begin to track an upstream that the log has just registered."""
@@ -122,7 +122,7 @@
             instance.sequence = command.sequence
         if joining is not None:
             # It may have reported something new while the log was registering it.
-            self.take_heartbeat(joining, now)
+            self.handle_heartbeat(joining, now)
 
     def doubt_capacities(self, now: timedelta) -> None:
         """Propose to mark upstreams that do not check their own capacity and missed a heartbeat.
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -13,7 +13,7 @@
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
-from .records import JobRecord, note_end
+from .records import JobRecord, record_run_end
 from .reconciliation import Reconciliation
 from .term import Term
 
@@ -40,11 +40,15 @@
         self, instance: Instance, ended: tuple[EndReport, ...], now: timedelta
     ) -> None:
         """Record ends that an upstream has listed: here, or through the log for durable jobs."""
-        new = tuple(end for end in ended if end.number > max(instance.proposed, instance.noted))
+        new = tuple(
+            end
+            for end in ended
+            if end.number > max(instance.proposed_through, instance.recorded_through)
+        )
         if not new:
             return
-        awaits_record = instance.proposed > instance.noted
-        instance.proposed = new[-1].number
+        awaits_record = instance.proposed_through > instance.recorded_through
+        instance.proposed_through = new[-1].number
         self._term.counts.ends += len(new)
         self._jobs.tempo.take_ends(len(new), now)
         kept: list[EndReport] = []
@@ -59,11 +63,11 @@
             else:
                 self._record_locally(end, instance.info.id, now)
         if not kept and not awaits_record:
-            instance.noted = max(instance.noted, instance.proposed)
+            instance.recorded_through = max(instance.recorded_through, instance.proposed_through)
             return
         command = RecordRunEnds(
             upstream=instance.info.id,
-            through=instance.proposed,
+            through=instance.proposed_through,
             ends=tuple(kept),
             at_ms=self._term.wall_ms(),
         )
@@ -73,16 +77,16 @@
         """Act on ends that the log has committed."""
         instance = self._instances.by_id.get(command.upstream)
         if instance is not None:
-            instance.noted = max(instance.noted, command.through)
+            instance.recorded_through = max(instance.recorded_through, command.through)
             instance.poll_due = now
-            self._instances.touch(instance)
+            self._instances.mark_changed(instance)
         for end in command.ends:
             self._apply_recorded_end(end, command.upstream, now)
 
     def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
         """Apply ends that were listed before their job was submitted again."""
         for end in self._orphaned.pop(record.id, []):
-            note_end(record, end, self._term.wall_ms())
+            record_run_end(record, end, self._term.wall_ms())
             self._apply_recorded_end(end, None, now)
 
     def forget_orphaned_ends(self, now: timedelta) -> None:
@@ -97,7 +101,7 @@
         """
         if end.how is EndKind.STOPPED and not run.stop_requested:
             self._term.is_superseded = True
-            self._term.note(
+            self._term.log_decision(
                 "run_stopped_elsewhere", {"upstream": instance.info.id, "job": end.task.job}
             )
 
@@ -111,7 +115,7 @@
         queue = job.record.queue.key
         taken = now - run.since
         expected = self._jobs.forecast.predict(queue, step)
-        self._term.note(
+        self._term.log_decision(
             "run_ended",
             {
                 "job": end.task.job,
@@ -129,15 +133,15 @@
             self._jobs.forecast.learn(queue, step, taken)
             job.learn_pace(end.task.step, instance.info.id, taken)
             if health.take_done(taken / expected, now):
-                self._term.note("upstream_slow", {"upstream": instance.info.id})
+                self._term.log_decision("upstream_slow", {"upstream": instance.info.id})
         elif end.how is EndKind.FAILED and health.take_failure(now):
-            self._term.note("upstream_failing", {"upstream": instance.info.id})
+            self._term.log_decision("upstream_failing", {"upstream": instance.info.id})
 
     def _record_locally(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
         """Record the end of a run of a best-effort job."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
-            note_end(job.record, end, self._term.wall_ms())
+            record_run_end(job.record, end, self._term.wall_ms())
             self._apply_recorded_end(end, upstream, now)
         elif self._instances.is_in_grace_period(now):
             self._orphaned.setdefault(end.task.job, []).append(end)
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -66,7 +66,7 @@
     records: Records
     lease: LeaseTerms
     wall_ms: WallTime
-    note: DecisionLog
+    log_decision: DecisionLog
     on_job_end: Callable[[JobId], None]
     domain: DomainName | None = None
     """The only failure domain whose upstreams this term may send orders to; None for all."""
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -64,7 +64,7 @@
         """Instances whose last poll failed, or that have answered since and are not yet removed
         here."""
 
-    def look(self, instance: Instance, now: timedelta) -> None:
+    def poll(self, instance: Instance, now: timedelta) -> None:
         """Poll an upstream if its lease or its run ends require it."""
         if instance.is_over or instance.is_managed_elsewhere:
             return
@@ -83,14 +83,14 @@
         if (
             instance.is_poll_pending
             or now < instance.poll_due
-            or instance.proposed > instance.noted
+            or instance.proposed_through > instance.recorded_through
         ):
             return
-        has_news = instance.noted > instance.confirmed_through
+        has_news = instance.recorded_through > instance.confirmed_through
         if instance.is_fenced and not instance.runs and not has_news and not instance.must_poll:
             return
         instance.must_poll = False
-        is_calm = instance.is_fenced and instance.failed_looks == 0 and not is_unsure
+        is_calm = instance.is_fenced and instance.failed_polls == 0 and not is_unsure
         wait = self._find_poll_wait(instance, now) if instance.runs and is_calm else timedelta()
         self._send_poll(instance, wait, now)
 
@@ -98,7 +98,7 @@
         """Return whether nothing at an upstream depends on the clock but its lease's end."""
         return (
             instance.is_fenced
-            and instance.failed_looks == 0
+            and instance.failed_polls == 0
             and now >= instance.avoid_until
             and not instance.has_orphaned_runs
             and not self._instances.get_health(instance).is_set_aside(now)
@@ -141,7 +141,7 @@
     def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
         # A poll that is not answered may still renew the lease, which then would not lapse for as
         # long as polls are repeated: the lease is extended only for upstreams that answer.
-        renews = bool(instance.runs) and instance.failed_looks == 0 and not instance.has_disputed
+        renews = bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed
         expires_ms = instance.grant_lease(now) if renews else None
         is_probe = instance.is_poll_pending
         if not is_probe and not instance.is_fenced:
@@ -151,13 +151,13 @@
         self._term.counts.looks += 1
         order = PollOrder(
             upstream=instance.info,
-            last_seen=instance.noted,
+            last_seen=instance.recorded_through,
             expires_ms=expires_ms,
             wait=wait,
             first_end=self._find_first_end(instance, now),
             is_probe=is_probe,
             # Other polls renew leases: these are abandoned only when an answer is certainly lost.
-            patience=instance.patience.find_limit() if is_probe else LONGEST,
+            response_timeout=instance.response_timeout.find_limit() if is_probe else LONGEST,
         )
         self._term.orders.append(order)
 
@@ -189,7 +189,7 @@
     def _is_straggler(self, instance: Instance) -> bool:
         """Return whether an instance is one of the last that have not answered this leader."""
         unseen = self._instances.unseen
-        if instance.info.id not in unseen or instance.failed_looks >= MAX_STRAGGLER_POLLS:
+        if instance.info.id not in unseen or instance.failed_polls >= MAX_STRAGGLER_POLLS:
             return False
         return len(unseen) <= MAX_STRAGGLERS_SHARE * len(self._instances.by_id)
 
@@ -208,10 +208,10 @@
         retry = (
             SILENT_POLL_EVERY
             if is_gone
-            else POLL_RETRY * min(instance.failed_looks, MAX_RETRY_STEPS)
+            else POLL_RETRY * min(instance.failed_polls, MAX_RETRY_STEPS)
         )
         instance.poll_due = now if self._is_straggler(instance) else now + retry
-        instance.failed_looks += 1
+        instance.failed_polls += 1
         self._jobs.crash_tracker.record_no_answer(instance, now)
         self._unreachable[instance.info.id] = instance
         for run in instance.runs.values():
@@ -234,12 +234,12 @@
                     upstream=instance.info,
                     task=run.task,
                     run=run.run,
-                    patience=instance.patience.find_limit(),
+                    response_timeout=instance.response_timeout.find_limit(),
                 )
                 self._term.orders.append(order)
 
     def _log_unclaimed(self, instance: Instance, run: Run, now: timedelta) -> None:
-        self._term.note(
+        self._term.log_decision(
             "run_unclaimed",
             {
                 "upstream": instance.info.id,
@@ -281,7 +281,7 @@
             task.moves += 1
             self._term.counts.moved_runs += 1
             run.stop_requested = True
-            self._term.note(
+            self._term.log_decision(
                 "run_stalled",
                 {
                     "upstream": instance.info.id,
@@ -302,7 +302,7 @@
         if not instance.runs or now < instance.lapse_at:
             return
         # A run cannot outlive the lease, whatever the last polls reported.
-        self._term.note(
+        self._term.log_decision(
             "lease_lapsed",
             {
                 "upstream": instance.info.id,
@@ -310,7 +310,7 @@
                 "asked_ms_ago": to_milliseconds(
                     now - instance.lapse_at + instance.terms.lapse_after
                 ),
-                "failed_looks": instance.failed_looks,
+                "failed_looks": instance.failed_polls,
                 "disputed": int(instance.has_disputed),
             },
         )
@@ -330,13 +330,15 @@
             return
         instance.is_over = True
         self._instances.unseen.discard(instance.info.id)
-        self._term.note("upstream_gone", {"upstream": instance.info.id, "runs": len(instance.runs)})
+        self._term.log_decision(
+            "upstream_gone", {"upstream": instance.info.id, "runs": len(instance.runs)}
+        )
         runs = (
             *(run.task.job for run in instance.runs.values()),
             *(task.job for task in instance.lost.tasks),
         )
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
-        self._jobs.crash_tracker.note_end(instance, queues, now)
+        self._jobs.crash_tracker.record_instance_end(instance, queues, now)
         # Until the log has counted the end, the tasks that ran there may have caused a crash.
         self._jobs.crash_tracker.record_lapse(instance, now)
         self._abandon_runs(instance)
@@ -353,7 +355,7 @@
         self._unreachable = {
             id: instance
             for id, instance in self._unreachable.items()
-            if instance.failed_looks and id in self._instances.by_id
+            if instance.failed_polls and id in self._instances.by_id
         }
         idle = [
             instance
@@ -364,7 +366,7 @@
             return
         for instance in idle:
             instance.is_cordoned = True
-            self._term.note("upstream_cordoned", {"upstream": instance.info.id})
+            self._term.log_decision("upstream_cordoned", {"upstream": instance.info.id})
         cordoned = tuple(instance.info.id for instance in idle)
         lost = tuple(
             LostRuns(upstream=instance.info.id, at_work=instance.lost)
@@ -374,7 +376,7 @@
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
-        is_out_of_sight = not instance.is_fenced and instance.failed_looks >= POLLS_BEFORE_CORDON
+        is_out_of_sight = not instance.is_fenced and instance.failed_polls >= POLLS_BEFORE_CORDON
         is_lapsed = not instance.runs and now >= max(
             instance.lapse_at, self._term.earlier_leases_lapsed_at
         )
@@ -391,8 +393,8 @@
         instance = self._instances.by_id.get(upstream)
         if instance is not None:
             instance.is_cordoned = instance.is_uncordoning = False
-            self._instances.touch(instance)
-            self._term.note("upstream_uncordoned", {"upstream": upstream})
+            self._instances.mark_changed(instance)
+            self._term.log_decision("upstream_uncordoned", {"upstream": upstream})
 
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
         """Forget instances that have been silent while nothing ran there.
@@ -412,7 +414,7 @@
                 self._cordon_silent(instance)
                 continue
             instance.is_over = True
-            self._term.note("upstream_silent", {"upstream": instance.info.id})
+            self._term.log_decision("upstream_silent", {"upstream": instance.info.id})
             if instance.lost != NO_ACTIVE_TASKS:
                 self._jobs.crash_tracker.record_removal(instance)
             else:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -81,7 +81,7 @@
         }
         if order.checkpoint:
             body["checkpoint"] = order.checkpoint
-        sent = await self._call(order.upstream, START, body, order.patience)
+        sent = await self._call(order.upstream, START, body, order.response_timeout)
         if isinstance(sent, Err):
             return _find_lost_start(sent.failure()), None
         reply = sent.unwrap()
@@ -92,7 +92,7 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop."""
         body = {"task": name_task(order.task), "run_id": order.run, "fencing_token": token}
-        sent = await self._call(order.upstream, STOP, body, order.patience)
+        sent = await self._call(order.upstream, STOP, body, order.response_timeout)
         if isinstance(sent, Err):
             return _find_lost_call(sent.failure())
         return _find_failure(sent.unwrap())
@@ -105,7 +105,7 @@
         wait_ms = to_milliseconds(order.wait)
         if wait_ms:
             body["wait_ms"] = wait_ms
-        sent = await self._call(order.upstream, LOOK, body, order.patience + order.wait)
+        sent = await self._call(order.upstream, LOOK, body, order.response_timeout + order.wait)
         if isinstance(sent, Err):
             return _find_lost_call(sent.failure())
         failure = _find_failure(sent.unwrap())
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -49,7 +49,7 @@
                 "capacity": instance.info.capacity,
                 "reported_at_s": _read_seconds(instance.reported_at),
                 "refusals": instance.refusals,
-                "failed_looks": instance.failed_looks,
+                "failed_looks": instance.failed_polls,
             }
             for instance in dispatch.instances.values()
         ],
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -92,7 +92,7 @@
         """The failure domain that it stands in for; None for all."""
         replicated = ReplicatedRecords()
         records = replicated.records
-        records.put_in_force(roster.configuration)
+        records.activate_configuration(roster.configuration)
         records.upstreams = {record.info.id: record for record in roster.upstreams}
         records.suspects = {suspect.task: suspect for suspect in roster.suspects}
         records.evacuations = Evacuations(roster.evacuations)
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -144,7 +144,7 @@
             terms=settings.terms,
             now=clock.monotonic(),
             wall_ms=self._read_wall,
-            note=note_decision,
+            log_decision=note_decision,
             on_job_end=self._take_end,
             domain=settings.domain,
             keeps_log=settings.keeps_log,
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -113,7 +113,7 @@
             if call.at is self:
                 call.at, call.has_arrived = None, False
             return
-        if not self.is_deputy and call.deputy_term * TOKENS_PER_TERM >= self.token:
+        if not self.is_acting and call.deputy_term * TOKENS_PER_TERM >= self.token:
             # A deputy's token is higher: only a leader of a later term may go on.
             self.site.lead_from(self.home)
             return
@@ -228,7 +228,7 @@
     def _lose(self, call: ModelCall) -> None:
         if call.at is not None:
             call.may_have_begun = True
-            if call.at.is_deputy:
+            if call.at.is_acting:
                 call.may_be_of_deputy = True
                 call.deputy_term = max(call.deputy_term, call.at.token // TOKENS_PER_TERM)
         call.at, call.has_arrived = None, False
@@ -335,7 +335,7 @@
         self.leader = self._start(home, self.records, self.term * TOKENS_PER_TERM)
         for upstream in self.upstreams.values():
             if upstream.is_up and self.can_reach(home, upstream.info.domain):
-                self.leader.beat(upstream, sequence=self.term)
+                self.leader.deliver_heartbeat(upstream, sequence=self.term)
 
     def lose_leader(self) -> None:
         if self.leader is not None:
@@ -415,7 +415,7 @@
             site=self,
             home=home,
             domain=domain,
-            is_deputy=domain is not None,
+            is_acting=domain is not None,
             decided_at=self.world.now,
         )
 
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -70,10 +70,10 @@
     )
 
 
-def build_spec(*, tasks: int = 4, run_ms: int = 60, kept: bool = False) -> JobSpec:
+def build_spec(*, tasks: int = 4, run_ms: int = 60, durable: bool = False) -> JobSpec:
     """Return a job of one step."""
     step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU), estimate_ms=run_ms)
-    return JobSpec(payload="payload", steps=(step,), best_effort=not kept)
+    return JobSpec(payload="payload", steps=(step,), best_effort=not durable)
 
 
 def build_info(name: str, cpu: int = 16_000, domain: str = "domain") -> UpstreamInfo:
@@ -116,7 +116,7 @@
     """Jobs whose tasks are begun again however they end."""
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
     """Every start, and when it was."""
-    kept: set[JobId] = field(default_factory=set)
+    durable_jobs: set[JobId] = field(default_factory=set)
     poison: set[TaskRef] = field(default_factory=set)
     """Tasks that crash each upstream that starts them."""
     crashes: dict[TaskRef, int] = field(default_factory=dict)
@@ -160,7 +160,7 @@
     is_up: bool = True
     is_replaced: bool = False
     """Whether, after a crash, a later life answers at its address."""
-    guards: bool = True
+    rejects_overload: bool = True
     """Whether it refuses what does not fit; else a start over its capacity stops the test."""
     earlier_sizes: list[tuple[timedelta, int]] = field(default_factory=list)
     """Capacities that it had, in core-thousandths, each with the moment until which it did."""
@@ -195,7 +195,7 @@
         if order.expires_ms <= self.clock_ms():
             return StartOutcome.LATE
         wanted = needs.cpu_millis + sum(run.needs.cpu_millis for run in self.runs.values())
-        is_over = self.guards and wanted > self.info.capacity.cpu_millis
+        is_over = self.rejects_overload and wanted > self.info.capacity.cpu_millis
         if present is not None or is_over:
             self._extend(order.expires_ms)
             return StartOutcome.NO_ROOM
@@ -238,7 +238,7 @@
             self._end(run, EndKind.STOPPED)
         return None
 
-    def hold(self, order: PollOrder, token: int) -> CallFailure | None:
+    def accept_poll(self, order: PollOrder, token: int) -> CallFailure | None:
         """Take in a look; the reply is made by `report`."""
         self._advance()
         if token < self.token:
@@ -252,7 +252,7 @@
             self._extend(order.expires_ms)
         return None
 
-    def report(self) -> LookReply:
+    def build_reply(self) -> LookReply:
         """Return both lists."""
         self._advance()
         return LookReply(
@@ -280,10 +280,10 @@
         assert (
             ref not in world.running
         ), f"{ref} runs at {world.running.get(ref)} and {self.info.id}"
-        if ref.job in world.kept - world.long_running_jobs:
+        if ref.job in world.durable_jobs - world.long_running_jobs:
             assert ref not in world.recorded_done, f"{ref} starts again after its end was noted"
         is_in_touch = world.now >= world.connected_from
-        if ref.job in world.kept and world.crashes.get(ref, 0) >= 3 and is_in_touch:
+        if ref.job in world.durable_jobs and world.crashes.get(ref, 0) >= 3 and is_in_touch:
             world.starts_after_three[ref] = world.starts_after_three.get(ref, 0) + 1
             assert world.starts_after_three[ref] < 3, f"{ref} is started after three crashes"
         world.running[ref] = self.info.id
@@ -355,7 +355,7 @@
     is_over: bool = False
     cut_off: set[UpstreamId] = field(default_factory=set)
     domain: DomainName | None = None
-    is_deputy: bool = False
+    is_acting: bool = False
     terms: LeaseTerms = TERMS
     known_until: timedelta = timedelta.max
     """Until then the capacities in the record count without a heartbeat to this leader."""
@@ -372,10 +372,10 @@
             terms=self.terms,
             now=self.world.now,
             wall_ms=lambda: int(self.world.now / milliseconds(1)),
-            note=lambda name, fields: None,
+            log_decision=lambda name, fields: None,
             on_job_end=self._note_end,
             domain=self.domain,
-            keeps_log=not self.is_deputy,
+            keeps_log=not self.is_acting,
             known_until=self.known_until,
         )
         self._tick_forever()
@@ -400,7 +400,7 @@
         if spec.long_running:
             self.world.long_running_jobs.add(job)
         if not spec.best_effort:
-            self.world.kept.add(job)
+            self.world.durable_jobs.add(job)
             self._commit(AcceptJob(job=job, queue=queue, spec=spec, at_ms=0))
             return
         if self.dispatch.jobs.is_open(job):
@@ -416,7 +416,9 @@
         self.dispatch.submit(record, submission, self.world.now)
         self.act()
 
-    def beat(self, upstream: ModelUpstream, sequence: int, *, draining: bool = False) -> None:
+    def deliver_heartbeat(
+        self, upstream: ModelUpstream, sequence: int, *, draining: bool = False
+    ) -> None:
         """Deliver a heartbeat."""
         heartbeat = Heartbeat(info=upstream.info, sequence=sequence, draining=draining)
         self.dispatch.take_heartbeat(heartbeat, self.world.now)
@@ -448,10 +450,12 @@
         world = self.world
         upstream = self.upstreams[order.upstream.id]
         sent_at = world.now
-        if isinstance(order, PollOrder) and world.kept:
-            noted = self.records.upstreams[order.upstream.id].noted
+        if isinstance(order, PollOrder) and world.durable_jobs:
+            noted = self.records.upstreams[order.upstream.id].recorded_through
             for end in upstream.ended:
-                is_early = noted < end.number <= order.last_seen and end.task.job in world.kept
+                is_early = (
+                    noted < end.number <= order.last_seen and end.task.job in world.durable_jobs
+                )
                 assert not is_early, "an end is confirmed before it is in the record"
         wait = order.wait if isinstance(order, PollOrder) else timedelta()
         answered = [False]
@@ -463,7 +467,7 @@
             self._take_answer(order, value, sent_at, upstream)
             self.act()
 
-        world.at(order.patience + wait, lambda: answer(None))
+        world.at(order.response_timeout + wait, lambda: answer(None))
         if order.upstream.id in self.cut_off:
             return
         fate = world.random.random()
@@ -500,11 +504,11 @@
         elif isinstance(order, StopOrder):
             reply(upstream.stop(order, self.token) or "stopped")
         else:
-            failure = upstream.hold(order, self.token)
+            failure = upstream.accept_poll(order, self.token)
             if failure is not None:
                 reply(failure)
             elif upstream.ended or not order.wait:
-                reply(upstream.report())
+                reply(upstream.build_reply())
             else:
                 self._park(upstream, order.wait, reply)
 
@@ -516,7 +520,7 @@
         def wake() -> None:
             if not is_done[0] and upstream.is_up:
                 is_done[0] = True
-                reply(upstream.report())
+                reply(upstream.build_reply())
 
         upstream.parked.append(wake)
         self.world.at(wait, wake)
@@ -549,6 +553,6 @@
     }
     leader = Leader(world=world, upstreams=upstreams, records=Records(), token=1_000_000)
     for upstream in upstreams.values():
-        leader.beat(upstream, 1)
+        leader.deliver_heartbeat(upstream, 1)
     world.run_until(milliseconds(100))
     return leader
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -60,7 +60,7 @@
             info=info,
             rate=world.random.uniform(0.98, 1.0),
             run_times=lambda job: milliseconds(run_ms),
-            guards=guards,
+            rejects_overload=guards,
         )
     records = Records()
     configuration = Configuration(
@@ -279,7 +279,7 @@
         """Send a heartbeat, or the next one in its place where it is lost."""
         leader = leaders[-1]
         is_lost = world.now < lost_until[0] or leader.is_over or chance.random() < 0.2
-        if is_lost or leader.is_deputy:
+        if is_lost or leader.is_acting:
             world.at(milliseconds(300), lambda: tell(upstream))
             return
         beat(leader, upstream)
@@ -295,7 +295,7 @@
         last = leaders[-1]
         last.is_over = True
         gap = milliseconds(chance.uniform(400, 700))
-        if not last.is_deputy:
+        if not last.is_acting:
             led_at[0] = world.now
 
         def begin() -> None:
@@ -308,7 +308,7 @@
                     upstreams=upstreams,
                     records=known if is_deputy else records,
                     token=term * TOKENS_PER_TERM,
-                    is_deputy=is_deputy,
+                    is_acting=is_deputy,
                     known_until=USUAL_REPORTS.find_known_until(led_at[0]),
                 )
             )
@@ -364,7 +364,7 @@
     world, upstreams, records = build_site(11, count=1)
     leader = lead(world, upstreams, records)
     notes: list[str] = []
-    leader.dispatch._term.note = lambda name, fields: notes.append(name)
+    leader.dispatch._term.log_decision = lambda name, fields: notes.append(name)
     beat(leader, upstreams[FIRST])
     run_for(world, 50)
     upstreams[FIRST].resize(0)
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -81,7 +81,7 @@
 def build_leading(clock: ManualClock) -> Leading:
     """Return a leader of one upstream."""
     replicated = ReplicatedRecords()
-    replicated.records.put_in_force(build_roster().configuration)
+    replicated.records.activate_configuration(build_roster().configuration)
     info = build_info("u1")
     replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     settings = LeadingSettings(
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -69,7 +69,7 @@
     upstream = leader.upstreams[GONE]
     upstream.is_up = True
     leader.commits = lambda command: not isinstance(command, UncordonUpstream)
-    leader.beat(upstream, 50)
+    leader.deliver_heartbeat(upstream, 50)
     leader.world.run_until(leader.world.now + timedelta(seconds=2))
     leader.submit(JOB, build_spec(tasks=8), build_queue())
     leader.world.run_until(leader.world.now + milliseconds(100))
@@ -137,11 +137,11 @@
                 leader.submit(job, spec, queue, may_have_begun=True)
         for upstream in upstreams.values():
             if upstream.info.id not in leader.cut_off:
-                leader.beat(upstream, sequence=1_000 + step)
+                leader.deliver_heartbeat(upstream, sequence=1_000 + step)
     leader = replace_leader(leader)
     world.late_share = 0.0
     for upstream in upstreams.values():
-        leader.beat(upstream, sequence=10_000)
+        leader.deliver_heartbeat(upstream, sequence=10_000)
     for job in jobs:
         leader.submit(job, spec, queue, may_have_begun=True)
     world.run_until(world.now + timedelta(seconds=40))
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -109,17 +109,17 @@
         )
         self.leaders.append(leader)
 
-    def submit(self, *, kept: bool, tasks: int = 1, poison: int = 0, run_ms: int = 60) -> JobId:
+    def submit(self, *, durable: bool, tasks: int = 1, poison: int = 0, run_ms: int = 60) -> JobId:
         """Submit a job of which some tasks crash upstreams."""
         id = JobId(f"{next(self.jobs):016x}")
         self.world.poison |= {TaskRef(id, 0, 0, place) for place in range(poison)}
-        self.leader.submit(id, build_spec(tasks=tasks, run_ms=run_ms, kept=kept), PATIENT)
+        self.leader.submit(id, build_spec(tasks=tasks, run_ms=run_ms, durable=durable), PATIENT)
         return id
 
     def find_state(self, job: JobId) -> JobState | None:
-        kept = self.records.jobs.get(job)
-        if kept is not None:
-            return kept.state
+        durable = self.records.jobs.get(job)
+        if durable is not None:
+            return durable.state
         # How a job ended that need not be kept is forgotten after some seconds, but for this.
         return JobState.FAILED if self.leader.dispatch.is_given_up(job) else None
 
@@ -145,11 +145,11 @@
     return site
 
 
-@pytest.mark.parametrize("kept", [True, False])
-def test_a_task_that_crashes_upstreams_is_given_up_at_the_second(kept: bool) -> None:
+@pytest.mark.parametrize("durable", [True, False])
+def test_a_task_that_crashes_upstreams_is_given_up_at_the_second(durable: bool) -> None:
     """Failed before: it was started again and again, and took an upstream with it each time."""
     site = build_site(1)
-    job = site.submit(kept=kept, tasks=3, poison=1)
+    job = site.submit(durable=durable, tasks=3, poison=1)
     site.run_for(20)
     assert site.find_state(job) is JobState.FAILED
     assert site.count_crashes(job) == 2
@@ -158,10 +158,10 @@
 
 def test_a_suspect_is_tried_again_alone() -> None:
     site = build_site(2, racks=1, run_ms=300)
-    suspect = site.submit(kept=True, poison=1)
+    suspect = site.submit(durable=True, poison=1)
     site.run_for(0.2)
     for _ in range(30):
-        site.submit(kept=False, run_ms=300)
+        site.submit(durable=False, run_ms=300)
     for _ in range(150):
         site.run_for(0.02)
         where = [each for each in site.upstreams.values() if each.is_up]
@@ -175,9 +175,9 @@
 def test_neighbours_of_a_suspect_are_done() -> None:
     """What ran beside it is tried again alone, too, and has no second crash."""
     site = build_site(3, racks=1, run_ms=400)
-    sound = [site.submit(kept=True, run_ms=400) for _ in range(4)]
-    poisoned = site.submit(kept=True, poison=1)
-    sound += [site.submit(kept=True, run_ms=400) for _ in range(3)]
+    sound = [site.submit(durable=True, run_ms=400) for _ in range(4)]
+    poisoned = site.submit(durable=True, poison=1)
+    sound += [site.submit(durable=True, run_ms=400) for _ in range(3)]
     site.run_for(20)
     assert site.find_state(poisoned) is JobState.FAILED
     assert {site.find_state(job) for job in sound} == {JobState.COMPLETED}
@@ -186,7 +186,7 @@
 def test_a_task_is_not_given_up_for_the_loss_of_racks() -> None:
     """Each task is at work in two racks when they go down, one after the other."""
     site = build_site(4, run_ms=3_000)
-    jobs = [site.submit(kept=True, run_ms=3_000) for _ in range(8)]
+    jobs = [site.submit(durable=True, run_ms=3_000) for _ in range(8)]
     for rack in (0, 1):
         site.run_for(1)
         for upstream in list(site.upstreams.values()):
@@ -200,7 +200,7 @@
 
 def test_what_is_known_of_a_suspect_outlives_its_leader() -> None:
     site = build_site(5)
-    job = site.submit(kept=True, poison=1)
+    job = site.submit(durable=True, poison=1)
     site.run_for(2.6)
     assert site.count_crashes(job) >= 1
     site.lead(2)
@@ -215,7 +215,7 @@
     Of the second crash, less than a lease before, it has noted nothing: that one does not count.
     """
     site = build_site(6, back_after=4.0)
-    job = site.submit(kept=True, poison=1)
+    job = site.submit(durable=True, poison=1)
     site.run_for(1.4)
     assert site.count_crashes(job) >= 1
     assert not site.records.suspects
@@ -248,7 +248,7 @@
 
 def test_an_upstream_that_was_only_out_of_sight_counts_against_nobody() -> None:
     site = build_site(8, run_ms=2_500)
-    job = site.submit(kept=True, run_ms=2_500)
+    job = site.submit(durable=True, run_ms=2_500)
     site.run_for(0.2)
     ((_, where),) = site.world.running.items()
     site.leader.cut_off = {UpstreamId(where)}
@@ -263,7 +263,7 @@
 
 def test_a_job_given_up_for_crashes_is_said_to_have_failed_when_it_comes_again() -> None:
     site = build_site(9)
-    job = site.submit(kept=False, poison=1)
+    job = site.submit(durable=False, poison=1)
     site.run_for(20)
     site.lead(2)
     assert site.leader.dispatch.is_given_up(job)
@@ -283,9 +283,9 @@
     site.run_ms = lambda: chance.choice((60, 200, 900))
     sound: list[JobId] = []
     for step in range(60):
-        sound += [site.submit(kept=True, tasks=2, run_ms=200) for _ in range(3)]
+        sound += [site.submit(durable=True, tasks=2, run_ms=200) for _ in range(3)]
         if not racks_down and step % 12 == 0:
-            site.submit(kept=True, tasks=2, poison=1)
+            site.submit(durable=True, tasks=2, poison=1)
         if racks_down and step % 10 == 5:
             rack = f"r{chance.randrange(10)}"
             for upstream in list(site.upstreams.values()):
@@ -304,7 +304,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Broken on purpose."""
-    monkeypatch.setattr(CrashCounts, "is_given_up", False)
+    monkeypatch.setattr(CrashCounts, "is_quarantined", False)
     with pytest.raises(AssertionError, match="after three crashes"):
         for seed in range(12):
             play_campaign(seed)
@@ -353,13 +353,13 @@
     assert assign_blame(tasks, {}, queues, {}) == tasks
     assert assign_blame(tasks, {second: ONE_CRASH}, queues, {}) == [second]
     assert assign_blame(tasks, {}, queues, {QueueKey("h", "/a/"): 1}) == [first]
-    assert NO_CRASHES.add(ONE_CRASH).add(ONE_CRASH).is_given_up
-    assert not ONE_CRASH.is_given_up
+    assert NO_CRASHES.add(ONE_CRASH).add(ONE_CRASH).is_quarantined
+    assert not ONE_CRASH.is_quarantined
 
 
 def test_records_keep_suspects_through_a_snapshot() -> None:
     site = build_site(10)
-    site.submit(kept=False, poison=1)
+    site.submit(durable=False, poison=1)
     site.run_for(20)
     assert site.records.suspects
     again = Records()
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -282,7 +282,7 @@
 @pytest.mark.parametrize(
     "call",
     [
-        Submit(host="host", path=f"/q/{JOB}", spec=build_spec(kept=True)),
+        Submit(host="host", path=f"/q/{JOB}", spec=build_spec(durable=True)),
         AskState(host="host", path=f"/q/{JOB}"),
         AskState(host="host", path="/q/"),
         Cancel(host="host", path=f"/q/{JOB}"),
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -57,7 +57,7 @@
     leader = Leader(world=world, upstreams=upstreams, records=records, token=token)
     for upstream in upstreams.values():
         if upstream.is_up:
-            leader.beat(upstream, sequence=term)
+            leader.deliver_heartbeat(upstream, sequence=term)
     return leader
 
 
@@ -168,7 +168,7 @@
     world, upstreams = build_world(10)
     leader = Leader(world=world, upstreams=upstreams, records=Records(), token=TOKENS_PER_TERM)
     for upstream in upstreams.values():
-        leader.beat(upstream, sequence=1, draining=True)
+        leader.deliver_heartbeat(upstream, sequence=1, draining=True)
     world.run_until(milliseconds(100))
     leader.submit("a" * 16, build_spec(tasks=1), build_queue())
     world.run_until(milliseconds(400))
@@ -228,7 +228,7 @@
     world.run_until(milliseconds(110))
     ((ref, where),) = world.running.items()
     upstream = upstreams[UpstreamId(where)]
-    old = upstream.report()
+    old = upstream.build_reply()
     order = PollOrder(upstream=upstream.info, last_seen=0, expires_ms=None, wait=timedelta())
     world.run_until(milliseconds(1_000))
     assert ref not in world.running
@@ -274,7 +274,7 @@
     world, upstreams = build_world(15)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    leader.submit("a" * 16, build_spec(tasks=1, kept=True), build_queue())
+    leader.submit("a" * 16, build_spec(tasks=1, durable=True), build_queue())
     world.run_until(milliseconds(130))
     assert world.starts == 1
     leader.cut_off = set(upstreams)
@@ -290,7 +290,7 @@
     world, upstreams = build_world(14)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    leader.submit("a" * 16, build_spec(tasks=1, kept=True), build_queue())
+    leader.submit("a" * 16, build_spec(tasks=1, durable=True), build_queue())
     info = upstreams[UpstreamId("u1")].info
     look = PollOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
     for number, job in ((1, "a" * 16), (2, "b" * 16)):
@@ -299,7 +299,7 @@
         reply = LookReply(clock_ms=90 + number, running=(), ended=(end,))
         leader.dispatch.take_look(look, reply, world.now, world.now)
     instance = leader.dispatch.instances[info.id]
-    assert instance.noted == 0
+    assert instance.recorded_through == 0
     noted = [each for each in leader.dispatch.take_proposals() if isinstance(each, RecordRunEnds)]
     assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
 
@@ -319,7 +319,7 @@
         records=records,
         token=TOKENS_PER_TERM + 1,
         domain=DomainName("north"),
-        is_deputy=True,
+        is_acting=True,
     )
     deputy.submit("a" * 16, build_spec(tasks=2), build_queue(), settle_after=timedelta())
     begun = JobId("b" * 16)
@@ -343,7 +343,7 @@
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
     jobs: list[str] = []
-    spec = build_spec(tasks=3, run_ms=900, kept=kept)
+    spec = build_spec(tasks=3, run_ms=900, durable=kept)
     queue = build_queue(max_attempts=50)
     token = 1
     for step in range(80):
@@ -365,11 +365,11 @@
         if chance.random() < 0.2:
             for upstream in upstreams.values():
                 if upstream.is_up and upstream.info.id not in leader.cut_off:
-                    leader.beat(upstream, sequence=1_000 + step)
+                    leader.deliver_heartbeat(upstream, sequence=1_000 + step)
     leader.cut_off = set()
     world.lost_share = world.late_share = world.failed_share = 0.0
     for upstream in upstreams.values():
-        leader.beat(upstream, sequence=10_000)
+        leader.deliver_heartbeat(upstream, sequence=10_000)
     world.run_until(world.now + timedelta(seconds=40))
     for job in jobs:
         if kept:
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -28,7 +28,7 @@
         records=records,
         token=first.token + level,
         cut_off=set(first.upstreams) - upstreams,
-        is_deputy=True,
+        is_acting=True,
     )
 
 
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -21,14 +21,14 @@
 def build_timed(
     *, count: int = 3, interval_ms: int = 500, tasks: int = 2, run_ms: int = 60
 ) -> JobSpec:
-    spec = build_spec(tasks=tasks, run_ms=run_ms, kept=True)
+    spec = build_spec(tasks=tasks, run_ms=run_ms, durable=True)
     return msgspec.structs.replace(
         spec, repeat_count=count, start_at_ms=1_000, interval_ms=interval_ms
     )
 
 
 def build_lasting(tasks: int = 2, kept: bool = True) -> JobSpec:
-    spec = build_spec(tasks=tasks, run_ms=60, kept=kept)
+    spec = build_spec(tasks=tasks, run_ms=60, durable=kept)
     return msgspec.structs.replace(spec, long_running=True)
 
 
--- a/cottonlug/tests/test_cluster_orphaned_runs.py
+++ b/cottonlug/tests/test_cluster_orphaned_runs.py
@@ -44,7 +44,9 @@
 
 def beat_all(leader: Leader, upstreams: set[UpstreamId]) -> None:
     for id in upstreams:
-        leader.beat(leader.upstreams[id], sequence=int(leader.world.now / milliseconds(1)))
+        leader.deliver_heartbeat(
+            leader.upstreams[id], sequence=int(leader.world.now / milliseconds(1))
+        )
 
 
 def lose_stops(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,7 +202,7 @@
         records=roster,
         token=TOKENS_PER_TERM + 1,
         cut_off=near,
-        is_deputy=True,
+        is_acting=True,
     )
     world.run_until(world.now + milliseconds(50))
     deputy.submit(JOB, SPEC, build_queue(), settle_after=timedelta())
--- a/cottonlug/tests/test_cluster_out_of_order.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -25,7 +25,7 @@
         terms=TERMS,
         now=timedelta(),
         wall_ms=lambda: 0,
-        note=lambda name, fields: notes.append((name, fields)),
+        log_decision=lambda name, fields: notes.append((name, fields)),
         on_job_end=lambda job: None,
     )
 
@@ -58,7 +58,7 @@
         run_times=lambda job: timedelta(),
     )
     order = PollOrder(upstream=INFO, last_seen=0, expires_ms=None, wait=timedelta())
-    newer = upstream.report()
+    newer = upstream.build_reply()
     older = LookReply(clock_ms=newer.clock_ms - 1, running=(), ended=())
     for reply in (newer, older):
         dispatch.take_look(order, reply, milliseconds(1), milliseconds(3))
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -29,7 +29,7 @@
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
     for upstream in list(upstreams.values())[1:]:
-        leader.beat(upstream, sequence=2, draining=True)
+        leader.deliver_heartbeat(upstream, sequence=2, draining=True)
     world.run_until(milliseconds(150))
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(60)
@@ -115,7 +115,7 @@
     records = Records()
     first = start_leader(world, upstreams, records, 1)
     world.run_until(milliseconds(1_000))
-    first.submit("a" * 16, build_spec(run_ms=60_000, kept=True), build_queue())
+    first.submit("a" * 16, build_spec(run_ms=60_000, durable=True), build_queue())
     first.is_over = True
     world.run_until(milliseconds(3_000))
     second = start_leader(world, upstreams, records, 2)
@@ -171,7 +171,7 @@
     gateway.link.use_roster(build_roster())
     monkeypatch.setattr(gateway.link, "is_core_silent", lambda: is_core_silent)
     tried = answer_unavailable(gateway, clock, milliseconds(100))
-    call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(run_ms=5_000, kept=True))
+    call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(run_ms=5_000, durable=True))
     answer = asyncio.run(gateway.call(call, timedelta(seconds=10)))
     assert answer.outcome is Outcome.UNAVAILABLE
     assert len(tried) == tries
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -196,7 +196,7 @@
 
 
 def build_life(name: str, cpu: int) -> Instance:
-    return Instance(info=build_info(name, cpu), terms=TERMS, noted=0)
+    return Instance(info=build_info(name, cpu), terms=TERMS, recorded_through=0)
 
 
 def test_the_tightest_fit_is_taken() -> None:
@@ -234,7 +234,7 @@
         upstream.run_times = lambda job: milliseconds(400)
     records = Records()
     service = Service(name=SERVICE, rejects_overload=False)
-    records.put_in_force(build_configuration(services=(service,)))
+    records.activate_configuration(build_configuration(services=(service,)))
     first = start_leader(world, upstreams, records, 1)
     world.run_until(milliseconds(100))
     first.submit("a" * 16, build_spec(tasks=8), build_queue())
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -41,7 +41,7 @@
     records = Records()
     first = Leader(world=world, upstreams=upstreams, records=records, token=TOKENS_PER_TERM)
     for upstream in upstreams.values():
-        first.beat(upstream, 1)
+        first.deliver_heartbeat(upstream, 1)
     world.run_until(milliseconds(200))
     first.is_over = True
     second = Leader(world=world, upstreams=upstreams, records=records, token=2 * TOKENS_PER_TERM)
--- a/cottonlug/tests/test_cluster_rooms.py
+++ b/cottonlug/tests/test_cluster_rooms.py
@@ -96,7 +96,7 @@
         records=Records(),
         lease=TERMS,
         wall_ms=lambda: 0,
-        note=lambda name, fields: None,
+        log_decision=lambda name, fields: None,
         on_job_end=lambda job: None,
     )
     table = InstanceTable(term=term)
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -38,7 +38,7 @@
 
 def build_desk(upstreams: int = SPREAD_FROM) -> tuple[HeartbeatDesk, Records, ManualClock]:
     clock, records = build_clock(), Records()
-    records.put_in_force(build_roster().configuration)
+    records.activate_configuration(build_roster().configuration)
     for number in range(upstreams):
         info = build_info(f"u{number}")
         records.upstreams[info.id] = UpstreamRecord(info=info, sequence=5)
@@ -101,7 +101,7 @@
         msgspec.structs.replace(service, rejects_overload=False)
         for service in configuration.services
     )
-    records.put_in_force(msgspec.structs.replace(configuration, services=services))
+    records.activate_configuration(msgspec.structs.replace(configuration, services=services))
     assert desk.take(beat()) is None
 
 
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -75,7 +75,7 @@
 ) -> tuple[Leading, ReplicatedRecords]:
     """Lead two upstreams; with `commits` the log carries out at once what is proposed."""
     replicated = ReplicatedRecords()
-    replicated.records.put_in_force(build_roster().configuration)
+    replicated.records.activate_configuration(build_roster().configuration)
     for name in ("u1", "u2"):
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
@@ -133,7 +133,7 @@
         each.run_times = lambda job: timedelta(seconds=2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    leader.submit(JOB, build_spec(tasks=1, kept=True, run_ms=2_000), build_queue())
+    leader.submit(JOB, build_spec(tasks=1, durable=True, run_ms=2_000), build_queue())
     world.run_until(milliseconds(130))
     first = next(each for each in upstreams.values() if each.runs)
     leader.cut_off = {first.info.id}
@@ -144,7 +144,7 @@
     assert second is not first
     world.run_until(run.ends_at - milliseconds(4))
     look = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
-    reply = first.report()
+    reply = first.build_reply()
     assert [end.how for end in reply.ended] == [EndKind.LAPSED]
     leader.cut_off = set()
     leader.dispatch.take_look(look, reply, world.now, world.now)
@@ -235,7 +235,7 @@
         world.run_until(world.now + milliseconds(500))
         for each in upstreams.values():
             if each.is_up:
-                leader.beat(each, sequence=int(world.now / milliseconds(1)))
+                leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
     assert UpstreamId("u1") not in records.upstreams
     at = world.now
     spec = build_spec(tasks=1)
@@ -258,11 +258,11 @@
             world.run_until(world.now + milliseconds(500))
             for each in list(upstreams.values()):
                 if each.is_up:
-                    leader.beat(each, sequence=int(world.now / milliseconds(1)))
+                    leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
 
     live(timedelta(seconds=13))
-    looked = leader.dispatch.instances[old.info.id].failed_looks
+    looked = leader.dispatch.instances[old.info.id].failed_polls
     info = msgspec.structs.replace(build_info("u9"), address=old.info.address)
     upstreams[info.id] = ModelUpstream(world=world, info=info, rate=1.0, run_times=old.run_times)
     live(timedelta(seconds=14))
-    assert leader.dispatch.instances[old.info.id].failed_looks > looked
+    assert leader.dispatch.instances[old.info.id].failed_polls > looked
--- a/cottonlug/tests/test_cluster_wakes.py
+++ b/cottonlug/tests/test_cluster_wakes.py
@@ -44,13 +44,13 @@
     """To go through all of them every 20 ms was a fifth of the time of a leader of 270."""
     leader = build(UPSTREAMS)
     looked: list[UpstreamId] = []
-    look = Watcher.look
+    look = Watcher.poll
 
     def count(self: Watcher, instance: Instance, now: timedelta) -> None:
         looked.append(instance.info.id)
         look(self, instance, now)
 
-    monkeypatch.setattr(Watcher, "look", count)
+    monkeypatch.setattr(Watcher, "poll", count)
     leader.submit(f"{1:016x}", build_spec(tasks=2, run_ms=3_000), build_queue())
     span = timedelta(seconds=1)
     leader.world.run_until(leader.world.now + span)
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -155,7 +155,7 @@
     commit(leader, HOME)
     commit(leader, HOME, is_evacuated=False)
     for upstream in leader.upstreams.values():
-        leader.beat(upstream, 2)
+        leader.deliver_heartbeat(upstream, 2)
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4
@@ -183,7 +183,7 @@
     leader.upstreams[info.id] = ModelUpstream(
         world=leader.world, info=info, rate=1.0, run_times=lambda job: milliseconds(200)
     )
-    leader.beat(leader.upstreams[info.id], 1)
+    leader.deliver_heartbeat(leader.upstreams[info.id], 1)
     leader.world.run_until(leader.world.now + milliseconds(100))
     for number in range(10):
         submit(leader, number, HOME, tasks=4)
@@ -211,7 +211,9 @@
 def test_kept_jobs_lose_nothing_by_an_evacuation() -> None:
     leader = build_leader(3, run_ms=700)
     for number in range(8):
-        leader.submit(f"{number:016x}", build_spec(tasks=8, run_ms=700, kept=True), build_queue())
+        leader.submit(
+            f"{number:016x}", build_spec(tasks=8, run_ms=700, durable=True), build_queue()
+        )
     leader.world.run_until(leader.world.now + milliseconds(100))
     for domain in DOMAINS[1:]:
         commit(leader, domain)
@@ -252,7 +254,7 @@
         records=records,
         token=1_000_001,
         domain=HOME,
-        is_deputy=True,
+        is_acting=True,
     )
     now = leader.world.now
     rejection = deputy.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -61,7 +61,7 @@
 
 def put_back_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
     """A new leader begins what an earlier one may have at work at an upstream out of sight."""
-    patch.setattr(Reconciliation, "is_unsure", lambda self, *, of_deputies: False)
+    patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_deputies: False)
 
 
 # Guards against a model in which the causes that were mended could not show.
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -39,7 +39,7 @@
     gateways.take_greeting(greet("10.0.0.2:7000"))
     gateways.take_greeting(greet("10.0.0.1:7000"))
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.activate_configuration(build_roster().configuration)
     roster = gateways.build_roster(records, "")
     assert roster is not None
     assert [each.address for each in roster.gateways] == ["10.0.0.1:7000", "10.0.0.2:7000"]
@@ -72,7 +72,7 @@
     """Each change of one upstream sent 35 KB to each of 44 gateways."""
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.activate_configuration(build_roster().configuration)
     for number in range(3):
         add_upstream(gateways, records, f"u{number}")
     whole = gateways.build_roster(records, "")
@@ -145,7 +145,7 @@
     """
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.activate_configuration(build_roster().configuration)
     for number in range(999):
         add_upstream(gateways, records, f"i-{number:08x}")
     link_bytes_a_second = 12.5e6 / 8
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -93,7 +93,7 @@
         records=records,
         token=TOKENS_PER_TERM + 1,
         hosts=hosts,
-        is_deputy=True,
+        is_acting=True,
     )
     deputy.submit("a" * 16, build_spec(tasks=4), build_queue())
     world.run_until(milliseconds(1_500))
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -85,8 +85,8 @@
 
 
 # Guards against jobs that never end: ends were counted from 1 again, and so taken for old ones.
-@pytest.mark.parametrize("kept", [False, True])
-def test_ends_of_an_upstream_that_started_again_are_noted(kept: bool) -> None:
+@pytest.mark.parametrize("durable", [False, True])
+def test_ends_of_an_upstream_that_started_again_are_noted(durable: bool) -> None:
     world = World(random=random.Random(2))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
     (host,) = hosts.values()
@@ -98,9 +98,11 @@
     world.run_until(milliseconds(2_000))
     host.start_again()
     world.run_until(milliseconds(3_000))
-    leader.submit(JOB, build_spec(tasks=4, kept=kept), PATIENT)
+    leader.submit(JOB, build_spec(tasks=4, durable=durable), PATIENT)
     world.run_until(milliseconds(3_500))
-    ended = records.jobs[JobId(JOB)].state if kept else leader.dispatch.jobs.find_ended(JobId(JOB))
+    ended = (
+        records.jobs[JobId(JOB)].state if durable else leader.dispatch.jobs.find_ended(JobId(JOB))
+    )
     assert ended is JobState.COMPLETED
     assert world.starts == 12
 
@@ -109,9 +111,9 @@
 @pytest.mark.parametrize("seed", range(12))
 def test_no_task_runs_twice_while_upstreams_start_again(seed: int) -> None:
     leader, jobs = play_by_chance(seed)
-    kept = leader.records.jobs
+    durable = leader.records.jobs
     has_ended = {
-        job: not kept[job].is_open if job in kept else job in leader.ended_at for job in jobs
+        job: not durable[job].is_open if job in durable else job in leader.ended_at for job in jobs
     }
     assert [job for job in jobs if not has_ended[job]] == []
     assert leader.world.starts >= len(jobs)
@@ -155,10 +157,10 @@
         if self.is_calm:
             return
         if not self.leader.is_over:
-            kept = self.chance.random() < 0.4
+            durable = self.chance.random() < 0.4
             job = f"{len(self.jobs):016x}"
-            self.jobs[JobId(job)] = kept
-            spec = build_spec(tasks=self.chance.randint(1, 4), kept=kept)
+            self.jobs[JobId(job)] = durable
+            spec = build_spec(tasks=self.chance.randint(1, 4), durable=durable)
             self.leader.submit(job, spec, PATIENT)
         self.world.at(milliseconds(self.chance.expovariate(1 / 120)), self.submit)
 
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -260,7 +260,7 @@
             wait=wait,
         )
         process = self.process
-        if process.hold(order, body["fencing_token"]) is not None:
+        if process.accept_poll(order, body["fencing_token"]) is not None:
             reply(self._write("fence", {}))
             return
         is_answered = [False]
@@ -283,7 +283,7 @@
         self.world.at(wait, answer)
 
     def _list_all(self) -> dict[str, Any]:
-        lists = self.process.report()
+        lists = self.process.build_reply()
         running = [[name_task(run.task), run.run, "", run.percent] for run in lists.running]
         ended = [
             [end.number, name_task(end.task), end.run, end.how.value, ""] for end in lists.ended
@@ -373,7 +373,7 @@
                 self.act()
 
         wait = order.wait if isinstance(order, PollOrder) else timedelta()
-        world.at(order.patience + wait, lambda: finish(LOST))
+        world.at(order.response_timeout + wait, lambda: finish(LOST))
         self._transmit(order, calling.send(None), finish)
 
     def _transmit(
