--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -27,8 +27,7 @@
 """Starts at upstreams that have ended, answered or not, after which a task is quarantined: after
 three crashes a task may be started at most twice more."""
 MAX_UNRESOLVED_STARTS = 4
-"""Starts at upstreams that may have crashed, after which further starts wait until that is known.
-"""
+"""Starts at upstreams that may have crashed, after which further ones wait for the outcome."""
 SIMULTANEOUS_WITHIN = timedelta(milliseconds=150)
 """Upstreams lost within this time of each other may share a cause: the exit of a process is noticed
 at once, silence within 80 ms."""
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -1,9 +1,9 @@
-"""Plays a small site with every fault at every order, alone and in pairs, instead of by chance.
+"""Plays a small site with every fault at every order, alone and in pairs, instead of at random.
 
-A play is fixed by its script: which fault strikes as the order with which number is sent. Without a
-script nothing goes wrong. The explorer plays all scripts of up to a number of faults; since a fault
-changes only what comes after it, each script is extended at later orders only, and one that changed
-nothing is not extended. The model of the wire asserts what must never happen.
+A play is determined by its script: the fault that strikes when the order with a given number is
+sent. Without a script nothing goes wrong. The explorer plays all scripts of up to a number of
+faults. A fault changes only what comes after it, so each script is extended at later orders only,
+and one whose faults changed nothing is not extended. The wire model asserts the invariants.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 JOB = JobId("a" * 16)
 OTHER = JobId("b" * 16)
 RUN = milliseconds(1_600)
-"""Longer than any lease, so that one may end under a run."""
+"""Longer than any lease, so that a lease may end under a run."""
 SPEC = build_spec(tasks=1, run_ms=1_600)
 QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 NEAR = milliseconds(1)
 SUBMITTED_AT = milliseconds(100)
 FAULTS_UNTIL = milliseconds(900)
-"""Faults strike until then; what they lead to is played on."""
+"""Faults strike until then; the play continues with their consequences."""
 ENDED_BY = timedelta(seconds=12)
 CUT_FOR = milliseconds(1_500)
 """Longer than any lease."""
 WITHOUT_LEADER = milliseconds(300)
 GATEWAY_AFTER = milliseconds(60)
-"""After a change of leader, until a gateway submits its jobs again."""
+"""Time from a change of leader until a gateway submits its jobs again."""
 CALLER_AFTER = milliseconds(1_300)
-"""After its gateway was lost, until a caller sends its job again."""
+"""Time from the loss of its gateway until a caller submits its job again."""
 
 
 class Fault(Enum):
-    """What strikes as an order is sent."""
+    """Faults that strike as an order is sent."""
 
     ORDER_LOST = "the order is lost"
     ANSWER_LOST = "its answer is lost"
@@ -56,15 +56,15 @@
 
 
 Script = tuple[tuple[int, Fault], ...]
-"""Numbers of orders, rising, each with the fault that strikes there."""
+"""Ascending numbers of orders, each with the fault that strikes there."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Outcome:
-    """What a play came to."""
+    """The result of a play."""
 
     problem: str = ""
-    """What must not happen and did, empty where nothing did."""
+    """The violated invariant; empty if there is none."""
     orders: int = 0
     """Orders sent while faults could strike."""
     timeline: list[str] = field(default_factory=list)
@@ -105,7 +105,7 @@
         return self.outcome
 
     def _may_have_crashed(self, ended: JobState | None) -> bool:
-        """Whether a job may have failed since two upstreams have crashed under one of its tasks."""
+        """Return whether a job may have failed: two upstreams crashed under one of its tasks."""
         starts = list(self.script.values()).count(Fault.STARTS_AGAIN)
         return ended is JobState.FAILED and starts >= MAX_CRASHES
 
@@ -136,7 +136,7 @@
                 leader.submit(job, SPEC, QUEUE, may_have_begun=may_have_begun)
 
     def _choose_fate(self, host: WireHost) -> Fate:
-        """Return what becomes of the next order, and have its fault strike."""
+        """Return the fate of the next order, and have its fault strike."""
         usual = Fate(there=NEAR, back=NEAR)
         if self.world.now > FAULTS_UNTIL or self.world.now < SUBMITTED_AT:
             return usual
@@ -153,7 +153,7 @@
         if fault is Fault.DELAYED:
             return Fate(there=NEAR, back=None, held=milliseconds(500))
         if fault is Fault.STARTS_AGAIN:
-            # Its clock begins anew, far below or above.
+            # Its clock starts again, far below or above the old reading.
             host.start_again()
             host.process.clock_began_ms = (1_000_000, 9_000_000)[number % 2]
         elif fault is Fault.CUT:
@@ -173,7 +173,7 @@
 
     def _lose_gateway(self) -> None:
         leader = self._find_leader()
-        # Whoever decides gives its jobs up once it has not been heard for 0.3 s.
+        # The coordinator abandons a gateway's jobs once it has not heard the gateway for 0.3 s.
         self.world.at(milliseconds(300), lambda: self._give_up(leader))
         self.world.at(CALLER_AFTER, lambda: self._submit(may_have_begun=False))
 
@@ -185,14 +185,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Explored:
-    """What an exploration found."""
+    """The result of an exploration."""
 
     plays: int = 0
     broken: list[Script] = field(default_factory=list)
 
 
 def explore(most_faults: int, *, most_orders: int | None = None, stop_at: int = 1) -> Explored:
-    """Play all scripts of up to so many faults, those with fewer first."""
+    """Play all scripts of up to `most_faults` faults, those with fewer faults first."""
     explored = Explored()
     first = Play(script={}).run()
     assert not first.problem, first
@@ -222,7 +222,7 @@
 
 
 def describe(script: Script) -> str:
-    """Return the timeline of a script, without faults that it does not need."""
+    """Return the timeline of a script, without the faults that it does not need."""
     for each in script:
         shorter = tuple(other for other in script if other is not each)
         if shorter and Play(script=dict(shorter)).run().problem:
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -1,7 +1,7 @@
-"""A model of upstreams that take orders, and of a network that loses, repeats and delays them.
+"""A model of upstreams that accept orders, and of a network that loses, repeats and delays them.
 
-It stands in for the users' workers: leases on a slow clock, fencing tokens, run numbers, two lists
-in every look, orders carried out seconds late. What must never happen is asserted where it would.
+It replaces the users' workers: leases on a slow clock, fencing tokens, run numbers, two lists in
+every poll, orders carried out seconds late. Invariants are asserted where they would be violated.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 SETTLE_AFTER = TERMS.lapse_after + timedelta(milliseconds=500)
 SERVICE = ServiceName("service")
 TASK_CPU = 7_000
-"""Every task takes as much, of 16,000: two fit an upstream."""
+"""CPU that every task takes, of 16,000: two tasks fit an upstream."""
 COMMIT_DELAY = timedelta(milliseconds=15)
 CRASHES_AFTER = timedelta(milliseconds=5)
-"""From the start of a task that crashes its upstream to the crash."""
+"""Time from the start of a task that crashes its upstream to the crash."""
 
 
 def milliseconds(count: float) -> timedelta:
-    """Return a span of that many milliseconds."""
+    """Return a duration of that many milliseconds."""
     return timedelta(milliseconds=count)
 
 
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class World:
-    """Time, events, and what must hold over all upstreams."""
+    """Time, events, and the invariants over all upstreams."""
 
     random: random.Random
     now: timedelta = timedelta()
@@ -113,31 +113,31 @@
     running: dict[TaskRef, str] = field(default_factory=dict)
     recorded_done: set[TaskRef] = field(default_factory=set)
     long_running_jobs: set[JobId] = field(default_factory=set)
-    """Jobs whose tasks are begun again however they end."""
+    """Jobs whose tasks are started again however they end."""
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
-    """Every start, and when it was."""
+    """Every start and its time."""
     durable_jobs: set[JobId] = field(default_factory=set)
     poison: set[TaskRef] = field(default_factory=set)
     """Tasks that crash each upstream that starts them."""
     crashes: dict[TaskRef, int] = field(default_factory=dict)
-    """How often an upstream has crashed with each task at work."""
+    """How often an upstream has crashed with each task active."""
     on_crash: Callable[[ModelUpstream], None] = lambda upstream: None
-    """Called when an upstream has crashed: has it come back after a while."""
+    """Called when an upstream has crashed: brings it back after a while."""
     needs: dict[JobId, Needs] = field(default_factory=dict)
-    """What a task of a job takes, where it is not the usual."""
+    """What a task of a job takes, where it differs from the default."""
     starts_after_three: dict[TaskRef, int] = field(default_factory=dict)
-    """Starts of each kept task after three upstreams had crashed under it, by hosts in touch."""
+    """Starts of each durable task by connected hosts after three upstreams crashed under it."""
     connected_from: timedelta = timedelta()
     """Until then the control hosts have been without faults for too short a time."""
     starts: int = 0
     started_jobs: set[JobId] = field(default_factory=set)
 
     def at(self, delay: timedelta, act: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action."""
         heapq.heappush(self.events, (self.now + delay, next(self.counter), act))
 
     def run_until(self, end: timedelta) -> None:
-        """Let everything happen until a moment."""
+        """Execute all events up to a point in time."""
         while self.events and self.events[0][0] <= end:
             at, _, act = heapq.heappop(self.events)
             self.now = at
@@ -147,27 +147,27 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelUpstream:
-    """One life of an upstream."""
+    """One instance of an upstream."""
 
     world: World
     info: UpstreamInfo
     rate: float
-    """How fast its steady clock runs, 0.98 to 1."""
+    """Rate of its monotonic clock, 0.98 to 1."""
     run_times: Callable[[JobId], timedelta]
-    """How long a task of a job runs there."""
+    """Returns how long a task of a job runs there."""
     clock_began_ms: int = 0
-    """What its steady clock would have shown when the world began."""
+    """Reading of its monotonic clock at the start of the world."""
     is_up: bool = True
     is_replaced: bool = False
-    """Whether, after a crash, a later life answers at its address."""
+    """Whether, after a crash, a later instance answers at its address."""
     rejects_overload: bool = True
-    """Whether it refuses what does not fit; else a start over its capacity stops the test."""
+    """Whether it refuses what does not fit; otherwise a start over its capacity fails the test."""
     earlier_sizes: list[tuple[timedelta, int]] = field(default_factory=list)
-    """Capacities that it had, in core-thousandths, each with the moment until which it did."""
+    """Earlier capacities, in thousandths of a core, each with the time until which it had them."""
     sequence: int = 0
-    """Of its last heartbeat."""
+    """Sequence number of its last heartbeat."""
     fails_all: bool = False
-    """Whether all that it starts fails at once."""
+    """Whether everything that it starts fails at once."""
     token: int = 0
     expires_ms: float = 0.0
     number: int = 0
@@ -177,7 +177,7 @@
     parked: list[Callable[[], None]] = field(default_factory=list)
 
     def clock_ms(self) -> int:
-        """Return the time on its own steady clock."""
+        """Return the time on its own monotonic clock."""
         return self.clock_began_ms + int(self.world.now / milliseconds(1) * self.rate)
 
     def start(self, order: StartOrder, token: int, needs: Needs) -> StartOutcome:
@@ -205,19 +205,19 @@
         return StartOutcome.STARTED
 
     def resize(self, cpu_millis: int) -> None:
-        """Have another capacity from now on; what runs there goes on."""
+        """Change the capacity from now on; active runs continue."""
         self.earlier_sizes.append((self.world.now, self.info.capacity.cpu_millis))
         capacity = msgspec.structs.replace(self.info.capacity, cpu_millis=cpu_millis)
         self.info = msgspec.structs.replace(self.info, capacity=capacity)
 
     def find_tolerated_size(self) -> int:
-        """Return up to which room starts are borne: one that has shrunk counts after a while."""
+        """Return the CPU that starts may use: a capacity that has shrunk counts after a while."""
         since = self.world.now - USUAL_REPORTS.valid_for
         borne = [size for until, size in self.earlier_sizes if until >= since]
         return max([self.info.capacity.cpu_millis, *borne])
 
     def build_heartbeat(self, *, draining: bool = False) -> Heartbeat:
-        """Return what it says of itself now."""
+        """Return a heartbeat with its present state."""
         self.sequence += 1
         return Heartbeat(
             info=self.info,
@@ -239,7 +239,7 @@
         return None
 
     def accept_poll(self, order: PollOrder, token: int) -> CallFailure | None:
-        """Take in a look; the reply is made by `report`."""
+        """Accept a poll; `build_reply` builds the answer."""
         self._advance()
         if token < self.token:
             return CallFailure.FENCED
@@ -253,7 +253,7 @@
         return None
 
     def build_reply(self) -> LookReply:
-        """Return both lists."""
+        """Return the lists of active and ended runs."""
         self._advance()
         return LookReply(
             clock_ms=self.clock_ms(),
@@ -266,7 +266,7 @@
         return RunReport(task=run.ref, run=run.run, percent=int(100 * gone / whole))
 
     def crash(self) -> None:
-        """Lose everything."""
+        """Lose all runs."""
         self.is_up = False
         for ref in self.runs:
             self.world.running.pop(ref, None)
@@ -332,7 +332,8 @@
         """Kill everything whose lease has ended."""
         if self.is_up and self.runs and self.clock_ms() >= self.expires_ms:
             for run in list(self.runs.values()):
-                # The first end answers a parked look, which comes back here and ends the others.
+                # The first end answers a long poll; handling it returns here and ends the other
+                # runs.
                 if self.runs.get(run.ref) is run:
                     self._end(run, EndKind.LAPSED)
 
@@ -358,11 +359,11 @@
     is_acting: bool = False
     terms: LeaseTerms = TERMS
     known_until: timedelta = timedelta.max
-    """Until then the capacities in the record count without a heartbeat to this leader."""
+    """Until then the capacities in the records are valid without a heartbeat to this leader."""
     ended: list[JobId] = field(default_factory=list)
     ended_at: dict[JobId, timedelta] = field(default_factory=dict)
     commits: Callable[[Command], bool] = lambda command: True
-    """Whether a proposal is committed."""
+    """Returns whether a proposal is committed."""
     dispatch: Dispatch = field(init=False)
 
     def __post_init__(self) -> None:
@@ -395,7 +396,7 @@
         settle_after: timedelta = SETTLE_AFTER,
         waited: timedelta = timedelta(),
     ) -> None:
-        """Submit a job as a gateway does, or put it into the log where it must be kept."""
+        """Submit a job as a gateway does, or commit it to the log if it is durable."""
         job = JobId(id)
         if spec.long_running:
             self.world.long_running_jobs.add(job)
@@ -425,7 +426,7 @@
         self.act()
 
     def act(self) -> None:
-        """Decide, send and propose."""
+        """Decide, send orders and propose commands."""
         if self.is_over:
             return
         self.dispatch.tick(self.world.now)
@@ -435,7 +436,7 @@
             self.world.at(COMMIT_DELAY, lambda command=command: self._commit(command))  # type: ignore[misc]
 
     def _commit(self, command: Command) -> None:
-        # What a leader has proposed may be committed after it was lost.
+        # What a leader has proposed may be committed after the leader was lost.
         self.records.apply(command)
         if not self.is_over:
             self.dispatch.take_applied(command, self.world.now)
@@ -494,11 +495,11 @@
         world = self.world
         if not upstream.is_up:
             if upstream.is_replaced:
-                # Another life holds the address, and says so.
+                # Another instance holds the address, and says so.
                 reply(_ENDED[type(order)])
             return
         if isinstance(order, StartOrder):
-            # As the job says, also for orders that come late.
+            # As the job specifies, also for orders that arrive late.
             needs = world.needs.get(order.task.job, Needs(cpu_millis=TASK_CPU))
             reply(upstream.start(order, self.token, needs))
         elif isinstance(order, StopOrder):
@@ -543,7 +544,7 @@
 
 
 def start_site_leader(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
-    """Return a leader that has heard all these upstreams, 0.1 s after its term began."""
+    """Return a leader that has received heartbeats of all upstreams, 0.1 s into its term."""
     world = World(random=random.Random(seed))
     upstreams = {
         info.id: ModelUpstream(
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -1,4 +1,4 @@
-"""Upstreams that are put into the log as surely idle, so that no later leader waits for them."""
+"""Upstreams that are cordoned in the log as idle, so that no later leader waits for them."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def lose_upstream(seed: int) -> Leader:
-    """Return a leader that has known for long that an upstream is gone."""
+    """Return a leader that has known for a long time that an upstream is gone."""
     world, upstreams = build_world(seed)
     for upstream in upstreams.values():
-        # One that runs five times as long as declared would be moved, and so be started once more.
+        # A run that takes five times as long as declared would be moved, and so started once more.
         upstream.run_times = lambda job: milliseconds(60 if job == JOB else 300)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -46,7 +46,7 @@
 
 
 def test_a_job_sent_again_waits_for_no_upstream_that_was_long_gone() -> None:
-    """Failed before: after a change of leader it waited until all leases must have ended."""
+    """Guards against a job that waits until all leases must have ended after a leader change."""
     second = replace_leader(lose_upstream(1))
     second.submit(JOB, build_spec(tasks=2), build_queue(), may_have_begun=True)
     second.world.run_until(second.world.now + milliseconds(100))
@@ -54,7 +54,7 @@
 
 
 def test_a_job_that_a_deputy_may_have_begun_waits_for_it_all_the_same() -> None:
-    """No leader knows what a deputy has started in a failure domain that was cut off."""
+    """No leader knows what an acting leader has started in a failure domain that was cut off."""
     second = replace_leader(lose_upstream(2))
     spec = build_spec(tasks=2)
     second.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
@@ -104,9 +104,9 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_upstreams_that_come_and_go(seed: int) -> None:
-    """The model stops the test at two runs of a task.
+    """The model fails the test if a task runs twice.
 
-    It does with two of these seeds where starts do not wait for the log.
+    Two of these seeds do that if starts do not wait for the log.
     """
     world, upstreams = build_world(seed + 500, late_share=0.02)
     chance = random.Random(seed)
@@ -117,7 +117,7 @@
     jobs: list[str] = []
 
     def commits(command: Command) -> bool:
-        """A leader may be lost before what it proposes is committed."""
+        """A leader may be lost before its proposals are committed."""
         return not isinstance(command, UncordonUpstream) or chance.random() < 0.5
 
     leader.commits = commits
@@ -128,7 +128,7 @@
             leader.submit(jobs[-1], spec, queue)
         leader.cut_off ^= {chance.choice(list(upstreams))} if chance.random() < 0.15 else set()
         if chance.random() < 0.15:
-            # The next leader may see other upstreams than this one.
+            # The next leader may reach other upstreams than this one.
             cut_off = {id for id in upstreams if chance.random() < 0.4}
             leader = replace_leader(leader)
             leader.cut_off = cut_off
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash whatever upstream starts them, beside racks that go down with sound ones."""
+"""Tasks that crash whatever upstream starts them, next to racks that go down with sound tasks."""
 
 from __future__ import annotations
 
@@ -42,14 +42,15 @@
 """Upstreams of a rack."""
 ELECTION_SECONDS = 0.4
 IN_TOUCH_AFTER = timedelta(seconds=3)
-"""The platform counts starts of a host only once the control hosts were without faults so long."""
+"""The platform counts starts of a host only once the control hosts were without faults this long.
+"""
 PATIENT = build_queue(max_attempts=50, target_ms=60_000)
-"""Of jobs that are of use for minutes, also where they need not be kept."""
+"""For jobs that are useful for minutes, best-effort ones included."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Site:
-    """Upstreams in racks, back some seconds after a crash, and leaders in turn."""
+    """Upstreams in racks that are back some seconds after a crash, and a succession of leaders."""
 
     world: World
     upstreams: dict[UpstreamId, ModelUpstream] = field(default_factory=dict)
@@ -77,7 +78,7 @@
         return upstream
 
     def come_back(self, crashed: ModelUpstream) -> None:
-        """Begin another life at the address of an upstream that has crashed."""
+        """Start another instance at the address of an upstream that has crashed."""
 
         def begin() -> None:
             crashed.is_replaced = True
@@ -89,7 +90,7 @@
         self.world.at(self.back_after(), begin)
 
     def beat(self, upstream: ModelUpstream) -> None:
-        """Send heartbeats for as long as it lives."""
+        """Send heartbeats for as long as the upstream is up."""
         if not upstream.is_up:
             return
         if not self.leader.is_over and upstream.info.id not in self.leader.cut_off:
@@ -98,7 +99,7 @@
         self.world.at(milliseconds(500), lambda: self.beat(upstream))
 
     def lead(self, term: int) -> None:
-        """Have another host lead, once it is elected and has carried out all that was committed."""
+        """Have another host lead, once it is elected and has applied all that was committed."""
         if self.leaders:
             self.leader.is_over = True
             self.world.connected_from = self.world.now + IN_TOUCH_AFTER
@@ -120,7 +121,7 @@
         durable = self.records.jobs.get(job)
         if durable is not None:
             return durable.state
-        # How a job ended that need not be kept is forgotten after some seconds, but for this.
+        # How a best-effort job ended is forgotten after some seconds, except for this.
         return JobState.FAILED if self.leader.dispatch.is_given_up(job) else None
 
     def count_crashes(self, job: JobId) -> int:
@@ -147,7 +148,7 @@
 
 @pytest.mark.parametrize("durable", [True, False])
 def test_a_task_that_crashes_upstreams_is_given_up_at_the_second(durable: bool) -> None:
-    """Failed before: it was started again and again, and took an upstream with it each time."""
+    """Guards against a task that is started again and again and crashes an upstream each time."""
     site = build_site(1)
     job = site.submit(durable=durable, tasks=3, poison=1)
     site.run_for(20)
@@ -173,7 +174,7 @@
 
 
 def test_neighbours_of_a_suspect_are_done() -> None:
-    """What ran beside it is tried again alone, too, and has no second crash."""
+    """Tasks that ran beside it are retried alone as well, and have no second crash."""
     site = build_site(3, racks=1, run_ms=400)
     sound = [site.submit(durable=True, run_ms=400) for _ in range(4)]
     poisoned = site.submit(durable=True, poison=1)
@@ -184,7 +185,7 @@
 
 
 def test_a_task_is_not_given_up_for_the_loss_of_racks() -> None:
-    """Each task is at work in two racks when they go down, one after the other."""
+    """Each task is active in two racks when they go down, one after the other."""
     site = build_site(4, run_ms=3_000)
     jobs = [site.submit(durable=True, run_ms=3_000) for _ in range(8)]
     for rack in (0, 1):
@@ -210,9 +211,10 @@
 
 
 def test_a_crash_is_counted_by_the_next_leader_where_the_last_one_saw_its_beginning() -> None:
-    """The leader is lost when it knows only that the upstream is silent; that is in the log.
+    """The leader is lost when it knows only that the upstream is silent; the log holds that.
 
-    Of the second crash, less than a lease before, it has noted nothing: that one does not count.
+    Of the second crash, less than a lease earlier, it has recorded nothing: that one does not
+    count.
     """
     site = build_site(6, back_after=4.0)
     job = site.submit(durable=True, poison=1)
@@ -228,7 +230,7 @@
 
 
 def test_a_deputy_that_is_told_of_crashes_gives_up_at_the_next() -> None:
-    """A gateway submits again what another host has had one crash of, and says so."""
+    """A gateway submits a job again and reports the one crash that another host has counted."""
     site = build_site(7)
     id = JobId("f" * 16)
     ref = TaskRef(id, 0, 0, 0)
@@ -276,7 +278,7 @@
 
 
 def play_campaign(seed: int, racks_down: bool = False) -> Site:
-    """Play sound and poisoned kept jobs for a while, with leaders in turn."""
+    """Play sound and crashing durable jobs for a while, with a succession of leaders."""
     chance = random.Random(seed)
     site = build_site(seed + 50, racks=10)
     site.back_after = lambda: timedelta(seconds=chance.uniform(1, 9))
@@ -303,7 +305,7 @@
 def test_the_campaign_would_find_a_task_that_is_never_given_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Broken on purpose."""
+    """With quarantine switched off, the campaign must fail."""
     monkeypatch.setattr(CrashCounts, "is_quarantined", False)
     with pytest.raises(AssertionError, match="after three crashes"):
         for seed in range(12):
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -1,4 +1,4 @@
-"""Runs whose leases somebody else counts on to end: a deputy beside a leader out of touch."""
+"""Runs whose lease another host relies on to end: an acting leader beside an unreachable leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def act_as_leader(first: Leader, upstreams: set[UpstreamId], level: int) -> Leader:
-    """Have a deputy decide about some upstreams, with a roster of its own."""
+    """Have an acting leader coordinate some upstreams, with a failover state of its own."""
     records = Records()
     records.restore(first.records.encode())
     return Leader(
@@ -45,7 +45,7 @@
 
 
 def test_a_deputy_does_not_prolong_what_the_leader_has_given_up() -> None:
-    """The leader began the run again elsewhere."""
+    """The leader has started the run again elsewhere."""
     leader, where = start_long_run(1)
     leader.cut_off = {where}
     leader.world.run_until(leader.world.now + STANDS_IN_AFTER)
@@ -69,7 +69,7 @@
 
 
 def test_a_leader_does_not_prolong_what_a_deputy_has_given_up() -> None:
-    """A deputy that does not reach an upstream any more begins its run again elsewhere."""
+    """An acting leader that no longer reaches an upstream starts its run again elsewhere."""
     leader, where = start_long_run(3)
     world = leader.world
     world.run_until(milliseconds(3_000))
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_campaign_of_a_leader_and_a_deputy_side_by_side(seed: int) -> None:
-    """Each has jobs of its own; upstreams are in sight of either, of both, or of none."""
+    """Each has jobs of its own; each upstream is reached by one of them, by both, or by none."""
     world, upstreams = build_world(seed + 900, late_share=0.02)
     chance = random.Random(seed)
     for upstream in upstreams.values():
@@ -126,7 +126,7 @@
 def test_runs_of_a_silent_gateway_end_with_their_lease_though_no_stop_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Other runs there kept their lease alive."""
+    """Guards against a lease that stays alive through renewals for other runs there."""
     leader, where = start_long_run(4)
     world = leader.world
     for upstream in leader.upstreams.values():
@@ -148,10 +148,10 @@
 
 
 def let_a_leader_stop_a_run_of_a_deputy(seed: int) -> tuple[Leader, Leader, UpstreamId]:
-    """Return a deputy and a leader that sees no other upstream than the one with the deputy's run.
+    """Return an acting leader, and a leader that reaches only the upstream of that one's run.
 
-    Nobody has submitted the job to the leader in time, so that it has had the run stopped. The
-    deputy has a look parked there from before, and decides on.
+    Nobody has submitted the job to the leader in time, so the leader has had the run stopped. The
+    acting leader has an earlier long poll parked there, and continues to coordinate.
     """
     first, _ = start_long_run(seed)
     world = first.world
@@ -176,11 +176,12 @@
 
 
 def test_a_run_that_was_adopted_and_ends_says_nothing_of_upstreams_not_seen_yet() -> None:
-    """An alert was given twice while upstreams were replaced and a failure domain was cut off.
+    """Guards against an alert that is sent twice.
 
-    After the cut the leader had stopped a run of the deputy as unclaimed; its job was submitted in
-    that moment, so that the run was adopted, and its end had the task begun anew at once. The
-    deputy, whose look had been parked there, heard of the end as well, and did the same.
+    It happened while upstreams were replaced and a failure domain was cut off. After the network
+    partition the leader stops a run of the acting leader as unclaimed. The job is submitted at that
+    moment, so the run is adopted, and its end has the task started again at once. The acting
+    leader, whose long poll is parked there, learns of the end as well and does the same.
     """
     deputy, leader, _ = let_a_leader_stop_a_run_of_a_deputy(11)
     spec = build_spec(tasks=1, run_ms=2_600)
@@ -194,7 +195,7 @@
 
 
 def test_a_deputy_whose_run_somebody_else_has_stopped_decides_no_more() -> None:
-    """Only whoever has a higher token can have stopped it, and may have begun its task again."""
+    """Only a host with a higher token can have stopped it, and may have started its task again."""
     deputy, _, where = let_a_leader_stop_a_run_of_a_deputy(12)
     starts = deputy.dispatch.counts.starts
     deputy.world.run_until(deputy.world.now + milliseconds(30))
--- a/cottonlug/tests/test_cluster_orphaned_runs.py
+++ b/cottonlug/tests/test_cluster_orphaned_runs.py
@@ -1,7 +1,8 @@
-"""Runs that somebody counts on to end, and others who decide prolong or begin again.
+"""Runs whose end is relied on while another coordinator prolongs or restarts them.
 
-A job that its caller sends again is begun at once, since its first try is taken to have ended: so
-nobody may prolong a run for longer than 0.3 s after the gateway of its job has given it up.
+A job that its caller submits again is started at once, because its first run is taken to have
+ended. So no host may prolong a run for longer than 0.3 s after the gateway of its job has abandoned
+it.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 
 
 def start_runs(seed: int, tasks: int = 1) -> tuple[Leader, UpstreamId]:
-    """Return a leader with a job under way at one upstream."""
+    """Return a leader with an active job at one upstream."""
     world, upstreams = build_world(seed)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(2_600)
     leader = start_leader(world, upstreams, Records(), 1)
-    # Shortly before jobs that have ended are forgotten for the first time.
+    # Shortly before ended jobs are forgotten for the first time.
     for step in range(1, 100):
         world.run_until(milliseconds(step * 100))
         beat_all(leader, set(upstreams))
@@ -59,7 +60,7 @@
 
 
 def start_in_the_south(seed: int) -> Site:
-    """Return a site led from the north: a job of a gateway there has just begun in the south."""
+    """Return a site led from the north: a job of a gateway there has just started in the south."""
     site = build_site(seed)
     assert site.leader is not None
     for instance in site.leader.dispatch.instances.values():
@@ -76,15 +77,14 @@
 def test_a_new_leader_does_not_prolong_a_run_whose_job_it_does_not_know(
     elected_ms: float, is_killed: bool
 ) -> None:
-    """Two runs, 1.30 s after a cut, where a leader was elected 0.6 to 0.7 s after it.
-
-    The domain of the leader and of the job's gateway is cut off; the gateway is killed, or answers
-    504 after 50 ms. The next leader, outside, finds the run just before its lease ends, does not
-    know its job and renews the lease for 0.8 s. 1.3 s after the first try the caller sends its job
-    to another gateway of its domain, where a deputy begins it at once.
-
-    Cause: only runs that a deputy began counted as disputed. Proof: the times of the two starts in
-    this play; none with a lease that is not renewed.
+    """Guards against two runs, 1.30 s after a network partition.
+
+    A leader is elected 0.6 to 0.7 s after the partition. The domain of the earlier leader and of
+    the job's gateway is cut off; the gateway is killed, or answers 504 after 50 ms. The next
+    leader, outside, finds the run just before its lease ends, does not know its job and renews the
+    lease for 0.8 s. The caller submits its job 1.3 s after the first time to another gateway of its
+    domain, where an acting leader starts it at once. Two starts are correct if the lease of any
+    orphaned run is left to end, not only that of a run that an acting leader started.
     """
     site = start_in_the_south(1)
     world, cut_at = site.world, site.world.now
@@ -100,15 +100,13 @@
 
 
 def test_an_end_listed_late_is_not_taken_for_that_of_a_later_run() -> None:
-    """Two runs, begun by one leader, 1.4 s after it had lost an upstream from sight.
-
-    A job was given up while its upstream was out of sight, and sent again 1.3 s later: it begins
-    elsewhere, with the same number, since numbers are counted in the open job. Then the upstream
-    is back and lists that the first run has lapsed. The leader takes that for the end of the
-    second one, and begins a third.
+    """Guards against two runs, started by one leader, 1.4 s after an upstream became unreachable.
 
-    Cause: `OpenJobs.mark_noting` compares task and number, not the upstream. Proof: no third start
-    where the upstream is compared as well.
+    A job is abandoned while its upstream is unreachable, and submitted again 1.3 s later. It starts
+    elsewhere, with the same run number, because run numbers are counted per open job. Then the
+    upstream is back and lists that the first run has lapsed. An end must be matched by upstream as
+    well as by task and run number: otherwise the leader takes this for the end of the second run,
+    and starts a third.
     """
     leader, where = start_runs(5)
     world = leader.world
@@ -128,14 +126,13 @@
 def test_runs_of_a_job_that_is_given_up_end_with_their_lease_though_no_stop_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A run went on for as long as its stops were lost, with the lease of another beside it.
+    """Guards against a run that continues for as long as its stops are lost.
 
-    The gateway of a job has answered 504 and told its leader so, which sends stops. They are lost
-    or late; looks are not, and renew the lease. After 1.3 s the caller sends the job again, and
-    where a deputy gets it that begins it at once.
-
-    Cause: runs of a silent gateway are disputed, those of a job given up otherwise are not. Proof:
-    the run is gone 1.0 s later where `abandon` disputes them.
+    The gateway of a job has answered 504 and reported that to its leader, which sends stops. These
+    are lost or late; polls are not, and renew the lease for another run beside it. After 1.3 s the
+    caller submits the job again, and an acting leader that gets it starts it at once. `abandon`
+    must mark the runs as disputed, as is done for runs of a silent gateway: then they are gone 1.0
+    s later.
     """
     leader, where = start_runs(7)
     world = leader.world
@@ -152,13 +149,12 @@
 
 
 def test_runs_left_behind_are_known_however_shortly_before_old_jobs_are_forgotten() -> None:
-    """Two runs, begun by one leader, 50 ms after it had given the job up.
-
-    The leader has not heard the job's gateway for a while and gives the job up; the gateway sends
-    it again 50 ms later. The stops have not arrived yet. In between, what is known of jobs given up
-    was dropped, as it is every 10 s however young it is: the runs were not adopted.
+    """Guards against two runs, started by one leader, 50 ms after it abandoned the job.
 
-    Cause: `OpenJobs.forget_ended` clears `left_behind` as a whole. Proof: passes 20 ms earlier.
+    The leader has not heard the job's gateway for a while and abandons the job; the gateway submits
+    it again 50 ms later, before the stops have arrived. Abandoned jobs are forgotten every 10 s,
+    but only old ones may be: if a recent one was dropped as well, its runs were not adopted. The
+    fault shows only if that falls in between; 20 ms earlier it does not.
     """
     leader, where = start_runs(6, tasks=2)
     world = leader.world
@@ -172,15 +168,13 @@
 
 
 def test_a_job_of_a_deputy_waits_for_an_upstream_that_the_leader_has_forgotten() -> None:
-    """Two runs, at once after a cut of over 10 s has healed.
+    """Guards against two runs, immediately after a network partition of over 10 s has healed.
 
     The leader forgets upstreams that it has not heard for 10 s and where nothing of its own runs.
-    A deputy in the cut-off domain goes on to use them. When the cut heals, its gateways send their
-    jobs on to the leader, which sees all upstreams that it knows, and begins them at once, up to a
-    heartbeat before it hears of the upstream where they run.
-
-    Cause: an upstream that the log does not hold is not waited for. Proof: the record of that
-    upstream is gone, and the job waits with it.
+    An acting leader in the cut-off domain continues to use them. When the partition heals, its
+    gateways submit their jobs to the leader. If the log no longer contained that upstream, the
+    leader would see all upstreams that it knows and start the jobs at once, up to a heartbeat
+    before it hears of the upstream where they run.
     """
     world, upstreams = build_world(13)
     for upstream in upstreams.values():
--- a/cottonlug/tests/test_cluster_out_of_order.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -1,4 +1,4 @@
-"""What an upstream said earlier and what arrives later: it is void, and a log line says so."""
+"""Reports of an upstream that a newer one has overtaken are ignored and logged."""
 
 from __future__ import annotations
 
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -1,8 +1,8 @@
-"""How soon a new leader knows what runs at all upstreams, where some orders go unanswered.
+"""How soon a new leader knows what runs at all upstreams if some orders are not answered.
 
 Load pattern: one order in twenty is left unanswered, or carried out seconds late, when a leader is
-lost. Jobs that were under way wait for the last upstream, so that with hundreds of them some look
-is lost at nearly every change of leader.
+lost. Active jobs wait for the last upstream, so that with hundreds of upstreams some poll is lost
+at nearly every change of leader.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def replace_leader(seed: int) -> Leader:
-    """Return a leader that has just been elected, with a lost one's job submitted to it again."""
+    """Return a newly elected leader to which a lost leader's job has been submitted again."""
     world = World(random=random.Random(seed))
     upstreams: dict[UpstreamId, ModelUpstream] = {}
     for number in range(UPSTREAMS):
@@ -50,7 +50,7 @@
 
 
 def lose_looks(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
-    """Have the first looks at some upstreams never arrive, as many as are given."""
+    """Have the first polls of some upstreams never arrive, as many as are given."""
     send = Leader._send
 
     def lose(self: Leader, order: Order) -> None:
@@ -68,10 +68,10 @@
 
 
 def test_the_last_upstreams_are_looked_at_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Failed before: a look was given up after 80 ms, and the second one 100 ms after that.
+    """Guards against a lost poll that times out after 80 ms and is repeated only 100 ms after that.
 
-    Seen on a day with 5.5 % of the orders unanswered: 268 of 270 upstreams had answered 0.1 s after
-    the election, the others after 0.31 s.
+    With 5.5 % of the orders unanswered, 268 of 270 upstreams had answered 0.1 s after the election,
+    but the others only after 0.31 s.
     """
     lose_looks(monkeypatch, {UpstreamId("u3"): 2, UpstreamId("u7"): 1})
     leader = replace_leader(1)
@@ -82,7 +82,7 @@
 def test_upstreams_out_of_reach_are_not_looked_at_by_many_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A domain that is cut off does not answer, however often it is asked."""
+    """A domain that is cut off does not answer, however often it is polled."""
     gone = {UpstreamId(f"u{number}"): 10_000 for number in range(1, 13)}
     lose_looks(monkeypatch, gone)
     leader = replace_leader(2)
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -2,7 +2,7 @@
 
 Failure pattern: an acknowledgement is lost and the operator sends the same order to another host;
 the first host, frozen or cut off, carries it out seconds later, when the opposite order has been
-acknowledged. And: an acknowledged order must be true after any loss that is borne.
+acknowledged. An acknowledged order must also hold after any loss that the cluster tolerates.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 async def send_order(world: World, machine: Machine, method: str, domain: str) -> int:
-    """Return the status of one call, 0 where none came in the time that operators wait."""
+    """Return the status of one call; 0 if none came within the time that operators wait."""
     request = HttpRequest(method=method, path=f"/evacuation/{domain}", headers={}, body=b"")
     try:
         async with asyncio.timeout(PATIENCE_SECONDS):
@@ -43,12 +43,12 @@
 
 
 class Operator:
-    """Evacuates one domain and takes it back, in turn, each order until it is acknowledged."""
+    """Evacuates one domain and takes it back, in turn, repeating orders until acknowledged."""
 
     def __init__(self, world: World, domain: DomainName, chance: random.Random) -> None:
         self.domain = domain
         self.expected: bool | None = False
-        """What was acknowledged last; None while the next order is under way."""
+        """The last acknowledged state; None while the next order is pending."""
         self.orders = 0
         self.refusals: list[int] = []
         self._world = world
@@ -79,7 +79,7 @@
 
 
 class EvacuationDay(Day):
-    """A day of chance with two operators; whoever decides must go by what was acknowledged."""
+    """A random day with two operators; the coordinator must obey what was acknowledged."""
 
     def __init__(self, world: World, seed: int) -> None:
         super().__init__(world, seed)
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -1,6 +1,6 @@
-"""A failure domain that is evacuated gets no new work, whoever decides; what runs there ends well.
+"""An evacuated failure domain gets no new work, whoever coordinates; active runs end normally.
 
-Load pattern: operators empty a domain while its callers go on, and take it back seconds later.
+Load pattern: operators evacuate a domain while its callers continue, and end that seconds later.
 """
 
 from __future__ import annotations
@@ -58,13 +58,13 @@
 
 
 def commit(leader: Leader, domain: DomainName, *, is_evacuated: bool = True) -> None:
-    """Have the log carry out an order."""
+    """Have the log apply an order."""
     base = leader.records.evacuations.get(domain).revision
     command = build_command(domain, is_evacuated=is_evacuated, base=base, order=f"o{base + 1}")
     leader._commit(decode_commands(encode_commands((command,)))[0])
 
 
-# The record
+# Replicated state
 
 
 def test_of_two_orders_from_one_revision_the_first_in_the_log_holds() -> None:
@@ -98,7 +98,7 @@
     assert other.evacuations.records == ()
 
 
-# What a leader starts
+# Starts by a leader
 
 
 def test_nothing_is_started_in_an_evacuated_domain_and_what_runs_there_ends_well() -> None:
@@ -222,7 +222,7 @@
     assert states == {JobState.COMPLETED}
 
 
-# What callers are told
+# Answers to callers
 
 
 def test_with_all_domains_evacuated_jobs_are_rejected_at_once() -> None:
@@ -316,7 +316,7 @@
     asyncio.run(play())
 
 
-# The platform's words
+# Requests of the platform
 
 
 def ask(
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -1,6 +1,6 @@
-"""Every fault at every order of a small site, alone and in pairs; and causes of two runs put back.
+"""Explores every fault at every order of a small site, alone and in pairs.
 
-Whether an exploration can fail is shown by what it finds with each of them put back.
+Past causes of duplicate runs are put back one by one, to show that the exploration finds each.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .fault_explorer import Fault, Play, Script, describe, explore
 
 PAIRS_UP_TO = 3
-"""Orders at which pairs of faults strike in a run of the tests; by hand at all of them."""
+"""Orders at which pairs of faults strike in the test suite; a manual exploration covers all."""
 
 
 def test_an_undisturbed_play_has_orders_for_all_faults_to_strike() -> None:
@@ -38,33 +38,33 @@
 
 
 def put_back_identity(patch: pytest.MonkeyPatch) -> None:
-    """A life is known by the id of its upstream alone."""
+    """Identify an instance by the id of its upstream alone."""
     patch.setattr(heartbeats, "build_instance_id", lambda name, born: name)
     put_back_unchecked_lists(patch)
 
 
 def put_back_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
-    """A list of any life is taken for that of the one that was asked."""
+    """Accept a list of any instance as that of the instance that was asked."""
     patch.setattr(workers, "_is_born", lambda upstream, read: True)
 
 
 def put_back_fast_clock(patch: pytest.MonkeyPatch) -> None:
-    """A lease counts as ended by our clock, though the upstream's may be slower."""
+    """Count a lease as ended by our clock although the upstream's clock may be slower."""
     patch.setattr(instances, "MIN_CLOCK_RATE", 1.0)
     patch.setattr(instances, "LAPSE_MARGIN", instances.LAPSE_MARGIN * 0)
 
 
 def put_back_ends_of_any_upstream(patch: pytest.MonkeyPatch) -> None:
-    """An end is matched by task and number, wherever the run was."""
+    """Match a run end by task and run number alone, at whatever upstream the run was."""
     patch.setattr(Task, "runs_as", lambda self, run, upstream: self.run == run)
 
 
 def put_back_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
-    """A new leader begins what an earlier one may have at work at an upstream out of sight."""
+    """Let a new leader start what an earlier one may have active at an unreachable upstream."""
     patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_deputies: False)
 
 
-# Guards against a model in which the causes that were mended could not show.
+# Guards against a model in which the corrected faults could not show.
 @pytest.mark.parametrize(
     ("put_back", "script"),
     [
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -1,4 +1,4 @@
-"""What gateways are told so that they can stand in."""
+"""The failover state that gateways are sent so that they can act as leaders."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def test_kept_jobs_change_the_roster_only_when_the_first_begins_or_the_last_ends() -> None:
-    """Failed on a site of kept jobs: each job sent a roster to each gateway (0.03 GB in 48 s)."""
+    """Guards against durable jobs that each send the state to all gateways (0.03 GB in 48 s)."""
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     before = gateways.log.version
     gateways.note_kept_jobs(False)
@@ -69,7 +69,7 @@
 
 
 def test_a_roster_is_sent_whole_once_and_then_as_changes() -> None:
-    """Each change of one upstream sent 35 KB to each of 44 gateways."""
+    """Guards against 35 KB sent to each of 44 gateways for each change of one upstream."""
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     records.activate_configuration(build_roster().configuration)
@@ -110,7 +110,7 @@
 
 
 def collect(gateways: Gateways, records: Records, version: str) -> tuple[Roster, int]:
-    """Return the roster of a gateway that asks until it has the whole, and how often it asked."""
+    """Return the state of a gateway that asks until it has everything, and how often it asked."""
     known: Roster | None = None
     for asked in range(1, 100):
         part = gateways.build_roster(records, version)
@@ -140,8 +140,9 @@
 def test_no_answer_is_too_large_for_the_time_that_a_greeting_is_waited_for() -> None:
     """Load pattern: 999 upstreams and 99 gateways find a new leader after all hosts were lost.
 
-    Their roster of 225 KB took 144 ms on a link of 12.5 Mbit/s, and a greeting is given up after
-    100: each gateway asked for it again and again, over new connections, and none ever had it.
+    Their state of 225 KB takes 144 ms on a link of 12.5 Mbit/s, and a keep-alive times out after
+    100 ms: sent whole, each gateway would ask for it again and again, over new connections, and
+    never get it.
     """
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
@@ -226,7 +227,7 @@
 
 
 def test_a_deputy_sends_no_rosters() -> None:
-    """Found by reading: it sent the whole one with each answer to a greeting."""
+    """Guards against an acting leader that sends the whole state with each keep-alive answer."""
 
     async def play() -> Answer:
         gateway, _ = stand_in()
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -1,4 +1,4 @@
-"""Two lives of one upstream are two, wherever upstreams are kept, told or ordered."""
+"""Two instances of one upstream are kept apart wherever upstreams are stored, sent or ordered."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def build_records() -> Records:
-    """Return records of a site where an upstream has started again before the first was removed."""
+    """Return records in which an upstream has restarted before the first instance was removed."""
     records = Records()
     for info, sequence in ((FIRST, 70), (SECOND, 1)):
         records.apply(AddUpstream(info=info, sequence=sequence))
@@ -75,7 +75,8 @@
     assert [each.info.id for each in merged.upstreams] == [SECOND.id]
 
 
-# Guards against a host that stands in and takes the life that its roster names for the one there.
+# Guards against an acting leader that confuses the instance in its failover state with the present
+# one.
 def test_a_deputy_starts_nothing_at_a_life_that_has_ended() -> None:
     world = World(random=random.Random(3))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
--- a/cottonlug/tests/test_malformed_heartbeats.py
+++ b/cottonlug/tests/test_malformed_heartbeats.py
@@ -1,6 +1,7 @@
-"""Heartbeats and lists of other writers: fields dropped, retyped, cut, nested and huge.
+"""Malformed heartbeats and lists: fields dropped, retyped, cut, nested and huge.
 
-What cannot be a worker's names no upstream, and costs nothing of what stands beside it.
+Whatever cannot come from a worker registers no upstream, and does not affect the valid input beside
+it.
 """
 
 from __future__ import annotations
@@ -57,7 +58,7 @@
 
 
 def check(body: bytes, name: str = "i-1") -> None:
-    """Whatever comes is refused with a reason, or is all that a worker's heartbeat must be."""
+    """Check that a body is refused with a reason, or is a complete heartbeat of a worker."""
     decoded = decode_heartbeat(name, body)
     if isinstance(decoded, Err):
         assert decoded.failure()
@@ -133,7 +134,7 @@
     ],
 )
 def test_one_that_names_no_upstream_is_refused_and_the_others_hold(body: bytes) -> None:
-    """Failed before for an unknown state, an address that is none, and counts left out."""
+    """Guards against an unknown state, an invalid address, and counts that were left out."""
     answers: list[tuple[int, list[Call]]] = []
     for each in (msgspec.json.encode(GOOD), body, msgspec.json.encode(GOOD)):
         response, calls = run_control(
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had, with counts and clocks anew.
+"""Upstreams that restart under the id that they had, with new counters and a new clock.
 
 Load pattern: a third of a site's upstreams go down and come back every few seconds.
 """
@@ -19,7 +19,7 @@
 from .wire_site import WireHost, WireLeader, beat_forever, build_hosts
 
 TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
-"""As on the users' platform: 0.92 s, where upstreams grant 1 s at the most."""
+"""As on the users' platform: 0.92 s, where upstreams grant 1 s at most."""
 SEEDS = 20
 JOB = "a" * 16
 OTHER = "c" * 16
@@ -41,7 +41,7 @@
 
 
 def play_job_given_up(seed: int, *, starts_again: bool) -> WireLeader:
-    """Have two jobs at work at one upstream, and give one of them up."""
+    """Have two jobs active at one upstream, and abandon one of them."""
     world = World(random=random.Random(seed))
     run_ms = [60.0]
     hosts = build_hosts(world, 2, run_ms=lambda: run_ms[0], rate=0.98)
@@ -76,7 +76,8 @@
         assert leader.world.starts == 10
 
 
-# Guards against TWICE: the lease of an upstream that had started again outlived what was counted.
+# Guards against duplicate runs: the lease of an upstream that had restarted outlived the time that
+# was counted.
 def test_a_lease_counts_by_the_clock_of_the_upstream_that_started_again() -> None:
     for seed in range(SEEDS):
         leader = play_job_given_up(seed, starts_again=True)
@@ -84,7 +85,8 @@
         assert leader.world.starts == 10
 
 
-# Guards against jobs that never end: ends were counted from 1 again, and so taken for old ones.
+# Guards against jobs that never end: run ends were numbered from 1 again, and so taken for old
+# ones.
 @pytest.mark.parametrize("durable", [False, True])
 def test_ends_of_an_upstream_that_started_again_are_noted(durable: bool) -> None:
     world = World(random=random.Random(2))
@@ -107,7 +109,7 @@
     assert world.starts == 12
 
 
-# Guards against starts and leases that a later life takes for its own, in runs of chance.
+# Guards against starts and leases that a later instance takes for its own, in random plays.
 @pytest.mark.parametrize("seed", range(12))
 def test_no_task_runs_twice_while_upstreams_start_again(seed: int) -> None:
     leader, jobs = play_by_chance(seed)
@@ -121,7 +123,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ChancePlay:
-    """Upstreams that start again, lost answers, late orders and leaders in turn, by chance."""
+    """Upstreams that restart, lost answers, late orders and a succession of leaders, at random."""
 
     chance: random.Random
     world: World
@@ -129,7 +131,7 @@
     records: Records = field(default_factory=Records)
     leaders: list[WireLeader] = field(default_factory=list)
     jobs: dict[JobId, bool] = field(default_factory=dict)
-    """All that were submitted, and whether each must be kept."""
+    """All submitted jobs, and whether each is durable."""
     is_calm: bool = False
 
     @property
@@ -140,7 +142,7 @@
         self.leaders.append(build_leader(self.world, self.hosts, self.records, term=term))
 
     def disturb(self) -> None:
-        """Have an upstream start again, at once or after a while, again and again."""
+        """Restart an upstream, at once or after a while, again and again."""
         if self.is_calm:
             return
         host = self.chance.choice(list(self.hosts.values()))
@@ -177,7 +179,7 @@
             self.leader.submit(job.record.id, job.record.spec, PATIENT, may_have_begun=True)
 
     def calm_down(self) -> None:
-        """Disturb nothing more, and let all that has begun come to its end."""
+        """Stop all faults, and let everything that has started come to its end."""
         self.is_calm = True
         self.world.lost_share = self.world.late_share = 0.0
         for host in self.hosts.values():
@@ -187,9 +189,9 @@
 
 
 def play_by_chance(seed: int) -> tuple[WireLeader, dict[JobId, bool]]:
-    """Play some seconds; return the last leader, and all jobs with whether they must be kept.
+    """Play some seconds; return the last leader, and all jobs with whether they are durable.
 
-    Two runs of a task at once stop it, and so does a start after an end that was noted.
+    Two simultaneous runs of a task fail the test, and so does a start after a recorded end.
     """
     chance = random.Random(seed)
     world = World(random=chance, lost_share=0.03, late_share=0.01)
