--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -95,7 +95,7 @@
             self._submit(may_have_begun=False)
             self.world.run_until(ENDED_BY)
         except AssertionError as error:
-            self._tell(f"broken: {error}")
+            self._log(f"broken: {error}")
             self.outcome.problem = str(error)
             return self.outcome
         for job in (JOB, OTHER):
@@ -112,7 +112,7 @@
     def _find_leader(self) -> WireLeader:
         return self.leaders[-1]
 
-    def _tell(self, what: str) -> None:
+    def _log(self, what: str) -> None:
         self.outcome.timeline.append(f"{self.world.now / milliseconds(1):8.1f} ms  {what}")
 
     def _lead(self) -> None:
@@ -145,7 +145,7 @@
         fault = self.script.get(number)
         if fault is None:
             return usual
-        self._tell(f"order {number} to {host.name}: {fault.value}")
+        self._log(f"order {number} to {host.name}: {fault.value}")
         if fault is Fault.ORDER_LOST:
             return Fate(there=None, back=None)
         if fault is Fault.ANSWER_LOST:
@@ -174,10 +174,10 @@
     def _lose_gateway(self) -> None:
         leader = self._find_leader()
         # The coordinator abandons a gateway's jobs once it has not heard the gateway for 0.3 s.
-        self.world.at(milliseconds(300), lambda: self._give_up(leader))
+        self.world.at(milliseconds(300), lambda: self._abandon(leader))
         self.world.at(CALLER_AFTER, lambda: self._submit(may_have_begun=False))
 
-    def _give_up(self, leader: WireLeader) -> None:
+    def _abandon(self, leader: WireLeader) -> None:
         if not leader.is_over:
             leader.dispatch.abandon(JOB, "", self.world.now)
             leader.act()
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -45,7 +45,7 @@
     return sum(ref.job == job for ref, _ in world.begun)
 
 
-def test_a_job_sent_again_waits_for_no_upstream_that_was_long_gone() -> None:
+def test_a_resubmitted_job_does_not_wait_for_a_cordoned_upstream() -> None:
     """Guards against a job that waits until all leases must have ended after a leader change."""
     second = replace_leader(lose_upstream(1))
     second.submit(JOB, build_spec(tasks=2), build_queue(), may_have_begun=True)
@@ -53,7 +53,7 @@
     assert count_starts(second.world, JOB) == 2
 
 
-def test_a_job_that_a_deputy_may_have_begun_waits_for_it_all_the_same() -> None:
+def test_a_job_that_an_acting_leader_may_have_started_waits_for_a_cordoned_upstream() -> None:
     """No leader knows what an acting leader has started in a failure domain that was cut off."""
     second = replace_leader(lose_upstream(2))
     spec = build_spec(tasks=2)
@@ -64,7 +64,7 @@
     assert count_starts(second.world, JOB) == 2
 
 
-def test_nothing_is_started_before_the_log_says_that_an_upstream_is_used_again() -> None:
+def test_nothing_is_started_before_the_log_uncordons_an_upstream() -> None:
     leader = lose_upstream(3)
     upstream = leader.upstreams[GONE]
     upstream.is_up = True
@@ -91,7 +91,7 @@
     assert not any(record.is_cordoned for record in leader.records.upstreams.values())
 
 
-def test_the_record_survives_a_snapshot_and_repeats() -> None:
+def test_cordons_survive_snapshots_and_repeated_commands() -> None:
     records = lose_upstream(5).records
     records.apply(CordonUpstreams(upstreams=(GONE, UpstreamId("never-heard-of"))))
     again = Records()
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -44,7 +44,7 @@
 IN_TOUCH_AFTER = timedelta(seconds=3)
 """The platform counts starts of a host only once the control hosts were without faults this long.
 """
-PATIENT = build_queue(max_attempts=50, target_ms=60_000)
+LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 """For jobs that are useful for minutes, best-effort ones included."""
 
 
@@ -77,7 +77,7 @@
         self.upstreams[info.id] = upstream
         return upstream
 
-    def come_back(self, crashed: ModelUpstream) -> None:
+    def start_again(self, crashed: ModelUpstream) -> None:
         """Start another instance at the address of an upstream that has crashed."""
 
         def begin() -> None:
@@ -114,7 +114,9 @@
         """Submit a job of which some tasks crash upstreams."""
         id = JobId(f"{next(self.jobs):016x}")
         self.world.poison |= {TaskRef(id, 0, 0, place) for place in range(poison)}
-        self.leader.submit(id, build_spec(tasks=tasks, run_ms=run_ms, durable=durable), PATIENT)
+        self.leader.submit(
+            id, build_spec(tasks=tasks, run_ms=run_ms, durable=durable), LENIENT_QUEUE
+        )
         return id
 
     def find_state(self, job: JobId) -> JobState | None:
@@ -138,7 +140,7 @@
         back_after=lambda: timedelta(seconds=back_after),
         run_ms=lambda: run_ms,
     )
-    site.world.on_crash = site.come_back
+    site.world.on_crash = site.start_again
     site.lead(1)
     for number in range(racks * RACK):
         site.beat(site.add(f"u{number + 1}", number // RACK, f"d{number % 2}"))
@@ -147,7 +149,7 @@
 
 
 @pytest.mark.parametrize("durable", [True, False])
-def test_a_task_that_crashes_upstreams_is_given_up_at_the_second(durable: bool) -> None:
+def test_a_task_that_crashes_upstreams_is_quarantined_at_the_second_crash(durable: bool) -> None:
     """Guards against a task that is started again and again and crashes an upstream each time."""
     site = build_site(1)
     job = site.submit(durable=durable, tasks=3, poison=1)
@@ -157,7 +159,7 @@
     assert not any(ref.job == job for ref in site.world.running)
 
 
-def test_a_suspect_is_tried_again_alone() -> None:
+def test_a_suspect_is_retried_alone() -> None:
     site = build_site(2, racks=1, run_ms=300)
     suspect = site.submit(durable=True, poison=1)
     site.run_for(0.2)
@@ -173,7 +175,7 @@
     assert sum(site.world.crashes.values()) == 2
 
 
-def test_neighbours_of_a_suspect_are_done() -> None:
+def test_neighbours_of_a_suspect_complete() -> None:
     """Tasks that ran beside it are retried alone as well, and have no second crash."""
     site = build_site(3, racks=1, run_ms=400)
     sound = [site.submit(durable=True, run_ms=400) for _ in range(4)]
@@ -184,7 +186,7 @@
     assert {site.find_state(job) for job in sound} == {JobState.COMPLETED}
 
 
-def test_a_task_is_not_given_up_for_the_loss_of_racks() -> None:
+def test_a_task_is_not_quarantined_for_the_loss_of_racks() -> None:
     """Each task is active in two racks when they go down, one after the other."""
     site = build_site(4, run_ms=3_000)
     jobs = [site.submit(durable=True, run_ms=3_000) for _ in range(8)]
@@ -199,7 +201,7 @@
     assert {site.find_state(job) for job in jobs} == {JobState.COMPLETED}
 
 
-def test_what_is_known_of_a_suspect_outlives_its_leader() -> None:
+def test_crash_counts_outlive_their_leader() -> None:
     site = build_site(5)
     job = site.submit(durable=True, poison=1)
     site.run_for(2.6)
@@ -210,7 +212,7 @@
     assert site.count_crashes(job) == 2
 
 
-def test_a_crash_is_counted_by_the_next_leader_where_the_last_one_saw_its_beginning() -> None:
+def test_the_next_leader_counts_a_crash_whose_beginning_the_last_one_recorded() -> None:
     """The leader is lost when it knows only that the upstream is silent; the log holds that.
 
     Of the second crash, less than a lease earlier, it has recorded nothing: that one does not
@@ -229,16 +231,16 @@
     assert site.count_crashes(job) <= 4
 
 
-def test_a_deputy_that_is_told_of_crashes_gives_up_at_the_next() -> None:
+def test_a_task_with_a_reported_crash_is_quarantined_at_the_next() -> None:
     """A gateway submits a job again and reports the one crash that another host has counted."""
     site = build_site(7)
     id = JobId("f" * 16)
     ref = TaskRef(id, 0, 0, 0)
     site.world.poison.add(ref)
     spec = build_spec(tasks=1)
-    told = Suspect(task=ref, counts=ONE_CRASH)
-    site.leader.dispatch.jobs.crash_tracker.record_reported_suspects([told])
-    record = JobRecord(id=id, queue=PATIENT, spec=spec, accepted_ms=0)
+    reported = Suspect(task=ref, counts=ONE_CRASH)
+    site.leader.dispatch.jobs.crash_tracker.record_reported_suspects([reported])
+    record = JobRecord(id=id, queue=LENIENT_QUEUE, spec=spec, accepted_ms=0)
     submission = Submission(gateway="", may_have_begun=True, settle_after=SETTLE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
     site.leader.act()
@@ -248,7 +250,7 @@
     assert site.leader.dispatch.is_given_up(id)
 
 
-def test_an_upstream_that_was_only_out_of_sight_counts_against_nobody() -> None:
+def test_an_upstream_that_was_only_unreachable_counts_against_no_task() -> None:
     site = build_site(8, run_ms=2_500)
     job = site.submit(durable=True, run_ms=2_500)
     site.run_for(0.2)
@@ -263,7 +265,7 @@
     assert site.find_state(job) is JobState.COMPLETED
 
 
-def test_a_job_given_up_for_crashes_is_said_to_have_failed_when_it_comes_again() -> None:
+def test_a_job_quarantined_for_crashes_is_known_to_the_next_leader() -> None:
     site = build_site(9)
     job = site.submit(durable=False, poison=1)
     site.run_for(20)
@@ -302,7 +304,7 @@
     return site
 
 
-def test_the_campaign_would_find_a_task_that_is_never_given_up(
+def test_the_campaign_would_find_a_task_that_is_never_quarantined(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """With quarantine switched off, the campaign must fail."""
@@ -313,7 +315,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_sound_jobs_are_done_though_racks_go_down(seed: int) -> None:
+def test_sound_jobs_complete_though_racks_go_down(seed: int) -> None:
     play_campaign(seed, racks_down=True)
 
 
@@ -343,12 +345,12 @@
         ([lose(1, 0), *(lose(each, 10_000, rack=each) for each in (2, 3, 4))], False),
     ],
 )
-def test_what_is_lost_at_once_with_others_is_explained(losses: list[Loss], expected: bool) -> None:
+def test_simultaneous_losses_have_a_common_cause(losses: list[Loss], expected: bool) -> None:
     assert has_common_cause(losses[0], losses, SIZES) is expected
     assert milliseconds(500) > SIMULTANEOUS_WITHIN
 
 
-def test_blame_goes_to_the_worst_suspect_then_to_the_kind_then_to_all() -> None:
+def test_blame_goes_to_the_worst_suspect_then_to_the_queue_then_to_all() -> None:
     first, second = (TaskRef(JobId(name * 16), 0, 0, 0) for name in "ab")
     queues = {first.job: QueueKey("h", "/a/"), second.job: QueueKey("h", "/b/")}
     tasks = [first, second]
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -15,7 +15,7 @@
 from .test_cluster_dispatch import build_world, start_leader
 
 JOB = "a" * 16
-STANDS_IN_AFTER = milliseconds(670)
+ACTS_AS_LEADER_AFTER = milliseconds(670)
 
 
 def act_as_leader(first: Leader, upstreams: set[UpstreamId], level: int) -> Leader:
@@ -44,44 +44,44 @@
     return leader, UpstreamId(where)
 
 
-def test_a_deputy_does_not_prolong_what_the_leader_has_given_up() -> None:
+def test_an_acting_leader_does_not_prolong_what_the_leader_has_abandoned() -> None:
     """The leader has started the run again elsewhere."""
     leader, where = start_long_run(1)
     leader.cut_off = {where}
-    leader.world.run_until(leader.world.now + STANDS_IN_AFTER)
+    leader.world.run_until(leader.world.now + ACTS_AS_LEADER_AFTER)
     act_as_leader(leader, {where}, 1_001)
     leader.world.run_until(leader.world.now + TERMS.lapse_after * 2)
     ((_, again),) = leader.world.running.items()
     assert again != where
 
 
-def test_a_deputy_goes_on_with_what_its_gateways_submit_again() -> None:
+def test_an_acting_leader_adopts_runs_whose_jobs_are_submitted_again() -> None:
     leader, where = start_long_run(2)
     leader.is_over = True
-    leader.world.run_until(leader.world.now + STANDS_IN_AFTER)
-    deputy = act_as_leader(leader, {where}, 1_001)
-    deputy.world.run_until(deputy.world.now + milliseconds(60))
+    leader.world.run_until(leader.world.now + ACTS_AS_LEADER_AFTER)
+    acting_leader = act_as_leader(leader, {where}, 1_001)
+    acting_leader.world.run_until(acting_leader.world.now + milliseconds(60))
     spec = build_spec(tasks=1, run_ms=2_600)
-    deputy.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
-    deputy.world.run_until(milliseconds(2_500))
-    assert list(deputy.world.running.values()) == [where]
-    assert deputy.world.starts == 1
+    acting_leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    acting_leader.world.run_until(milliseconds(2_500))
+    assert list(acting_leader.world.running.values()) == [where]
+    assert acting_leader.world.starts == 1
 
 
-def test_a_leader_does_not_prolong_what_a_deputy_has_given_up() -> None:
+def test_a_leader_does_not_prolong_what_an_acting_leader_has_abandoned() -> None:
     """An acting leader that no longer reaches an upstream starts its run again elsewhere."""
     leader, where = start_long_run(3)
     world = leader.world
     world.run_until(milliseconds(3_000))
     assert not world.running
-    deputy = act_as_leader(leader, set(leader.upstreams), 1_001)
+    acting_leader = act_as_leader(leader, set(leader.upstreams), 1_001)
     leader.is_over = True
     world.run_until(world.now + milliseconds(100))
-    deputy.submit("b" * 16, build_spec(tasks=1, run_ms=2_600), build_queue())
+    acting_leader.submit("b" * 16, build_spec(tasks=1, run_ms=2_600), build_queue())
     world.run_until(world.now + milliseconds(100))
     ((_, text),) = world.running.items()
     where = UpstreamId(text)
-    deputy.cut_off = {where}
+    acting_leader.cut_off = {where}
     world.run_until(world.now + milliseconds(200))
     others = set(leader.upstreams) - {where}
     again = Leader(
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_campaign_of_a_leader_and_a_deputy_side_by_side(seed: int) -> None:
+def test_campaign_of_a_leader_and_an_acting_leader_side_by_side(seed: int) -> None:
     """Each has jobs of its own; each upstream is reached by one of them, by both, or by none."""
     world, upstreams = build_world(seed + 900, late_share=0.02)
     chance = random.Random(seed)
@@ -106,20 +106,20 @@
         upstream.run_times = lambda job: milliseconds(chance.choice((60, 700, 2_500)))
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    deputy: Leader | None = None
+    acting_leader: Leader | None = None
     spec, queue = build_spec(tasks=2, run_ms=900), build_queue(max_attempts=50)
     for step in range(60):
         world.run_until(milliseconds(200 + step * 200))
-        for decider, name in ((leader, "a"), (deputy, "b")):
-            if decider is not None and chance.random() < 0.4:
-                decider.submit(f"{name}{step:015x}", spec, queue)
-                decider.cut_off ^= {chance.choice(list(upstreams))}
-        if deputy is None and chance.random() < 0.2:
+        for coordinator, name in ((leader, "a"), (acting_leader, "b")):
+            if coordinator is not None and chance.random() < 0.4:
+                coordinator.submit(f"{name}{step:015x}", spec, queue)
+                coordinator.cut_off ^= {chance.choice(list(upstreams))}
+        if acting_leader is None and chance.random() < 0.2:
             seen = {id for id in upstreams if chance.random() < 0.5}
-            deputy = act_as_leader(leader, seen, 1_001 + step)
-        elif deputy is not None and chance.random() < 0.1:
-            deputy.is_over = True
-            deputy = None
+            acting_leader = act_as_leader(leader, seen, 1_001 + step)
+        elif acting_leader is not None and chance.random() < 0.1:
+            acting_leader.is_over = True
+            acting_leader = None
     assert world.starts >= 10
 
 
@@ -147,7 +147,7 @@
     assert not any(ref.job == JOB for ref in world.running)
 
 
-def let_a_leader_stop_a_run_of_a_deputy(seed: int) -> tuple[Leader, Leader, UpstreamId]:
+def let_leader_stop_run_of_acting_leader(seed: int) -> tuple[Leader, Leader, UpstreamId]:
     """Return an acting leader, and a leader that reaches only the upstream of that one's run.
 
     Nobody has submitted the job to the leader in time, so the leader has had the run stopped. The
@@ -157,9 +157,9 @@
     world = first.world
     world.run_until(milliseconds(3_000))
     first.is_over = True
-    deputy = act_as_leader(first, set(first.upstreams), 1_001)
+    acting_leader = act_as_leader(first, set(first.upstreams), 1_001)
     world.run_until(world.now + milliseconds(100))
-    deputy.submit(JOB, build_spec(tasks=1, run_ms=2_600), build_queue())
+    acting_leader.submit(JOB, build_spec(tasks=1, run_ms=2_600), build_queue())
     world.run_until(world.now + milliseconds(50))
     ((_, text),) = world.running.items()
     where = UpstreamId(text)
@@ -172,10 +172,10 @@
     )
     while leader.dispatch.counts.stops == 0:
         world.run_until(world.now + milliseconds(1))
-    return deputy, leader, where
+    return acting_leader, leader, where
 
 
-def test_a_run_that_was_adopted_and_ends_says_nothing_of_upstreams_not_seen_yet() -> None:
+def test_the_end_of_an_adopted_run_says_nothing_about_upstreams_not_seen_yet() -> None:
     """Guards against an alert that is sent twice.
 
     It happened while upstreams were replaced and a failure domain was cut off. After the network
@@ -183,22 +183,22 @@
     moment, so the run is adopted, and its end has the task started again at once. The acting
     leader, whose long poll is parked there, learns of the end as well and does the same.
     """
-    deputy, leader, _ = let_a_leader_stop_a_run_of_a_deputy(11)
+    acting_leader, leader, _ = let_leader_stop_run_of_acting_leader(11)
     spec = build_spec(tasks=1, run_ms=2_600)
     leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
     leader.world.run_until(leader.world.now + milliseconds(500))
     assert leader.dispatch.counts.starts == 0
-    deputy.is_over = True
+    acting_leader.is_over = True
     leader.cut_off = set()
     leader.world.run_until(leader.world.now + TERMS.lapse_after * 2)
     assert leader.dispatch.counts.starts == 1
 
 
-def test_a_deputy_whose_run_somebody_else_has_stopped_decides_no_more() -> None:
+def test_an_acting_leader_whose_run_another_host_has_stopped_is_superseded() -> None:
     """Only a host with a higher token can have stopped it, and may have started its task again."""
-    deputy, _, where = let_a_leader_stop_a_run_of_a_deputy(12)
-    starts = deputy.dispatch.counts.starts
-    deputy.world.run_until(deputy.world.now + milliseconds(30))
-    assert deputy.dispatch.is_superseded
-    assert not deputy.upstreams[where].runs
-    assert deputy.dispatch.counts.starts == starts
+    acting_leader, _, where = let_leader_stop_run_of_acting_leader(12)
+    starts = acting_leader.dispatch.counts.starts
+    acting_leader.world.run_until(acting_leader.world.now + milliseconds(30))
+    assert acting_leader.dispatch.is_superseded
+    assert not acting_leader.upstreams[where].runs
+    assert acting_leader.dispatch.counts.starts == starts
--- a/cottonlug/tests/test_cluster_orphaned_runs.py
+++ b/cottonlug/tests/test_cluster_orphaned_runs.py
@@ -36,14 +36,14 @@
     # Shortly before ended jobs are forgotten for the first time.
     for step in range(1, 100):
         world.run_until(milliseconds(step * 100))
-        beat_all(leader, set(upstreams))
+        deliver_heartbeats(leader, set(upstreams))
     leader.submit(JOB, build_spec(tasks=tasks, run_ms=2_600), build_queue())
     world.run_until(KEEP_ENDED - milliseconds(10))
     (where,) = set(world.running.values())
     return leader, UpstreamId(where)
 
 
-def beat_all(leader: Leader, upstreams: set[UpstreamId]) -> None:
+def deliver_heartbeats(leader: Leader, upstreams: set[UpstreamId]) -> None:
     for id in upstreams:
         leader.deliver_heartbeat(
             leader.upstreams[id], sequence=int(leader.world.now / milliseconds(1))
@@ -118,12 +118,12 @@
     world.run_until(world.now + milliseconds(20))
     assert world.starts == 2
     leader.cut_off = set()
-    beat_all(leader, {where})
+    deliver_heartbeats(leader, {where})
     world.run_until(world.now + milliseconds(500))
     assert world.starts == 2
 
 
-def test_runs_of_a_job_that_is_given_up_end_with_their_lease_though_no_stop_arrives(
+def test_runs_of_an_abandoned_job_end_with_their_lease_though_no_stop_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a run that continues for as long as its stops are lost.
@@ -148,7 +148,7 @@
     assert not any(ref.job == JOB for ref in world.running)
 
 
-def test_runs_left_behind_are_known_however_shortly_before_old_jobs_are_forgotten() -> None:
+def test_runs_of_a_recently_abandoned_job_are_adopted_when_old_jobs_are_forgotten() -> None:
     """Guards against two runs, started by one leader, 50 ms after it abandoned the job.
 
     The leader has not heard the job's gateway for a while and abandons the job; the gateway submits
@@ -167,7 +167,7 @@
     assert world.starts == 2
 
 
-def test_a_job_of_a_deputy_waits_for_an_upstream_that_the_leader_has_forgotten() -> None:
+def test_a_job_of_an_acting_leader_waits_for_an_upstream_that_the_leader_has_forgotten() -> None:
     """Guards against two runs, immediately after a network partition of over 10 s has healed.
 
     The leader forgets upstreams that it has not heard for 10 s and where nothing of its own runs.
@@ -183,29 +183,29 @@
     world.run_until(milliseconds(100))
     far = UpstreamId("u1")
     near = set(upstreams) - {far}
-    roster = Records()
-    roster.restore(first.records.encode())
+    state = Records()
+    state.restore(first.records.encode())
     first.cut_off = {far}
     for step in range(110):
         world.run_until(milliseconds(200 + step * 100))
-        beat_all(first, near)
+        deliver_heartbeats(first, near)
     assert world.now > SILENT_AFTER
-    deputy = Leader(
+    acting_leader = Leader(
         world=world,
         upstreams=upstreams,
-        records=roster,
+        records=state,
         token=TOKENS_PER_TERM + 1,
         cut_off=near,
         is_acting=True,
     )
     world.run_until(world.now + milliseconds(50))
-    deputy.submit(JOB, SPEC, build_queue(), settle_after=timedelta())
+    acting_leader.submit(JOB, SPEC, build_queue(), settle_after=timedelta())
     world.run_until(world.now + milliseconds(50))
     assert list(world.running.values()) == [far]
-    first.is_over = deputy.is_over = True
+    first.is_over = acting_leader.is_over = True
     token = 2 * TOKENS_PER_TERM
     second = Leader(world=world, upstreams=upstreams, records=first.records, token=token)
-    beat_all(second, near)
+    deliver_heartbeats(second, near)
     world.run_until(world.now + milliseconds(50))
     second.submit(JOB, SPEC, build_queue(), may_have_begun=True, may_be_of_deputy=True)
     world.run_until(world.now + milliseconds(100))
--- a/cottonlug/tests/test_cluster_out_of_order.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -13,10 +13,10 @@
 from .model_upstreams import TERMS, ModelUpstream, World, build_info, milliseconds
 
 INFO = build_info("u1")
-Notes = list[tuple[str, dict[str, str | int]]]
+Decisions = list[tuple[str, dict[str, str | int]]]
 
 
-def build_dispatch(notes: Notes) -> Dispatch:
+def build_dispatch(decisions: Decisions) -> Dispatch:
     records = Records()
     records.apply(AddUpstream(info=INFO, sequence=1))
     return Dispatch(
@@ -25,14 +25,14 @@
         terms=TERMS,
         now=timedelta(),
         wall_ms=lambda: 0,
-        log_decision=lambda name, fields: notes.append((name, fields)),
+        log_decision=lambda name, fields: decisions.append((name, fields)),
         on_job_end=lambda job: None,
     )
 
 
-def test_a_heartbeat_that_was_overtaken_is_void_and_logged() -> None:
-    notes: Notes = []
-    dispatch = build_dispatch(notes)
+def test_an_overtaken_heartbeat_is_ignored_and_logged() -> None:
+    decisions: Decisions = []
+    dispatch = build_dispatch(decisions)
     for sequence, cpu in ((5, 8_000), (4, 16_000)):
         info = build_info("u1", cpu=cpu)
         beat = Heartbeat(info=info, sequence=sequence, draining=False, clock_ms=70)
@@ -45,12 +45,12 @@
         "newest": 5,
         "clock_ms": 70,
     }
-    assert ("heartbeat_overtaken", expected) in notes
+    assert ("heartbeat_overtaken", expected) in decisions
 
 
-def test_a_list_that_was_overtaken_is_void_and_logged() -> None:
-    notes: Notes = []
-    dispatch = build_dispatch(notes)
+def test_an_overtaken_list_is_ignored_and_logged() -> None:
+    decisions: Decisions = []
+    dispatch = build_dispatch(decisions)
     upstream = ModelUpstream(
         world=World(random=random.Random(1)),
         info=INFO,
@@ -62,5 +62,5 @@
     older = LookReply(clock_ms=newer.clock_ms - 1, running=(), ended=())
     for reply in (newer, older):
         dispatch.take_look(order, reply, milliseconds(1), milliseconds(3))
-    assert [name for name, _ in notes].count("list_overtaken") == 1
-    assert dict(notes)["list_overtaken"]["sent_ms_ago"] == 2
+    assert [name for name, _ in decisions].count("list_overtaken") == 1
+    assert dict(decisions)["list_overtaken"]["sent_ms_ago"] == 2
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -49,7 +49,7 @@
     return second
 
 
-def lose_looks(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
+def lose_polls(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
     """Have the first polls of some upstreams never arrive, as many as are given."""
     send = Leader._send
 
@@ -67,37 +67,37 @@
     monkeypatch.setattr(Leader, "_send", lose)
 
 
-def test_the_last_upstreams_are_looked_at_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_last_upstreams_are_polled_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a lost poll that times out after 80 ms and is repeated only 100 ms after that.
 
     With 5.5 % of the orders unanswered, 268 of 270 upstreams had answered 0.1 s after the election,
     but the others only after 0.31 s.
     """
-    lose_looks(monkeypatch, {UpstreamId("u3"): 2, UpstreamId("u7"): 1})
+    lose_polls(monkeypatch, {UpstreamId("u3"): 2, UpstreamId("u7"): 1})
     leader = replace_leader(1)
     leader.world.run_until(leader.world.now + milliseconds(100))
     assert leader.world.starts == 4
 
 
-def test_upstreams_out_of_reach_are_not_looked_at_by_many_calls(
+def test_unreachable_upstreams_are_not_polled_by_many_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A domain that is cut off does not answer, however often it is polled."""
     gone = {UpstreamId(f"u{number}"): 10_000 for number in range(1, 13)}
-    lose_looks(monkeypatch, gone)
+    lose_polls(monkeypatch, gone)
     leader = replace_leader(2)
     before = leader.dispatch.counts.looks
     leader.world.run_until(leader.world.now + milliseconds(1_000))
-    looks = leader.dispatch.counts.looks - before
-    assert looks < UPSTREAMS * 6
+    polls = leader.dispatch.counts.looks - before
+    assert polls < UPSTREAMS * 6
 
 
-def test_one_upstream_out_of_reach_is_soon_looked_at_as_others_are(
+def test_one_unreachable_upstream_is_soon_polled_like_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     gone = UpstreamId("u5")
     left = {gone: 10_000}
-    lose_looks(monkeypatch, left)
+    lose_polls(monkeypatch, left)
     leader = replace_leader(3)
     leader.world.run_until(leader.world.now + milliseconds(3_000))
     assert 10_000 - left[gone] < 20
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -59,11 +59,11 @@
             await asyncio.sleep(self._chance.uniform(0.3, 3.0))
             begin = not self.expected
             self.expected = None
-            await self._insist("POST" if begin else "DELETE")
+            await self._send_until_acknowledged("POST" if begin else "DELETE")
             self.expected = begin
             self.orders += 1
 
-    async def _insist(self, method: str) -> None:
+    async def _send_until_acknowledged(self, method: str) -> None:
         backoff, last = 0.1, ""
         while True:
             others = [name for name in self._world.machines if name != last]
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_was_acknowledged_last_holds_through_any_troubles(seed: int) -> None:
+def test_what_was_acknowledged_last_holds_through_any_faults(seed: int) -> None:
     day = play_day(seed)
     assert not day.find_problems(), day.troubles
     assert sum(operator.orders for operator in day.operators) > 3
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_an_acknowledged_order_is_true_after_all_hosts_were_lost(power: bool) -> None:
+def test_an_acknowledged_order_holds_after_all_hosts_were_lost(power: bool) -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         assert await send_order(world, machines[3], "POST", "d1") == 200
         wiped = machines[:2] if power else []
@@ -169,14 +169,14 @@
     play_core(2, day)
 
 
-def test_gateways_learn_of_an_evacuation_with_their_next_greeting() -> None:
+def test_gateways_learn_of_an_evacuation_with_their_next_keep_alive() -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         gateway = world.start_gateway("g1", "d1", "10.8.0.1", machines[:3])
         await asyncio.sleep(1.0)
         assert await send_order(world, machines[4], "POST", "d1") == 200
         await asyncio.sleep(0.3)
-        roster = gateway.link.rosters.whole
-        assert roster is not None
-        assert [each.domain for each in roster.evacuations if each.is_evacuated] == ["d1"]
+        state = gateway.link.rosters.whole
+        assert state is not None
+        assert [each.domain for each in state.evacuations if each.is_evacuated] == ["d1"]
 
     play_core(3, day)
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -84,7 +84,7 @@
     assert evacuations.evacuated == frozenset()
 
 
-def test_a_snapshot_keeps_evacuations_and_what_an_older_one_lacks_is_none() -> None:
+def test_a_snapshot_keeps_evacuations_and_an_older_one_has_none() -> None:
     records, other = Records(), Records()
     records.apply(build_command(HOME))
     records.apply(build_command(EAST))
@@ -101,7 +101,7 @@
 # Starts by a leader
 
 
-def test_nothing_is_started_in_an_evacuated_domain_and_what_runs_there_ends_well() -> None:
+def test_nothing_is_started_in_an_evacuated_domain_and_active_runs_end_normally() -> None:
     leader = build_leader(1)
     world = leader.world
     before = [submit(leader, number, HOME, tasks=4) for number in range(4)]
@@ -134,9 +134,7 @@
     assert count_domains(leader)[HOME] == 4
 
 
-def test_a_domain_that_is_taken_back_is_used_last_until_its_upstreams_say_that_they_are_warm() -> (
-    None
-):
+def test_a_domain_that_is_taken_back_is_used_last_until_its_upstreams_report_to_be_warm() -> None:
     leader = build_leader(1, run_ms=3_000)
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
@@ -150,7 +148,7 @@
     assert count_domains(leader)[HOME] == 4, "nobody waits while there is room"
 
 
-def test_a_domain_whose_upstreams_say_that_they_are_warm_is_used_at_once() -> None:
+def test_a_domain_whose_upstreams_report_to_be_warm_is_used_at_once() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     commit(leader, HOME, is_evacuated=False)
@@ -208,7 +206,7 @@
     assert counts[HOME] == 0 and sum(counts.values()) == 40
 
 
-def test_kept_jobs_lose_nothing_by_an_evacuation() -> None:
+def test_durable_jobs_lose_nothing_by_an_evacuation() -> None:
     leader = build_leader(3, run_ms=700)
     for number in range(8):
         leader.submit(
@@ -242,13 +240,13 @@
     assert leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now) is None
 
 
-def test_a_deputy_of_an_evacuated_domain_rejects_at_once() -> None:
+def test_an_acting_leader_of_an_evacuated_domain_rejects_at_once() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     records = Records()
     records.restore(leader.records.encode())
     leader.is_over = True
-    deputy = Leader(
+    acting_leader = Leader(
         world=leader.world,
         upstreams=leader.upstreams,
         records=records,
@@ -257,7 +255,7 @@
         is_acting=True,
     )
     now = leader.world.now
-    rejection = deputy.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
+    rejection = acting_leader.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
     assert rejection is not None and rejection.reason == EVACUATED
 
 
@@ -294,7 +292,7 @@
     asyncio.run(play())
 
 
-def test_an_unknown_domain_is_refused_and_nothing_is_kept() -> None:
+def test_an_unknown_domain_is_refused_and_nothing_is_stored() -> None:
     async def play() -> None:
         leading, replicated = lead(IdlePort())
         answer = await leading.answer(order(leading, "nowhere", id="a"))
@@ -305,7 +303,7 @@
     asyncio.run(play())
 
 
-def test_a_deputy_takes_no_order() -> None:
+def test_an_acting_leader_accepts_no_order() -> None:
     async def play() -> None:
         leading, replicated = lead(IdlePort(), keeps_log=False)
         answer = await leading.answer(order(leading, "domain", id="a"))
@@ -347,7 +345,7 @@
         ("PUT", "/evacuation/ridge-hut", b"", 404),
     ],
 )
-def test_a_bad_order_is_refused_and_goes_no_further(
+def test_an_invalid_order_is_refused_and_not_forwarded(
     method: str, path: str, body: bytes, status: int
 ) -> None:
     response, calls = ask(method, path, body)
@@ -357,7 +355,7 @@
 @pytest.mark.parametrize(
     ("cold_left", "read"), [(400, 400), (12.5, 12), (-3, 0), ("long", 0), (None, 0), (True, 0)]
 )
-def test_how_long_an_upstream_is_cold_is_read_and_nonsense_costs_nothing_else(
+def test_cold_left_ms_is_read_and_an_invalid_value_affects_nothing_else(
     cold_left: object, read: int
 ) -> None:
     body = {
@@ -373,7 +371,7 @@
     assert (calls[0].heartbeat.cold_left_ms, calls[0].heartbeat.sequence) == (read, 7)
 
 
-def test_an_unknown_domain_is_a_404_and_a_lost_race_is_worth_another_try() -> None:
+def test_an_unknown_domain_is_a_404_and_a_lost_race_is_a_503() -> None:
     unknown = Answer(outcome=Outcome.NO_DOMAIN, detail="no failure domain 'x' is known")
     response, _ = ask("POST", "/evacuation/x", answer=unknown)
     assert response.status == 404 and b"no failure domain" in response.body
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -19,7 +19,7 @@
 """Orders at which pairs of faults strike in the test suite; a manual exploration covers all."""
 
 
-def test_an_undisturbed_play_has_orders_for_all_faults_to_strike() -> None:
+def test_a_play_without_faults_has_enough_orders_for_faults_to_strike() -> None:
     outcome = Play(script={}).run()
     assert outcome.problem == ""
     assert outcome.orders >= PAIRS_UP_TO
@@ -37,58 +37,58 @@
     assert explored.plays >= (len(Fault) * PAIRS_UP_TO) ** 2 / 4
 
 
-def put_back_identity(patch: pytest.MonkeyPatch) -> None:
+def reintroduce_shared_instance_ids(patch: pytest.MonkeyPatch) -> None:
     """Identify an instance by the id of its upstream alone."""
     patch.setattr(heartbeats, "build_instance_id", lambda name, born: name)
-    put_back_unchecked_lists(patch)
+    reintroduce_unchecked_lists(patch)
 
 
-def put_back_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
+def reintroduce_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
     """Accept a list of any instance as that of the instance that was asked."""
     patch.setattr(workers, "_is_born", lambda upstream, read: True)
 
 
-def put_back_fast_clock(patch: pytest.MonkeyPatch) -> None:
+def reintroduce_fast_clock(patch: pytest.MonkeyPatch) -> None:
     """Count a lease as ended by our clock although the upstream's clock may be slower."""
     patch.setattr(instances, "MIN_CLOCK_RATE", 1.0)
     patch.setattr(instances, "LAPSE_MARGIN", instances.LAPSE_MARGIN * 0)
 
 
-def put_back_ends_of_any_upstream(patch: pytest.MonkeyPatch) -> None:
+def reintroduce_ends_of_any_upstream(patch: pytest.MonkeyPatch) -> None:
     """Match a run end by task and run number alone, at whatever upstream the run was."""
     patch.setattr(Task, "runs_as", lambda self, run, upstream: self.run == run)
 
 
-def put_back_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
+def reintroduce_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
     """Let a new leader start what an earlier one may have active at an unreachable upstream."""
     patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_deputies: False)
 
 
 # Guards against a model in which the corrected faults could not show.
 @pytest.mark.parametrize(
-    ("put_back", "script"),
+    ("reintroduce", "script"),
     [
-        (put_back_identity, ((0, Fault.STARTS_AGAIN),)),
-        (put_back_unchecked_lists, ((0, Fault.STARTS_AGAIN),)),
-        (put_back_ends_of_any_upstream, ((5, Fault.CUT),)),
-        (put_back_fast_clock, ((0, Fault.GATEWAY_LOST), (6, Fault.CUT))),
-        (put_back_leaders_that_do_not_wait, ((0, Fault.LEADER_LOST), (1, Fault.CUT))),
+        (reintroduce_shared_instance_ids, ((0, Fault.STARTS_AGAIN),)),
+        (reintroduce_unchecked_lists, ((0, Fault.STARTS_AGAIN),)),
+        (reintroduce_ends_of_any_upstream, ((5, Fault.CUT),)),
+        (reintroduce_fast_clock, ((0, Fault.GATEWAY_LOST), (6, Fault.CUT))),
+        (reintroduce_leaders_that_do_not_wait, ((0, Fault.LEADER_LOST), (1, Fault.CUT))),
     ],
 )
-def test_a_cause_that_is_put_back_shows_by_the_script_that_found_it(
-    put_back: Callable[[pytest.MonkeyPatch], None], script: Script
+def test_a_reintroduced_fault_is_found_by_its_script(
+    reintroduce: Callable[[pytest.MonkeyPatch], None], script: Script
 ) -> None:
     assert Play(script=dict(script)).run().problem == ""
     with pytest.MonkeyPatch.context() as patch:
-        put_back(patch)
+        reintroduce(patch)
         assert Play(script=dict(script)).run().problem != ""
     assert Play(script=dict(script)).run().problem == ""
 
 
-def test_an_exploration_finds_a_cause_by_itself_and_tells_no_more_faults_than_it_needs(
+def test_an_exploration_finds_a_fault_and_reports_a_minimal_script(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    put_back_ends_of_any_upstream(monkeypatch)
+    reintroduce_ends_of_any_upstream(monkeypatch)
     explored = explore(1)
     assert len(explored.broken) == 1
     longer = ((0, Fault.ANSWER_LOST), *explored.broken[0])
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -33,26 +33,26 @@
 )
 
 
-def test_a_roster_holds_what_a_deputy_decides_by_and_no_more() -> None:
+def test_a_failover_state_contains_what_an_acting_leader_needs_and_no_more() -> None:
     clock = build_clock()
     gateways = Gateways(term=3, token=3_000_000, clock=clock)
     gateways.take_greeting(greet("10.0.0.2:7000"))
     gateways.take_greeting(greet("10.0.0.1:7000"))
     records = Records()
     records.activate_configuration(build_roster().configuration)
-    roster = gateways.build_roster(records, "")
-    assert roster is not None
-    assert [each.address for each in roster.gateways] == ["10.0.0.1:7000", "10.0.0.2:7000"]
-    assert roster.configuration is not None
-    assert roster.configuration.document == ""
-    assert roster.configuration.queues
+    state = gateways.build_roster(records, "")
+    assert state is not None
+    assert [each.address for each in state.gateways] == ["10.0.0.1:7000", "10.0.0.2:7000"]
+    assert state.configuration is not None
+    assert state.configuration.document == ""
+    assert state.configuration.queues
     gateways.take_greeting(greet("10.0.0.2:7000"))
-    assert gateways.build_roster(records, roster.version) is None
+    assert gateways.build_roster(records, state.version) is None
     gateways.log.record_other_change()
-    assert gateways.build_roster(records, roster.version) is not None
+    assert gateways.build_roster(records, state.version) is not None
 
 
-def test_kept_jobs_change_the_roster_only_when_the_first_begins_or_the_last_ends() -> None:
+def test_durable_jobs_change_the_state_only_when_the_first_begins_or_the_last_ends() -> None:
     """Guards against durable jobs that each send the state to all gateways (0.03 GB in 48 s)."""
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     before = gateways.log.version
@@ -62,13 +62,13 @@
     begun = gateways.log.version
     gateways.note_kept_jobs(True)
     assert gateways.log.version == begun != before
-    roster = gateways.build_roster(Records(), "")
-    assert roster is not None and roster.keeps_jobs
+    state = gateways.build_roster(Records(), "")
+    assert state is not None and state.keeps_jobs
     gateways.note_kept_jobs(False)
     assert gateways.log.version not in (before, begun)
 
 
-def test_a_roster_is_sent_whole_once_and_then_as_changes() -> None:
+def test_a_failover_state_is_sent_whole_once_and_then_as_changes() -> None:
     """Guards against 35 KB sent to each of 44 gateways for each change of one upstream."""
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
@@ -96,7 +96,7 @@
     assert merged.version == fresh.version
 
 
-def test_changes_that_do_not_follow_on_what_is_known_are_left_out() -> None:
+def test_changes_that_do_not_follow_on_the_known_state_are_discarded() -> None:
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     add_upstream(gateways, records, "u1")
@@ -124,20 +124,20 @@
     raise AssertionError("it never ends")
 
 
-def test_a_gateway_that_missed_too_much_or_knows_another_term_gets_the_whole_roster() -> None:
+def test_a_gateway_that_missed_too_much_or_knows_another_term_gets_the_whole_state() -> None:
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     known = gateways.log.version
     for number in range(MAX_KEPT_CHANGES + 1):
         add_upstream(gateways, records, f"u{number}")
     for version in (known, "2.5", "", "x.y"):
-        roster, asked = collect(gateways, records, version)
-        assert {each.info.id: each for each in roster.upstreams} == records.upstreams
+        state, asked = collect(gateways, records, version)
+        assert {each.info.id: each for each in state.upstreams} == records.upstreams
         assert asked == math.ceil((MAX_KEPT_CHANGES + 1) / MAX_UPSTREAMS_PER_PART)
-        assert gateways.build_roster(records, roster.version) is None
+        assert gateways.build_roster(records, state.version) is None
 
 
-def test_no_answer_is_too_large_for_the_time_that_a_greeting_is_waited_for() -> None:
+def test_no_answer_is_too_large_for_the_timeout_of_a_keep_alive() -> None:
     """Load pattern: 999 upstreams and 99 gateways find a new leader after all hosts were lost.
 
     Their state of 225 KB takes 144 ms on a link of 12.5 Mbit/s, and a keep-alive times out after
@@ -151,15 +151,15 @@
         add_upstream(gateways, records, f"i-{number:08x}")
     link_bytes_a_second = 12.5e6 / 8
     most = GREET_TIMEOUT.total_seconds() / 2 * link_bytes_a_second
-    version, roster = "", None
-    while roster is None or roster.is_partial:
+    version, state = "", None
+    while state is None or state.is_partial:
         part = gateways.build_roster(records, version)
         assert part is not None
         assert len(msgspec.json.encode(part)) < most
-        roster = merge_failover_state(roster, part)
-        assert roster is not None
-        version = roster.version
-    assert len(roster.upstreams) == 999
+        state = merge_failover_state(state, part)
+        assert state is not None
+        version = state.version
+    assert len(state.upstreams) == 999
 
 
 def test_many_changes_come_in_parts() -> None:
@@ -167,25 +167,25 @@
     records = Records()
     for number in range(3 * MAX_UPSTREAMS_PER_PART):
         add_upstream(gateways, records, f"u{number}")
-    roster, _ = collect(gateways, records, "")
+    state, _ = collect(gateways, records, "")
     for id in list(records.upstreams):
         records.upstreams[id].draining = True
         gateways.log.record_upstream_change(id)
     for left in (True, True, False):
-        part = gateways.build_roster(records, roster.version)
+        part = gateways.build_roster(records, state.version)
         assert (
             part is not None
             and len(part.upstreams) == MAX_UPSTREAMS_PER_PART
             and part.is_partial is left
         )
-        merged = merge_failover_state(roster, part)
+        merged = merge_failover_state(state, part)
         assert merged is not None
-        roster = merged
-    assert all(each.draining for each in roster.upstreams)
+        state = merged
+    assert all(each.draining for each in state.upstreams)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_gateway_ends_with_what_the_record_says_whatever_changes_meanwhile(seed: int) -> None:
+def test_a_gateway_ends_with_the_recorded_state_whatever_changes_meanwhile(seed: int) -> None:
     chance = random.Random(seed)
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     records = Records()
@@ -211,7 +211,7 @@
     assert {each.info.id: each for each in known.upstreams} == records.upstreams
 
 
-def test_a_gateway_stands_in_by_its_last_whole_roster() -> None:
+def test_a_gateway_acts_as_leader_by_its_last_whole_state() -> None:
     gateway = build_gateway(build_clock())
     whole = build_roster()
     gateway.link.use_roster(whole)
@@ -226,7 +226,7 @@
     assert len(gateway.link.rosters.whole.upstreams) == len(whole.upstreams)
 
 
-def test_a_deputy_sends_no_rosters() -> None:
+def test_an_acting_leader_sends_no_failover_state() -> None:
     """Guards against an acting leader that sends the whole state with each keep-alive answer."""
 
     async def play() -> Answer:
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -27,16 +27,18 @@
 from .test_heartbeat_orders import REF, RUN, TOKEN, Exchange, play, settle
 from .wire_site import WireLeader, build_hosts
 
-BORN = 1_790_000_000_000
+STARTED_MS = 1_790_000_000_000
 GATEWAY = "10.0.0.2:7000"
 NOW = timedelta(seconds=1)
 
 
-def build_life(number: int, name: str = "u1") -> UpstreamInfo:
-    return msgspec.structs.replace(build_info(name), id=build_instance_id(name, BORN + number))
+def build_instance(number: int, name: str = "u1") -> UpstreamInfo:
+    return msgspec.structs.replace(
+        build_info(name), id=build_instance_id(name, STARTED_MS + number)
+    )
 
 
-FIRST, SECOND = build_life(1), build_life(2)
+FIRST, SECOND = build_instance(1), build_instance(2)
 
 
 def build_records() -> Records:
@@ -48,7 +50,7 @@
     return records
 
 
-def test_the_log_and_its_snapshots_keep_the_counts_of_lives_apart() -> None:
+def test_the_log_and_its_snapshots_keep_the_counts_of_instances_apart() -> None:
     records = build_records()
     shrunk = Capacity(cpu_millis=1)
     records.apply(ResizeUpstream(upstream=SECOND.id, capacity=shrunk, sequence=2))
@@ -59,7 +61,7 @@
     assert (second.draining, second.sequence, second.info.capacity) == (False, 2, shrunk)
 
 
-def test_rosters_tell_of_both_lives_and_of_the_end_of_one() -> None:
+def test_failover_states_contain_both_instances_and_the_removal_of_one() -> None:
     records = build_records()
     gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
     gateways.take_greeting(greet(GATEWAY))
@@ -77,7 +79,7 @@
 
 # Guards against an acting leader that confuses the instance in its failover state with the present
 # one.
-def test_a_deputy_starts_nothing_at_a_life_that_has_ended() -> None:
+def test_an_acting_leader_starts_nothing_at_an_instance_that_has_ended() -> None:
     world = World(random=random.Random(3))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
     (host,) = hosts.values()
@@ -88,7 +90,7 @@
     for born in (earlier, host.born_ms):
         info = msgspec.structs.replace(host.info, id=build_instance_id(host.name, born))
         records.apply(AddUpstream(info=info))
-    deputy = WireLeader(
+    acting_leader = WireLeader(
         world=world,
         upstreams={},
         records=records,
@@ -96,14 +98,14 @@
         hosts=hosts,
         is_acting=True,
     )
-    deputy.submit("a" * 16, build_spec(tasks=4), build_queue())
+    acting_leader.submit("a" * 16, build_spec(tasks=4), build_queue())
     world.run_until(milliseconds(1_500))
-    assert deputy.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
+    assert acting_leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
     assert world.starts == 4
-    assert list(deputy.dispatch.instances) == [build_instance_id(host.name, host.born_ms)]
+    assert list(acting_leader.dispatch.instances) == [build_instance_id(host.name, host.born_ms)]
 
 
-def test_a_host_that_does_not_lead_passes_on_the_first_heartbeat_of_a_later_life() -> None:
+def test_a_host_that_does_not_lead_forwards_the_first_heartbeat_of_a_later_instance() -> None:
     desk, records, _ = build_desk()
     tell(desk)
     records.apply(AddUpstream(info=FIRST, sequence=5))
@@ -111,7 +113,7 @@
     assert desk.take(msgspec.structs.replace(beat(sequence=6), info=SECOND)) is None
 
 
-def test_an_answer_to_a_heartbeat_carries_no_order_for_an_earlier_life() -> None:
+def test_an_answer_to_a_heartbeat_carries_no_order_for_an_earlier_instance() -> None:
     async def scenario(exchange: Exchange) -> None:
         held = LookReply(clock_ms=1_000, running=(), ended=())
         start = StartOrder(
@@ -131,7 +133,7 @@
 
 
 # Guards against seconds of a leader's time when thousands of upstreams join at once.
-def test_what_an_upstream_costs_that_joins_does_not_grow_with_their_number(
+def test_the_cost_of_a_joining_upstream_does_not_grow_with_their_number(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     compared = itertools.count()
@@ -144,7 +146,7 @@
     dispatch = build_dispatch([])
     for number in range(2, 500):
         dispatch.take_heartbeat(
-            msgspec.structs.replace(beat(), info=build_life(0, f"u{number}")), NOW
+            msgspec.structs.replace(beat(), info=build_instance(0, f"u{number}")), NOW
         )
         for command in dispatch.take_proposals():
             dispatch.take_applied(command, NOW)
@@ -152,22 +154,22 @@
     assert next(compared) <= 2 * 499
 
 
-def test_an_earlier_life_is_looked_at_once_a_later_one_comes_at_whatever_address() -> None:
+def test_an_earlier_instance_is_polled_once_a_later_one_comes_at_whatever_address() -> None:
     dispatch = build_dispatch([])
-    moved = msgspec.structs.replace(build_life(1), address="10.9.9.9:80")
-    for info in (build_life(0), moved):
+    moved = msgspec.structs.replace(build_instance(1), address="10.9.9.9:80")
+    for info in (build_instance(0), moved):
         dispatch.take_applied(AddUpstream(info=info), NOW)
-    instance = dispatch.instances[build_life(0).id]
+    instance = dispatch.instances[build_instance(0).id]
     assert instance.must_poll and instance.poll_due == NOW
     assert not dispatch.instances[moved.id].must_poll
-    earlier = msgspec.structs.replace(beat(sequence=90), info=build_life(0))
-    dispatch.take_applied(RemoveUpstreams(upstreams=(build_life(0).id,)), NOW)
+    earlier = msgspec.structs.replace(beat(sequence=90), info=build_instance(0))
+    dispatch.take_applied(RemoveUpstreams(upstreams=(build_instance(0).id,)), NOW)
     dispatch.take_heartbeat(earlier, NOW)
     assert dispatch.take_proposals() == []
 
 
-def test_lives_of_other_upstreams_are_not_taken_for_earlier_ones() -> None:
+def test_instances_of_other_upstreams_are_not_taken_for_earlier_ones() -> None:
     records = build_records()
-    records.apply(AddUpstream(info=build_life(0, "u11")))
+    records.apply(AddUpstream(info=build_instance(0, "u11")))
     found = records.find_leaving(UpstreamId("u1"))
     assert found is not None and found.info.id == FIRST.id
--- a/cottonlug/tests/test_malformed_heartbeats.py
+++ b/cottonlug/tests/test_malformed_heartbeats.py
@@ -81,13 +81,13 @@
 
 @SETTINGS
 @given(st.sampled_from(sorted(GOOD)), others)
-def test_a_field_of_another_kind_costs_no_exception(field: str, value: Any) -> None:
+def test_a_field_of_another_type_raises_no_exception(field: str, value: Any) -> None:
     check(msgspec.json.encode({**GOOD, field: value}))
 
 
 @SETTINGS
 @given(st.sets(st.sampled_from(sorted(GOOD))))
-def test_a_heartbeat_without_what_it_needs_names_no_upstream(dropped: set[str]) -> None:
+def test_a_heartbeat_without_a_required_field_registers_no_upstream(dropped: set[str]) -> None:
     body = {field: value for field, value in GOOD.items() if field not in dropped}
     decoded = decode_heartbeat("i-1", msgspec.json.encode(body))
     assert isinstance(decoded, Success) == (not dropped.intersection(NEEDED))
@@ -95,14 +95,14 @@
 
 @SETTINGS
 @given(st.integers(0, 400), st.binary(max_size=20))
-def test_cut_and_damaged_bytes_cost_no_exception(length: int, tail: bytes) -> None:
+def test_cut_and_damaged_bytes_raise_no_exception(length: int, tail: bytes) -> None:
     check(msgspec.json.encode(GOOD)[:length] + tail)
     decode_leave("i-1", tail)
 
 
 @SETTINGS
 @given(st.lists(others, max_size=6))
-def test_rows_of_another_kind_void_the_list_or_are_of_no_task_of_ours(row: list[Any]) -> None:
+def test_malformed_rows_void_the_list_or_belong_to_no_task_of_ours(row: list[Any]) -> None:
     for rows in (
         [row],
         [[TASK, *row]],
@@ -133,7 +133,7 @@
         msgspec.json.encode({**GOOD, "clock_ms": 1 << 60}),
     ],
 )
-def test_one_that_names_no_upstream_is_refused_and_the_others_hold(body: bytes) -> None:
+def test_an_invalid_heartbeat_is_refused_and_the_others_are_accepted(body: bytes) -> None:
     """Guards against an unknown state, an invalid address, and counts that were left out."""
     answers: list[tuple[int, list[Call]]] = []
     for each in (msgspec.json.encode(GOOD), body, msgspec.json.encode(GOOD)):
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -24,7 +24,7 @@
 JOB = "a" * 16
 OTHER = "c" * 16
 EARLIER = "b" * 16
-PATIENT = build_queue(max_attempts=50, target_ms=60_000)
+LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 
 
 def build_leader(
@@ -40,7 +40,7 @@
     )
 
 
-def play_job_given_up(seed: int, *, starts_again: bool) -> WireLeader:
+def play_abandoned_job(seed: int, *, starts_again: bool) -> WireLeader:
     """Have two jobs active at one upstream, and abandon one of them."""
     world = World(random=random.Random(seed))
     run_ms = [60.0]
@@ -50,7 +50,7 @@
     leader = build_leader(world, hosts, Records())
     beat_forever(first, lambda: leader)
     world.run_until(milliseconds(100))
-    leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
+    leader.submit(EARLIER, build_spec(tasks=8), LENIENT_QUEUE)
     world.run_until(milliseconds(2_000))
     run_ms[0] = 3_000.0
     if starts_again:
@@ -58,7 +58,7 @@
         first.process.clock_began_ms = 1_000_000
     world.run_until(milliseconds(4_000))
     for job in (JOB, OTHER):
-        leader.submit(job, build_spec(tasks=1, run_ms=3_000), PATIENT)
+        leader.submit(job, build_spec(tasks=1, run_ms=3_000), LENIENT_QUEUE)
     world.run_until(milliseconds(4_300))
     assert len(world.running) == 2
     beat_forever(second, lambda: leader)
@@ -69,18 +69,18 @@
     return leader
 
 
-def test_a_job_goes_on_beside_one_that_is_given_up() -> None:
+def test_a_job_continues_beside_an_abandoned_one() -> None:
     for seed in range(SEEDS):
-        leader = play_job_given_up(seed, starts_again=False)
+        leader = play_abandoned_job(seed, starts_again=False)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
         assert leader.world.starts == 10
 
 
 # Guards against duplicate runs: the lease of an upstream that had restarted outlived the time that
 # was counted.
-def test_a_lease_counts_by_the_clock_of_the_upstream_that_started_again() -> None:
+def test_a_lease_is_counted_by_the_clock_of_the_restarted_upstream() -> None:
     for seed in range(SEEDS):
-        leader = play_job_given_up(seed, starts_again=True)
+        leader = play_abandoned_job(seed, starts_again=True)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
         assert leader.world.starts == 10
 
@@ -88,7 +88,7 @@
 # Guards against jobs that never end: run ends were numbered from 1 again, and so taken for old
 # ones.
 @pytest.mark.parametrize("durable", [False, True])
-def test_ends_of_an_upstream_that_started_again_are_noted(durable: bool) -> None:
+def test_run_ends_of_a_restarted_upstream_are_recorded(durable: bool) -> None:
     world = World(random=random.Random(2))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
     (host,) = hosts.values()
@@ -96,11 +96,11 @@
     leader = build_leader(world, hosts, records)
     beat_forever(host, lambda: leader)
     world.run_until(milliseconds(100))
-    leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
+    leader.submit(EARLIER, build_spec(tasks=8), LENIENT_QUEUE)
     world.run_until(milliseconds(2_000))
     host.start_again()
     world.run_until(milliseconds(3_000))
-    leader.submit(JOB, build_spec(tasks=4, durable=durable), PATIENT)
+    leader.submit(JOB, build_spec(tasks=4, durable=durable), LENIENT_QUEUE)
     world.run_until(milliseconds(3_500))
     ended = (
         records.jobs[JobId(JOB)].state if durable else leader.dispatch.jobs.find_ended(JobId(JOB))
@@ -111,8 +111,8 @@
 
 # Guards against starts and leases that a later instance takes for its own, in random plays.
 @pytest.mark.parametrize("seed", range(12))
-def test_no_task_runs_twice_while_upstreams_start_again(seed: int) -> None:
-    leader, jobs = play_by_chance(seed)
+def test_no_task_runs_twice_while_upstreams_restart(seed: int) -> None:
+    leader, jobs = play_at_random(seed)
     durable = leader.records.jobs
     has_ended = {
         job: not durable[job].is_open if job in durable else job in leader.ended_at for job in jobs
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ChancePlay:
+class RandomPlay:
     """Upstreams that restart, lost answers, late orders and a succession of leaders, at random."""
 
     chance: random.Random
@@ -163,7 +163,7 @@
             job = f"{len(self.jobs):016x}"
             self.jobs[JobId(job)] = durable
             spec = build_spec(tasks=self.chance.randint(1, 4), durable=durable)
-            self.leader.submit(job, spec, PATIENT)
+            self.leader.submit(job, spec, LENIENT_QUEUE)
         self.world.at(milliseconds(self.chance.expovariate(1 / 120)), self.submit)
 
     def change_leader(self, term: int) -> None:
@@ -176,7 +176,7 @@
         self.lead(term)
         self.leader.ended, self.leader.ended_at = old.ended, old.ended_at
         for job in unfinished:
-            self.leader.submit(job.record.id, job.record.spec, PATIENT, may_have_begun=True)
+            self.leader.submit(job.record.id, job.record.spec, LENIENT_QUEUE, may_have_begun=True)
 
     def calm_down(self) -> None:
         """Stop all faults, and let everything that has started come to its end."""
@@ -188,7 +188,7 @@
         self.world.run_until(self.world.now + timedelta(seconds=15))
 
 
-def play_by_chance(seed: int) -> tuple[WireLeader, dict[JobId, bool]]:
+def play_at_random(seed: int) -> tuple[WireLeader, dict[JobId, bool]]:
     """Play some seconds; return the last leader, and all jobs with whether they are durable.
 
     Two simultaneous runs of a task fail the test, and so does a start after a recorded end.
@@ -196,7 +196,7 @@
     chance = random.Random(seed)
     world = World(random=chance, lost_share=0.03, late_share=0.01)
     hosts = build_hosts(world, 6, run_ms=lambda: chance.lognormvariate(4.6, 0.8))
-    play = ChancePlay(chance=chance, world=world, hosts=hosts)
+    play = RandomPlay(chance=chance, world=world, hosts=hosts)
     play.lead(1)
     for host in hosts.values():
         beat_forever(host, lambda: play.leader)
