--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -72,8 +72,7 @@
     losses: int = 0
     """All ends of upstreams that had confirmed that they run the task."""
     unanswered: int = 0
-    """Ends of upstreams that had not answered the start, which may have been sent after they ended.
-    """
+    """Ends of upstreams that had not answered the start, perhaps sent only after they ended."""
 
     @property
     def starts(self) -> int:
--- a/cottonlug/core/cluster/validation.py
+++ b/cottonlug/core/cluster/validation.py
@@ -19,19 +19,19 @@
         return "the version must be 1 or more"
     services = [service.name for service in configuration.services]
     if len(set(services)) < len(services):
-        return "a service is given twice"
+        return "a service is listed twice"
     seen: set[QueueKey] = set()
     for queue in configuration.queues:
         if queue.service not in services:
             return f"queue {queue.name!r} names the unknown service {queue.service!r}"
         if queue.key in seen:
-            return f"queue {queue.name!r} has the host and prefix of another one"
+            return f"queue {queue.name!r} has the same host and prefix as another one"
         if queue.timeout_ms < 1:
-            return f"queue {queue.name!r} has no timeout"
+            return f"queue {queue.name!r} must have a timeout of at least 1 ms"
         if not queue.prefix.startswith("/"):
             return f"queue {queue.name!r} has a prefix that does not begin with /"
         if queue.max_attempts < 1:
-            return f"queue {queue.name!r} allows no attempt"
+            return f"queue {queue.name!r} must allow at least one attempt"
         seen.add(queue.key)
     return None
 
@@ -41,22 +41,22 @@
     if len(spec.payload.encode()) > MAX_PAYLOAD_BYTES:
         return f"the payload is longer than {MAX_PAYLOAD_BYTES} bytes"
     if not spec.steps:
-        return "a job has at least one step"
+        return "a job must have at least one step"
     if sum(step.count for step in spec.steps) > MAX_TASKS:
         return f"a job has at most {MAX_TASKS} tasks"
     if sum(step.count for step in spec.steps) * spec.occurrences > MAX_TIMED_TASKS:
         return f"a job has at most {MAX_TIMED_TASKS} tasks in all its occurrences"
     if min(spec.repeat_count, spec.start_at_ms, spec.interval_ms) < 0:
-        return "a time or a number of occurrences is less than nothing"
+        return "repeat_count, start_at_ms and interval_ms must not be negative"
     if spec.is_timed and spec.long_running:
-        return "a job that lasts does not repeat"
+        return "a long-running job cannot repeat"
     for number, step in enumerate(spec.steps):
         if step.count < 1:
             return f"step {number} has no tasks"
         if min(step.needs.cpu_millis, step.needs.memory_mb, step.needs.gpus) < 0:
-            return f"step {number} needs less than nothing"
+            return f"step {number} has negative resource needs"
         if any(not 0 <= earlier < number for earlier in step.depends_on):
-            return f"step {number} depends on a step that is not an earlier one"
+            return f"step {number} depends on a step that does not precede it"
     return None
 
 
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -281,7 +281,7 @@
             ref not in world.running
         ), f"{ref} runs at {world.running.get(ref)} and {self.info.id}"
         if ref.job in world.durable_jobs - world.long_running_jobs:
-            assert ref not in world.recorded_done, f"{ref} starts again after its end was noted"
+            assert ref not in world.recorded_done, f"{ref} starts again after its end was recorded"
         is_in_touch = world.now >= world.connected_from
         if ref.job in world.durable_jobs and world.crashes.get(ref, 0) >= 3 and is_in_touch:
             world.starts_after_three[ref] = world.starts_after_three.get(ref, 0) + 1
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -1,6 +1,6 @@
 """Explores every fault at every order of a small site, alone and in pairs.
 
-Past causes of duplicate runs are put back one by one, to show that the exploration finds each.
+Past causes of duplicate runs are reintroduced one by one, to show that the exploration finds each.
 """
 
 from __future__ import annotations
