--- a/bench/variants.py
+++ b/bench/variants.py
@@ -20,7 +20,7 @@
     patience,
     progress,
     rooms,
-    crash_tracker,
+    suspicion,
     tempo,
     watcher,
 )
@@ -100,7 +100,7 @@
     "no_trial": replacing((guards.Health, "_set_aside", _set_aside_without_trial)),
     "nobody_blamed": replacing(
         (
-            crash_tracker.CrashTracker,
+            suspicion.CrashTracker,
             "find_restriction",
             lambda self, task: crashes.StartRestriction.NONE,
         ),
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -82,8 +82,8 @@
     @property
     def is_quarantined(self) -> bool:
         """Whether the task must not be started again."""
-        is_convicted = self.crashes >= MAX_CRASHES or self.losses >= MAX_LOSSES
-        return is_convicted or self.starts >= MAX_STARTS
+        exceeds_limit = self.crashes >= MAX_CRASHES or self.losses >= MAX_LOSSES
+        return exceeds_limit or self.starts >= MAX_STARTS
 
     def add(self, other: CrashCounts) -> CrashCounts:
         """Return the sum of two counts."""
@@ -206,8 +206,8 @@
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
         return [task for task in tasks if known.get(task, NO_CRASHES).crashes == worst]
-    of_such_kind = [task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)]
-    return of_such_kind or list(tasks)
+    of_such_queues = [task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)]
+    return of_such_queues or list(tasks)
 
 
 _NO_QUEUE = QueueKey("", "")
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -25,7 +25,7 @@
     SetEvacuation,
     UncordonUpstream,
 )
-from .run_ends import RunEndHandler
+from .ends import RunEndHandler
 from .filler import Filler
 from .life_table import InstanceTable
 from .instances import LeaseTerms, Instance
@@ -51,8 +51,8 @@
 from .records import JobRecord, Records, end_job
 from .registry import Registry
 from .reports import USUAL_REPORTS, ReportTerms, find_avoided
-from .reconciliation import Reconciliation
-from .crash_tracker import CrashTracker
+from .settlement import Reconciliation
+from .suspicion import CrashTracker
 from .term import DispatchCounts, DecisionLog, Term, WallTime
 from .wakes import Wakes
 from .watcher import Watcher
@@ -176,8 +176,10 @@
         """Take a job that need not be kept; what another host started of it goes on."""
         # What runs at an upstream out of sight ends when its lease does.
         is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
-        of_deputies = submission.may_be_of_deputy
-        is_unsure = not is_new and self._reconciliation.may_miss_runs(of_deputies=of_deputies)
+        of_acting_leaders = submission.may_be_of_deputy
+        is_unsure = not is_new and self._reconciliation.may_miss_runs(
+            of_acting_leaders=of_acting_leaders
+        )
         self._jobs.rejections.pop(record.id, None)
         self._jobs.given_up.discard(record.id)
         phase = TaskPhase.UNKNOWN if is_unsure else TaskPhase.QUEUED
@@ -215,7 +217,7 @@
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
             return
         job.may_be_of_deputy = job.may_be_of_deputy or submission.may_be_of_deputy
-        if not self._reconciliation.may_miss_runs(of_deputies=job.may_be_of_deputy):
+        if not self._reconciliation.may_miss_runs(of_acting_leaders=job.may_be_of_deputy):
             return
         job.settle_at = max(job.settle_at, now + submission.settle_after)
         self._jobs.doubt(job)
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/ends.py
@@ -14,7 +14,7 @@
 from .open_jobs import OpenJobs
 from .orders import Run
 from .records import JobRecord, record_run_end
-from .reconciliation import Reconciliation
+from .settlement import Reconciliation
 from .term import Term
 
 
@@ -51,7 +51,7 @@
         instance.proposed_through = new[-1].number
         self._term.counts.ends += len(new)
         self._jobs.tempo.take_ends(len(new), now)
-        kept: list[EndReport] = []
+        durable_ends: list[EndReport] = []
         for end in new:
             run = instance.remove_run((end.task, end.run))
             if run is not None:
@@ -59,16 +59,16 @@
                 self._evaluate_end(instance, run, end, now)
             self._jobs.mark_noting(end, instance.info.id)
             if end.task.job in self._term.records.jobs:
-                kept.append(end)
+                durable_ends.append(end)
             else:
                 self._record_locally(end, instance.info.id, now)
-        if not kept and not awaits_record:
+        if not durable_ends and not awaits_record:
             instance.recorded_through = max(instance.recorded_through, instance.proposed_through)
             return
         command = RecordRunEnds(
             upstream=instance.info.id,
             through=instance.proposed_through,
-            ends=tuple(kept),
+            ends=tuple(durable_ends),
             at_ms=self._term.wall_ms(),
         )
         self._term.proposals.append(command)
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -185,11 +185,11 @@
         return _Position(number=int(number), after=UpstreamId(after) if has_cursor else None)
 
 
-def find_acting_domain(roster: Roster, own: str) -> DomainName | None:
+def find_acting_domain(state: Roster, own: str) -> DomainName | None:
     """Return the one domain that an acting leader manages, or None where one manages all."""
-    if len(roster.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
+    if len(state.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
-    return next((each.domain for each in roster.gateways if each.address == own), None)
+    return next((each.domain for each in state.gateways if each.address == own), None)
 
 
 def merge_failover_state(known: Roster | None, received: Roster) -> Roster | None:
--- a/cottonlug/core/cluster/identity.py
+++ b/cottonlug/core/cluster/identity.py
@@ -26,15 +26,15 @@
 
 def find_start_ms(instance: UpstreamId) -> int | None:
     """Return when an instance started, in Unix milliseconds, or None if that is unknown."""
-    born = instance.partition(SEPARATOR)[2]
-    return int(born) if born else None
+    start_ms = instance.partition(SEPARATOR)[2]
+    return int(start_ms) if start_ms else None
 
 
 def is_earlier_instance(instance: UpstreamId, other: UpstreamId) -> bool:
     """Return whether `other` is a later instance of the same upstream."""
-    born, later = find_start_ms(instance), find_start_ms(other)
+    start_ms, other_start_ms = find_start_ms(instance), find_start_ms(other)
     return (
         get_upstream_name(instance) == get_upstream_name(other)
-        and later is not None
-        and (born or 0) < later
+        and other_start_ms is not None
+        and (start_ms or 0) < other_start_ms
     )
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -118,15 +118,15 @@
         touched, self._changed = self._changed, {}
         return list(touched.values())
 
-    def is_any_unseen(self, *, of_deputies: bool) -> bool:
+    def is_any_unseen(self, *, of_acting_leaders: bool) -> bool:
         """Return whether any instance may have runs of another leader that are unknown here.
 
-        With `of_deputies`, instances where only an acting leader can have started something count
+        With `of_acting_leaders`, instances where only an acting leader can have started something count
         too.
         """
         return any(
             not (instance.is_fenced or instance.is_over)
-            and (of_deputies or not instance.is_cordoned)
+            and (of_acting_leaders or not instance.is_cordoned)
             for instance in self.by_id.values()
         )
 
@@ -255,13 +255,13 @@
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
         is_new = self.is_in_grace_period(now)
-        room = measure_room(
+        cores = measure_room(
             instance
             for instance in self.by_id.values()
             if instance.accepts_work(now) or (is_new and _may_accept_work(instance))
         )
-        self._cached_usable_cores = (now + USABLE_CORES_CACHED_FOR, room)
-        return room
+        self._cached_usable_cores = (now + USABLE_CORES_CACHED_FOR, cores)
+        return cores
 
     def mark_disputed(self, job: JobId) -> None:
         """Let the leases of a job's runs run out, even where the stops do not arrive.
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -15,7 +15,7 @@
 from .model import EndKind, EndReport, JobId, JobState, Queue, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
-from .crash_tracker import CrashTracker
+from .suspicion import CrashTracker
 from .tempo import Tempo
 from .term import Term
 
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -260,13 +260,13 @@
 
     def _record_run_ends(self, command: RecordRunEnds) -> None:
         upstream = self.upstreams.get(command.upstream)
-        noted = upstream.recorded_through if upstream is not None else 0
+        recorded_through = upstream.recorded_through if upstream is not None else 0
         for end in command.ends:
             job = self.jobs.get(end.task.job)
-            if end.number > noted and job is not None:
+            if end.number > recorded_through and job is not None:
                 record_run_end(job, end, command.at_ms)
         if upstream is not None:
-            upstream.recorded_through = max(noted, command.through)
+            upstream.recorded_through = max(recorded_through, command.through)
 
     def _set_cordoned(self, upstream: UpstreamId, is_cordoned: bool) -> None:
         record = self.upstreams.get(upstream)
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/settlement.py
@@ -26,12 +26,12 @@
         """The phase of a task that comes up now and that an earlier leader may have started."""
         return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
 
-    def may_miss_runs(self, *, of_deputies: bool) -> bool:
+    def may_miss_runs(self, *, of_acting_leaders: bool) -> bool:
         """Return whether a run of another leader may be active at an upstream not seen yet.
 
-        With `of_deputies`, runs of acting leaders count as well.
+        With `of_acting_leaders`, runs of acting leaders count as well.
         """
-        return self._instances.is_any_unseen(of_deputies=of_deputies)
+        return self._instances.is_any_unseen(of_acting_leaders=of_acting_leaders)
 
     def request_recheck(self) -> None:
         """Check again whether tasks are unknown."""
@@ -50,7 +50,7 @@
         if not self._jobs.has_unsure:
             return
         self._jobs.has_unsure = False
-        is_unsure = {each: self.may_miss_runs(of_deputies=each) for each in (False, True)}
+        is_unsure = {each: self.may_miss_runs(of_acting_leaders=each) for each in (False, True)}
         for job in self._jobs.jobs.values():
             if now >= job.settle_at or not is_unsure[job.may_be_of_deputy]:
                 self._jobs.queue_unknown(job)
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -11,7 +11,7 @@
 
 from ..core.cluster import instances
 from ..core.cluster.open_job import Task
-from ..core.cluster.reconciliation import Reconciliation
+from ..core.cluster.settlement import Reconciliation
 from ..platform import heartbeats, workers
 from .fault_explorer import Fault, Play, Script, describe, explore
 
@@ -61,7 +61,7 @@
 
 def reintroduce_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
     """Let a new leader start what an earlier one may have active at an unreachable upstream."""
-    patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_deputies: False)
+    patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_acting_leaders: False)
 
 
 # Guards against a model in which the corrected faults could not show.
