--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/life_table.py
@@ -121,8 +121,7 @@
     def is_any_unseen(self, *, of_acting_leaders: bool) -> bool:
         """Return whether any instance may have runs of another leader that are unknown here.
 
-        With `of_acting_leaders`, instances where only an acting leader can have started something count
-        too.
+        With `of_acting_leaders`, this includes runs that only an acting leader can have started.
         """
         return any(
             not (instance.is_fenced or instance.is_over)
