--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -199,8 +199,8 @@
         if present is not None or is_over:
             self._extend(order.expires_ms)
             return StartOutcome.NO_ROOM
-        borne = self.find_tolerated_size()
-        assert wanted <= borne, f"a start brings {self.info.id} to {wanted} of {borne}"
+        tolerated = self.find_tolerated_size()
+        assert wanted <= tolerated, f"a start brings {self.info.id} to {wanted} of {tolerated}"
         self._begin(order, needs)
         return StartOutcome.STARTED
 
@@ -213,8 +213,8 @@
     def find_tolerated_size(self) -> int:
         """Return the CPU that starts may use: a capacity that has shrunk counts after a while."""
         since = self.world.now - USUAL_REPORTS.valid_for
-        borne = [size for until, size in self.earlier_sizes if until >= since]
-        return max([self.info.capacity.cpu_millis, *borne])
+        tolerated = [size for until, size in self.earlier_sizes if until >= since]
+        return max([self.info.capacity.cpu_millis, *tolerated])
 
     def build_heartbeat(self, *, draining: bool = False) -> Heartbeat:
         """Return a heartbeat with its present state."""
@@ -319,8 +319,8 @@
         self.number += 1
         self.ended.append(EndReport(number=self.number, task=run.ref, run=run.run, how=how))
         parked, self.parked = self.parked, []
-        for wake in parked:
-            wake()
+        for answer_poll in parked:
+            answer_poll()
 
     def _extend(self, expires_ms: int) -> None:
         longest_ms = TERMS.longest / milliseconds(1)
@@ -374,14 +374,14 @@
             now=self.world.now,
             wall_ms=lambda: int(self.world.now / milliseconds(1)),
             log_decision=lambda name, fields: None,
-            on_job_end=self._note_end,
+            on_job_end=self._record_job_end,
             domain=self.domain,
             keeps_log=not self.is_acting,
             known_until=self.known_until,
         )
         self._tick_forever()
 
-    def _note_end(self, job: JobId) -> None:
+    def _record_job_end(self, job: JobId) -> None:
         self.ended.append(job)
         self.ended_at[job] = self.world.now
 
@@ -452,10 +452,11 @@
         upstream = self.upstreams[order.upstream.id]
         sent_at = world.now
         if isinstance(order, PollOrder) and world.durable_jobs:
-            noted = self.records.upstreams[order.upstream.id].recorded_through
+            recorded_through = self.records.upstreams[order.upstream.id].recorded_through
             for end in upstream.ended:
                 is_early = (
-                    noted < end.number <= order.last_seen and end.task.job in world.durable_jobs
+                    recorded_through < end.number <= order.last_seen
+                    and end.task.job in world.durable_jobs
                 )
                 assert not is_early, "an end is confirmed before it is in the record"
         wait = order.wait if isinstance(order, PollOrder) else timedelta()
@@ -518,13 +519,13 @@
     ) -> None:
         is_done = [False]
 
-        def wake() -> None:
+        def answer_poll() -> None:
             if not is_done[0] and upstream.is_up:
                 is_done[0] = True
                 reply(upstream.build_reply())
 
-        upstream.parked.append(wake)
-        self.world.at(wait, wake)
+        upstream.parked.append(answer_poll)
+        self.world.at(wait, answer_poll)
 
     def _take_answer(
         self, order: Order, value: object, sent_at: timedelta, upstream: ModelUpstream
