--- a/cottonlug/runtime/__init__.py
+++ b/cottonlug/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Clock, logs, metrics and process life round the core."""
+"""The process around the core: clocks, logs, metrics, peer calls, leadership and replication."""
--- a/cottonlug/runtime/clocks.py
+++ b/cottonlug/runtime/clocks.py
@@ -14,8 +14,8 @@
         return datetime.now(UTC)
 
     def monotonic(self) -> timedelta:
-        """Return the time since the machine started, which goes on while it is suspended.
+        """Return the time since boot, including time in which the machine was suspended.
 
-        A lease must not outlast a suspension, which `time.monotonic` does not count.
+        A lease must not outlast a suspension, and `time.monotonic` does not count suspensions.
         """
         return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -57,7 +57,7 @@
 
 
 def _read_seconds(moment: timedelta | None) -> float | None:
-    """Return a moment in seconds on the clock of `now_s`."""
+    """Return a time in seconds on the same clock as `now_s`."""
     return moment.total_seconds() if moment is not None else None
 
 
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -54,7 +54,7 @@
 
 
 def build_gateway_metrics(gateway: Gateway, output: LogOutput) -> Metrics:
-    """Return the metrics of a gateway, with the time its calls take."""
+    """Return the metrics of a gateway, including the duration of its calls."""
 
     def count() -> dict[str, float]:
         counts = {f"calls_{name}": float(value) for name, value in gateway.outcomes.items()}
@@ -78,7 +78,7 @@
 
 
 def build_metrics_handler(metrics: Metrics) -> Handler:
-    """Return the handler that shows metrics as text."""
+    """Return the HTTP handler that serves the metrics as text."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path != "/metrics":
@@ -90,9 +90,9 @@
 
 CALL_BOUNDS_MS = (5.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0)
 HOLD_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
-"""Up to 20 ms between decisions are usual, and 300 ms of a gateway's silence are borne."""
+"""Up to 20 ms between decisions are usual; 300 ms of silence of a gateway are tolerated."""
 REFUSAL_BOUNDS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
-"""Shares of the objective: within a quarter of it a caller can still act."""
+"""Fractions of the latency objective; within a quarter of it a caller can still react."""
 _DISPATCH_COUNTS = (
     "starts", "started", "refused_starts", "unknown_starts", "stops", "looks", "failed_looks",
     "lapsed_runs", "ends", "rejected_jobs", "given_up_jobs", "moved_runs", "resized_upstreams",
@@ -132,7 +132,7 @@
 
 
 def _count_descriptors() -> float:
-    """Return how many descriptors are open, of those that the limits of the host allow."""
+    """Return the number of open file descriptors, which the limits of the host restrict."""
     try:
         return float(len(os.listdir("/proc/self/fd")))
     except OSError:
--- a/cottonlug/runtime/control.py
+++ b/cottonlug/runtime/control.py
@@ -1,4 +1,4 @@
-"""The replicated configuration at one entry host: what voters and other hosts have in common."""
+"""The replicated configuration on an entry host: the parts shared by voters and other hosts."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 from .rulebook import Rulebook
 
 CHANGE_TIMEOUT = timedelta(seconds=10)
-"""How long a change may wait for its decision before the answer is `unknown`."""
+"""How long a change waits for its decision before the answer is `unknown`."""
 
 
 class Control(Protocol):
     """The replicated configuration as the rest of an entry host sees it."""
 
     async def start(self) -> str | None:
-        """Begin; return why that failed, or None."""
+        """Start; return an error message, or None."""
         ...
 
     async def stop(self) -> None:
-        """Hand over what can be handed over, and stop."""
+        """Transfer leadership if possible, and stop."""
         ...
 
     def is_ready(self) -> bool:
-        """Whether this host has a configuration to work with."""
+        """Whether this host has a configuration."""
         ...
 
     def is_stale(self) -> bool:
-        """Whether newer configurations may be in force elsewhere."""
+        """Whether a newer configuration may be active elsewhere."""
         ...
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
-        """Decide on a change; a refusal says `unknown` unless nothing was done."""
+        """Have a change decided; the outcome of a refusal is `unknown` unless nothing was done."""
         ...
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
-        """Return the configuration in force, waiting for one newer than `after`."""
+        """Return the active configuration; wait up to `seconds` for one newer than `after`."""
         ...
 
 
 class Watch:
-    """Wakes those who wait for a newer version."""
+    """Notifies coroutines that wait for a newer version."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
     def wake(self) -> None:
-        """Wake everybody who waits."""
+        """Notify all waiting coroutines."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self, seconds: float) -> None:
-        """Wait for the next change, at most that long."""
+        """Wait for the next change, for at most this many seconds."""
         changed = self._changed
         waiter = asyncio.ensure_future(changed.wait())
         await asyncio.wait([waiter], timeout=max(seconds, 0.0))
@@ -69,7 +69,7 @@
 
 
 class LocalControl:
-    """A host without voters: its rules come from its settings and change with a restart."""
+    """Control of a host without voters: its rules come from its settings and need a restart."""
 
     def __init__(self, *, rulebook: Rulebook) -> None:
         self._rulebook = rulebook
@@ -96,13 +96,13 @@
         return Err(refusal)
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
-        """Return the rules of the settings."""
+        """Return the rules from the settings."""
         book = self._rulebook
         return ConfigurationView(version=book.version, text=book.text, is_stale=False)
 
 
 def put_in_force(rulebook: Rulebook, version: int, text: str) -> None:
-    """Take a version into force at this host, if it is newer than the one here."""
+    """Activate a version on this host if it is newer than the active one."""
     if version <= rulebook.version:
         return
     document = read_rules(text).value
@@ -115,13 +115,13 @@
 
 
 def find_rules_problem(text: str) -> str | None:
-    """Return every error of a rules document as one text, or None."""
+    """Return all errors of a rules document as one text, or None."""
     errors = [str(problem) for problem in read_rules(text).problems if not problem.is_warning]
     return "\n".join(errors) or None
 
 
 def refuse_unknown(message: str) -> Refusal:
-    """Return the refusal of a change whose decision is not known."""
+    """Return the refusal of a change whose decision is unknown."""
     return Refusal(
         code=RefusalCode.NO_QUORUM,
         message=f"{message}; ask again with the same request id",
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -1,4 +1,4 @@
-"""A control host: a replica of the log that answers calls, as leader or by asking the leader."""
+"""A control host: a replica of the log that answers calls itself or forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -45,22 +45,25 @@
 from .replicated import ReplicatedRecords
 
 PASSED_ON = "x-passed-on"
-"""Header of a call that another control host passed on, so that none goes round in circles."""
+"""Header of a call forwarded by another control host; such a call is not forwarded again."""
 CHECK_SECONDS = 0.025
 TELL_TIMEOUT = timedelta(milliseconds=500)
-"""Longer than a busy leader takes; the next heartbeats tell the same again."""
+"""Longer than a busy leader takes to answer; a lost report is repeated by the next heartbeats."""
 GREETING_KEPT = timedelta(milliseconds=70)
-"""Less than a gateway waits for its answer (100 ms)."""
+"""How long a keep-alive is parked without a leader; its gateway waits 100 ms for the answer."""
 LED_CHECK_SECONDS = 0.01
 WITHOUT_LEASE = timedelta(seconds=1)
-"""A leader that had no lease for so long lets another lead; an election takes 0.7 s."""
+"""A leader without a lease for this long transfers leadership; an election takes 0.7 s."""
 LOG_CHECK_SECONDS = 0.04
-"""The leader's answer, which tells an upstream where to go, comes sooner as a rule."""
+"""How often the local log is checked while the leader is asked.
+
+The leader's answer, which names the host for an upstream's next heartbeats, usually comes sooner.
+"""
 _OPEN = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
 GIVE_WAY_EVERY = timedelta(milliseconds=100)
 FIRST_TRY = timedelta(milliseconds=400)
-"""Whoever sends an order waits 1 s for the answer, and a commit takes 20 ms: without an answer by
-then the connection may have gone silent, and a second try still comes in time."""
+"""The sender of an idempotent call waits 1 s for the answer, and a commit takes 20 ms. Without an
+answer by then the connection may have gone silent, and a second attempt still succeeds in time."""
 
 
 class ControlHost:
@@ -77,17 +80,17 @@
         self.leading: Leading | None = None
         self.replicated = ReplicatedRecords()
         self.record_greeting_age: Callable[[float], object] = lambda age_ms: None
-        """Called with how old each greeting of a gateway was when it was taken in."""
+        """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
         self.record_hold: Callable[[float], object] = lambda held_ms: None
-        """Called with the milliseconds between two decisions, where there are more than usual."""
+        """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
         self._clock = clock
         self._port = port
         self._on_failure = on_failure
         self._pools = ConnectionPools(port=settings.urgent_port)
         self._order_pools = ConnectionPools(port=settings.urgent_port)
-        """For orders alone: what is passed on for gateways is given up, and its connection closed,
-        as soon as it is late, and a busy leader takes new ones in late."""
+        """Used for idempotent calls only. A call forwarded for a gateway is abandoned and its
+        connection closed as soon as it is late, and a busy leader accepts new connections late."""
         self._job_lines = JobLines(answer=self.answer, clock=clock, find_slack=self._find_slack)
         self._desk = OrderDesk(
             host=settings.host,
@@ -105,9 +108,9 @@
         self._leased_at = clock.monotonic()
         self._gave_way_at = clock.monotonic()
         self._led_at: timedelta | None = None
-        """When this host last knew another leader, and had heard it `LONGEST_ELECTION` before."""
+        """When this host last knew another leader, heard at most `LONGEST_ELECTION` before that."""
         self._gave_way_in = Term(0)
-        """The last term that this host gave up: it decides nothing in it any more."""
+        """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
         self.replica = Replica(
             settings=ReplicaSettings(
@@ -124,20 +127,20 @@
         )
 
     async def start(self) -> str | None:
-        """Begin to take part; return why that failed, or None."""
+        """Start the replica and the background tasks; return an error message, or None."""
         error = await self.replica.start()
         self._tasks.append(asyncio.create_task(self._check_forever()))
         self._tasks.append(asyncio.create_task(self.heartbeats.tell_forever(self._tell_leader)))
         return error
 
     async def hand_over(self) -> None:
-        """Stop leading, if this host does, and have another voter take over."""
+        """Stop leading, if this host is the leader, and transfer leadership to another voter."""
         self._is_stopping = True
         self._check_leading()
         self._give_way()
 
     async def stop(self) -> None:
-        """Stop taking part."""
+        """Stop the background tasks, leadership and the replica, and close all connections."""
         self._is_stopping = True
         for task in self._tasks:
             task.cancel()
@@ -147,7 +150,7 @@
         self._order_pools.close()
 
     async def answer(self, call: Call, *, passed_on: bool = False) -> Answer:
-        """Answer a call here, if this host leads, or by asking the leader."""
+        """Answer a call here if this host is the leader, else forward it to the leader."""
         if isinstance(call, Greet):
             await self._wait_until_led()
         if isinstance(call, Evacuate) and not passed_on:
@@ -166,7 +169,7 @@
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="not the leader"))
         if isinstance(call, Greet):
             answer = await self._pass_on(leader, call, GREETING_PASSED, self._pools)
-            # Whoever greets learns at least that this host is alive.
+            # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
         if isinstance(call, Beat) and self._settings.orders is OrdersBy.CALL:
             taken = self.heartbeats.take(call.heartbeat)
@@ -177,9 +180,9 @@
         return await self._pass_on(leader, call, PASS_ON_TIMEOUT, self._pools)
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Take jobs in, and answer greetings where this host leads; None for all else.
+        """Accept jobs and, as leader, answer keep-alives without a task; None for other requests.
 
-        A gateway takes its jobs elsewhere after two greetings without an answer within 0.1 s.
+        A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
         taken = self._job_lines.handle_at_once(request)
         if taken is not None:
@@ -192,7 +195,7 @@
         return _reply(self._add_hosts(self.leading.answer_greeting(greeting)))
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request of another host of the cluster."""
+        """Answer a request from another host of the cluster."""
         try:
             if self._job_lines.handles(request.path):
                 return await self._job_lines.handle(request)
@@ -211,17 +214,15 @@
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=404)
 
-    # Parts
-
     async def _tell_leader(self, heard: Heard) -> Answer:
-        """Tell another host that leads whose heartbeats were answered here."""
+        """Report to the leader which upstreams' heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no other host leads")
         return await self._pass_on(leader, heard, TELL_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
-        """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
+        """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
         queues = self.replicated.records.queues
         found = queues.find(call.host, call.path) if queues is not None else None
         if found is None:
@@ -229,7 +230,7 @@
         return find_last_use(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _wait_until_led(self) -> None:
-        """Keep a greeting until somebody leads, so that gateways learn of a leader at once."""
+        """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
         give_up_at = self._clock.monotonic() + GREETING_KEPT
         while self._clock.monotonic() < give_up_at and not self._is_stopping:
             leader = self.replica.leader_host
@@ -240,7 +241,7 @@
             await asyncio.sleep(LED_CHECK_SECONDS)
 
     def _add_hosts(self, answer: Answer) -> Answer:
-        """Return an answer with what a gateway needs to find its way."""
+        """Return an answer with the leader, the hosts and the body limit that a gateway needs."""
         configuration = self.replicated.records.configuration
         return msgspec.structs.replace(
             answer,
@@ -257,9 +258,9 @@
         return terms
 
     async def _pass_order_on(self, leader: str, call: Call) -> Answer:
-        """Pass a call on that may be carried out twice; done once the log says so here, too.
+        """Forward an idempotent call; it is done as soon as the local log shows it as committed.
 
-        A leader with too much to do answers late, but what it has put into the log is in force.
+        An overloaded leader answers late, but what it has committed to the log is already active.
         """
         asking = asyncio.create_task(self._ask_twice(leader, call))
         try:
@@ -275,7 +276,7 @@
             asking.cancel()
 
     async def _ask_twice(self, leader: str, call: Call) -> Answer:
-        """Ask the leader, and again over a new connection if need be."""
+        """Forward a call, and repeat it over a new connection if there is no answer in time."""
         pools = self._order_pools
         answer = await self._pass_on(leader, call, FIRST_TRY, pools)
         if answer.outcome is not Outcome.UNKNOWN:
@@ -312,11 +313,11 @@
             await asyncio.sleep(CHECK_SECONDS)
 
     def _give_way(self) -> None:
-        """Have another voter lead, again and again, while this one does and is not to.
+        """Transfer leadership, repeatedly, while this host leads but has no lease or is stopping.
 
-        A host that is always late keeps its office by answers that arrive, but may be without a
-        lease for good, since that counts from when it sent; and one that is about to stop may be
-        made leader by another that stops.
+        The answers to a host that is always late keep it leader, but it may never hold a lease,
+        because a lease counts from when the messages were sent. A host that is about to stop may
+        be made leader by another one that stops.
         """
         now = self._clock.monotonic()
         is_fit = self.replica.has_lease() and not self._is_stopping
@@ -327,7 +328,7 @@
             return
         if now - self._gave_way_at >= GIVE_WAY_EVERY:
             self._gave_way_at = now
-            # Its lease may come back while the other is elected: two would decide.
+            # Its lease may come back while the other one is elected: two hosts would schedule.
             self._gave_way_in = self.replica.term
             self._check_leading()
             self.replica.hand_over()
@@ -337,13 +338,13 @@
             self._led_at = self._clock.monotonic()
 
     def _find_known_until(self, reports: ReportTerms) -> timedelta:
-        """Return until when this host can count on the capacities in its record as a new leader."""
+        """Return until when this host, as a new leader, can rely on the recorded capacities."""
         if self._led_at is None:
             return timedelta()
         return reports.find_known_until(self._led_at - LONGEST_ELECTION)
 
     def _check_leading(self) -> None:
-        """Begin or end to lead as the log says."""
+        """Start or end leadership according to the replicated log."""
         replica = self.replica
         leads = (
             replica.is_leader
@@ -378,7 +379,7 @@
             self.leading.record_hold = self.record_hold
 
     def _note_lease(self) -> None:
-        """Log when the right to decide ends or comes back while this host leads."""
+        """Log when the lease, and with it the right to schedule, is lost or regained."""
         if self.leading is None:
             return
         has_lease = self.replica.has_lease()
--- a/cottonlug/runtime/decisions.py
+++ b/cottonlug/runtime/decisions.py
@@ -1,6 +1,8 @@
-"""Log lines of decisions: the ones that refuse, fail or move work always, routine ones of a sample.
+"""Logging of scheduling decisions.
 
-The sample is drawn by the job's id, so that a job which is in it is in it whole, in every process.
+Decisions that refuse, fail or move work are always logged, routine ones only for a sample of the
+jobs. The sample depends on the job's id alone, so every process logs all decisions about a sampled
+job.
 """
 
 from __future__ import annotations
@@ -10,17 +12,17 @@
 from .events import Event, log_event
 
 SAMPLE_ONE_IN = 16
-"""At 70 jobs a second that is about 40 routine lines a second of the leader, 10 KB."""
+"""At 70 jobs a second the leader writes about 40 routine lines (10 KB) a second."""
 ROUTINE = frozenset({"job_taken", "run_started", "run_ended", "job_ended"})
 
 
 def is_sampled(job: str) -> bool:
-    """Whether routine lines about a job are written."""
+    """Whether routine decisions about a job are logged."""
     return zlib.crc32(job.encode()) % SAMPLE_ONE_IN == 0
 
 
 def note_decision(name: str, fields: dict[str, str | int]) -> None:
-    """Log a decision and what decided it."""
+    """Log a decision with the values that led to it; skip routine ones of unsampled jobs."""
     if name in ROUTINE and not is_sampled(str(fields.get("job", ""))):
         return
     log_event(Event.DECISION, decision=name, **fields)
--- a/cottonlug/runtime/events.py
+++ b/cottonlug/runtime/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events, the one catalogue of them, and structured logging through absl."""
+"""The catalogue of numbered log events, and structured logging through absl."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 Field = str | int | float | bool | None | list[str]
 
 
-# absl aborts the process on a critical record, so the gravest level here is error.
+# absl aborts the process on a critical record, so the highest level used here is error.
 
 
 class EventKind(NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class Event(Enum):
-    """Every event that cottonlug logs; docs/events.md explains each."""
+    """All events that cottonlug logs; docs/events.md explains each of them."""
 
     STARTED = EventKind(1001, logging.INFO, "process started")
     READY = EventKind(1002, logging.INFO, "ready for work")
@@ -48,27 +48,33 @@
     JOB_FAILED = EventKind(3001, logging.INFO, "a job failed")
     SUBMISSION_REFUSED = EventKind(3002, logging.INFO, "a submission was refused")
     HOME_UNREACHABLE = EventKind(3003, logging.WARNING, "the home of a submission is unreachable")
-    RULES_IN_FORCE = EventKind(4001, logging.INFO, "a configuration is in force")
+    RULES_IN_FORCE = EventKind(4001, logging.INFO, "a configuration became active")
     RULES_REFUSED = EventKind(4002, logging.WARNING, "a configuration was refused")
     LEADER_CHANGED = EventKind(4003, logging.INFO, "the leader of the configuration changed")
     MEMBERS_CHANGED = EventKind(4004, logging.INFO, "the members of the log changed")
-    SNAPSHOT_RESTORED = EventKind(4005, logging.INFO, "the state was taken over from a snapshot")
-    LEADING = EventKind(4006, logging.INFO, "this host leads and decides from now on")
-    NOT_LEADING = EventKind(4007, logging.INFO, "this host does not lead any more")
+    SNAPSHOT_RESTORED = EventKind(4005, logging.INFO, "the state was restored from a snapshot")
+    LEADING = EventKind(4006, logging.INFO, "leadership of a term started on this host")
+    NOT_LEADING = EventKind(4007, logging.INFO, "leadership of a term ended on this host")
     READINESS_CHANGED = EventKind(4008, logging.INFO, "readiness for callers changed")
-    DECIDER_CHANGED = EventKind(4009, logging.INFO, "calls go to another host from now on")
-    STANDING_IN = EventKind(4010, logging.WARNING, "this gateway stands in for want of a leader")
-    LEASE_LOST = EventKind(4011, logging.WARNING, "this leader may not decide for the moment")
-    LEASE_REGAINED = EventKind(4012, logging.INFO, "this leader may decide again")
-    DECIDER_SILENT = EventKind(4013, logging.WARNING, "whoever decides does not answer")
-    GREETING_LATE = EventKind(4014, logging.WARNING, "a gateway's greeting was held up")
-    HELD_UP = EventKind(4015, logging.WARNING, "whoever decides here was held up")
-    PROPOSAL_LOST = EventKind(4016, logging.WARNING, "commands did not get into the log")
+    DECIDER_CHANGED = EventKind(4009, logging.INFO, "calls are sent to another coordinator")
+    STANDING_IN = EventKind(
+        4010, logging.WARNING, "no leader can be reached; this gateway acts as leader"
+    )
+    LEASE_LOST = EventKind(
+        4011, logging.WARNING, "this leader lost its lease and stopped scheduling"
+    )
+    LEASE_REGAINED = EventKind(
+        4012, logging.INFO, "this leader regained its lease and schedules again"
+    )
+    DECIDER_SILENT = EventKind(4013, logging.WARNING, "the coordinator does not answer")
+    GREETING_LATE = EventKind(4014, logging.WARNING, "a gateway's keep-alive was delayed")
+    HELD_UP = EventKind(4015, logging.WARNING, "scheduling on this host was delayed")
+    PROPOSAL_LOST = EventKind(
+        4016, logging.WARNING, "proposed commands were not appended to the log"
+    )
     EVACUATION_BEGUN = EventKind(4017, logging.WARNING, "a failure domain is evacuated")
     EVACUATION_ENDED = EventKind(4018, logging.INFO, "a failure domain is used again")
-    EVACUATION_REFUSED = EventKind(
-        4019, logging.WARNING, "an order to evacuate was not carried out"
-    )
+    EVACUATION_REFUSED = EventKind(4019, logging.WARNING, "an evacuation order was refused")
     HEARTBEAT_REFUSED = EventKind(4020, logging.WARNING, "a heartbeat names no upstream to use")
     STORAGE_FAILED = EventKind(5001, logging.ERROR, "the data folder cannot be written")
     STORAGE_TORN = EventKind(5002, logging.WARNING, "a torn tail of a log file was cut")
@@ -123,7 +129,7 @@
 
 
 def set_up_output(settings: LogSettings, output: LogOutput) -> None:
-    """Send all logs to an output that never waits, through absl's logger."""
+    """Send all logs through absl's logger to a non-blocking output."""
     set_up_logging(settings)
     formatter = _JsonFormatter() if settings.format is LogFormat.JSON else _TextFormatter()
     handler = LogHandler(output=output)
--- a/cottonlug/runtime/heartbeat_desk.py
+++ b/cottonlug/runtime/heartbeat_desk.py
@@ -1,9 +1,10 @@
-"""Heartbeats that tell nothing new, answered by a control host that does not lead.
+"""Routine heartbeats, answered by control hosts that are not the leader.
 
-Load pattern: thousands of upstreams, each with a heartbeat every second or two. All of them at the
-leader were two thirds of its descriptors and a third of its time. So where there are many, the
-leader spreads them over the other control hosts; these answer what their own log knows already, and
-tell the leader in one call whom they have heard. All else is passed on as before.
+Load pattern: thousands of upstreams, each with a heartbeat every second or two. Handled by the
+leader alone, they took two thirds of its file descriptors and a third of its time. With many
+upstreams, the leader therefore spreads the heartbeats over the other control hosts (responders). A
+responder answers heartbeats without news for its own log, and reports to the leader in one call
+which upstreams it has heard. It forwards all other heartbeats to the leader.
 """
 
 from __future__ import annotations
@@ -20,17 +21,20 @@
 from ..core.ids import UpstreamId
 
 SPREAD_FROM = 500
-"""Upstreams; with fewer the leader takes all heartbeats itself, and nothing has a detour."""
+"""With fewer upstreams the leader answers all heartbeats itself, without any detour."""
 TELL_EVERY = timedelta(milliseconds=250)
-"""How old what the leader knows may become by the detour; it bears ten seconds of silence."""
+"""How much the detour delays a heartbeat; the leader tolerates ten seconds of silence."""
 TRUSTED_FOR = timedelta(seconds=1)
-"""For so long after the leader took in what was told; later heartbeats are passed on."""
+"""How long heartbeats are answered here after a report that the leader has acknowledged.
+
+After that they are forwarded to the leader.
+"""
 
 Tell = Callable[[Heard], Awaitable[Answer]]
 
 
 class HeartbeatDesk:
-    """What one control host has heard since it last told the leader."""
+    """Answers routine heartbeats on one control host and reports them to the leader."""
 
     def __init__(
         self, *, control_address: str, clock: Clock, get_records: Callable[[], Records]
@@ -41,14 +45,14 @@
         self._heard: dict[UpstreamId, tuple[Heartbeat, timedelta]] = {}
         self._told_at: timedelta | None = None
         self.answered = 0
-        """Heartbeats that were answered here."""
+        """Number of heartbeats that were answered here."""
 
     def is_needed(self) -> bool:
-        """Whether there are so many upstreams that their heartbeats are spread."""
+        """Whether there are enough upstreams for their heartbeats to be spread."""
         return len(self._get_records().upstreams) >= SPREAD_FROM
 
     def take(self, heartbeat: Heartbeat) -> Answer | None:
-        """Answer a heartbeat that tells nothing new; None where the leader must have it."""
+        """Answer a heartbeat without news; return None if it must go to the leader."""
         now = self._clock.monotonic()
         is_trusted = self._told_at is not None and now - self._told_at < TRUSTED_FOR
         if not (is_trusted and self.is_needed() and self._is_routine(heartbeat)):
@@ -58,7 +62,7 @@
         return Answer(outcome=Outcome.DONE, leader_control=self._control_address)
 
     async def tell_forever(self, tell: Tell) -> None:
-        """Tell the leader again and again who was heard, be it nobody: it learns of this desk."""
+        """Report periodically; an empty report, too, tells the leader about this responder."""
         while True:
             await asyncio.sleep(TELL_EVERY.total_seconds())
             if self.is_needed():
@@ -86,7 +90,7 @@
         )
 
     def _is_routine(self, heartbeat: Heartbeat) -> bool:
-        """Whether the log says already all that a heartbeat does."""
+        """Whether the log already contains everything that a heartbeat says."""
         records = self._get_records()
         known = records.upstreams.get(heartbeat.info.id)
         if known is None or known.draining or heartbeat.draining or heartbeat.has_no_capacity:
@@ -97,7 +101,7 @@
         return is_alike and not known.is_capacity_doubted and self._is_guarded(heartbeat)
 
     def _is_guarded(self, heartbeat: Heartbeat) -> bool:
-        """Whether the upstream guards its capacity, so that it does not matter when it told it."""
+        """Whether the upstream rejects overload itself, so a late capacity report is harmless."""
         configuration = self._get_records().configuration
         services = configuration.services if configuration is not None else ()
         return any(
@@ -107,7 +111,7 @@
 
 
 class Desks:
-    """The desks that the leader has heard, and which of them each upstream is sent to."""
+    """The responders that the leader has heard, and the assignment of upstreams to them."""
 
     def __init__(self, *, clock: Clock, own: str | None) -> None:
         self._clock = clock
@@ -115,16 +119,16 @@
         self._told_at: dict[str, timedelta] = {}
 
     def note(self, desk: str) -> None:
-        """Count on a desk for a while."""
+        """Record a report; its responder counts as active for `RESPONDER_TRUST_PERIOD`."""
         self._told_at[desk] = self._clock.monotonic()
 
     def list_known(self) -> list[str]:
-        """Return the desks that can be counted on now, in order."""
+        """Return the active responders in order."""
         since = self._clock.monotonic() - TRUSTED_FOR
         return sorted(desk for desk, at in self._told_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
-        """Return where an upstream sends its heartbeats: always the same while the desks are."""
+        """Return where an upstream sends its heartbeats; stable while the responders are."""
         desks = self.list_known()
         if not desks:
             return self._own
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -1,11 +1,12 @@
-"""Orders to upstreams that cannot be called: they travel in the answers to heartbeats.
+"""Orders to upstreams that cannot be called: they are sent in the answers to heartbeats.
 
-An upstream has one heartbeat under way at a time. What its answer carried is settled by the next
-one, which lists runs and ends after the answer was taken in, or lost for good: an answer that comes
-later than `ANSWER_VOID` is thrown away. So nothing that is not listed can begin any more.
+An upstream sends one heartbeat at a time. The next heartbeat resolves the orders in the answer to
+the previous one: it lists runs and ended runs after that answer was processed or was lost for good,
+as an upstream discards an answer that arrives later than `ANSWER_VOID`. A run that it does not list
+can therefore no longer begin.
 
-An answer is kept until there is something to say: an idle upstream so waits at its leader, and a
-busy one comes back every few milliseconds to tell what has ended.
+An answer is parked until there is something to send: the heartbeat of an idle upstream waits at
+the leader, and a busy upstream returns every few milliseconds to report ended runs.
 """
 
 from __future__ import annotations
@@ -29,39 +30,45 @@
 from ..core.ids import UpstreamId
 
 IDLE_KEPT = timedelta(milliseconds=700)
-"""An upstream goes to another host when it had no answer for 1 s (the users' platform)."""
+"""Longest parking for an idle upstream.
+
+On the deployment platform an upstream without an answer for 1 s turns to another host.
+"""
 SHORTEST_GAP = timedelta(milliseconds=50)
-"""An upstream sends no heartbeat sooner after an answer (seen on the users' platform)."""
+"""Shortest time from an answer to the upstream's next heartbeat on the deployment platform."""
 LONGEST_BUSY_KEPT = timedelta(milliseconds=150)
-"""Leases are renewed with each answer, and runs that stand still are seen."""
+"""Longest parking for a busy upstream.
+
+Each answer renews leases, and each heartbeat shows runs that make no progress.
+"""
 NEWS_KEPT = timedelta(milliseconds=30)
-"""How long the confirmation of ends may wait for orders to go with it."""
+"""How long the confirmation of ended runs waits for orders to be sent with it."""
 QUEUED_AT_MOST = timedelta(milliseconds=400)
-"""An upstream that was not heard for so long gets no order that is older."""
+"""An order that was not sent within this time, for want of a heartbeat, is withdrawn."""
 ANSWER_VOID = timedelta(seconds=1)
-"""After so long an upstream waits no more for an answer to its heartbeat."""
+"""An upstream stops waiting for the answer to its heartbeat after this time."""
 SETTLED_WITHIN = ANSWER_VOID + timedelta(milliseconds=500)
 DELIVERY = QUEUED_AT_MOST + ANSWER_VOID
-"""How much later than decided an order may reach an upstream."""
+"""The longest time from the decision on an order to its arrival at the upstream."""
 CHECK_SECONDS = 0.05
 NEXT_AFTER = timedelta(milliseconds=1)
-"""When an upstream is to send its next heartbeat."""
+"""How long after an answer an upstream is to send its next heartbeat."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _Item:
-    """An order on its way; its future tells what has become of it."""
+    """An order to one upstream, and the future of its outcome."""
 
     order: Order
     queued_at: timedelta
     settled: asyncio.Future[LookReply | None]
-    """The lists of the heartbeat after the one that took it, or None where it was not sent."""
+    """The lists of the heartbeat after the one whose answer carried the order."""
     sent_at: timedelta | None = None
 
 
 @dataclass(slots=True, kw_only=True)
 class _Line:
-    """What goes to one upstream."""
+    """The orders to one upstream."""
 
     sequence: int = -1
     waiting: list[_Item] = field(default_factory=list)
@@ -71,7 +78,7 @@
 
 
 class HeartbeatPort:
-    """The orders of one term, by upstream."""
+    """An `UpstreamPort` that sends the orders of one term in the answers to heartbeats."""
 
     def __init__(
         self,
@@ -87,15 +94,15 @@
         self._is_over = False
 
     def close(self) -> None:
-        """Answer all heartbeats that are kept, without orders."""
+        """Answer all parked heartbeats, without orders."""
         self._is_over = True
         for line in self._lines.values():
             line.news.set()
 
-    # For whoever decides
+    # Orders of the coordinator
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
-        """Send a start with the next answer."""
+        """Send a start with the next answer; return its outcome and the upstream's clock."""
         item = await self._send(order)
         if item.sent_at is None:
             return StartOutcome.NOT_SENT, None
@@ -107,18 +114,18 @@
         return (StartOutcome.STARTED if is_there else StartOutcome.IGNORED), lists.clock_ms
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
-        """Send a stop with the next answer."""
+        """Send a stop with the next answer; return None once it has arrived."""
         item = await self._send(order)
         return None if item.settled.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
-        """Renew a lease, and return the lists of the heartbeat after that."""
+        """Renew a lease with the next answer, and return the lists of the heartbeat after it."""
         item = await self._send(order)
         lists = item.settled.result() if item.settled.done() else None
         return lists if lists is not None else CallFailure.NO_ANSWER
 
     async def _send(self, order: Order) -> _Item:
-        """Queue an order and wait until it is settled, or until that cannot be any more."""
+        """Queue an order and wait until it is resolved or can no longer be."""
         line = self._lines.setdefault(order.upstream.id, _Line())
         settled: asyncio.Future[LookReply | None] = asyncio.get_running_loop().create_future()
         item = _Item(order=order, queued_at=self._clock.monotonic(), settled=settled)
@@ -135,13 +142,13 @@
                 return item
         return item
 
-    # For heartbeats
+    # Heartbeats of the upstreams
 
     async def exchange(self, heartbeat: Heartbeat, token: int) -> HeartbeatOrders:
-        """Take in what a heartbeat lists, and return the orders for its answer."""
+        """Process the lists of a heartbeat, and return the orders for its answer."""
         line = self._lines.setdefault(heartbeat.info.id, _Line())
         if heartbeat.sequence <= line.sequence or heartbeat.held is None:
-            # Overtaken by a later one, which has an answer of its own.
+            # Overtaken by a later heartbeat, which gets an answer of its own.
             return HeartbeatOrders(token=token, last_seen=0)
         line.sequence = heartbeat.sequence
         self._settle(line, heartbeat.held)
@@ -159,7 +166,7 @@
                 item.settled.set_result(lists)
 
     async def _keep(self, line: _Line, heartbeat: Heartbeat) -> None:
-        """Keep an answer until there is something to say, or the upstream is to report again."""
+        """Park an answer until there is an order to send or the upstream is to report again."""
         began_at = self._clock.monotonic()
         while not self._is_over and heartbeat.sequence == line.sequence:
             line.news.clear()
@@ -217,7 +224,7 @@
 
 
 def _find_kept(line: _Line, heartbeat: Heartbeat) -> timedelta:
-    """Return how long an answer is kept while there is no start or stop to go with it."""
+    """Return how long an answer is parked while there is no start or stop to send with it."""
     looks = [item.order for item in line.waiting if isinstance(item.order, LookOrder)]
     if not looks:
         return NEWS_KEPT if heartbeat.draining or _is_busy(heartbeat) else IDLE_KEPT
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -1,4 +1,4 @@
-"""One leader's term: it decides through `Dispatch`, carries out orders and answers calls."""
+"""Leadership for one term: schedules through `Dispatch`, sends orders and answers calls."""
 
 from __future__ import annotations
 
@@ -64,40 +64,40 @@
 TICK_SECONDS = 0.02
 FORGET_EVERY = timedelta(seconds=5)
 USUAL_HOLD = timedelta(seconds=TICK_SECONDS) * 1.25
-"""A timer fires a little late; longer spans between decisions are counted."""
+"""Timers fire a little late; only longer gaps between decisions are recorded."""
 HELD_UP = timedelta(milliseconds=150)
-"""Between two decisions there are 20 ms, unless the process was held up."""
+"""Decisions are made every 20 ms unless the process was delayed; longer gaps are logged."""
 COMMIT_TIMEOUT = timedelta(seconds=2)
-"""How long a call waits for its command; its fate is unknown afterwards."""
+"""How long a call waits for its command to commit; after that its outcome is unknown."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeadingSettings:
-    """What does not change from term to term."""
+    """Settings that are the same for all terms of a host."""
 
     terms: LeaseTerms
     keep_ended: timedelta
     caller_retry: timedelta
-    """A caller that lost its gateway waits at least so long before it sends a job again."""
+    """The shortest time that a caller waits before it resubmits a job after losing its gateway."""
     control_address: str | None
-    """Address of this host for upstreams, where it serves them."""
+    """Address of this host for upstreams, or None if it does not serve them."""
     domains: frozenset[DomainName] = frozenset()
-    """Failure domains that the settings name; those of known upstreams exist besides."""
+    """Failure domains named in the settings; those of known upstreams are added to them."""
     keeps_log: bool = True
-    """Whether commands are kept; a deputy answers no call that needs the log."""
+    """Whether commands are replicated; an acting leader refuses calls that need the log."""
     orders_by_heartbeat: bool = False
-    """Whether upstreams take their orders with the answers to their heartbeats, not by calls."""
+    """Whether upstreams receive orders in the answers to their heartbeats rather than by calls."""
     domain: DomainName | None = None
-    """Failure domain whose upstreams alone are ordered; None for all."""
+    """The only failure domain whose upstreams receive orders; None for all domains."""
     level: int = 0
-    """Deputies of one term take ever higher levels, so that their tokens rise."""
+    """Successive acting leaders of one term use rising levels, so that their tokens rise."""
     reports: ReportTerms = USUAL_REPORTS
     known_until: timedelta = timedelta()
-    """Until then the capacities in the record can be counted on without a report to this host."""
+    """Until then the recorded capacities can be relied on without a report to this host."""
 
 
 class Leading:
-    """What a host does while it leads one term."""
+    """The work of a host while it is the leader, or acts as leader, in one term."""
 
     def __init__(
         self,
@@ -133,7 +133,7 @@
             takes_calls=not settings.orders_by_heartbeat,
         )
         self.record_hold: Callable[[float], object] = lambda held_ms: None
-        """Called with the milliseconds between two decisions, where there are more than usual."""
+        """Called with the milliseconds between two decisions if they are more than usual."""
         self._decided_at = clock.monotonic()
         self._has_waited = False
         self._had_lease = True
@@ -189,9 +189,9 @@
         )
 
     def stop(self) -> None:
-        """End the term: nothing more is ordered, and whoever waits learns that it is not known.
+        """End leadership: no more orders are sent, and waiting calls get an unknown outcome.
 
-        The host may hold the term and its lease for a while after that, beside the next one.
+        The host may keep its term and lease for a while, while the next leader already leads.
         """
         self._is_over = True
         self._timer.cancel()
@@ -203,22 +203,22 @@
         log_event(Event.NOT_LEADING, term=int(self.term))
 
     def read_clock(self) -> timedelta:
-        """Return the time by which this term counts."""
+        """Return the monotonic time that all deadlines of this term are based on."""
         return self._clock.monotonic()
 
     def find_oldest_report(self) -> timedelta:
-        """Return how long ago the upstream told its capacity that has told it the longest ago."""
+        """Return the age of the oldest capacity report among the running upstream instances."""
         now = self.read_clock()
         lives = (life for life in self.dispatch.lives.values() if not life.is_over)
         ages = (now - life.reported_at for life in lives if life.reported_at is not None)
         return max(ages, default=timedelta())
 
     def count_desks(self) -> int:
-        """Return how many other control hosts answer heartbeats for this leader."""
+        """Return the number of other control hosts that answer heartbeats for this leader."""
         return len(self._desks.list_known())
 
     def list_evacuated_ms(self) -> list[float]:
-        """Return for how long each domain that is evacuated has been, in milliseconds."""
+        """Return for each evacuated domain how long it has been evacuated, in milliseconds."""
         now_ms = self._read_wall()
         records = self._records.evacuations.records
         return [float(now_ms - record.since_ms) for record in records if record.is_evacuated]
@@ -226,13 +226,13 @@
     # Calls
 
     def needs_no_lease(self, call: Call) -> bool:
-        """Whether the log alone decides about a call: its answer waits for the commit."""
+        """Whether a call is safe without a lease because its answer waits for the commit."""
         if isinstance(call, Beat):
             return call.heartbeat.draining and self._heartbeats is None
         return isinstance(call, Configure | Evacuate)
 
     async def answer(self, call: Call) -> Answer:
-        """Carry out one call, while the lease of this leader lasts or the call needs none."""
+        """Carry out a call; the caller checks that the lease is valid or the call needs none."""
         if not self._settings.keeps_log and not _needs_no_log(call):
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG)
         if isinstance(call, AskState):
@@ -262,11 +262,11 @@
         return Answer(outcome=Outcome.DONE)
 
     def answer_greeting(self, call: Greet) -> Answer:
-        """Tell a gateway what it needs to know, and count on it for its jobs."""
+        """Record that a gateway is alive and return the failover state that it lacks."""
         self._take_given_up(call)
         self.gateways.take_greeting(call)
         if not self._settings.keeps_log:
-            # A deputy has nothing to tell that its roster did not.
+            # An acting leader knows nothing beyond the failover state that the gateway has, too.
             return Answer(outcome=Outcome.DONE, contact=self.gateways.make_contact())
         self.gateways.note_kept_jobs(self.dispatch.jobs.keeps_any())
         roster = self.gateways.build_roster(self._records, call.roster)
@@ -275,9 +275,9 @@
         return Answer(outcome=Outcome.DONE, roster=roster, is_roster_due=is_due, contact=contact)
 
     def _take_given_up(self, greeting: Greet) -> None:
-        """Go on with nothing that a gateway waits for no more, before counting on it for the rest.
+        """Abandon the jobs that a gateway no longer waits for, before it confirms all others.
 
-        Its callers may have sent it again: see `JobAnswers.answer_submit`.
+        Its callers may have sent them again: see `JobAnswers.answer_submit`.
         """
         for each in greeting.given_up:
             if self._jobs.give_up(greeting.gateway, each):
@@ -298,7 +298,7 @@
         self.dispatch.take_heartbeat(heartbeat, self._clock.monotonic())
         self._wake()
         answer = Answer(outcome=Outcome.DONE, leader_control=self._find_desk(heartbeat))
-        # Every later leader must know before the upstream counts on it.
+        # Every later leader must know the change before the upstream relies on it.
         for key in self._find_untold(heartbeat):
             if answer.outcome is Outcome.DONE:
                 answer = await self._wait(key)
@@ -308,12 +308,12 @@
         return msgspec.structs.replace(answer, orders=orders)
 
     def _find_desk(self, heartbeat: Heartbeat) -> str | None:
-        """Return where an upstream is to send its next heartbeats."""
+        """Return the address to which an upstream is to send its next heartbeats."""
         is_few = len(self._records.upstreams) < SPREAD_FROM or self._heartbeats is not None
         return self._control_address if is_few else self._desks.choose(heartbeat.info.id)
 
     def _answer_heard(self, call: Heard) -> Answer:
-        """Take in whose heartbeats another control host has answered."""
+        """Record the heartbeats that another control host has answered."""
         self._desks.note(call.desk)
         now = self._clock.monotonic()
         for each in call.upstreams:
@@ -323,7 +323,7 @@
         return Answer(outcome=Outcome.DONE)
 
     def _find_untold(self, heartbeat: Heartbeat) -> list[Hashable]:
-        """Return the keys of what a heartbeat tells that the log does not say yet."""
+        """Return the keys of the changes in a heartbeat that are not in the log yet."""
         id = heartbeat.info.id
         known = self._records.upstreams.get(id)
         untold: list[Hashable] = []
@@ -386,7 +386,7 @@
         self.waiters.resolve(("end", job))
 
     def _wake(self) -> None:
-        """Decide again once everything that has arrived by now was taken in."""
+        """Schedule a decision for after the callbacks that are already due on the event loop."""
         if not self._is_awake:
             self._is_awake = True
             asyncio.get_running_loop().call_soon(self._decide)
@@ -398,14 +398,14 @@
         try:
             self._decide_now()
         except Exception as error:
-            # Whatever went wrong here would go wrong again: another host has to decide.
+            # The same error would occur again here: another host has to schedule.
             log_event(Event.INVARIANT_BROKEN, error=f"{type(error).__name__}: {error}")
             self._on_failure(error)
 
     def _decide_now(self) -> None:
         if self._authority.term != self.term:
             return
-        # The log decides about these: what one proposes that leads no more comes to nothing.
+        # Safe without a lease: proposals of a host that no longer leads are never committed.
         self._propose()
         if not self._authority.has_lease():
             self._had_lease = False
@@ -417,8 +417,8 @@
             self._note_hold(held_up)
         self._had_lease = True
         if held_up > HELD_UP and not self._has_waited:
-            # What has arrived in the meantime is taken in before anything is decided; where every
-            # turn is late, by the next one.
+            # Process the messages that have arrived during the delay first, and decide in the next
+            # turn, even if that one is late, too.
             self._has_waited = True
             return
         self._has_waited = False
@@ -436,14 +436,14 @@
         self._propose()
 
     def _note_hold(self, held_up: timedelta) -> None:
-        """Tell how late a decision is, where nothing but this host has kept it from deciding."""
+        """Record how late a decision is, if only a delay of this host can be the cause."""
         if held_up > USUAL_HOLD:
             self.record_hold(held_up / timedelta(milliseconds=1))
         if held_up > HELD_UP:
             log_event(Event.HELD_UP, term=int(self.term), held_up_ms=to_milliseconds(held_up))
 
     def _propose(self) -> None:
-        """Put into the log what waits for it."""
+        """Propose all pending commands to the log."""
         self._proposals += self.dispatch.take_proposals()
         if self._proposals:
             proposals, self._proposals = self._proposals, []
@@ -487,7 +487,7 @@
 
 
 def _needs_no_log(call: Call) -> bool:
-    """Whether a call is about a job that need not be kept, or about nothing."""
+    """Whether a call is about a job that is not durable, or about no job at all."""
     if isinstance(call, Submit):
         return call.spec.best_effort
     return isinstance(call, Abandon | Greet)
--- a/cottonlug/runtime/log_output.py
+++ b/cottonlug/runtime/log_output.py
@@ -1,8 +1,8 @@
-"""Log lines to a file descriptor that nobody may read: bounded, and never waiting.
+"""Non-blocking log output to a file descriptor whose reader may be slow or gone.
 
-Lines wait in a buffer while the other side does not take them. When it is half full, routine lines
-(level info and below) are left out; when it is full, all are. What was left out is counted, and
-told by a line of its own once there is room again.
+Lines wait in a bounded buffer until the reader takes them. When the buffer is half full, lines of
+level info and below are dropped; when it is full, all lines are. Dropped lines are counted, and
+reported in a line of their own once there is space again.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class LogOutput:
-    """A stream for a log handler; all lines go through `write_record`."""
+    """The stream of a log handler; all lines go through `write_record`."""
 
     def __init__(self, *, descriptor: int) -> None:
         self.left_out = 0
@@ -28,7 +28,7 @@
         os.set_blocking(descriptor, False)
 
     def write_record(self, line: str, level: int) -> None:
-        """Take a line and write as much as the other side takes at once."""
+        """Buffer a line and write as much as the reader takes without blocking."""
         limit = BUFFER_BYTES if level > logging.INFO else BUFFER_BYTES // 2
         if self._size >= limit:
             self.left_out += 1
@@ -37,12 +37,12 @@
         self.flush()
 
     def write(self, text: str) -> int:
-        """Take a text as a stream does."""
+        """Write a text like a stream; it counts as a warning."""
         self.write_record(text.rstrip("\n"), logging.WARNING)
         return len(text)
 
     def flush(self) -> None:
-        """Write what waits, as far as the other side takes it."""
+        """Write as much of the buffer as the reader takes without blocking."""
         while self._waiting:
             data = self._waiting[0]
             try:
@@ -50,7 +50,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                # Nobody will ever read it: a log must not end the process.
+                # The reader is gone for good; a failing log must not end the process.
                 self._waiting.clear()
                 self._size = 0
                 return
@@ -73,7 +73,7 @@
 
 
 class LogHandler(logging.Handler):
-    """Hands formatted records to a `LogOutput`."""
+    """A log handler that writes formatted records to a `LogOutput`."""
 
     def __init__(self, *, output: LogOutput) -> None:
         super().__init__()
--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -1,4 +1,4 @@
-"""Which hosts belong to the replicated log: how they find one another, join and are replaced."""
+"""Membership of the replicated log: how hosts discover each other, join and are replaced."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 JOIN_PATH = "/v1/join"
 LOST_AFTER = timedelta(seconds=4)
-"""A voter that was silent for so long may be replaced by one that asks to join."""
+"""A voter that has been silent for this long may be replaced by a host that asks to join."""
 
 
 class JoinRequest(msgspec.Struct, kw_only=True, frozen=True):
-    """A member that is not among the members asks the leader to be taken in."""
+    """The request of a new member to join the log; only the leader acts on it."""
 
     member: MemberId
 
 
 class Membership:
-    """The known hosts, and those that have asked to be taken in."""
+    """The known hosts, and the members that have asked to join."""
 
     def __init__(self, *, own: Address, seeds: tuple[Address, ...], pools: ConnectionPools) -> None:
         self.hosts: set[str] = {str(seed) for seed in seeds}
@@ -44,20 +44,21 @@
         self._joiners: dict[str, MemberId] = {}
 
     def learn(self, members: Members) -> None:
-        """Know the hosts of a set of members, and the member of each host's present disk."""
+        """Record the hosts of a set of members, and the member of each host's current disk."""
         everybody = members.voters + members.learners
         self.hosts.update(get_host(each) for each in everybody)
-        # A new disk learns before the member of the lost one is removed, so it comes last.
+        # The member of a new disk is still a learner while the member of the lost disk is a voter;
+        # learners come last, so they win.
         self._joiners.update({get_host(each): each for each in everybody})
 
     def take_join(self, request: JoinRequest) -> None:
-        """Remember a member that asks to be taken in."""
+        """Record a member that asks to join."""
         host = get_host(request.member)
         self._joiners[host] = request.member
         self.hosts.add(host)
 
     async def ask_to_join(self, member: MemberId) -> list[Hello]:
-        """Ask all known hosts to be taken in, and return what they say of themselves."""
+        """Send a join request to all known hosts; return the hellos of those that answer."""
         request = msgspec.json.encode(JoinRequest(member=member))
         others = self.hosts - {self._own}
         found = await asyncio.gather(*(self._ask(host, request) for host in others))
@@ -67,7 +68,10 @@
         return hellos
 
     def plan_beginning(self, own: Hello, hellos: Iterable[Hello]) -> Members | None:
-        """Return the first members, where all seeds answer, all are new, and we are to begin."""
+        """Return the first members if all seeds answer and are empty and this host bootstraps.
+
+        The first of the seeds whose settings allow it bootstraps the log.
+        """
         by_host = {str(hello.host): hello for hello in (*hellos, own)}
         if any(seed not in by_host or not by_host[seed].is_empty for seed in self._seeds):
             return None
@@ -77,7 +81,7 @@
         return Members(voters=tuple(by_host[seed].member for seed in self._seeds))
 
     def plan_step(self, leader: Member, now: timedelta) -> Members | None:
-        """Return the next step towards members that are all there, or None."""
+        """Return the next step towards a set of members that are all reachable, or None."""
         lost = leader.find_silent(now, LOST_AFTER)
         most = find_most_voters(leader.members, lost)
         return plan_change(leader, self._joiners, lost, most) or plan_removal(leader, lost)
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -1,4 +1,4 @@
-"""Messages of the replicated log to its other members, one batch at a time to each."""
+"""Sends the replicated log's messages to the other members, one batch at a time to each."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 MESSAGES_PATH = "/v1/consensus"
 CALL_TIMEOUT = timedelta(milliseconds=450)
-"""A slow sync takes 270 ms; a connection gone silent is left after this."""
+"""Longer than a slow sync of the peer (270 ms); then the connection counts as broken."""
 SNAPSHOT_TIMEOUT = timedelta(seconds=5)
 
 GetSender = Callable[[], tuple[MemberId, Term]]
@@ -35,18 +35,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Peer:
-    """Another member: what waits to be sent to it, and when it last answered."""
+    """Another member, the messages waiting for it, and the time of its last answer."""
 
     address: Address
     news: asyncio.Event
     outbox: list[Message]
     task: asyncio.Task[None] | None = None
     acked_at: timedelta | None = None
-    """When the last batch was sent that it has answered in our present term."""
+    """When the last batch was sent that it has answered in the current term."""
 
 
 class Messenger:
-    """The peers, by the address that names them."""
+    """The connections to all peers, by the addresses that name them."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self._peers: dict[str, Peer] = {}
 
     async def stop(self) -> None:
-        """Send nothing more."""
+        """Stop sending."""
         tasks = [peer.task for peer in self._peers.values() if peer.task is not None]
         for task in tasks:
             task.cancel()
@@ -78,13 +78,13 @@
             return
         message = envelope.message
         if isinstance(message, SnapshotRequest):
-            # Only the newest is of use, and it is large.
+            # Snapshots are large, and only the newest one is useful.
             peer.outbox = [each for each in peer.outbox if not isinstance(each, SnapshotRequest)]
         peer.outbox.append(message)
         peer.news.set()
 
     def take_messages(self, host: str) -> list[Message]:
-        """Return what waits for a peer that has just called, to be its answer."""
+        """Remove and return the messages for a peer that has just called, as its answer."""
         peer = self._peers.get(host)
         if peer is None:
             return []
@@ -92,12 +92,12 @@
         return messages
 
     def find_acked_at(self, host: str) -> timedelta | None:
-        """Return when the last batch was sent that a peer has answered in this term."""
+        """Return when the last batch was sent that a peer has answered in the current term."""
         peer = self._peers.get(host)
         return peer.acked_at if peer is not None else None
 
     def forget_acks(self) -> None:
-        """Count no answer of an earlier term."""
+        """Discard the answers of earlier terms."""
         for peer in self._peers.values():
             peer.acked_at = None
 
@@ -134,7 +134,7 @@
         pool = self._pools.get(peer.address)
         sent = await pool.call("POST", MESSAGES_PATH, msgspec.json.encode(batch), timeout=timeout)
         if isinstance(sent, Err) or sent.unwrap().status != 200:
-            # Lost messages are made up for by the next heartbeat.
+            # The next heartbeat makes up for lost messages.
             peer.outbox = []
             return
         reply = _decoder.decode(sent.unwrap().body)
--- a/cottonlug/runtime/meters.py
+++ b/cottonlug/runtime/meters.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry's instruments for the metrics of a process, without extra threads."""
+"""OpenTelemetry instruments for the metrics of a process, without extra threads."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Meters:
-    """The instruments of one process and what reads them."""
+    """The instruments of one process and their reader."""
 
     def __init__(self, *, counters: Values, gauges: Values, histograms: list[Histogram]) -> None:
         self._reader = InMemoryMetricReader()
@@ -36,7 +36,7 @@
         ]
 
     def render(self) -> str:
-        """Return all metrics, a line each, as name and value."""
+        """Return all metrics, one per line, as name and value."""
         for histogram, recorder in self._recorders:
             while histogram.held:
                 recorder.record(histogram.held.popleft())
@@ -61,7 +61,7 @@
 
 
 def _render_histogram(name: str, point: HistogramDataPoint) -> list[str]:
-    """Return a histogram in the usual text format: counts up to each bound, sum and count."""
+    """Return a histogram in the Prometheus text format: cumulative buckets, sum and count."""
     lines: list[str] = []
     total = 0
     bounds = [f"{bound:g}" for bound in point.explicit_bounds] + ["+Inf"]
--- a/cottonlug/runtime/metrics.py
+++ b/cottonlug/runtime/metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of a process, shown as text on request.
+"""Metrics of a process, rendered as text on request.
 
-The instruments are observable: each reads the state when somebody asks, so counting costs nothing
-on the paths that are counted. OpenTelemetry itself (`meters`) is loaded when somebody asks for the
-first time: a host that comes back serves its callers a tenth of its start sooner.
+The instruments are observable: each reads the state when the metrics are requested, so counting
+costs nothing on the paths that are counted. OpenTelemetry itself (`meters`) is imported on the
+first request for metrics, which cuts a tenth off the start-up time of a host.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 Values = Callable[[], dict[str, float]]
 
 MOST_HELD = 100_000
-"""Recorded values that are held until somebody asks; of more the oldest are left out."""
+"""Most recorded values that are kept until the metrics are requested; the oldest are dropped."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Histogram:
-    """A histogram, and the values recorded that it has yet to take in."""
+    """A histogram, and the recorded values that have not yet been added to its instrument."""
 
     name: str
     bounds: Sequence[float]
-    """Upper bounds of its buckets."""
+    """Upper bounds of the buckets."""
     held: deque[float] = field(default_factory=lambda: deque(maxlen=MOST_HELD))
 
 
@@ -41,13 +41,13 @@
         self._meters: Meters | None = None
 
     def add_histogram(self, name: str, bounds: Sequence[float]) -> Callable[[float], None]:
-        """Add a histogram with these upper bounds and return what records a value."""
+        """Add a histogram with these upper bounds; return the function that records a value."""
         histogram = Histogram(name=name, bounds=bounds)
         self._histograms.append(histogram)
         return histogram.held.append
 
     def render(self) -> str:
-        """Return all metrics, a line each, as name and value."""
+        """Return all metrics, one per line, as name and value."""
         if self._meters is None:
             from .meters import Meters
 
--- a/cottonlug/runtime/order_answers.py
+++ b/cottonlug/runtime/order_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a leader to its operators: configurations and evacuations."""
+"""A leader's answers to operators: configurations and evacuations of failure domains."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class OrderAnswers:
-    """Has the log decide about orders while this host leads."""
+    """Answers operators' calls while this host leads; the log decides about changes."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._read_wall = read_wall
 
     async def answer_configure(self, call: Configure) -> Answer:
-        """Put a configuration in force, unless one as new already is."""
+        """Activate a configuration, unless one of the same or a later version is active."""
         configuration = call.configuration
         problem = find_configuration_problem(configuration)
         if problem is not None:
@@ -49,14 +49,14 @@
         return await self._propose(command, ("version", configuration.version))
 
     def answer_configuration(self) -> Answer:
-        """Return the configuration in force, word for word."""
+        """Return the active configuration exactly as it was sent."""
         configuration = self._records.configuration
         if configuration is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_CONFIGURATION)
         return Answer(outcome=Outcome.DONE, document=configuration.document)
 
     async def answer_evacuate(self, call: Evacuate) -> Answer:
-        """Have the log carry out an order; done if the domain is then as it asks."""
+        """Commit an evacuation order; done if the domain is then in the state that it asks for."""
         if not self._is_known(call.domain):
             log_event(Event.EVACUATION_REFUSED, domain=call.domain, reason="unknown domain")
             detail = f"no failure domain {call.domain!r} is known"
@@ -78,13 +78,13 @@
         return self._refuse_superseded(call)
 
     def answer_evacuations(self) -> Answer:
-        """Tell which domains are evacuated."""
+        """Return the domains that are evacuated."""
         records = self._records.evacuations.records
         evacuated = tuple(record for record in records if record.is_evacuated)
         return Answer(outcome=Outcome.DONE, evacuations=evacuated)
 
     def note_applied(self, command: SetConfiguration | SetEvacuation) -> None:
-        """Log an order that the log has carried out; one that came too late is only answered."""
+        """Log an applied change; a superseded evacuation order is answered but not logged here."""
         if isinstance(command, SetConfiguration):
             log_event(Event.RULES_IN_FORCE, version=command.configuration.version)
             return
@@ -100,7 +100,7 @@
         return any(record.info.domain == domain for record in self._records.upstreams.values())
 
     def _is_done(self, call: Evacuate) -> bool:
-        """Whether an order was carried out, or, which takes a lease to know, changes nothing."""
+        """Whether an order was carried out or changes nothing; the latter needs a valid lease."""
         record = self._records.evacuations.get(call.domain)
         if record.order == call.order:
             return True
--- a/cottonlug/runtime/order_desk.py
+++ b/cottonlug/runtime/order_desk.py
@@ -1,4 +1,4 @@
-"""Orders of operators and upstreams as the host takes them in that they reach."""
+"""Idempotent calls of operators and upstreams, on the control host that receives them."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 from ..core.ids import HostId
 
 HANG_UP_SECONDS = 0.03
-"""How long an order is kept before it counts as received: after a freeze or a cut, the end of its
-connection arrives just behind it, and then its sender has long gone to another host."""
+"""How long an evacuation order is delayed before it counts as received.
+
+After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
+has then long gone to another host.
+"""
 
 
 class OrderDesk:
-    """Numbers the orders that need it, and knows which orders this host's own log holds."""
+    """Assigns ids to evacuation orders, and checks whether calls are committed in the local log."""
 
     def __init__(
         self,
@@ -36,29 +39,30 @@
         self._orders_by_heartbeat = orders_by_heartbeat
 
     async def receive(self, call: Evacuate) -> Evacuate:
-        """Return an order with its id and the revision that it was received at."""
+        """Return an order with a new id and the domain's revision at its receipt."""
         await asyncio.sleep(HANG_UP_SECONDS)
         revision = self._get_records().evacuations.get(call.domain).revision
         order = OrderId(f"{self._prefix}.{next(self._numbers)}")
         return msgspec.structs.replace(call, base_revision=revision, order=order)
 
     def is_order(self, call: Call) -> bool:
-        """Whether a call may be sent to the leader twice, and answered from this host's own log.
+        """Whether a call may be sent to the leader twice and be answered from the local log.
 
-        Not a heartbeat that is answered with orders: each must come once, and with its answer.
+        A heartbeat that is answered with orders may not: each must reach the leader once, and its
+        sender needs the leader's answer.
         """
         if isinstance(call, Beat):
             return call.heartbeat.draining and not self._orders_by_heartbeat
         return isinstance(call, Configure | AskConfiguration | Leave | Evacuate)
 
     def is_in_log(self, call: Call) -> bool:
-        """Whether what a call asks for was committed, as far as this host knows."""
+        """Whether the change that a call asks for is committed in the local log."""
         records = self._get_records()
         if isinstance(call, Configure):
             current = records.configuration
             return current is not None and call.configuration.version <= current.version
         if isinstance(call, Evacuate):
-            # This very order: that the domain is as it asks may be undone already.
+            # Compare the order's id: the domain's state may have been changed again since.
             order = records.evacuations.get(call.domain).order
             return bool(call.order) and order == call.order
         if isinstance(call, Leave):
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -1,8 +1,9 @@
-"""Calls to other hosts of the cluster; those to a host that is given up as lost end at once.
+"""Calls to other hosts of the cluster; calls to a host that counts as lost end immediately.
 
-Jobs that need not be kept go by `job_line`, over few connections. All other calls are short and
-have connections of their own, to a port of their own, so that no greeting waits behind jobs:
-gateways whose greetings were up to 0.85 s late were given up with all their jobs, which came again.
+Best-effort jobs are sent through `job_line`, over few connections. All other calls are short and
+have separate connections to a separate port, so that no keep-alive waits behind jobs: gateways
+whose keep-alives were up to 0.85 s late were abandoned with all their jobs, which then arrived
+again.
 """
 
 from __future__ import annotations
@@ -25,15 +26,15 @@
 CALL_PATH = "/v1/call"
 PASS_ON_TIMEOUT = timedelta(seconds=3)
 GREETING_PASSED = timedelta(milliseconds=60)
-"""How long a host that passes a greeting on waits: its own answer must not come too late."""
+"""How long a host that forwards a keep-alive waits, so that its own answer is not too late."""
 SHORT_CALLS = 8
-"""A greeting at a time, and the odd question or cancel."""
+"""Enough for one keep-alive at a time and occasional queries or cancellations."""
 LINE_CONNECTIONS = 4
-"""A batch of jobs, a question for answers, and one each to take the place of one gone silent."""
+"""One for a batch of jobs, one for a request for answers, and a spare for each of them."""
 
 
 def decode_greeting(request: HttpRequest) -> Greet | None:
-    """Return the greeting that a request is, or None; other calls are not decoded."""
+    """Return the keep-alive in a request, or None; other calls are not decoded."""
     if request.path != CALL_PATH or _GREETING_MARK not in request.body[:_MARK_END]:
         return None
     try:
@@ -44,12 +45,12 @@
 
 
 _GREETING_MARK = b'"greet"'
-"""The tag of a greeting, which stands first in what is sent."""
+"""The tag of a keep-alive; the tag is the first field of an encoded call."""
 _MARK_END = 24
 
 
 class PeerCalls:
-    """Calls under way, by the host that is to answer them."""
+    """Sends calls, and keeps track of those in progress by the host that is to answer them."""
 
     def __init__(self, *, own: str = "", urgent_port: int | None = None) -> None:
         self._own = own
@@ -57,12 +58,12 @@
         self._job_pools = ConnectionPools(max_connections=LINE_CONNECTIONS)
         self._lines: dict[str, JobLine] = {}
         self.stamp: Callable[[Call], Call] = lambda call: call
-        """Called with each call in the moment in which it is sent; returns what is sent."""
+        """Called with each call right before it is sent; returns the call to send."""
         self._lost: dict[str, asyncio.Event] = {}
-        """For each host, set when calls that it has not answered are to be sent elsewhere."""
+        """For each host, set when the calls that it has not answered are to be sent elsewhere."""
 
     async def ask(self, host: str, call: Call, timeout: timedelta) -> Answer:
-        """Have a host answer a call; `UNAVAILABLE` only where it has surely not seen it."""
+        """Send a call to a host; `UNAVAILABLE` only if it certainly did not receive the call."""
         address = parse_address(host)
         if address is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=f"{host} is not an address")
@@ -81,7 +82,7 @@
         return answer_decoder.decode(reply.body)
 
     def lose(self, host: str) -> None:
-        """End all calls that a host has not answered: their outcome is not known."""
+        """End all calls that a host has not answered, with an unknown outcome."""
         lost = self._lost.pop(host, None)
         if lost is not None:
             lost.set()
@@ -109,7 +110,7 @@
     async def _send(
         self, host: str, address: Address, call: Call, timeout: timedelta
     ) -> Result[HttpReply, TransportError] | None:
-        """Send a call; None where the host was lost before it answered."""
+        """Send a call; return None if the host counts as lost before it answers."""
         lost = self._lost.setdefault(host, asyncio.Event())
         sending = asyncio.create_task(
             self._pools.get(address).call(
--- a/cottonlug/runtime/refused_heartbeats.py
+++ b/cottonlug/runtime/refused_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that name no upstream to use: counted, and logged without filling the log."""
+"""Heartbeats that do not describe a usable upstream: counted, and logged at a limited rate."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from .events import Event, log_event
 
 LINE_EVERY = timedelta(seconds=1)
-"""A writer that is wrong is so with each heartbeat; the count tells how often."""
+"""A faulty sender fails with every heartbeat; the logged count says how often."""
 MOST_TEXT = 200
-"""Characters of a line that another writer may fill."""
+"""Most characters of a log field whose content comes from the sender."""
 
 
 class RefusedHeartbeats:
-    """What other writers sent in place of a heartbeat."""
+    """Counts and logs requests that should be heartbeats but are invalid."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
@@ -22,7 +22,7 @@
         self.count = 0
 
     def note(self, name: str, reason: str) -> None:
-        """Count one, and log why it was refused unless another was logged just before."""
+        """Count a refused heartbeat; log the reason at most once per second."""
         self.count += 1
         now = self._clock.monotonic()
         if now < self._line_due:
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -1,8 +1,8 @@
-"""One host of a replicated log: its disk, its messages and the member's timers.
+"""One host of a replicated log: its disk, its messages and its timers.
 
 The state machine on top is passed in. A leader sends entries before it has synced them and counts
-itself only afterwards (`Member.note_saved`): with all voters well, two other disks decide, and the
-leader's loop does not wait for its own.
+itself towards the majority only afterwards (`Member.note_saved`): with all voters healthy, two
+other disks are the majority, and the leader's event loop does not wait for its own.
 """
 
 from __future__ import annotations
@@ -51,52 +51,58 @@
     first_election=timedelta(milliseconds=60),
     pre_vote_retry=timedelta(milliseconds=100),
 )
-"""A new leader within 0.7 s, so that most leases (1 s) are renewed; a slow sync takes 270 ms."""
+"""A new leader is elected within 0.7 s, in time to renew most leases (1 s).
+
+A slow sync takes 270 ms.
+"""
 LEADER_LEASE = timedelta(milliseconds=280)
-"""After a majority answered, no other can lead for at least one election timeout, less a margin."""
+"""How long a leader may schedule after a majority has answered it.
+
+No other host can be elected for at least one election timeout; the lease is shorter by a margin.
+"""
 TICK_SECONDS = 0.025
 SAVE_AFTER = timedelta(milliseconds=20)
-"""A leader saves what the others have not made safe by then."""
+"""A leader syncs its new entries if the other voters have not committed them by then."""
 SAVE_AT_LEAST = timedelta(seconds=1)
 REOPEN_AFTER = timedelta(seconds=1)
-"""A full disk may have room again by then; until then this host counts for nobody."""
+"""A full disk may have free space again by then; until then this host is out of the quorum."""
 COMPACT_AFTER_BYTES = 8 * 1024 * 1024
-"""Size of the log's entries before a snapshot replaces them; a disk has 128 MB."""
+"""Size of the log's entries at which a snapshot replaces them; a disk has 128 MB."""
 GREET_SECONDS = 0.25
 HELLO_PATH = "/v1/hello"
 
 
 class StateMachine(Protocol):
-    """What is replicated."""
+    """The state that is replicated."""
 
     def apply(self, entry: Entry) -> None:
-        """Carry out a committed entry."""
+        """Apply a committed entry."""
         ...
 
     def encode(self) -> str:
-        """Return the whole state."""
+        """Return the whole state, encoded for a snapshot."""
         ...
 
     def restore(self, data: str) -> None:
-        """Replace the whole state."""
+        """Replace the whole state by that of a snapshot."""
         ...
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaSettings:
-    """Where a replica finds its disk and the others; addresses are those for calls of peers."""
+    """The data folder of a replica and the peer addresses of its host and of the others."""
 
     address: Address
     seeds: tuple[Address, ...]
     may_begin: bool
     data_folder: Path
     urgent_port: int | None = None
-    """Port of the others for the log's messages, where it is not that of their addresses."""
+    """Port of the others for the log's messages, if it is not that of their addresses."""
 
 
 @dataclass(slots=True, kw_only=True)
 class ReplicaCounts:
-    """For metrics and the dump."""
+    """Counters for metrics and state dumps."""
 
     syncs: int = 0
     entries: int = 0
@@ -105,7 +111,7 @@
 
 
 class Replica:
-    """State of one host of the log."""
+    """The member, journal and messenger of one host of the log."""
 
     def __init__(
         self,
@@ -140,10 +146,8 @@
         self._reopen_at = timedelta()
         self._seen_leader: tuple[MemberId | None, Term] = (None, Term(0))
 
-    # Life
-
     async def start(self) -> str | None:
-        """Read the journal and begin to take part; return why that failed, or None."""
+        """Read the journal and join the log; return an error message, or None."""
         error = self._open()
         if error is not None:
             return error
@@ -152,14 +156,14 @@
         return None
 
     def hand_over(self) -> None:
-        """Ask another voter to lead, if this one does; it may not come to that."""
+        """Ask another voter to take over if this one leads; the transfer may fail."""
         if self.member is None or self.member.role is not Role.LEADER:
             return
         self.member.transfer(self._clock.monotonic())
         self._pump()
 
     def renew(self) -> None:
-        """Campaign for a later term, as a leader whose token an upstream does not take any more."""
+        """Campaign for a later term: an upstream no longer accepts this leader's fencing token."""
         member = self.member
         if member is None or member.role is not Role.LEADER or not self.has_lease():
             return
@@ -168,7 +172,7 @@
         self._pump()
 
     async def stop(self) -> None:
-        """Save what is not saved yet and stop."""
+        """Save all pending entries and stop."""
         self._save_late()
         for task in self._tasks:
             task.cancel()
@@ -176,7 +180,7 @@
         await self._messenger.stop()
         self._pools.close()
 
-    # What is asked
+    # State
 
     @property
     def is_leader(self) -> bool:
@@ -185,23 +189,23 @@
 
     @property
     def leader_host(self) -> str | None:
-        """Address of the leader for calls of peers, where it is known."""
+        """Peer address of the leader, or None if it is unknown."""
         if self.member is None or self.member.leader is None:
             return None
         return get_host(self.member.leader)
 
     @property
     def term(self) -> Term:
-        """The present term."""
+        """The current term, or 0 while the host is out of the quorum."""
         return self.member.term if self.member is not None else Term(0)
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """Addresses of all known control hosts."""
+        """Peer addresses of all known control hosts."""
         return tuple(sorted(self._membership.hosts))
 
     def has_lease(self) -> bool:
-        """Whether this host leads and no other can, as far as a majority has said so lately."""
+        """Whether this host leads and a majority of voters has answered within `LEADER_LEASE`."""
         member = self.member
         if member is None or member.role is not Role.LEADER:
             return False
@@ -210,7 +214,7 @@
         return is_quorum(member.members.voters, recent)
 
     def list_unheard(self) -> list[str]:
-        """Return the hosts of the other voters that have not answered within the leader's lease."""
+        """Return the hosts of the other voters that have not answered within `LEADER_LEASE`."""
         member = self.member
         if member is None:
             return []
@@ -220,7 +224,7 @@
         return [host for host, at in acked.items() if at is None or at <= limit]
 
     def propose(self, data: str) -> bool:
-        """Append a command; False where this host does not lead."""
+        """Append a command to the log; return False if this host does not lead."""
         if self.member is None:
             return False
         proposed = self.member.propose(data, self._clock.monotonic())
@@ -230,7 +234,7 @@
     # Calls from other hosts
 
     def greet(self) -> Hello:
-        """Return what this member says of itself."""
+        """Return how this member describes itself to others."""
         assert self._journal is not None, "started before it listens"
         return Hello(
             host=HostId(str(self._settings.address)),
@@ -242,25 +246,25 @@
         )
 
     def take_join(self, request: JoinRequest) -> Hello:
-        """Remember a member that asks to be taken in; only a leader acts on it."""
+        """Record a member that asks to join; only a leader acts on it."""
         self._membership.take_join(request)
         return self.greet()
 
     def receive(self, batch: ConsensusBatch) -> ConsensusBatch:
-        """Take in another member's messages and return what there is to say to it."""
+        """Process another member's messages and return the messages waiting for it."""
         self._take_in(batch)
         messages = self._messenger.take_messages(get_host(batch.sender))
         return ConsensusBatch(sender=self._get_sender()[0], messages=messages)
 
     def _get_sender(self) -> tuple[MemberId, Term]:
-        """Return under which id and in which term messages are sent."""
+        """Return the member id and term under which messages are sent."""
         assert self._journal is not None, "started before it sends"
         return self._journal.member, self.term
 
     # The member and its disk
 
     def _open(self) -> str | None:
-        """Read the journal and build the member from it; return why that failed, or None."""
+        """Read the journal and build the member from it; return an error message, or None."""
         try:
             files = FolderFiles(folder=self._settings.data_folder)
         except OSError as error:
@@ -277,7 +281,7 @@
         return None
 
     def _reopen_if_due(self, now: timedelta) -> None:
-        """After a failed write, begin again from what the disk holds, as a restart would."""
+        """After a failed write, start again from the content of the disk, as a restart would."""
         if self.member is not None or now < self._reopen_at:
             return
         self._reopen_at = now + REOPEN_AFTER
@@ -306,7 +310,7 @@
         self._learn_hosts()
 
     def _pump(self) -> None:
-        """Save, send and apply what the member put out; a leader may send before it saves."""
+        """Save, send and apply the member's output; a leader may send before it saves."""
         while self.member is not None and self._journal is not None:
             output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
@@ -329,7 +333,7 @@
         self._on_progress()
 
     def _keep(self, output: Output) -> bool:
-        """Save an output now, or later where only a leader's new entries are in it."""
+        """Save an output now, or later if it consists only of a leader's new entries."""
         assert self.member is not None
         if not output.must_save:
             return True
@@ -349,7 +353,7 @@
         return True
 
     def _flush_unsaved(self) -> bool:
-        """Save and sync what was put off."""
+        """Save and sync the deferred entries."""
         if not self._unsaved:
             return True
         entries = [entry for output in self._unsaved for entry in output.entries]
@@ -358,13 +362,13 @@
         return self._save(Output(entries=entries))
 
     def _save_late(self) -> None:
-        """Save what was put off and count this member for it."""
+        """Save the deferred entries and count this member towards their majority."""
         if self._unsaved and self._flush_unsaved() and self.member is not None:
             self.member.note_saved()
             self._pump()
 
     def _save(self, output: Output) -> bool:
-        """Save and sync; leave the quorum where the disk failed, which can promise nothing more."""
+        """Save and sync; if the disk fails, leave the quorum, since nothing can be promised."""
         assert self._journal is not None
         self.counts.syncs += 1
         saved = self._journal.save(output)
@@ -435,7 +439,7 @@
             await asyncio.sleep(TICK_SECONDS)
 
     async def _find_others_forever(self) -> None:
-        """Begin together, take in hosts that ask, and ask to be taken in."""
+        """Bootstrap the log, admit hosts as leader, or ask to join."""
         while True:
             member = self.member
             if member is not None and member.role is Role.LEADER:
@@ -445,9 +449,10 @@
             await asyncio.sleep(GREET_SECONDS)
 
     def _must_ask(self, member: Member) -> bool:
-        """Whether a host has to ask to be taken in.
+        """Whether this host must ask to join.
 
-        One with a new disk may know a leader by messages to the member that was there before.
+        A host with a new disk may know the leader from messages to the member of its old disk, so
+        knowing a leader is not enough.
         """
         return member.leader is None or not member.members.has(member.id)
 
@@ -464,7 +469,7 @@
             self._build_member()
 
     def _change_members(self) -> None:
-        """Take one step towards members that are all there."""
+        """Make one membership change towards a set of members that are all reachable."""
         member = self.member
         assert member is not None
         now = self._clock.monotonic()
--- a/cottonlug/runtime/replicated.py
+++ b/cottonlug/runtime/replicated.py
@@ -1,4 +1,4 @@
-"""The record on top of the replicated log, and the futures of those who wait for a command."""
+"""The records on top of the replicated log, and the futures of callers that await a command."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class ReplicatedRecords:
-    """The state machine of a `Replica`: applies entries and tells who listens."""
+    """The state machine of a `Replica`: applies entries and notifies a listener."""
 
     def __init__(self) -> None:
         self.records = Records()
         self.ready_term = Term(0)
-        """The newest term whose first entry was applied: all entries before it are, too."""
+        """The newest term whose first entry was applied, and with it all entries before it."""
         self.listener: Applied | None = None
 
     def apply(self, entry: Entry) -> None:
-        """Carry out a committed entry."""
+        """Apply a committed entry."""
         if entry.kind is EntryKind.EMPTY:
             self.ready_term = entry.term
         if entry.kind is not EntryKind.COMMAND:
@@ -33,16 +33,16 @@
                 self.listener(command)
 
     def encode(self) -> str:
-        """Return the whole state."""
+        """Return the whole state, encoded for a snapshot."""
         return self.records.encode()
 
     def restore(self, data: str) -> None:
-        """Replace the whole state."""
+        """Replace the whole state by that of a snapshot."""
         self.records.restore(data)
 
 
 class Waiters:
-    """Futures by what they wait for; the result is False where it will not be known."""
+    """Futures by the event that they wait for; their result is False if its outcome is unknown."""
 
     def __init__(self) -> None:
         self._futures: dict[Hashable, list[asyncio.Future[bool]]] = {}
@@ -51,19 +51,19 @@
         return key in self._futures
 
     def wait_for(self, key: Hashable) -> asyncio.Future[bool]:
-        """Return a future that is done when `resolve` is called with the key."""
+        """Return a future that completes when `resolve` is called with the key."""
         future: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
         self._futures.setdefault(key, []).append(future)
         return future
 
     def resolve(self, key: Hashable) -> None:
-        """Tell those who wait that it was carried out."""
+        """Complete the futures of a key with True: the event has happened."""
         for future in self._futures.pop(key, []):
             if not future.done():
                 future.set_result(True)
 
     def give_up(self) -> None:
-        """Tell everybody that the outcome will not be known here."""
+        """Complete all futures with False: the outcome will not be known on this host."""
         futures, self._futures = self._futures, {}
         for waiting in futures.values():
             for future in waiting:
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -56,7 +56,7 @@
 
 TICK_SECONDS = 0.1
 COMPACT_AFTER = 500
-"""Entries in the log before a snapshot replaces them."""
+"""Number of log entries at which a snapshot replaces them."""
 GREETING_SECONDS = 5.0
 _FIRST_GREETING_SECONDS = 0.5
 STALE_AFTER = timedelta(seconds=2)
@@ -65,7 +65,7 @@
 
 
 class Voter:
-    """State of one voter."""
+    """The member, journal and connections of one voter."""
 
     def __init__(
         self,
@@ -92,10 +92,8 @@
         self._connected_at: timedelta | None = None
         self._seen_leader: MemberId | None = None
 
-    # Life
-
     async def start(self) -> str | None:
-        """Read the journal and begin to take part."""
+        """Read the journal and join the log; return an error message, or None."""
         folder = self._settings.data_folder
         assert folder is not None, "checked with the settings"
         try:
@@ -118,7 +116,7 @@
                     token=self._settings.tokens.peers,
                     timeout_seconds=_CALL_SECONDS,
                 )
-                # A change waits longer than a heartbeat may.
+                # A change waits for its decision, longer than a heartbeat may take.
                 self._change_clients[peer.host] = ApiClient(
                     address=peer.address,
                     token=self._settings.tokens.peers,
@@ -132,7 +130,7 @@
         return None
 
     async def stop(self) -> None:
-        """Hand the lead to another voter if it can be had, and stop."""
+        """Transfer leadership to another voter if possible, and stop."""
         if self.member is not None and self.member.role is Role.LEADER and self._clients:
             self.member.transfer(self._clock.monotonic())
             self._pump()
@@ -144,11 +142,11 @@
             await client.close()
 
     def is_ready(self) -> bool:
-        """Whether this disk holds, or has caught up with, an agreed configuration."""
+        """Whether this disk's member belongs to the log and so has an agreed configuration."""
         return self.member is not None and self.member.members.has(self.member.id)
 
     def is_stale(self) -> bool:
-        """Whether this voter has been without a leader for a while."""
+        """Whether this voter has known no leader for longer than `STALE_AFTER`."""
         if self._connected_at is None:
             return True
         return self._clock.monotonic() - self._connected_at > STALE_AFTER
@@ -156,7 +154,7 @@
     # Calls from other hosts and operators
 
     def greet(self) -> Hello:
-        """Return what this voter says of itself."""
+        """Return how this voter describes itself to others."""
         assert self._journal is not None, "started before it listens"
         return Hello(
             host=self._settings.host,
@@ -165,12 +163,12 @@
         )
 
     def receive(self, batch: ConsensusBatch) -> ConsensusBatch:
-        """Take in another member's messages and return what there is to say to it."""
+        """Process another member's messages and return the messages waiting for it."""
         self._take_in(batch)
         return self._take_batch(get_host(batch.sender))
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
-        """Propose a change here or at the leader, and wait for the decision."""
+        """Propose a change here or through the leader, and wait for the decision."""
         known = self._state.outcomes.get(command.request_id)
         if known is not None:
             return Success(known)
@@ -189,7 +187,7 @@
         return Err(refuse_unknown("no majority of the voters decided in time"))
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
-        """Return the configuration in force, waiting for one newer than `after`."""
+        """Return the active configuration; wait up to `seconds` for one newer than `after`."""
         if self._rulebook.version <= after:
             await self._watch.wait(seconds)
         book = self._rulebook
@@ -214,7 +212,7 @@
         put_in_force(self._rulebook, self._state.version, self._state.text)
 
     def _pump(self) -> None:
-        """Save, send and apply whatever the member put out, in this order."""
+        """Save, send and apply the member's output, in this order."""
         while self.member is not None and self._journal is not None:
             output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
@@ -237,7 +235,10 @@
         return self._check_saved(self._journal.save(output))
 
     def _check_saved(self, saved: Result[None, StorageError]) -> bool:
-        """Leave the quorum where the disk failed: this voter can promise nothing any more."""
+        """Return whether a save succeeded; if not, leave the quorum.
+
+        A voter whose disk has failed can no longer keep its promises.
+        """
         if isinstance(saved, Success):
             return True
         _report_storage(saved.failure())
@@ -304,7 +305,7 @@
             client = self._clients[host]
             sent = await client.call("POST", "/v1/consensus", ConsensusBatch, batch)
             if isinstance(sent, Err):
-                # Lost messages are made up for by the next heartbeat.
+                # The next heartbeat makes up for lost messages.
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
             self._take_in(sent.unwrap())
@@ -343,7 +344,7 @@
             await asyncio.sleep(TICK_SECONDS)
 
     async def _greet_forever(self) -> None:
-        """Learn the present member ids of all voters: to begin together, and to replace disks."""
+        """Fetch the current member ids of all voters to bootstrap the log or replace members."""
         while True:
             member = self.member
             is_new = member is not None and not member.members.voters
@@ -365,7 +366,7 @@
         return greetings
 
     def _begin_together(self, greetings: dict[HostId, Hello]) -> None:
-        """Make the first set of members once all voters answer and all their disks are new."""
+        """Create the first set of members once all voters answer and all their disks are new."""
         voters = sorted(self._settings.voters)
         is_first = voters[0] == self._settings.host
         all_new = all(host in greetings and greetings[host].is_empty for host in voters)
