--- a/bench/leader.py
+++ b/bench/leader.py
@@ -48,7 +48,7 @@
 from cottonlug.runtime.clocks import SystemClock
 from cottonlug.runtime.gateways import GATEWAY_SILENT
 from cottonlug.runtime.job_lines import JobLines
-from cottonlug.runtime.leading import Leading, LeadingSettings
+from cottonlug.runtime.leadership import Leadership, LeadershipSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
 from cottonlug.tests.gateway_builders import fail
 from cottonlug.tests.processes import find_base_port
@@ -118,14 +118,14 @@
         self._address = address
         self._pools = ConnectionPools(max_connections=16)
         clock = SystemClock()
-        self.leading = Leading(
+        self.leadership = Leadership(
             authority=OwnOffice(),
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
             on_failure=fail,
-            settings=LeadingSettings(
-                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+            settings=LeadershipSettings(
+                lease_terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
                 keep_ended=timedelta(seconds=120),
                 caller_retry=CALLER_RETRY,
                 control_address=None,
@@ -133,16 +133,16 @@
         )
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
-            self.leading.dispatch.take_heartbeat(heartbeat, clock.monotonic())
+            self.leadership.dispatch.take_heartbeat(heartbeat, clock.monotonic())
         self._lines = JobLines(
-            answer=self.leading.answer, clock=clock, find_slack=lambda submit: 1.0
+            answer=self.leadership.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
         self.listener = Listener(app=app, address=address)
 
     def stop(self) -> None:
         """Decide nothing more."""
-        self.leading.stop()
+        self.leadership.stop()
         self._pools.close()
 
     def _answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
@@ -153,14 +153,14 @@
             return None
         call = call_decoder.decode(request.body)
         assert isinstance(call, Greet), "its tag says so"
-        return _reply(self._add_host(self.leading.answer_greeting(call)))
+        return _reply(self._add_host(self.leadership.answer_keepalive(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         if self._lines.handles(request.path):
             return await self._lines.handle(request)
         call: Call = call_decoder.decode(request.body)
         assert not isinstance(call, Submit), "jobs come in batches"
-        return _reply(await self.leading.answer(call))
+        return _reply(await self.leadership.answer(call))
 
     def _add_host(self, answer: Answer) -> Answer:
         own = str(self._address)
@@ -198,7 +198,7 @@
     spent = time.thread_time() - began
     assert callers.stdout is not None
     answered = json.loads(callers.stdout.read())
-    counts = host.leading.dispatch.counts
+    counts = host.leadership.dispatch.counts
     host.stop()
     await host.listener.stop()
     upstreams.terminate()
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -55,12 +55,12 @@
     life.watch_signals(lambda: build_control_dump(host))
     life.watch_reload(lambda: None)
     control = listen(
-        build_control_handler(host.answer, refused.note),
+        build_control_handler(host.answer, refused.record),
         settings.listen.control,
         CONTROL_BODY_BYTES,
         takes_all=True,
     )
-    peers = listen_peers(host.handle_peer, settings, PEER_BODY_BYTES, host.answer_at_once)
+    peers = listen_peers(host.handle_peer_request, settings, PEER_BODY_BYTES, host.answer_at_once)
     shown = build_control_metrics(host, output, pools.idle, refused)
     metrics = listen_metrics(shown, settings.listen.metrics)
     error = await host.start() or await start_all([*peers, control, *metrics])
@@ -72,7 +72,7 @@
     if life.failure is not None:
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
-    await host.hand_over()
+    await host.transfer_leadership()
     await asyncio.sleep(HANDED_OVER_SECONDS)
     left = find_drain_seconds(settings.drain_limit, HANDED_OVER_SECONDS)
     await stop_listeners([control, *peers, *metrics], left)
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -63,7 +63,9 @@
     readiness = listen(
         build_readiness_handler(gateway.is_ready), settings.listen.readiness, SMALL_BODY_BYTES
     )
-    peers = listen_peers(gateway.handle_peer, settings, PEER_BODY_BYTES, gateway.answer_at_once)
+    peers = listen_peers(
+        gateway.handle_peer_request, settings, PEER_BODY_BYTES, gateway.answer_at_once
+    )
     gateway.start()
     metrics = listen_metrics(build_gateway_metrics(gateway, output), settings.listen.metrics)
     error = await start_all([*peers, callers, readiness, *metrics])
--- a/cottonlug/net/control_handlers.py
+++ b/cottonlug/net/control_handlers.py
@@ -67,7 +67,7 @@
     @get("/v1/control/hello", guards=guards)
     async def greet() -> Response[bytes]:
         """Tell the member id of this voter's disk."""
-        return reply_json(voter.greet())
+        return reply_json(voter.build_hello())
 
     @post("/v1/consensus", guards=guards)
     async def exchange_messages(request: _Request) -> Response[bytes]:
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -25,16 +25,16 @@
         "upstreams": len(records.upstreams),
         "evacuations": records.evacuations.records,
     }
-    if host.leading is not None:
+    if host.leadership is not None:
         dump["leading"] = _dump_dispatch(host)
     return dump
 
 
 def _dump_dispatch(host: ControlHost) -> dict[str, Any]:
-    assert host.leading is not None
-    dispatch = host.leading.dispatch
+    assert host.leadership is not None
+    dispatch = host.leadership.dispatch
     return {
-        "now_s": host.leading.read_clock().total_seconds(),
+        "now_s": host.leadership.read_clock().total_seconds(),
         "open_jobs": dispatch.jobs.count_jobs(),
         "waiting_tasks": dispatch.jobs.backlog.count_tasks(),
         "counts": dispatch.counts,
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -28,13 +28,13 @@
 
     def count() -> dict[str, float]:
         counts: dict[str, float] = dict.fromkeys(_DISPATCH_COUNTS, 0.0)
-        if host.leading is not None:
-            counts.update(dataclasses.asdict(host.leading.dispatch.counts))
+        if host.leadership is not None:
+            counts.update(dataclasses.asdict(host.leadership.dispatch.counts))
         counts.update(dataclasses.asdict(host.replica.counts))
-        counts["heartbeats_answered_here"] = host.heartbeats.answered
+        counts["heartbeats_answered_here"] = host.heartbeat_responder.answered
         counts["heartbeats_refused"] = refused.count
         counts["idle_connections_closed"] = idle.closed
-        counts["log_lines_left_out"] = output.left_out
+        counts["log_lines_left_out"] = output.dropped
         return counts
 
     def gauge() -> dict[str, float]:
@@ -43,13 +43,13 @@
         gauges["jobs_kept"] = len(host.replicated.records.jobs)
         gauges["peak_memory_mb"] = _read_peak_memory()
         gauges["descriptors_open"] = _count_descriptors()
-        if host.leading is not None:
-            gauges.update(_gauge_dispatch(host))
+        if host.leadership is not None:
+            gauges.update(_read_dispatch_gauges(host))
         return gauges
 
     metrics = Metrics(counters=count, gauges=gauge)
-    host.record_greeting_age = metrics.add_histogram("greeting_age_ms", HOLD_BOUNDS_MS)
-    host.record_hold = metrics.add_histogram("between_decisions_ms", HOLD_BOUNDS_MS)
+    host.record_keepalive_age = metrics.add_histogram("greeting_age_ms", DELAY_BOUNDS_MS)
+    host.record_decision_gap = metrics.add_histogram("between_decisions_ms", DELAY_BOUNDS_MS)
     return metrics
 
 
@@ -60,7 +60,7 @@
         counts = {f"calls_{name}": float(value) for name, value in gateway.outcomes.items()}
         counts["calls_held_to_end"] = gateway.held_to_end
         counts["calls_held_back"] = gateway.held_back
-        counts["log_lines_left_out"] = output.left_out
+        counts["log_lines_left_out"] = output.dropped
         return counts
 
     def gauge() -> dict[str, float]:
@@ -89,7 +89,7 @@
 
 
 CALL_BOUNDS_MS = (5.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0)
-HOLD_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
+DELAY_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
 """Up to 20 ms between decisions are usual; 300 ms of silence of a gateway are tolerated."""
 REFUSAL_BOUNDS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
 """Fractions of the latency objective; within a quarter of it a caller can still react."""
@@ -106,11 +106,11 @@
 )  # fmt: skip
 
 
-def _gauge_dispatch(host: ControlHost) -> dict[str, float]:
-    assert host.leading is not None
-    dispatch = host.leading.dispatch
+def _read_dispatch_gauges(host: ControlHost) -> dict[str, float]:
+    assert host.leadership is not None
+    dispatch = host.leadership.dispatch
     lives = list(dispatch.lives.values())
-    evacuated = host.leading.list_evacuated_ms()
+    evacuated = host.leadership.list_evacuation_ages_ms()
     working = [life for life in lives if life.is_fenced and not life.draining]
     return {
         "settled_after_ms": dispatch.counts.settled_after_ms,
@@ -121,13 +121,13 @@
         "upstreams_working": len(working),
         "upstreams_draining": sum(life.draining for life in lives),
         "suspects": len(host.replicated.records.suspects),
-        "heartbeat_desks": host.leading.count_desks(),
+        "heartbeat_desks": host.leadership.count_responders(),
         "domains_evacuated": len(evacuated),
         "evacuated_for_ms": max(evacuated, default=0.0),
         "runs_evacuated": sum(len(life.runs) for life in lives if life.is_evacuated),
         "free_cpu_millis": sum(life.free_cpu for life in working),
         "capacity_cpu_millis": sum(life.info.capacity.cpu_millis for life in working),
-        "oldest_report_ms": host.leading.find_oldest_report() / timedelta(milliseconds=1),
+        "oldest_report_ms": host.leadership.find_oldest_report_age() / timedelta(milliseconds=1),
     }
 
 
--- a/cottonlug/runtime/control.py
+++ b/cottonlug/runtime/control.py
@@ -49,13 +49,13 @@
         ...
 
 
-class Watch:
+class ChangeNotifier:
     """Notifies coroutines that wait for a newer version."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
-    def wake(self) -> None:
+    def notify(self) -> None:
         """Notify all waiting coroutines."""
         self._changed.set()
         self._changed = asyncio.Event()
@@ -101,17 +101,17 @@
         return ConfigurationView(version=book.version, text=book.text, is_stale=False)
 
 
-def put_in_force(rulebook: Rulebook, version: int, text: str) -> None:
+def activate_rules(rulebook: Rulebook, version: int, text: str) -> None:
     """Activate a version on this host if it is newer than the active one."""
     if version <= rulebook.version:
         return
     document = read_rules(text).value
     if document is None:
         # Every voter checked the document before it was accepted.
-        log_event(Event.RULES_REFUSED, version=version)
+        log_event(Event.CONFIGURATION_REFUSED, version=version)
         return
     rulebook.put_in_force(version, text, document)
-    log_event(Event.RULES_IN_FORCE, version=version, rules=len(document.rules))
+    log_event(Event.CONFIGURATION_ACTIVE, version=version, rules=len(document.rules))
 
 
 def find_rules_problem(text: str) -> str | None:
@@ -120,7 +120,7 @@
     return "\n".join(errors) or None
 
 
-def refuse_unknown(message: str) -> Refusal:
+def build_unknown_refusal(message: str) -> Refusal:
     """Return the refusal of a change whose decision is unknown."""
     return Refusal(
         code=RefusalCode.NO_QUORUM,
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -32,36 +32,36 @@
 from ..net.connections import ConnectionPools, parse_address
 from .events import Event, log_event
 from .gateways import GATEWAY_SILENT
-from .heartbeat_desk import HeartbeatDesk
-from .heartbeat_port import DELIVERY
+from .heartbeat_responder import HeartbeatResponder
+from .heartbeat_port import MAX_DELIVERY_DELAY
 from .job_lines import JobLines
-from .leading import Leading, LeadingSettings
+from .leadership import Leadership, LeadershipSettings
 from .membership import JOIN_PATH, JoinRequest
 from .messenger import MESSAGES_PATH
-from .order_desk import OrderDesk
-from .peer_calls import CALL_PATH, GREETING_PASSED, PASS_ON_TIMEOUT, decode_greeting
+from .idempotent_calls import IdempotentCalls
+from .peer_calls import CALL_PATH, KEEPALIVE_FORWARD_TIMEOUT, FORWARD_TIMEOUT, decode_keepalive
 from .ports import UpstreamPort
 from .replica import HELLO_PATH, Replica, ReplicaSettings
 from .replicated import ReplicatedRecords
 
-PASSED_ON = "x-passed-on"
+FORWARDED_HEADER = "x-passed-on"
 """Header of a call forwarded by another control host; such a call is not forwarded again."""
-CHECK_SECONDS = 0.025
-TELL_TIMEOUT = timedelta(milliseconds=500)
+LEADERSHIP_CHECK_SECONDS = 0.025
+HEARTBEAT_REPORT_TIMEOUT = timedelta(milliseconds=500)
 """Longer than a busy leader takes to answer; a lost report is repeated by the next heartbeats."""
-GREETING_KEPT = timedelta(milliseconds=70)
+KEEPALIVE_PARK_TIME = timedelta(milliseconds=70)
 """How long a keep-alive is parked without a leader; its gateway waits 100 ms for the answer."""
-LED_CHECK_SECONDS = 0.01
-WITHOUT_LEASE = timedelta(seconds=1)
+LEADER_CHECK_SECONDS = 0.01
+MAX_TIME_WITHOUT_LEASE = timedelta(seconds=1)
 """A leader without a lease for this long transfers leadership; an election takes 0.7 s."""
 LOG_CHECK_SECONDS = 0.04
 """How often the local log is checked while the leader is asked.
 
 The leader's answer, which names the host for an upstream's next heartbeats, usually comes sooner.
 """
-_OPEN = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
-GIVE_WAY_EVERY = timedelta(milliseconds=100)
-FIRST_TRY = timedelta(milliseconds=400)
+_UNDECIDED = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
+STEP_DOWN_RETRY_INTERVAL = timedelta(milliseconds=100)
+FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=400)
 """The sender of an idempotent call waits 1 s for the answer, and a commit takes 20 ms. Without an
 answer by then the connection may have gone silent, and a second attempt still succeeds in time."""
 
@@ -77,11 +77,11 @@
         port: UpstreamPort,
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        self.leading: Leading | None = None
+        self.leadership: Leadership | None = None
         self.replicated = ReplicatedRecords()
-        self.record_greeting_age: Callable[[float], object] = lambda age_ms: None
+        self.record_keepalive_age: Callable[[float], object] = lambda age_ms: None
         """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
-        self.record_hold: Callable[[float], object] = lambda held_ms: None
+        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
         self._clock = clock
@@ -92,13 +92,13 @@
         """Used for idempotent calls only. A call forwarded for a gateway is abandoned and its
         connection closed as soon as it is late, and a busy leader accepts new connections late."""
         self._job_lines = JobLines(answer=self.answer, clock=clock, find_slack=self._find_slack)
-        self._desk = OrderDesk(
+        self._idempotent_calls = IdempotentCalls(
             host=settings.host,
             clock=clock,
             get_records=lambda: self.replicated.records,
             orders_by_heartbeat=settings.orders is OrdersBy.HEARTBEAT,
         )
-        self.heartbeats = HeartbeatDesk(
+        self.heartbeat_responder = HeartbeatResponder(
             control_address=str(settings.listen.control),
             clock=clock,
             get_records=lambda: self.replicated.records,
@@ -106,10 +106,10 @@
         self._is_stopping = False
         self._had_lease = False
         self._leased_at = clock.monotonic()
-        self._gave_way_at = clock.monotonic()
-        self._led_at: timedelta | None = None
+        self._step_down_tried_at = clock.monotonic()
+        self._other_leader_seen_at: timedelta | None = None
         """When this host last knew another leader, heard at most `LONGEST_ELECTION` before that."""
-        self._gave_way_in = Term(0)
+        self._stepped_down_in = Term(0)
         """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
         self.replica = Replica(
@@ -121,8 +121,8 @@
                 urgent_port=settings.urgent_port,
             ),
             clock=clock,
-            machine=self.replicated,
-            on_progress=self._check_leading,
+            state_machine=self.replicated,
+            on_progress=self._update_leadership,
             on_failure=on_failure,
         )
 
@@ -130,54 +130,56 @@
         """Start the replica and the background tasks; return an error message, or None."""
         error = await self.replica.start()
         self._tasks.append(asyncio.create_task(self._check_forever()))
-        self._tasks.append(asyncio.create_task(self.heartbeats.tell_forever(self._tell_leader)))
+        self._tasks.append(
+            asyncio.create_task(self.heartbeat_responder.report_forever(self._report_heartbeats))
+        )
         return error
 
-    async def hand_over(self) -> None:
+    async def transfer_leadership(self) -> None:
         """Stop leading, if this host is the leader, and transfer leadership to another voter."""
         self._is_stopping = True
-        self._check_leading()
-        self._give_way()
+        self._update_leadership()
+        self._step_down_if_unfit()
 
     async def stop(self) -> None:
         """Stop the background tasks, leadership and the replica, and close all connections."""
         self._is_stopping = True
         for task in self._tasks:
             task.cancel()
-        self._check_leading()
+        self._update_leadership()
         await self.replica.stop()
         self._pools.close()
         self._order_pools.close()
 
-    async def answer(self, call: Call, *, passed_on: bool = False) -> Answer:
+    async def answer(self, call: Call, *, is_forwarded: bool = False) -> Answer:
         """Answer a call here if this host is the leader, else forward it to the leader."""
         if isinstance(call, Greet):
-            await self._wait_until_led()
-        if isinstance(call, Evacuate) and not passed_on:
-            call = await self._desk.receive(call)
-        leading = self.leading
-        if leading is not None and (self.replica.has_lease() or leading.needs_no_lease(call)):
-            answer = await leading.answer(call)
+            await self._wait_for_leader()
+        if isinstance(call, Evacuate) and not is_forwarded:
+            call = await self._idempotent_calls.assign_order_id(call)
+        leadership = self.leadership
+        if leadership is not None and (self.replica.has_lease() or leadership.needs_no_lease(call)):
+            answer = await leadership.answer(call)
             return self._add_hosts(answer) if isinstance(call, Greet) else answer
         leader = self.replica.leader_host
         is_own = leader == str(self._settings.listen.peers)
-        if passed_on or leader is None or is_own:
-            if self._desk.is_in_log(call):
+        if is_forwarded or leader is None or is_own:
+            if self._idempotent_calls.is_committed(call):
                 return Answer(outcome=Outcome.DONE)
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="no leader"))
         if isinstance(call, Greet) and call.is_probe:
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="not the leader"))
         if isinstance(call, Greet):
-            answer = await self._pass_on(leader, call, GREETING_PASSED, self._pools)
+            answer = await self._forward(leader, call, KEEPALIVE_FORWARD_TIMEOUT, self._pools)
             # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
         if isinstance(call, Beat) and self._settings.orders is OrdersBy.CALL:
-            taken = self.heartbeats.take(call.heartbeat)
+            taken = self.heartbeat_responder.answer_routine(call.heartbeat)
             if taken is not None:
                 return taken
-        if self._desk.is_order(call):
-            return await self._pass_order_on(leader, call)
-        return await self._pass_on(leader, call, PASS_ON_TIMEOUT, self._pools)
+        if self._idempotent_calls.is_idempotent(call):
+            return await self._forward_idempotent(leader, call)
+        return await self._forward(leader, call, FORWARD_TIMEOUT, self._pools)
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
         """Accept jobs and, as leader, answer keep-alives without a task; None for other requests.
@@ -187,14 +189,14 @@
         taken = self._job_lines.handle_at_once(request)
         if taken is not None:
             return taken
-        if self.leading is None or not self.replica.has_lease():
+        if self.leadership is None or not self.replica.has_lease():
             return None
-        greeting = decode_greeting(request)
-        if greeting is None:
+        keepalive = decode_keepalive(request)
+        if keepalive is None:
             return None
-        return _reply(self._add_hosts(self.leading.answer_greeting(greeting)))
+        return _reply(self._add_hosts(self.leadership.answer_keepalive(keepalive)))
 
-    async def handle_peer(self, request: HttpRequest) -> HttpResponse:
+    async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
         """Answer a request from another host of the cluster."""
         try:
             if self._job_lines.handles(request.path):
@@ -204,22 +206,24 @@
                 return _reply(self.replica.receive(batch))
             if request.path == CALL_PATH:
                 call = call_decoder.decode(request.body)
-                return _reply(await self.answer(call, passed_on=PASSED_ON in request.headers))
+                return _reply(
+                    await self.answer(call, is_forwarded=FORWARDED_HEADER in request.headers)
+                )
             if request.path == JOIN_PATH:
                 join = msgspec.json.decode(request.body, type=JoinRequest)
-                return _reply(self.replica.take_join(join))
+                return _reply(self.replica.record_join(join))
             if request.path == HELLO_PATH:
-                return _reply(self.replica.greet())
+                return _reply(self.replica.build_hello())
         except msgspec.MsgspecError as error:
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=404)
 
-    async def _tell_leader(self, heard: Heard) -> Answer:
+    async def _report_heartbeats(self, heard: Heard) -> Answer:
         """Report to the leader which upstreams' heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no other host leads")
-        return await self._pass_on(leader, heard, TELL_TIMEOUT, self._pools)
+        return await self._forward(leader, heard, HEARTBEAT_REPORT_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
@@ -229,16 +233,16 @@
             return 0.0
         return find_last_use(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
-    async def _wait_until_led(self) -> None:
+    async def _wait_for_leader(self) -> None:
         """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
-        give_up_at = self._clock.monotonic() + GREETING_KEPT
+        give_up_at = self._clock.monotonic() + KEEPALIVE_PARK_TIME
         while self._clock.monotonic() < give_up_at and not self._is_stopping:
             leader = self.replica.leader_host
             if leader is not None and leader != str(self._settings.listen.peers):
                 return
-            if self.leading is not None and self.replica.has_lease():
+            if self.leadership is not None and self.replica.has_lease():
                 return
-            await asyncio.sleep(LED_CHECK_SECONDS)
+            await asyncio.sleep(LEADER_CHECK_SECONDS)
 
     def _add_hosts(self, answer: Answer) -> Answer:
         """Return an answer with the leader, the hosts and the body limit that a gateway needs."""
@@ -250,50 +254,50 @@
             max_body_bytes=configuration.max_body_bytes if configuration is not None else None,
         )
 
-    def _choose_terms(self) -> LeaseTerms:
+    def _choose_lease_terms(self) -> LeaseTerms:
         settings = self._settings
         terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
         if settings.orders is OrdersBy.HEARTBEAT:
-            return LeaseTerms(longest=settings.longest_lease, delivery=DELIVERY)
+            return LeaseTerms(longest=settings.longest_lease, delivery=MAX_DELIVERY_DELAY)
         return terms
 
-    async def _pass_order_on(self, leader: str, call: Call) -> Answer:
+    async def _forward_idempotent(self, leader: str, call: Call) -> Answer:
         """Forward an idempotent call; it is done as soon as the local log shows it as committed.
 
         An overloaded leader answers late, but what it has committed to the log is already active.
         """
-        asking = asyncio.create_task(self._ask_twice(leader, call))
+        asking = asyncio.create_task(self._forward_with_retry(leader, call))
         try:
             while not asking.done():
                 await asyncio.wait([asking], timeout=LOG_CHECK_SECONDS)
-                if not asking.done() and self._desk.is_in_log(call):
+                if not asking.done() and self._idempotent_calls.is_committed(call):
                     return Answer(outcome=Outcome.DONE)
             answer = asking.result()
-            if answer.outcome in _OPEN and self._desk.is_in_log(call):
+            if answer.outcome in _UNDECIDED and self._idempotent_calls.is_committed(call):
                 return Answer(outcome=Outcome.DONE)
             return answer
         finally:
             asking.cancel()
 
-    async def _ask_twice(self, leader: str, call: Call) -> Answer:
+    async def _forward_with_retry(self, leader: str, call: Call) -> Answer:
         """Forward a call, and repeat it over a new connection if there is no answer in time."""
         pools = self._order_pools
-        answer = await self._pass_on(leader, call, FIRST_TRY, pools)
+        answer = await self._forward(leader, call, FIRST_ATTEMPT_TIMEOUT, pools)
         if answer.outcome is not Outcome.UNKNOWN:
             return answer
         address = parse_address(leader)
         assert address is not None, "members are named by their addresses"
         pools.get(address).drop_idle()
-        return await self._pass_on(leader, call, PASS_ON_TIMEOUT - FIRST_TRY, pools)
+        return await self._forward(leader, call, FORWARD_TIMEOUT - FIRST_ATTEMPT_TIMEOUT, pools)
 
-    async def _pass_on(
+    async def _forward(
         self, leader: str, call: Call, timeout: timedelta, pools: ConnectionPools
     ) -> Answer:
         address = parse_address(leader)
         assert address is not None, "members are named by their addresses"
         body = msgspec.json.encode(call)
         pool = pools.get(address)
-        headers = {PASSED_ON: "1"}
+        headers = {FORWARDED_HEADER: "1"}
         sent = await pool.call("POST", CALL_PATH, body, timeout=timeout, headers=headers)
         if isinstance(sent, Err):
             error = sent.failure()
@@ -306,13 +310,13 @@
 
     async def _check_forever(self) -> None:
         while True:
-            self._note_led()
-            self._check_leading()
-            self._note_lease()
-            self._give_way()
-            await asyncio.sleep(CHECK_SECONDS)
+            self._record_other_leader()
+            self._update_leadership()
+            self._log_lease_change()
+            self._step_down_if_unfit()
+            await asyncio.sleep(LEADERSHIP_CHECK_SECONDS)
 
-    def _give_way(self) -> None:
+    def _step_down_if_unfit(self) -> None:
         """Transfer leadership, repeatedly, while this host leads but has no lease or is stopping.
 
         The answers to a host that is always late keep it leader, but it may never hold a lease,
@@ -321,51 +325,51 @@
         """
         now = self._clock.monotonic()
         is_fit = self.replica.has_lease() and not self._is_stopping
-        if not self.replica.is_leader or (is_fit and self.replica.term != self._gave_way_in):
+        if not self.replica.is_leader or (is_fit and self.replica.term != self._stepped_down_in):
             self._leased_at = now
             return
-        if not self._is_stopping and now - self._leased_at < WITHOUT_LEASE:
+        if not self._is_stopping and now - self._leased_at < MAX_TIME_WITHOUT_LEASE:
             return
-        if now - self._gave_way_at >= GIVE_WAY_EVERY:
-            self._gave_way_at = now
+        if now - self._step_down_tried_at >= STEP_DOWN_RETRY_INTERVAL:
+            self._step_down_tried_at = now
             # Its lease may come back while the other one is elected: two hosts would schedule.
-            self._gave_way_in = self.replica.term
-            self._check_leading()
-            self.replica.hand_over()
+            self._stepped_down_in = self.replica.term
+            self._update_leadership()
+            self.replica.transfer_leadership()
 
-    def _note_led(self) -> None:
+    def _record_other_leader(self) -> None:
         if self.replica.leader_host not in (None, str(self._settings.listen.peers)):
-            self._led_at = self._clock.monotonic()
+            self._other_leader_seen_at = self._clock.monotonic()
 
     def _find_known_until(self, reports: ReportTerms) -> timedelta:
         """Return until when this host, as a new leader, can rely on the recorded capacities."""
-        if self._led_at is None:
+        if self._other_leader_seen_at is None:
             return timedelta()
-        return reports.find_known_until(self._led_at - LONGEST_ELECTION)
+        return reports.find_known_until(self._other_leader_seen_at - LONGEST_ELECTION)
 
-    def _check_leading(self) -> None:
+    def _update_leadership(self) -> None:
         """Start or end leadership according to the replicated log."""
         replica = self.replica
         leads = (
             replica.is_leader
             and not self._is_stopping
-            and replica.term != self._gave_way_in
+            and replica.term != self._stepped_down_in
             and self.replicated.ready_term == replica.term
         )
-        if self.leading is not None and (not leads or self.leading.term != replica.term):
-            self.leading.stop()
-            self.leading = None
-        if leads and self.leading is None:
+        if self.leadership is not None and (not leads or self.leadership.term != replica.term):
+            self.leadership.stop()
+            self.leadership = None
+        if leads and self.leadership is None:
             self._had_lease = True
             reports = self._settings.reports
-            self.leading = Leading(
+            self.leadership = Leadership(
                 authority=replica,
                 replicated=self.replicated,
                 port=self._port,
                 clock=self._clock,
                 on_failure=self._on_failure,
-                settings=LeadingSettings(
-                    terms=self._choose_terms(),
+                settings=LeadershipSettings(
+                    lease_terms=self._choose_lease_terms(),
                     orders_by_heartbeat=self._settings.orders is OrdersBy.HEARTBEAT,
                     keep_ended=self._settings.keep_ended,
                     caller_retry=self._settings.caller_retry,
@@ -375,22 +379,22 @@
                     known_until=self._find_known_until(reports),
                 ),
             )
-            self.leading.gateways.record_age = self.record_greeting_age
-            self.leading.record_hold = self.record_hold
+            self.leadership.gateways.record_age = self.record_keepalive_age
+            self.leadership.record_decision_gap = self.record_decision_gap
 
-    def _note_lease(self) -> None:
+    def _log_lease_change(self) -> None:
         """Log when the lease, and with it the right to schedule, is lost or regained."""
-        if self.leading is None:
+        if self.leadership is None:
             return
         has_lease = self.replica.has_lease()
         if has_lease == self._had_lease:
             return
         self._had_lease = has_lease
         if has_lease:
-            log_event(Event.LEASE_REGAINED, term=int(self.leading.term))
+            log_event(Event.LEASE_REGAINED, term=int(self.leadership.term))
         else:
-            unheard = self.replica.list_unheard()
-            log_event(Event.LEASE_LOST, term=int(self.leading.term), unheard=unheard)
+            unheard = self.replica.list_silent_voters()
+            log_event(Event.LEASE_LOST, term=int(self.leadership.term), unheard=unheard)
 
 
 def _reply(message: msgspec.Struct) -> HttpResponse:
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -166,13 +166,13 @@
                 silence = self._clock.monotonic() - self._reached_at
                 self.record_change(silence / timedelta(milliseconds=1))
             if self.host is not None and host != self.host:
-                self._calls.lose(self.host)
+                self._calls.abandon_calls(self.host)
             self.host = host
             self.via = via
             # It has just answered somebody, whatever it owed before.
             self._overdue.note_answered(host)
             self._tell_news()
-            log_event(Event.DECIDER_CHANGED, decider=host, via=via.value)
+            log_event(Event.COORDINATOR_CHANGED, decider=host, via=via.value)
         self._reached_at = self._clock.monotonic()
         if via is not Via.DEPUTY:
             self._led_at = self._clock.monotonic()
@@ -188,7 +188,7 @@
             self.host = None
             self.via = Via.LEADER
             self.vouching.end()
-            self._calls.lose(host)
+            self._calls.abandon_calls(host)
 
     def stand_down(self) -> None:
         """Decide nothing any more, if this gateway stands in."""
@@ -360,7 +360,7 @@
         if not self._was_silent:
             self._was_silent = True
             silent_ms = to_milliseconds(silence)
-            log_event(Event.DECIDER_SILENT, decider=self.host, silent_ms=silent_ms)
+            log_event(Event.COORDINATOR_SILENT, decider=self.host, silent_ms=silent_ms)
 
     async def _keep(self, host: str, via: Via) -> bool:
         """Greet a gateway that stands in or passes calls on; leave it where it no longer does.
@@ -484,10 +484,10 @@
         self.via = Via.DEPUTY
         self._checked_at = self._clock.monotonic()
         self._tell_news()
-        log_event(Event.STANDING_IN, term=roster.term, at_level=level)
+        log_event(Event.ACTING_AS_LEADER, term=roster.term, at_level=level)
 
     def _greet_itself(self, deputy: Deputy) -> None:
-        gateways = deputy.leading.gateways
+        gateways = deputy.leadership.gateways
         greeting = msgspec.structs.replace(self._build_greeting(), contact=gateways.make_contact())
         gateways.take_greeting(greeting)
 
--- a/cottonlug/runtime/decisions.py
+++ b/cottonlug/runtime/decisions.py
@@ -13,7 +13,7 @@
 
 SAMPLE_ONE_IN = 16
 """At 70 jobs a second the leader writes about 40 routine lines (10 KB) a second."""
-ROUTINE = frozenset({"job_taken", "run_started", "run_ended", "job_ended"})
+ROUTINE_DECISIONS = frozenset({"job_taken", "run_started", "run_ended", "job_ended"})
 
 
 def is_sampled(job: str) -> bool:
@@ -21,8 +21,8 @@
     return zlib.crc32(job.encode()) % SAMPLE_ONE_IN == 0
 
 
-def note_decision(name: str, fields: dict[str, str | int]) -> None:
+def log_decision(name: str, fields: dict[str, str | int]) -> None:
     """Log a decision with the values that led to it; skip routine ones of unsampled jobs."""
-    if name in ROUTINE and not is_sampled(str(fields.get("job", ""))):
+    if name in ROUTINE_DECISIONS and not is_sampled(str(fields.get("job", ""))):
         return
     log_event(Event.DECISION, decision=name, **fields)
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -28,7 +28,7 @@
 from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
 from .gateways import GATEWAY_SILENT
-from .leading import Leading, LeadingSettings
+from .leadership import Leadership, LeadershipSettings
 from .ports import OnFailure, UpstreamPort
 from .replicated import ReplicatedRecords
 
@@ -97,14 +97,14 @@
         records.suspects = {suspect.task: suspect for suspect in roster.suspects}
         records.evacuations = Evacuations(roster.evacuations)
         self.authority = DeputyAuthority(term=roster.term, replicated=replicated)
-        self.leading = Leading(
+        self.leadership = Leadership(
             authority=self.authority,
             replicated=replicated,
             port=port,
             clock=clock,
             on_failure=on_failure,
-            settings=LeadingSettings(
-                terms=choose_terms(longest_lease, caller_retry, GATEWAY_SILENT),
+            settings=LeadershipSettings(
+                lease_terms=choose_terms(longest_lease, caller_retry, GATEWAY_SILENT),
                 keep_ended=timedelta(),
                 caller_retry=caller_retry,
                 control_address=None,
@@ -120,4 +120,4 @@
     def stop(self) -> None:
         """Decide nothing more."""
         self.authority.renew()
-        self.leading.stop()
+        self.leadership.stop()
--- a/cottonlug/runtime/events.py
+++ b/cottonlug/runtime/events.py
@@ -48,16 +48,16 @@
     JOB_FAILED = EventKind(3001, logging.INFO, "a job failed")
     SUBMISSION_REFUSED = EventKind(3002, logging.INFO, "a submission was refused")
     HOME_UNREACHABLE = EventKind(3003, logging.WARNING, "the home of a submission is unreachable")
-    RULES_IN_FORCE = EventKind(4001, logging.INFO, "a configuration became active")
-    RULES_REFUSED = EventKind(4002, logging.WARNING, "a configuration was refused")
+    CONFIGURATION_ACTIVE = EventKind(4001, logging.INFO, "a configuration became active")
+    CONFIGURATION_REFUSED = EventKind(4002, logging.WARNING, "a configuration was refused")
     LEADER_CHANGED = EventKind(4003, logging.INFO, "the leader of the configuration changed")
     MEMBERS_CHANGED = EventKind(4004, logging.INFO, "the members of the log changed")
     SNAPSHOT_RESTORED = EventKind(4005, logging.INFO, "the state was restored from a snapshot")
-    LEADING = EventKind(4006, logging.INFO, "leadership of a term started on this host")
-    NOT_LEADING = EventKind(4007, logging.INFO, "leadership of a term ended on this host")
+    LEADERSHIP_STARTED = EventKind(4006, logging.INFO, "leadership of a term started on this host")
+    LEADERSHIP_ENDED = EventKind(4007, logging.INFO, "leadership of a term ended on this host")
     READINESS_CHANGED = EventKind(4008, logging.INFO, "readiness for callers changed")
-    DECIDER_CHANGED = EventKind(4009, logging.INFO, "calls are sent to another coordinator")
-    STANDING_IN = EventKind(
+    COORDINATOR_CHANGED = EventKind(4009, logging.INFO, "calls are sent to another coordinator")
+    ACTING_AS_LEADER = EventKind(
         4010, logging.WARNING, "no leader can be reached; this gateway acts as leader"
     )
     LEASE_LOST = EventKind(
@@ -66,9 +66,9 @@
     LEASE_REGAINED = EventKind(
         4012, logging.INFO, "this leader regained its lease and schedules again"
     )
-    DECIDER_SILENT = EventKind(4013, logging.WARNING, "the coordinator does not answer")
-    GREETING_LATE = EventKind(4014, logging.WARNING, "a gateway's keep-alive was delayed")
-    HELD_UP = EventKind(4015, logging.WARNING, "scheduling on this host was delayed")
+    COORDINATOR_SILENT = EventKind(4013, logging.WARNING, "the coordinator does not answer")
+    KEEPALIVE_LATE = EventKind(4014, logging.WARNING, "a gateway's keep-alive was delayed")
+    DECISION_DELAYED = EventKind(4015, logging.WARNING, "scheduling on this host was delayed")
     PROPOSAL_LOST = EventKind(
         4016, logging.WARNING, "proposed commands were not appended to the log"
     )
--- a/cottonlug/runtime/follower.py
+++ b/cottonlug/runtime/follower.py
@@ -14,7 +14,7 @@
 from ..core.control_messages import ConfigurationView
 from ..core.messages import Refusal
 from ..net.clients import ApiClient
-from .control import CHANGE_TIMEOUT, Watch, put_in_force, refuse_unknown
+from .control import CHANGE_TIMEOUT, ChangeNotifier, activate_rules, build_unknown_refusal
 from .rulebook import Rulebook
 
 POLL_MS = 1_500
@@ -31,7 +31,7 @@
         self._settings = settings
         self._clock = clock
         self._rulebook = rulebook
-        self._watch = Watch()
+        self._watch = ChangeNotifier()
         self._polled_at: timedelta | None = None
         self._voter_is_stale = False
         poll_seconds = POLL_MS / 1000 + _SLACK_SECONDS
@@ -64,7 +64,7 @@
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
         """Pass a change on to the voters, the nearest first."""
-        refusal = refuse_unknown("no voter answers")
+        refusal = build_unknown_refusal("no voter answers")
         for client in self._change_clients:
             sent = await client.call("POST", "/v1/control/change", ChangeOutcome, command)
             if isinstance(sent, Success):
@@ -96,8 +96,8 @@
         view: ConfigurationView = reply.unwrap()
         self._voter_is_stale = view.is_stale
         self._polled_at = self._clock.monotonic()
-        put_in_force(self._rulebook, view.version, view.text)
-        self._watch.wake()
+        activate_rules(self._rulebook, view.version, view.text)
+        self._watch.notify()
         return not view.is_stale
 
 
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -34,10 +34,10 @@
 from .job_lines import JobLines
 from .peer_calls import (
     CALL_PATH,
-    GREETING_PASSED,
-    PASS_ON_TIMEOUT,
+    KEEPALIVE_FORWARD_TIMEOUT,
+    FORWARD_TIMEOUT,
     PeerCalls,
-    decode_greeting,
+    decode_keepalive,
 )
 from .ports import OnFailure, UpstreamPort
 
@@ -286,14 +286,14 @@
         if taken is not None:
             return taken
         deputy = self.deputy
-        greeting = decode_greeting(request) if deputy is not None else None
+        greeting = decode_keepalive(request) if deputy is not None else None
         if deputy is None or greeting is None:
             return None
-        answer = deputy.leading.answer_greeting(greeting)
+        answer = deputy.leadership.answer_keepalive(greeting)
         answer = msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
         return HttpResponse(status=200, body=msgspec.json.encode(answer))
 
-    async def handle_peer(self, request: HttpRequest) -> HttpResponse:
+    async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
         """Answer a request of another gateway, as its deputy or by passing it on to the leader."""
         try:
             if self._job_lines.handles(request.path):
@@ -311,7 +311,7 @@
         deputy = self.deputy
         if deputy is not None:
             # It may have stood down by the time at which a job has ended.
-            answer = await deputy.leading.answer(call)
+            answer = await deputy.leadership.answer(call)
             return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
         leader = self.link.host if self.link.is_led_directly() else None
         if leader is None:
@@ -349,7 +349,7 @@
     """Have this gateway answer a call of its own, while it stands in, and wait no longer."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
-            return await deputy.leading.answer(_to_itself(call))
+            return await deputy.leadership.answer(_to_itself(call))
     except TimeoutError:
         return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
@@ -364,7 +364,7 @@
 def _find_patience(call: Call) -> timedelta:
     """Return how long the caller of a call that is passed on still waits."""
     if isinstance(call, Greet):
-        return GREETING_PASSED
+        return KEEPALIVE_FORWARD_TIMEOUT
     if isinstance(call, Submit) and call.patience_ms:
         return timedelta(milliseconds=max(call.patience_ms - call.waited_ms, 1))
-    return PASS_ON_TIMEOUT
+    return FORWARD_TIMEOUT
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -105,7 +105,7 @@
         self.record_age(age / timedelta(milliseconds=1))
         if age >= LATE_GREETING and now >= self._late_line_due:
             self._late_line_due = now + LATE_LINE_EVERY
-            log_event(Event.GREETING_LATE, gateway=gateway, age_ms=to_milliseconds(age))
+            log_event(Event.KEEPALIVE_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
     def is_heard(self, gateway: str) -> bool:
         """Whether a gateway was heard lately."""
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -2,8 +2,8 @@
 
 An upstream sends one heartbeat at a time. The next heartbeat resolves the orders in the answer to
 the previous one: it lists runs and ended runs after that answer was processed or was lost for good,
-as an upstream discards an answer that arrives later than `ANSWER_VOID`. A run that it does not list
-can therefore no longer begin.
+because an upstream discards answers that arrive later than `ANSWER_EXPIRY`. So a run that is not
+listed can no longer begin.
 
 An answer is parked until there is something to send: the heartbeat of an idle upstream waits at
 the leader, and a busy upstream returns every few milliseconds to report ended runs.
@@ -29,52 +29,52 @@
 )
 from ..core.ids import UpstreamId
 
-IDLE_KEPT = timedelta(milliseconds=700)
+IDLE_PARK_TIME = timedelta(milliseconds=700)
 """Longest parking for an idle upstream.
 
 On the deployment platform an upstream without an answer for 1 s turns to another host.
 """
-SHORTEST_GAP = timedelta(milliseconds=50)
+MIN_HEARTBEAT_GAP = timedelta(milliseconds=50)
 """Shortest time from an answer to the upstream's next heartbeat on the deployment platform."""
-LONGEST_BUSY_KEPT = timedelta(milliseconds=150)
+MAX_BUSY_PARK_TIME = timedelta(milliseconds=150)
 """Longest parking for a busy upstream.
 
 Each answer renews leases, and each heartbeat shows runs that make no progress.
 """
-NEWS_KEPT = timedelta(milliseconds=30)
+CONFIRMATION_PARK_TIME = timedelta(milliseconds=30)
 """How long the confirmation of ended runs waits for orders to be sent with it."""
-QUEUED_AT_MOST = timedelta(milliseconds=400)
+MAX_QUEUE_TIME = timedelta(milliseconds=400)
 """An order that was not sent within this time, for want of a heartbeat, is withdrawn."""
-ANSWER_VOID = timedelta(seconds=1)
+ANSWER_EXPIRY = timedelta(seconds=1)
 """An upstream stops waiting for the answer to its heartbeat after this time."""
-SETTLED_WITHIN = ANSWER_VOID + timedelta(milliseconds=500)
-DELIVERY = QUEUED_AT_MOST + ANSWER_VOID
+RESOLVED_WITHIN = ANSWER_EXPIRY + timedelta(milliseconds=500)
+MAX_DELIVERY_DELAY = MAX_QUEUE_TIME + ANSWER_EXPIRY
 """The longest time from the decision on an order to its arrival at the upstream."""
-CHECK_SECONDS = 0.05
-NEXT_AFTER = timedelta(milliseconds=1)
+ORDER_CHECK_SECONDS = 0.05
+NEXT_HEARTBEAT_DELAY = timedelta(milliseconds=1)
 """How long after an answer an upstream is to send its next heartbeat."""
 
 
 @dataclass(slots=True, kw_only=True)
-class _Item:
+class _QueuedOrder:
     """An order to one upstream, and the future of its outcome."""
 
     order: Order
     queued_at: timedelta
-    settled: asyncio.Future[LookReply | None]
+    resolved: asyncio.Future[LookReply | None]
     """The lists of the heartbeat after the one whose answer carried the order."""
     sent_at: timedelta | None = None
 
 
 @dataclass(slots=True, kw_only=True)
-class _Line:
+class _UpstreamQueue:
     """The orders to one upstream."""
 
     sequence: int = -1
-    waiting: list[_Item] = field(default_factory=list)
-    sent: list[_Item] = field(default_factory=list)
+    waiting: list[_QueuedOrder] = field(default_factory=list)
+    sent: list[_QueuedOrder] = field(default_factory=list)
     last_seen: int = 0
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    has_news: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class HeartbeatPort:
@@ -85,28 +85,28 @@
         *,
         clock: Clock,
         lease: timedelta,
-        note_listening: Callable[[UpstreamId, bool], None],
+        on_listening_change: Callable[[UpstreamId, bool], None],
     ) -> None:
         self._clock = clock
-        self._note_listening = note_listening
+        self._on_listening_change = on_listening_change
         self._lease = lease
-        self._lines: dict[UpstreamId, _Line] = {}
+        self._queues: dict[UpstreamId, _UpstreamQueue] = {}
         self._is_over = False
 
     def close(self) -> None:
         """Answer all parked heartbeats, without orders."""
         self._is_over = True
-        for line in self._lines.values():
-            line.news.set()
+        for queue in self._queues.values():
+            queue.has_news.set()
 
     # Orders of the coordinator
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
         """Send a start with the next answer; return its outcome and the upstream's clock."""
-        item = await self._send(order)
+        item = await self._queue_order(order)
         if item.sent_at is None:
             return StartOutcome.NOT_SENT, None
-        lists = item.settled.result() if item.settled.done() else None
+        lists = item.resolved.result() if item.resolved.done() else None
         if lists is None:
             return StartOutcome.UNKNOWN, None
         key = (order.task, order.run)
@@ -115,78 +115,78 @@
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop with the next answer; return None once it has arrived."""
-        item = await self._send(order)
-        return None if item.settled.done() and item.sent_at is not None else CallFailure.NO_ANSWER
+        item = await self._queue_order(order)
+        return None if item.resolved.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         """Renew a lease with the next answer, and return the lists of the heartbeat after it."""
-        item = await self._send(order)
-        lists = item.settled.result() if item.settled.done() else None
+        item = await self._queue_order(order)
+        lists = item.resolved.result() if item.resolved.done() else None
         return lists if lists is not None else CallFailure.NO_ANSWER
 
-    async def _send(self, order: Order) -> _Item:
+    async def _queue_order(self, order: Order) -> _QueuedOrder:
         """Queue an order and wait until it is resolved or can no longer be."""
-        line = self._lines.setdefault(order.upstream.id, _Line())
-        settled: asyncio.Future[LookReply | None] = asyncio.get_running_loop().create_future()
-        item = _Item(order=order, queued_at=self._clock.monotonic(), settled=settled)
-        line.waiting.append(item)
-        line.news.set()
-        while not settled.done():
-            await asyncio.wait([settled], timeout=CHECK_SECONDS)
+        queue = self._queues.setdefault(order.upstream.id, _UpstreamQueue())
+        resolved: asyncio.Future[LookReply | None] = asyncio.get_running_loop().create_future()
+        item = _QueuedOrder(order=order, queued_at=self._clock.monotonic(), resolved=resolved)
+        queue.waiting.append(item)
+        queue.has_news.set()
+        while not resolved.done():
+            await asyncio.wait([resolved], timeout=ORDER_CHECK_SECONDS)
             now = self._clock.monotonic()
-            if item.sent_at is None and now - item.queued_at > QUEUED_AT_MOST:
-                if item in line.waiting:
-                    line.waiting.remove(item)
+            if item.sent_at is None and now - item.queued_at > MAX_QUEUE_TIME:
+                if item in queue.waiting:
+                    queue.waiting.remove(item)
                 return item
-            if item.sent_at is not None and now - item.sent_at > SETTLED_WITHIN:
+            if item.sent_at is not None and now - item.sent_at > RESOLVED_WITHIN:
                 return item
         return item
 
     # Heartbeats of the upstreams
 
-    async def exchange(self, heartbeat: Heartbeat, token: int) -> HeartbeatOrders:
+    async def handle_heartbeat(self, heartbeat: Heartbeat, token: int) -> HeartbeatOrders:
         """Process the lists of a heartbeat, and return the orders for its answer."""
-        line = self._lines.setdefault(heartbeat.info.id, _Line())
-        if heartbeat.sequence <= line.sequence or heartbeat.held is None:
+        queue = self._queues.setdefault(heartbeat.info.id, _UpstreamQueue())
+        if heartbeat.sequence <= queue.sequence or heartbeat.held is None:
             # Overtaken by a later heartbeat, which gets an answer of its own.
             return HeartbeatOrders(token=token, last_seen=0)
-        line.sequence = heartbeat.sequence
-        self._settle(line, heartbeat.held)
-        self._note_listening(heartbeat.info.id, True)
-        await self._keep(line, heartbeat)
-        if self._is_over or heartbeat.sequence != line.sequence:
+        queue.sequence = heartbeat.sequence
+        self._resolve_sent(queue, heartbeat.held)
+        self._on_listening_change(heartbeat.info.id, True)
+        await self._park(queue, heartbeat)
+        if self._is_over or heartbeat.sequence != queue.sequence:
             return HeartbeatOrders(token=token, last_seen=0)
-        self._note_listening(heartbeat.info.id, False)
-        return self._take_orders(line, token)
+        self._on_listening_change(heartbeat.info.id, False)
+        return self._build_orders(queue, token)
 
-    def _settle(self, line: _Line, lists: LookReply) -> None:
-        sent, line.sent = line.sent, []
+    def _resolve_sent(self, queue: _UpstreamQueue, lists: LookReply) -> None:
+        sent, queue.sent = queue.sent, []
         for item in sent:
-            if not item.settled.done():
-                item.settled.set_result(lists)
+            if not item.resolved.done():
+                item.resolved.set_result(lists)
 
-    async def _keep(self, line: _Line, heartbeat: Heartbeat) -> None:
+    async def _park(self, queue: _UpstreamQueue, heartbeat: Heartbeat) -> None:
         """Park an answer until there is an order to send or the upstream is to report again."""
         began_at = self._clock.monotonic()
-        while not self._is_over and heartbeat.sequence == line.sequence:
-            line.news.clear()
-            if any(not isinstance(item.order, LookOrder) for item in line.waiting):
+        while not self._is_over and heartbeat.sequence == queue.sequence:
+            queue.has_news.clear()
+            if any(not isinstance(item.order, LookOrder) for item in queue.waiting):
                 return
-            left = began_at + _find_kept(line, heartbeat) - self._clock.monotonic()
+            left = began_at + _find_park_time(queue, heartbeat) - self._clock.monotonic()
             if left <= timedelta():
                 return
             try:
                 async with asyncio.timeout(left.total_seconds()):
-                    await line.news.wait()
+                    await queue.has_news.wait()
             except TimeoutError:
                 continue
 
-    def _take_orders(self, line: _Line, token: int) -> HeartbeatOrders:
+    def _build_orders(self, queue: _UpstreamQueue, token: int) -> HeartbeatOrders:
         now = self._clock.monotonic()
-        items, line.waiting = line.waiting, []
+        items, queue.waiting = queue.waiting, []
         for item in items:
             item.sent_at = now
-        line.sent = items
+        queue.sent = items
         starts: list[HeartbeatStart] = []
         stops: list[tuple[TaskRef, RunNumber]] = []
         is_lease_wanted = False
@@ -205,15 +205,15 @@
             elif isinstance(order, StopOrder):
                 stops.append((order.task, order.run))
             else:
-                line.last_seen = max(line.last_seen, order.last_seen)
+                queue.last_seen = max(queue.last_seen, order.last_seen)
                 is_lease_wanted = is_lease_wanted or order.expires_ms is not None
         return HeartbeatOrders(
             token=token,
-            last_seen=line.last_seen,
+            last_seen=queue.last_seen,
             lease_ms=to_milliseconds(self._lease) if is_lease_wanted else None,
             starts=tuple(starts),
             stops=tuple(stops),
-            next_after_ms=to_milliseconds(NEXT_AFTER),
+            next_after_ms=to_milliseconds(NEXT_HEARTBEAT_DELAY),
         )
 
 
@@ -223,15 +223,17 @@
     )
 
 
-def _find_kept(line: _Line, heartbeat: Heartbeat) -> timedelta:
+def _find_park_time(queue: _UpstreamQueue, heartbeat: Heartbeat) -> timedelta:
     """Return how long an answer is parked while there is no start or stop to send with it."""
-    looks = [item.order for item in line.waiting if isinstance(item.order, LookOrder)]
+    looks = [item.order for item in queue.waiting if isinstance(item.order, LookOrder)]
     if not looks:
-        return NEWS_KEPT if heartbeat.draining or _is_busy(heartbeat) else IDLE_KEPT
+        return (
+            CONFIRMATION_PARK_TIME if heartbeat.draining or _is_busy(heartbeat) else IDLE_PARK_TIME
+        )
     if any(not order.wait for order in looks):
-        return NEWS_KEPT
-    until_report = min(order.first_end for order in looks) - SHORTEST_GAP
-    return min(max(until_report, timedelta()), LONGEST_BUSY_KEPT)
+        return CONFIRMATION_PARK_TIME
+    until_report = min(order.first_end for order in looks) - MIN_HEARTBEAT_GAP
+    return min(max(until_report, timedelta()), MAX_BUSY_PARK_TIME)
 
 
 def _is_busy(heartbeat: Heartbeat) -> bool:
--- a/cottonlug/runtime/heartbeat_desk.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -20,20 +20,20 @@
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
 
-SPREAD_FROM = 500
+SPREAD_MIN_UPSTREAMS = 500
 """With fewer upstreams the leader answers all heartbeats itself, without any detour."""
-TELL_EVERY = timedelta(milliseconds=250)
+REPORT_INTERVAL = timedelta(milliseconds=250)
 """How much the detour delays a heartbeat; the leader tolerates ten seconds of silence."""
-TRUSTED_FOR = timedelta(seconds=1)
+RESPONDER_TRUST_PERIOD = timedelta(seconds=1)
 """How long heartbeats are answered here after a report that the leader has acknowledged.
 
 After that they are forwarded to the leader.
 """
 
-Tell = Callable[[Heard], Awaitable[Answer]]
+SendReport = Callable[[Heard], Awaitable[Answer]]
 
 
-class HeartbeatDesk:
+class HeartbeatResponder:
     """Answers routine heartbeats on one control host and reports them to the leader."""
 
     def __init__(
@@ -42,40 +42,42 @@
         self._control_address = control_address
         self._clock = clock
         self._get_records = get_records
-        self._heard: dict[UpstreamId, tuple[Heartbeat, timedelta]] = {}
-        self._told_at: timedelta | None = None
+        self._unreported: dict[UpstreamId, tuple[Heartbeat, timedelta]] = {}
+        self._reported_at: timedelta | None = None
         self.answered = 0
         """Number of heartbeats that were answered here."""
 
-    def is_needed(self) -> bool:
+    def is_spreading(self) -> bool:
         """Whether there are enough upstreams for their heartbeats to be spread."""
-        return len(self._get_records().upstreams) >= SPREAD_FROM
+        return len(self._get_records().upstreams) >= SPREAD_MIN_UPSTREAMS
 
-    def take(self, heartbeat: Heartbeat) -> Answer | None:
+    def answer_routine(self, heartbeat: Heartbeat) -> Answer | None:
         """Answer a heartbeat without news; return None if it must go to the leader."""
         now = self._clock.monotonic()
-        is_trusted = self._told_at is not None and now - self._told_at < TRUSTED_FOR
-        if not (is_trusted and self.is_needed() and self._is_routine(heartbeat)):
+        is_trusted = (
+            self._reported_at is not None and now - self._reported_at < RESPONDER_TRUST_PERIOD
+        )
+        if not (is_trusted and self.is_spreading() and self._is_routine(heartbeat)):
             return None
-        self._heard[heartbeat.info.id] = (heartbeat, now)
+        self._unreported[heartbeat.info.id] = (heartbeat, now)
         self.answered += 1
         return Answer(outcome=Outcome.DONE, leader_control=self._control_address)
 
-    async def tell_forever(self, tell: Tell) -> None:
+    async def report_forever(self, send_report: SendReport) -> None:
         """Report periodically; an empty report, too, tells the leader about this responder."""
         while True:
-            await asyncio.sleep(TELL_EVERY.total_seconds())
-            if self.is_needed():
-                await self._tell(tell)
+            await asyncio.sleep(REPORT_INTERVAL.total_seconds())
+            if self.is_spreading():
+                await self._report(send_report)
 
-    async def _tell(self, tell: Tell) -> None:
+    async def _report(self, send_report: SendReport) -> None:
         asked_at = self._clock.monotonic()
-        answer = await tell(self._build_report(asked_at))
+        answer = await send_report(self._build_report(asked_at))
         if answer.outcome is Outcome.DONE:
-            self._told_at = asked_at
+            self._reported_at = asked_at
 
     def _build_report(self, now: timedelta) -> Heard:
-        heard, self._heard = self._heard, {}
+        heard, self._unreported = self._unreported, {}
         return Heard(
             desk=self._control_address,
             upstreams=tuple(
@@ -98,9 +100,9 @@
         if heartbeat.cold_left_ms:
             return False
         is_alike = heartbeat.info == known.info and heartbeat.sequence >= known.sequence
-        return is_alike and not known.is_capacity_doubted and self._is_guarded(heartbeat)
+        return is_alike and not known.is_capacity_doubted and self._rejects_overload(heartbeat)
 
-    def _is_guarded(self, heartbeat: Heartbeat) -> bool:
+    def _rejects_overload(self, heartbeat: Heartbeat) -> bool:
         """Whether the upstream rejects overload itself, so a late capacity report is harmless."""
         configuration = self._get_records().configuration
         services = configuration.services if configuration is not None else ()
@@ -110,30 +112,30 @@
         )
 
 
-class Desks:
+class ResponderDirectory:
     """The responders that the leader has heard, and the assignment of upstreams to them."""
 
     def __init__(self, *, clock: Clock, own: str | None) -> None:
         self._clock = clock
         self._own = own
-        self._told_at: dict[str, timedelta] = {}
+        self._reported_at: dict[str, timedelta] = {}
 
-    def note(self, desk: str) -> None:
+    def record_report(self, desk: str) -> None:
         """Record a report; its responder counts as active for `RESPONDER_TRUST_PERIOD`."""
-        self._told_at[desk] = self._clock.monotonic()
+        self._reported_at[desk] = self._clock.monotonic()
 
-    def list_known(self) -> list[str]:
+    def list_active(self) -> list[str]:
         """Return the active responders in order."""
-        since = self._clock.monotonic() - TRUSTED_FOR
-        return sorted(desk for desk, at in self._told_at.items() if at >= since)
+        since = self._clock.monotonic() - RESPONDER_TRUST_PERIOD
+        return sorted(desk for desk, at in self._reported_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
         """Return where an upstream sends its heartbeats; stable while the responders are."""
-        desks = self.list_known()
-        if not desks:
+        responders = self.list_active()
+        if not responders:
             return self._own
-        return desks[_mix(upstream) % len(desks)]
+        return responders[_hash_upstream(upstream) % len(responders)]
 
 
-def _mix(upstream: UpstreamId) -> int:
+def _hash_upstream(upstream: UpstreamId) -> int:
     return zlib.crc32(upstream.encode())
--- a/cottonlug/runtime/order_desk.py
+++ b/cottonlug/runtime/idempotent_calls.py
@@ -14,7 +14,7 @@
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import HostId
 
-HANG_UP_SECONDS = 0.03
+HANG_UP_GRACE_SECONDS = 0.03
 """How long an evacuation order is delayed before it counts as received.
 
 After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
@@ -22,7 +22,7 @@
 """
 
 
-class OrderDesk:
+class IdempotentCalls:
     """Assigns ids to evacuation orders, and checks whether calls are committed in the local log."""
 
     def __init__(
@@ -38,14 +38,14 @@
         self._get_records = get_records
         self._orders_by_heartbeat = orders_by_heartbeat
 
-    async def receive(self, call: Evacuate) -> Evacuate:
+    async def assign_order_id(self, call: Evacuate) -> Evacuate:
         """Return an order with a new id and the domain's revision at its receipt."""
-        await asyncio.sleep(HANG_UP_SECONDS)
+        await asyncio.sleep(HANG_UP_GRACE_SECONDS)
         revision = self._get_records().evacuations.get(call.domain).revision
         order = OrderId(f"{self._prefix}.{next(self._numbers)}")
         return msgspec.structs.replace(call, base_revision=revision, order=order)
 
-    def is_order(self, call: Call) -> bool:
+    def is_idempotent(self, call: Call) -> bool:
         """Whether a call may be sent to the leader twice and be answered from the local log.
 
         A heartbeat that is answered with orders may not: each must reach the leader once, and its
@@ -55,7 +55,7 @@
             return call.heartbeat.draining and not self._orders_by_heartbeat
         return isinstance(call, Configure | AskConfiguration | Leave | Evacuate)
 
-    def is_in_log(self, call: Call) -> bool:
+    def is_committed(self, call: Call) -> bool:
         """Whether the change that a call asks for is committed in the local log."""
         records = self._get_records()
         if isinstance(call, Configure):
@@ -67,7 +67,7 @@
             return bool(call.order) and order == call.order
         if isinstance(call, Leave):
             return _is_leaving(records.find_leaving(call.upstream))
-        if isinstance(call, Beat) and self.is_order(call):
+        if isinstance(call, Beat) and self.is_idempotent(call):
             return _is_leaving(records.upstreams.get(call.heartbeat.info.id))
         return False
 
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leadership.py
@@ -51,31 +51,31 @@
 from ..core.cluster.reports import USUAL_REPORTS, ReportTerms
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName
-from .decisions import note_decision
+from .decisions import log_decision
 from .events import Event, log_event
 from .gateways import Gateways
-from .heartbeat_desk import SPREAD_FROM, Desks
+from .heartbeat_responder import SPREAD_MIN_UPSTREAMS, ResponderDirectory
 from .heartbeat_port import HeartbeatPort
 from .job_answers import JobAnswers
-from .order_answers import OrderAnswers
+from .operator_answers import OperatorAnswers
 from .ports import Authority, OnFailure, UpstreamPort
 from .replicated import ReplicatedRecords, Waiters
 
 TICK_SECONDS = 0.02
-FORGET_EVERY = timedelta(seconds=5)
-USUAL_HOLD = timedelta(seconds=TICK_SECONDS) * 1.25
+FORGET_INTERVAL = timedelta(seconds=5)
+USUAL_DECISION_GAP = timedelta(seconds=TICK_SECONDS) * 1.25
 """Timers fire a little late; only longer gaps between decisions are recorded."""
-HELD_UP = timedelta(milliseconds=150)
+LONG_DECISION_GAP = timedelta(milliseconds=150)
 """Decisions are made every 20 ms unless the process was delayed; longer gaps are logged."""
 COMMIT_TIMEOUT = timedelta(seconds=2)
 """How long a call waits for its command to commit; after that its outcome is unknown."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LeadingSettings:
+class LeadershipSettings:
     """Settings that are the same for all terms of a host."""
 
-    terms: LeaseTerms
+    lease_terms: LeaseTerms
     keep_ended: timedelta
     caller_retry: timedelta
     """The shortest time that a caller waits before it resubmits a job after losing its gateway."""
@@ -96,7 +96,7 @@
     """Until then the recorded capacities can be relied on without a report to this host."""
 
 
-class Leading:
+class Leadership:
     """The work of a host while it is the leader, or acts as leader, in one term."""
 
     def __init__(
@@ -106,7 +106,7 @@
         replicated: ReplicatedRecords,
         port: UpstreamPort,
         clock: Clock,
-        settings: LeadingSettings,
+        settings: LeadershipSettings,
         on_failure: OnFailure,
     ) -> None:
         self._on_failure = on_failure
@@ -114,75 +114,75 @@
         self.token = int(authority.term) * TOKENS_PER_TERM + settings.level
         self._authority = authority
         self._records = replicated.records
-        self._heartbeats: HeartbeatPort | None = None
+        self._heartbeat_port: HeartbeatPort | None = None
         if settings.orders_by_heartbeat:
-            self._heartbeats = HeartbeatPort(
+            self._heartbeat_port = HeartbeatPort(
                 clock=clock,
-                lease=settings.terms.longest,
-                note_listening=lambda id, is_there: self.dispatch.note_listening(id, is_there),
+                lease=settings.lease_terms.longest,
+                on_listening_change=lambda id, is_there: self.dispatch.note_listening(id, is_there),
             )
-        self._port = self._heartbeats or port
+        self._port = self._heartbeat_port or port
         self._clock = clock
         self._settings = settings
         self._control_address = settings.control_address
-        self._desks = Desks(clock=clock, own=settings.control_address)
+        self._responders = ResponderDirectory(clock=clock, own=settings.control_address)
         self.gateways = Gateways(
             term=int(authority.term),
             token=self.token,
             clock=clock,
             takes_calls=not settings.orders_by_heartbeat,
         )
-        self.record_hold: Callable[[float], object] = lambda held_ms: None
+        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._decided_at = clock.monotonic()
-        self._has_waited = False
+        self._has_skipped_decision = False
         self._had_lease = True
         self.waiters = Waiters()
         self.dispatch = Dispatch(
             records=self._records,
             term=self.token,
-            terms=settings.terms,
+            terms=settings.lease_terms,
             now=clock.monotonic(),
-            wall_ms=self._read_wall,
-            note=note_decision,
-            on_end=self._take_end,
+            wall_ms=self._read_wall_ms,
+            note=log_decision,
+            on_end=self._resolve_job_end,
             domain=settings.domain,
             keeps_log=settings.keeps_log,
             reports=settings.reports,
             known_until=settings.known_until,
         )
-        self._jobs = JobAnswers(
+        self._job_answers = JobAnswers(
             authority=authority,
             records=self._records,
             dispatch=self.dispatch,
             gateways=self.gateways,
             waiters=self.waiters,
             clock=clock,
-            terms=settings.terms,
+            terms=settings.lease_terms,
             caller_retry=settings.caller_retry,
             propose=self._propose_and_wait,
-            wait=self._wait,
-            wake=self._wake,
+            wait=self._wait_for_commit,
+            wake=self._schedule_decision,
         )
-        self._orders = OrderAnswers(
+        self._operator_answers = OperatorAnswers(
             authority=authority,
             records=self._records,
             domains=settings.domains,
             propose=self._propose_and_wait,
-            read_wall=self._read_wall,
+            read_wall_ms=self._read_wall_ms,
         )
-        self.dispatch.may_be_stood_in_for = self._may_be_stood_in_for
-        self.gateways.on_silence = self._give_up_silent
-        self.gateways.on_restart = self._give_up_all
+        self.dispatch.may_be_stood_in_for = self._may_have_acting_leader
+        self.gateways.on_silence = self._abandon_jobs_of_silent
+        self.gateways.on_restart = self._abandon_jobs_of
         self._proposals: list[Command] = []
-        self._is_awake = False
+        self._is_decision_scheduled = False
         self._is_over = False
-        self._calls: set[asyncio.Task[None]] = set()
-        self._forget_at = clock.monotonic() + FORGET_EVERY
-        replicated.listener = self._take_applied
+        self._order_tasks: set[asyncio.Task[None]] = set()
+        self._forget_at = clock.monotonic() + FORGET_INTERVAL
+        replicated.listener = self._handle_applied
         self._timer = asyncio.create_task(self._tick_forever())
         log_event(
-            Event.LEADING,
+            Event.LEADERSHIP_STARTED,
             term=int(self.term),
             token=self.token,
             jobs=self.dispatch.jobs.count_jobs(),
@@ -195,31 +195,31 @@
         """
         self._is_over = True
         self._timer.cancel()
-        for task in self._calls:
+        for task in self._order_tasks:
             task.cancel()
-        if self._heartbeats is not None:
-            self._heartbeats.close()
-        self.waiters.give_up()
-        log_event(Event.NOT_LEADING, term=int(self.term))
+        if self._heartbeat_port is not None:
+            self._heartbeat_port.close()
+        self.waiters.abandon_all()
+        log_event(Event.LEADERSHIP_ENDED, term=int(self.term))
 
     def read_clock(self) -> timedelta:
         """Return the monotonic time that all deadlines of this term are based on."""
         return self._clock.monotonic()
 
-    def find_oldest_report(self) -> timedelta:
+    def find_oldest_report_age(self) -> timedelta:
         """Return the age of the oldest capacity report among the running upstream instances."""
         now = self.read_clock()
         lives = (life for life in self.dispatch.lives.values() if not life.is_over)
         ages = (now - life.reported_at for life in lives if life.reported_at is not None)
         return max(ages, default=timedelta())
 
-    def count_desks(self) -> int:
+    def count_responders(self) -> int:
         """Return the number of other control hosts that answer heartbeats for this leader."""
-        return len(self._desks.list_known())
+        return len(self._responders.list_active())
 
-    def list_evacuated_ms(self) -> list[float]:
+    def list_evacuation_ages_ms(self) -> list[float]:
         """Return for each evacuated domain how long it has been evacuated, in milliseconds."""
-        now_ms = self._read_wall()
+        now_ms = self._read_wall_ms()
         records = self._records.evacuations.records
         return [float(now_ms - record.since_ms) for record in records if record.is_evacuated]
 
@@ -228,7 +228,7 @@
     def needs_no_lease(self, call: Call) -> bool:
         """Whether a call is safe without a lease because its answer waits for the commit."""
         if isinstance(call, Beat):
-            return call.heartbeat.draining and self._heartbeats is None
+            return call.heartbeat.draining and self._heartbeat_port is None
         return isinstance(call, Configure | Evacuate)
 
     async def answer(self, call: Call) -> Answer:
@@ -236,15 +236,15 @@
         if not self._settings.keeps_log and not _needs_no_log(call):
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG)
         if isinstance(call, AskState):
-            return await self._jobs.answer_state(call)
+            return await self._job_answers.answer_state(call)
         if isinstance(call, Greet):
-            return self.answer_greeting(call)
+            return self.answer_keepalive(call)
         if isinstance(call, Submit):
-            return await self._jobs.answer_submit(call)
+            return await self._job_answers.answer_submit(call)
         if isinstance(call, Abandon):
-            return self._jobs.answer_abandon(call)
+            return self._job_answers.answer_abandon(call)
         if isinstance(call, Cancel):
-            return await self._jobs.answer_cancel(call)
+            return await self._job_answers.answer_cancel(call)
         if isinstance(call, Beat):
             return await self._answer_beat(call)
         if isinstance(call, Heard):
@@ -252,18 +252,18 @@
         if isinstance(call, Leave):
             return await self._answer_leave(call)
         if isinstance(call, Configure):
-            return await self._orders.answer_configure(call)
+            return await self._operator_answers.answer_configure(call)
         if isinstance(call, AskConfiguration):
-            return self._orders.answer_configuration()
+            return self._operator_answers.answer_configuration()
         if isinstance(call, Evacuate):
-            return await self._orders.answer_evacuate(call)
+            return await self._operator_answers.answer_evacuate(call)
         if isinstance(call, AskEvacuations):
-            return self._orders.answer_evacuations()
+            return self._operator_answers.answer_evacuations()
         return Answer(outcome=Outcome.DONE)
 
-    def answer_greeting(self, call: Greet) -> Answer:
+    def answer_keepalive(self, call: Greet) -> Answer:
         """Record that a gateway is alive and return the failover state that it lacks."""
-        self._take_given_up(call)
+        self._handle_abandoned(call)
         self.gateways.take_greeting(call)
         if not self._settings.keeps_log:
             # An acting leader knows nothing beyond the failover state that the gateway has, too.
@@ -274,84 +274,86 @@
         is_due = roster is None and not self.gateways.is_current(call.roster)
         return Answer(outcome=Outcome.DONE, roster=roster, is_roster_due=is_due, contact=contact)
 
-    def _take_given_up(self, greeting: Greet) -> None:
+    def _handle_abandoned(self, keepalive: Greet) -> None:
         """Abandon the jobs that a gateway no longer waits for, before it confirms all others.
 
         Its callers may have sent them again: see `JobAnswers.answer_submit`.
         """
-        for each in greeting.given_up:
-            if self._jobs.give_up(greeting.gateway, each):
-                self._wake()
+        for each in keepalive.given_up:
+            if self._job_answers.give_up(keepalive.gateway, each):
+                self._schedule_decision()
 
-    def _give_up_silent(self, gateway: str) -> None:
+    def _abandon_jobs_of_silent(self, gateway: str) -> None:
         self.dispatch.abandon_silent(lambda each: each != gateway, self._clock.monotonic())
 
-    def _may_be_stood_in_for(self) -> bool:
+    def _may_have_acting_leader(self) -> bool:
         domains = {record.info.domain for record in self._records.upstreams.values()}
         return self.gateways.may_stand_in(domains)
 
-    def _give_up_all(self, gateway: str) -> None:
+    def _abandon_jobs_of(self, gateway: str) -> None:
         self.dispatch.abandon_gateway(gateway, self._clock.monotonic())
 
     async def _answer_beat(self, call: Beat) -> Answer:
         heartbeat = call.heartbeat
         self.dispatch.take_heartbeat(heartbeat, self._clock.monotonic())
-        self._wake()
-        answer = Answer(outcome=Outcome.DONE, leader_control=self._find_desk(heartbeat))
+        self._schedule_decision()
+        answer = Answer(outcome=Outcome.DONE, leader_control=self._choose_responder(heartbeat))
         # Every later leader must know the change before the upstream relies on it.
-        for key in self._find_untold(heartbeat):
+        for key in self._find_unlogged_changes(heartbeat):
             if answer.outcome is Outcome.DONE:
-                answer = await self._wait(key)
-        if self._heartbeats is None or answer.outcome is not Outcome.DONE:
+                answer = await self._wait_for_commit(key)
+        if self._heartbeat_port is None or answer.outcome is not Outcome.DONE:
             return answer
-        orders = await self._heartbeats.exchange(heartbeat, self.token)
+        orders = await self._heartbeat_port.handle_heartbeat(heartbeat, self.token)
         return msgspec.structs.replace(answer, orders=orders)
 
-    def _find_desk(self, heartbeat: Heartbeat) -> str | None:
+    def _choose_responder(self, heartbeat: Heartbeat) -> str | None:
         """Return the address to which an upstream is to send its next heartbeats."""
-        is_few = len(self._records.upstreams) < SPREAD_FROM or self._heartbeats is not None
-        return self._control_address if is_few else self._desks.choose(heartbeat.info.id)
+        is_few = (
+            len(self._records.upstreams) < SPREAD_MIN_UPSTREAMS or self._heartbeat_port is not None
+        )
+        return self._control_address if is_few else self._responders.choose(heartbeat.info.id)
 
     def _answer_heard(self, call: Heard) -> Answer:
         """Record the heartbeats that another control host has answered."""
-        self._desks.note(call.desk)
+        self._responders.record_report(call.desk)
         now = self._clock.monotonic()
         for each in call.upstreams:
             at = now - timedelta(milliseconds=each.age_ms)
             self.dispatch.take_heard(each.upstream, each.sequence, each.clock_ms, at)
-        self._wake()
+        self._schedule_decision()
         return Answer(outcome=Outcome.DONE)
 
-    def _find_untold(self, heartbeat: Heartbeat) -> list[Hashable]:
+    def _find_unlogged_changes(self, heartbeat: Heartbeat) -> list[Hashable]:
         """Return the keys of the changes in a heartbeat that are not in the log yet."""
         id = heartbeat.info.id
         known = self._records.upstreams.get(id)
-        untold: list[Hashable] = []
+        changes: list[Hashable] = []
         if heartbeat.draining and (known is None or not known.draining):
-            untold.append(("draining", id))
+            changes.append(("draining", id))
         is_newest = known is not None and heartbeat.sequence > known.sequence
         if known is not None and is_newest and heartbeat.info.capacity != known.info.capacity:
-            untold.append(("capacity", id, heartbeat.sequence))
-        return untold
+            changes.append(("capacity", id, heartbeat.sequence))
+        return changes
 
     async def _answer_leave(self, call: Leave) -> Answer:
         known = self._records.find_leaving(call.upstream)
         if known is None or known.draining:
             return Answer(outcome=Outcome.DONE)
         self.dispatch.take_leave(known.info.id)
-        self._wake()
-        return await self._wait(("draining", known.info.id))
+        self._schedule_decision()
+        return await self._wait_for_commit(("draining", known.info.id))
 
     async def _propose_and_wait(self, command: Command, key: Hashable) -> Answer:
         waiting = self.waiters.wait_for(key)
         self._proposals.append(command)
-        self._wake()
-        return await self._finish(waiting)
+        self._schedule_decision()
+        return await self._await_commit(waiting)
 
-    async def _wait(self, key: Hashable) -> Answer:
-        return await self._finish(self.waiters.wait_for(key))
+    async def _wait_for_commit(self, key: Hashable) -> Answer:
+        return await self._await_commit(self.waiters.wait_for(key))
 
-    async def _finish(self, waiting: asyncio.Future[bool]) -> Answer:
+    async def _await_commit(self, waiting: asyncio.Future[bool]) -> Answer:
         await asyncio.wait([waiting], timeout=COMMIT_TIMEOUT.total_seconds())
         if waiting.done() and waiting.result():
             return Answer(outcome=Outcome.DONE, leader_control=self._control_address)
@@ -359,7 +361,7 @@
 
     # Decisions
 
-    def _take_applied(self, command: Command) -> None:
+    def _handle_applied(self, command: Command) -> None:
         if self._is_over:
             return
         self.dispatch.take_applied(command, self._clock.monotonic())
@@ -369,30 +371,30 @@
         elif isinstance(command, CancelJob):
             self.waiters.resolve(("cancel", command.job))
         elif isinstance(command, SetConfiguration):
-            self._orders.note_applied(command)
+            self._operator_answers.log_applied(command)
             self.waiters.resolve(("version", command.configuration.version))
         elif isinstance(command, SetDraining):
             self.waiters.resolve(("draining", command.upstream))
         elif isinstance(command, AddUpstream):
             log_event(Event.UPSTREAM_OPENED, upstream=command.info.id, at=command.info.address)
         elif isinstance(command, SetEvacuation):
-            self._orders.note_applied(command)
+            self._operator_answers.log_applied(command)
             self.waiters.resolve(("evacuation", command.order))
         elif isinstance(command, ResizeUpstream):
             self.waiters.resolve(("capacity", command.upstream, command.sequence))
-        self._wake()
+        self._schedule_decision()
 
-    def _take_end(self, job: JobId) -> None:
+    def _resolve_job_end(self, job: JobId) -> None:
         self.waiters.resolve(("end", job))
 
-    def _wake(self) -> None:
+    def _schedule_decision(self) -> None:
         """Schedule a decision for after the callbacks that are already due on the event loop."""
-        if not self._is_awake:
-            self._is_awake = True
+        if not self._is_decision_scheduled:
+            self._is_decision_scheduled = True
             asyncio.get_running_loop().call_soon(self._decide)
 
     def _decide(self) -> None:
-        self._is_awake = False
+        self._is_decision_scheduled = False
         if self._is_over:
             return
         try:
@@ -411,17 +413,17 @@
             self._had_lease = False
             return
         now = self._clock.monotonic()
-        held_up = now - self._decided_at
+        gap = now - self._decided_at
         self._decided_at = now
         if self._had_lease:
-            self._note_hold(held_up)
+            self._record_decision_gap(gap)
         self._had_lease = True
-        if held_up > HELD_UP and not self._has_waited:
+        if gap > LONG_DECISION_GAP and not self._has_skipped_decision:
             # Process the messages that have arrived during the delay first, and decide in the next
             # turn, even if that one is late, too.
-            self._has_waited = True
+            self._has_skipped_decision = True
             return
-        self._has_waited = False
+        self._has_skipped_decision = False
         if self.dispatch.is_fenced_off and self.gateways.is_any_heard():
             self.dispatch.forgive_fence()
             self._authority.renew()
@@ -430,17 +432,17 @@
             self.dispatch.abandon_silent(self.gateways.is_heard, now)
         self.dispatch.tick(now)
         for order in self.dispatch.take_orders():
-            task = asyncio.create_task(self._carry_out(order))
-            self._calls.add(task)
-            task.add_done_callback(self._calls.discard)
+            task = asyncio.create_task(self._send_order(order))
+            self._order_tasks.add(task)
+            task.add_done_callback(self._order_tasks.discard)
         self._propose()
 
-    def _note_hold(self, held_up: timedelta) -> None:
+    def _record_decision_gap(self, gap: timedelta) -> None:
         """Record how late a decision is, if only a delay of this host can be the cause."""
-        if held_up > USUAL_HOLD:
-            self.record_hold(held_up / timedelta(milliseconds=1))
-        if held_up > HELD_UP:
-            log_event(Event.HELD_UP, term=int(self.term), held_up_ms=to_milliseconds(held_up))
+        if gap > USUAL_DECISION_GAP:
+            self.record_decision_gap(gap / timedelta(milliseconds=1))
+        if gap > LONG_DECISION_GAP:
+            log_event(Event.DECISION_DELAYED, term=int(self.term), held_up_ms=to_milliseconds(gap))
 
     def _propose(self) -> None:
         """Propose all pending commands to the log."""
@@ -450,7 +452,7 @@
             if not self._authority.propose(encode_commands(tuple(proposals))):
                 log_event(Event.PROPOSAL_LOST, term=int(self.term), commands=len(proposals))
 
-    async def _carry_out(self, order: Order) -> None:
+    async def _send_order(self, order: Order) -> None:
         sent_at = self._clock.monotonic()
         token = self.token
         if isinstance(order, StartOrder):
@@ -462,27 +464,27 @@
         else:
             reply = await self._port.look(order, token)
             self.dispatch.take_look(order, reply, sent_at, self._clock.monotonic())
-        self._wake()
+        self._schedule_decision()
 
     async def _tick_forever(self) -> None:
         while True:
             self._forget_ended()
-            self._wake()
+            self._schedule_decision()
             await asyncio.sleep(TICK_SECONDS)
 
     def _forget_ended(self) -> None:
         now = self._clock.monotonic()
         if now < self._forget_at:
             return
-        self._forget_at = now + FORGET_EVERY
-        self._jobs.forget_given_up()
-        limit = self._read_wall() - int(self._settings.keep_ended / timedelta(milliseconds=1))
+        self._forget_at = now + FORGET_INTERVAL
+        self._job_answers.forget_given_up()
+        limit = self._read_wall_ms() - int(self._settings.keep_ended / timedelta(milliseconds=1))
         jobs = self._records.jobs.values()
         old = tuple(job.id for job in jobs if not job.is_open and job.ended_ms < limit)
         if old:
             self._proposals.append(ForgetJobs(jobs=old))
 
-    def _read_wall(self) -> int:
+    def _read_wall_ms(self) -> int:
         return int(self._clock.now().timestamp() * 1000)
 
 
--- a/cottonlug/runtime/log_output.py
+++ b/cottonlug/runtime/log_output.py
@@ -20,9 +20,9 @@
     """The stream of a log handler; all lines go through `write_record`."""
 
     def __init__(self, *, descriptor: int) -> None:
-        self.left_out = 0
+        self.dropped = 0
         self._descriptor = descriptor
-        self._told = 0
+        self._reported = 0
         self._waiting: deque[bytes] = deque()
         self._size = 0
         os.set_blocking(descriptor, False)
@@ -31,7 +31,7 @@
         """Buffer a line and write as much as the reader takes without blocking."""
         limit = BUFFER_BYTES if level > logging.INFO else BUFFER_BYTES // 2
         if self._size >= limit:
-            self.left_out += 1
+            self.dropped += 1
         else:
             self._append(line)
         self.flush()
@@ -59,11 +59,11 @@
                 self._waiting[0] = data[written:]
                 return
             self._waiting.popleft()
-        self._tell_left_out()
+        self._report_dropped()
 
-    def _tell_left_out(self) -> None:
-        if self.left_out > self._told:
-            count, self._told = self.left_out - self._told, self.left_out
+    def _report_dropped(self) -> None:
+        if self.dropped > self._reported:
+            count, self._reported = self.dropped - self._reported, self.dropped
             self._append(json.dumps({"level": "warning", "message": "left out", "lines": count}))
 
     def _append(self, line: str) -> None:
--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -43,7 +43,7 @@
         self._pools = pools
         self._joiners: dict[str, MemberId] = {}
 
-    def learn(self, members: Members) -> None:
+    def record_members(self, members: Members) -> None:
         """Record the hosts of a set of members, and the member of each host's current disk."""
         everybody = members.voters + members.learners
         self.hosts.update(get_host(each) for each in everybody)
@@ -51,7 +51,7 @@
         # learners come last, so they win.
         self._joiners.update({get_host(each): each for each in everybody})
 
-    def take_join(self, request: JoinRequest) -> None:
+    def record_join(self, request: JoinRequest) -> None:
         """Record a member that asks to join."""
         host = get_host(request.member)
         self._joiners[host] = request.member
@@ -67,7 +67,7 @@
             self.hosts.update(hello.hosts)
         return hellos
 
-    def plan_beginning(self, own: Hello, hellos: Iterable[Hello]) -> Members | None:
+    def plan_bootstrap(self, own: Hello, hellos: Iterable[Hello]) -> Members | None:
         """Return the first members if all seeds answer and are empty and this host bootstraps.
 
         The first of the seeds whose settings allow it bootstraps the log.
@@ -80,7 +80,7 @@
             return None
         return Members(voters=tuple(by_host[seed].member for seed in self._seeds))
 
-    def plan_step(self, leader: Member, now: timedelta) -> Members | None:
+    def plan_member_change(self, leader: Member, now: timedelta) -> Members | None:
         """Return the next step towards a set of members that are all reachable, or None."""
         lost = leader.find_silent(now, LOST_AFTER)
         most = find_most_voters(leader.members, lost)
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -38,7 +38,7 @@
     """Another member, the messages waiting for it, and the time of its last answer."""
 
     address: Address
-    news: asyncio.Event
+    has_messages: asyncio.Event
     outbox: list[Message]
     task: asyncio.Task[None] | None = None
     acked_at: timedelta | None = None
@@ -54,13 +54,13 @@
         clock: Clock,
         pools: ConnectionPools,
         get_sender: GetSender,
-        take_reply: Callable[[ConsensusBatch], None],
+        on_reply: Callable[[ConsensusBatch], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
         self._clock = clock
         self._pools = pools
         self._get_sender = get_sender
-        self._take_reply = take_reply
+        self._on_reply = on_reply
         self._on_failure = on_failure
         self._peers: dict[str, Peer] = {}
 
@@ -81,9 +81,9 @@
             # Snapshots are large, and only the newest one is useful.
             peer.outbox = [each for each in peer.outbox if not isinstance(each, SnapshotRequest)]
         peer.outbox.append(message)
-        peer.news.set()
+        peer.has_messages.set()
 
-    def take_messages(self, host: str) -> list[Message]:
+    def pop_messages(self, host: str) -> list[Message]:
         """Remove and return the messages for a peer that has just called, as its answer."""
         peer = self._peers.get(host)
         if peer is None:
@@ -108,7 +108,7 @@
         address = parse_address(host)
         if address is None:
             return None
-        peer = Peer(address=address, news=asyncio.Event(), outbox=[])
+        peer = Peer(address=address, has_messages=asyncio.Event(), outbox=[])
         self._peers[host] = peer
         peer.task = asyncio.create_task(self._send_forever(peer))
         return peer
@@ -116,8 +116,8 @@
     async def _send_forever(self, peer: Peer) -> None:
         try:
             while True:
-                await peer.news.wait()
-                peer.news.clear()
+                await peer.has_messages.wait()
+                peer.has_messages.clear()
                 messages, peer.outbox = peer.outbox, []
                 if messages:
                     await self._send(peer, messages)
@@ -140,7 +140,7 @@
         reply = _decoder.decode(sent.unwrap().body)
         if any(isinstance(each, AppendReply) and each.term == term for each in reply.messages):
             peer.acked_at = sent_at
-        self._take_reply(reply)
+        self._on_reply(reply)
 
 
 _decoder = msgspec.json.Decoder(ConsensusBatch)
--- a/cottonlug/runtime/meters.py
+++ b/cottonlug/runtime/meters.py
@@ -38,8 +38,8 @@
     def render(self) -> str:
         """Return all metrics, one per line, as name and value."""
         for histogram, recorder in self._recorders:
-            while histogram.held:
-                recorder.record(histogram.held.popleft())
+            while histogram.pending:
+                recorder.record(histogram.pending.popleft())
         lines = [line for metric in self._list_metrics() for line in _render_metric(metric)]
         return "\n".join(lines) + "\n"
 
--- a/cottonlug/runtime/metrics.py
+++ b/cottonlug/runtime/metrics.py
@@ -17,7 +17,7 @@
 
 Values = Callable[[], dict[str, float]]
 
-MOST_HELD = 100_000
+MAX_PENDING_VALUES = 100_000
 """Most recorded values that are kept until the metrics are requested; the oldest are dropped."""
 
 
@@ -28,7 +28,7 @@
     name: str
     bounds: Sequence[float]
     """Upper bounds of the buckets."""
-    held: deque[float] = field(default_factory=lambda: deque(maxlen=MOST_HELD))
+    pending: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_PENDING_VALUES))
 
 
 class Metrics:
@@ -44,7 +44,7 @@
         """Add a histogram with these upper bounds; return the function that records a value."""
         histogram = Histogram(name=name, bounds=bounds)
         self._histograms.append(histogram)
-        return histogram.held.append
+        return histogram.pending.append
 
     def render(self) -> str:
         """Return all metrics, one per line, as name and value."""
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -103,7 +103,7 @@
     if errors or loaded.value is None:
         raise SettingsError("\n".join(f"{file}: {problem}" for problem in errors))
     rulebook.put_in_force(1, text, loaded.value)
-    log_event(Event.RULES_IN_FORCE, version=1, rules=len(loaded.value.rules))
+    log_event(Event.CONFIGURATION_ACTIVE, version=1, rules=len(loaded.value.rules))
 
 
 def _build_control(
--- a/cottonlug/runtime/order_answers.py
+++ b/cottonlug/runtime/operator_answers.py
@@ -17,7 +17,7 @@
 Propose = Callable[[Command, Hashable], Awaitable[Answer]]
 
 
-class OrderAnswers:
+class OperatorAnswers:
     """Answers operators' calls while this host leads; the log decides about changes."""
 
     def __init__(
@@ -27,20 +27,20 @@
         records: Records,
         domains: frozenset[DomainName],
         propose: Propose,
-        read_wall: Callable[[], int],
+        read_wall_ms: Callable[[], int],
     ) -> None:
         self._authority = authority
         self._records = records
         self._domains = domains
         self._propose = propose
-        self._read_wall = read_wall
+        self._read_wall_ms = read_wall_ms
 
     async def answer_configure(self, call: Configure) -> Answer:
         """Activate a configuration, unless one of the same or a later version is active."""
         configuration = call.configuration
         problem = find_configuration_problem(configuration)
         if problem is not None:
-            log_event(Event.RULES_REFUSED, version=configuration.version, problem=problem)
+            log_event(Event.CONFIGURATION_REFUSED, version=configuration.version, problem=problem)
             return Answer(outcome=Outcome.INVALID, detail=problem)
         current = self._records.configuration
         if current is not None and configuration.version <= current.version:
@@ -70,7 +70,7 @@
             is_evacuated=call.is_evacuated,
             base_revision=call.base_revision,
             order=call.order,
-            at_ms=self._read_wall(),
+            at_ms=self._read_wall_ms(),
         )
         answer = await self._propose(command, ("evacuation", call.order))
         if answer.outcome is not Outcome.DONE or self._is_done(call):
@@ -83,10 +83,10 @@
         evacuated = tuple(record for record in records if record.is_evacuated)
         return Answer(outcome=Outcome.DONE, evacuations=evacuated)
 
-    def note_applied(self, command: SetConfiguration | SetEvacuation) -> None:
+    def log_applied(self, command: SetConfiguration | SetEvacuation) -> None:
         """Log an applied change; a superseded evacuation order is answered but not logged here."""
         if isinstance(command, SetConfiguration):
-            log_event(Event.RULES_IN_FORCE, version=command.configuration.version)
+            log_event(Event.CONFIGURATION_ACTIVE, version=command.configuration.version)
             return
         record = self._records.evacuations.get(command.domain)
         if record.order == command.order:
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -24,18 +24,18 @@
 from .job_line import JobLine
 
 CALL_PATH = "/v1/call"
-PASS_ON_TIMEOUT = timedelta(seconds=3)
-GREETING_PASSED = timedelta(milliseconds=60)
+FORWARD_TIMEOUT = timedelta(seconds=3)
+KEEPALIVE_FORWARD_TIMEOUT = timedelta(milliseconds=60)
 """How long a host that forwards a keep-alive waits, so that its own answer is not too late."""
-SHORT_CALLS = 8
+MAX_CALL_CONNECTIONS = 8
 """Enough for one keep-alive at a time and occasional queries or cancellations."""
-LINE_CONNECTIONS = 4
+JOB_CHANNEL_CONNECTIONS = 4
 """One for a batch of jobs, one for a request for answers, and a spare for each of them."""
 
 
-def decode_greeting(request: HttpRequest) -> Greet | None:
+def decode_keepalive(request: HttpRequest) -> Greet | None:
     """Return the keep-alive in a request, or None; other calls are not decoded."""
-    if request.path != CALL_PATH or _GREETING_MARK not in request.body[:_MARK_END]:
+    if request.path != CALL_PATH or _KEEPALIVE_TAG not in request.body[:_TAG_SEARCH_BYTES]:
         return None
     try:
         call = call_decoder.decode(request.body)
@@ -44,9 +44,9 @@
     return call if isinstance(call, Greet) else None
 
 
-_GREETING_MARK = b'"greet"'
+_KEEPALIVE_TAG = b'"greet"'
 """The tag of a keep-alive; the tag is the first field of an encoded call."""
-_MARK_END = 24
+_TAG_SEARCH_BYTES = 24
 
 
 class PeerCalls:
@@ -54,12 +54,12 @@
 
     def __init__(self, *, own: str = "", urgent_port: int | None = None) -> None:
         self._own = own
-        self._pools = ConnectionPools(max_connections=SHORT_CALLS, port=urgent_port)
-        self._job_pools = ConnectionPools(max_connections=LINE_CONNECTIONS)
-        self._lines: dict[str, JobLine] = {}
+        self._pools = ConnectionPools(max_connections=MAX_CALL_CONNECTIONS, port=urgent_port)
+        self._job_pools = ConnectionPools(max_connections=JOB_CHANNEL_CONNECTIONS)
+        self._job_channels: dict[str, JobLine] = {}
         self.stamp: Callable[[Call], Call] = lambda call: call
         """Called with each call right before it is sent; returns the call to send."""
-        self._lost: dict[str, asyncio.Event] = {}
+        self._abandoned: dict[str, asyncio.Event] = {}
         """For each host, set when the calls that it has not answered are to be sent elsewhere."""
 
     async def ask(self, host: str, call: Call, timeout: timedelta) -> Answer:
@@ -68,7 +68,7 @@
         if address is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=f"{host} is not an address")
         if isinstance(call, Submit) and call.spec.best_effort:
-            return await self._find_line(host, address).ask(call, timeout)
+            return await self._get_job_channel(host, address).ask(call, timeout)
         sent = await self._send(host, address, call, timeout)
         if sent is None:
             return Answer(outcome=Outcome.UNKNOWN, detail=f"{host} does not decide any more")
@@ -81,37 +81,37 @@
             return Answer(outcome=Outcome.UNKNOWN, detail=f"{host} answered {reply.status}")
         return answer_decoder.decode(reply.body)
 
-    def lose(self, host: str) -> None:
+    def abandon_calls(self, host: str) -> None:
         """End all calls that a host has not answered, with an unknown outcome."""
-        lost = self._lost.pop(host, None)
-        if lost is not None:
-            lost.set()
-        line = self._lines.get(host)
-        if line is not None:
-            line.lose()
+        abandoned = self._abandoned.pop(host, None)
+        if abandoned is not None:
+            abandoned.set()
+        channel = self._job_channels.get(host)
+        if channel is not None:
+            channel.lose()
 
     def close(self) -> None:
         """Close all connections."""
-        for line in self._lines.values():
-            line.close()
+        for channel in self._job_channels.values():
+            channel.close()
         self._pools.close()
         self._job_pools.close()
 
-    def _find_line(self, host: str, address: Address) -> JobLine:
-        line = self._lines.get(host)
-        if line is None:
-            line = self._lines[host] = JobLine(
+    def _get_job_channel(self, host: str, address: Address) -> JobLine:
+        channel = self._job_channels.get(host)
+        if channel is None:
+            channel = self._job_channels[host] = JobLine(
                 own=self._own,
                 open_pool=lambda: self._job_pools.get(address),
                 stamp=lambda call: self.stamp(call),
             )
-        return line
+        return channel
 
     async def _send(
         self, host: str, address: Address, call: Call, timeout: timedelta
     ) -> Result[HttpReply, TransportError] | None:
         """Send a call; return None if the host counts as lost before it answers."""
-        lost = self._lost.setdefault(host, asyncio.Event())
+        abandoned = self._abandoned.setdefault(host, asyncio.Event())
         sending = asyncio.create_task(
             self._pools.get(address).call(
                 "POST",
@@ -120,7 +120,7 @@
                 timeout=timeout,
             )
         )
-        losing = asyncio.create_task(lost.wait())
+        losing = asyncio.create_task(abandoned.wait())
         try:
             await asyncio.wait([sending, losing], return_when=asyncio.FIRST_COMPLETED)
             return sending.result() if sending.done() else None
--- a/cottonlug/runtime/refused_heartbeats.py
+++ b/cottonlug/runtime/refused_heartbeats.py
@@ -7,9 +7,9 @@
 from ..core.clock import Clock
 from .events import Event, log_event
 
-LINE_EVERY = timedelta(seconds=1)
+LOG_INTERVAL = timedelta(seconds=1)
 """A faulty sender fails with every heartbeat; the logged count says how often."""
-MOST_TEXT = 200
+MAX_FIELD_CHARS = 200
 """Most characters of a log field whose content comes from the sender."""
 
 
@@ -21,16 +21,16 @@
         self._line_due = clock.monotonic()
         self.count = 0
 
-    def note(self, name: str, reason: str) -> None:
+    def record(self, name: str, reason: str) -> None:
         """Count a refused heartbeat; log the reason at most once per second."""
         self.count += 1
         now = self._clock.monotonic()
         if now < self._line_due:
             return
-        self._line_due = now + LINE_EVERY
+        self._line_due = now + LOG_INTERVAL
         log_event(
             Event.HEARTBEAT_REFUSED,
-            upstream=name[:MOST_TEXT],
-            reason=reason[:MOST_TEXT],
+            upstream=name[:MAX_FIELD_CHARS],
+            reason=reason[:MAX_FIELD_CHARS],
             refused=self.count,
         )
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -61,14 +61,14 @@
 No other host can be elected for at least one election timeout; the lease is shorter by a margin.
 """
 TICK_SECONDS = 0.025
-SAVE_AFTER = timedelta(milliseconds=20)
+SAVE_DELAY = timedelta(milliseconds=20)
 """A leader syncs its new entries if the other voters have not committed them by then."""
-SAVE_AT_LEAST = timedelta(seconds=1)
+MAX_SAVE_DELAY = timedelta(seconds=1)
 REOPEN_AFTER = timedelta(seconds=1)
 """A full disk may have free space again by then; until then this host is out of the quorum."""
 COMPACT_AFTER_BYTES = 8 * 1024 * 1024
 """Size of the log's entries at which a snapshot replaces them; a disk has 128 MB."""
-GREET_SECONDS = 0.25
+DISCOVERY_SECONDS = 0.25
 HELLO_PATH = "/v1/hello"
 
 
@@ -118,7 +118,7 @@
         *,
         settings: ReplicaSettings,
         clock: Clock,
-        machine: StateMachine,
+        state_machine: StateMachine,
         on_progress: Callable[[], None],
         on_failure: Callable[[BaseException], None],
     ) -> None:
@@ -126,7 +126,7 @@
         self.counts = ReplicaCounts()
         self._settings = settings
         self._clock = clock
-        self._machine = machine
+        self._state_machine = state_machine
         self._on_progress = on_progress
         self._on_failure = on_failure
         self._journal: Journal | None = None
@@ -135,7 +135,7 @@
             clock=clock,
             pools=self._pools,
             get_sender=self._get_sender,
-            take_reply=self._take_in,
+            on_reply=self._receive_messages,
             on_failure=on_failure,
         )
         self._tasks: list[asyncio.Task[None]] = []
@@ -152,15 +152,15 @@
         if error is not None:
             return error
         self._tasks.append(asyncio.create_task(self._guard(self._tick_forever())))
-        self._tasks.append(asyncio.create_task(self._guard(self._find_others_forever())))
+        self._tasks.append(asyncio.create_task(self._guard(self._maintain_membership_forever())))
         return None
 
-    def hand_over(self) -> None:
+    def transfer_leadership(self) -> None:
         """Ask another voter to take over if this one leads; the transfer may fail."""
         if self.member is None or self.member.role is not Role.LEADER:
             return
         self.member.transfer(self._clock.monotonic())
-        self._pump()
+        self._process_output()
 
     def renew(self) -> None:
         """Campaign for a later term: an upstream no longer accepts this leader's fencing token."""
@@ -169,11 +169,11 @@
             return
         request = TransferRequest(term=member.term, sender=member.id)
         member.receive(request, self._clock.monotonic())
-        self._pump()
+        self._process_output()
 
     async def stop(self) -> None:
         """Save all pending entries and stop."""
-        self._save_late()
+        self._save_deferred()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -209,11 +209,11 @@
         member = self.member
         if member is None or member.role is not Role.LEADER:
             return False
-        unheard = set(self.list_unheard())
+        unheard = set(self.list_silent_voters())
         recent = {voter for voter in member.members.voters if get_host(voter) not in unheard}
         return is_quorum(member.members.voters, recent)
 
-    def list_unheard(self) -> list[str]:
+    def list_silent_voters(self) -> list[str]:
         """Return the hosts of the other voters that have not answered within `LEADER_LEASE`."""
         member = self.member
         if member is None:
@@ -228,12 +228,12 @@
         if self.member is None:
             return False
         proposed = self.member.propose(data, self._clock.monotonic())
-        self._pump()
+        self._process_output()
         return isinstance(proposed, Success)
 
     # Calls from other hosts
 
-    def greet(self) -> Hello:
+    def build_hello(self) -> Hello:
         """Return how this member describes itself to others."""
         assert self._journal is not None, "started before it listens"
         return Hello(
@@ -245,15 +245,15 @@
             hosts=self.hosts,
         )
 
-    def take_join(self, request: JoinRequest) -> Hello:
+    def record_join(self, request: JoinRequest) -> Hello:
         """Record a member that asks to join; only a leader acts on it."""
-        self._membership.take_join(request)
-        return self.greet()
+        self._membership.record_join(request)
+        return self.build_hello()
 
     def receive(self, batch: ConsensusBatch) -> ConsensusBatch:
         """Process another member's messages and return the messages waiting for it."""
-        self._take_in(batch)
-        messages = self._messenger.take_messages(get_host(batch.sender))
+        self._receive_messages(batch)
+        messages = self._messenger.pop_messages(get_host(batch.sender))
         return ConsensusBatch(sender=self._get_sender()[0], messages=messages)
 
     def _get_sender(self) -> tuple[MemberId, Term]:
@@ -303,36 +303,36 @@
         )
         self.member.note_saved()
         self._log_bytes = sum(len(entry.data) for entry in stored.entries)
-        self._machine.restore(stored.snapshot.data)
+        self._state_machine.restore(stored.snapshot.data)
         for entry in stored.entries:
             if entry.index <= stored.applied:
-                self._machine.apply(entry)
-        self._learn_hosts()
+                self._state_machine.apply(entry)
+        self._record_members()
 
-    def _pump(self) -> None:
+    def _process_output(self) -> None:
         """Save, send and apply the member's output; a leader may send before it saves."""
         while self.member is not None and self._journal is not None:
             output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
                 break
-            if not self._keep(output):
+            if not self._save_or_defer(output):
                 return
             for envelope in output.messages:
                 self._messenger.post(envelope)
             if output.restore and output.snapshot is not None:
-                self._machine.restore(output.snapshot.data)
+                self._state_machine.restore(output.snapshot.data)
                 self._log_bytes = 0
                 self.counts.snapshots += 1
                 log_event(Event.SNAPSHOT_RESTORED, index=output.snapshot.index)
             for entry in output.committed:
-                self._machine.apply(entry)
+                self._state_machine.apply(entry)
             if any(entry.kind is EntryKind.MEMBERS for entry in output.committed):
-                self._learn_hosts()
+                self._record_members()
             self._compact(output)
-        self._note_leader()
+        self._record_leader()
         self._on_progress()
 
-    def _keep(self, output: Output) -> bool:
+    def _save_or_defer(self, output: Output) -> bool:
         """Save an output now, or later if it consists only of a leader's new entries."""
         assert self.member is not None
         if not output.must_save:
@@ -361,11 +361,11 @@
         self._unsaved_since = None
         return self._save(Output(entries=entries))
 
-    def _save_late(self) -> None:
+    def _save_deferred(self) -> None:
         """Save the deferred entries and count this member towards their majority."""
         if self._unsaved and self._flush_unsaved() and self.member is not None:
             self.member.note_saved()
-            self._pump()
+            self._process_output()
 
     def _save(self, output: Output) -> bool:
         """Save and sync; if the disk fails, leave the quorum, since nothing can be promised."""
@@ -384,9 +384,9 @@
         if self._unsaved_since is None or self.member is None:
             return
         waiting = now - self._unsaved_since
-        is_needed = self.member.commit < self.member.log.last_index and waiting >= SAVE_AFTER
-        if is_needed or waiting >= SAVE_AT_LEAST or self.member.role is not Role.LEADER:
-            self._save_late()
+        is_needed = self.member.commit < self.member.log.last_index and waiting >= SAVE_DELAY
+        if is_needed or waiting >= MAX_SAVE_DELAY or self.member.role is not Role.LEADER:
+            self._save_deferred()
 
     def _compact(self, output: Output) -> None:
         if not output.committed or self._log_bytes < COMPACT_AFTER_BYTES or self.member is None:
@@ -394,11 +394,11 @@
         if not self._flush_unsaved():
             return
         self.member.note_saved()
-        self.member.compact(self._machine.encode(), output.committed[-1].index)
+        self.member.compact(self._state_machine.encode(), output.committed[-1].index)
         self._log_bytes = 0
         self.counts.snapshots += 1
 
-    def _note_leader(self) -> None:
+    def _record_leader(self) -> None:
         if self.member is None:
             return
         seen = (self.member.leader, self.member.term)
@@ -408,16 +408,16 @@
             self._messenger.forget_acks()
             log_event(Event.LEADER_CHANGED, leader=self.member.leader, term=self.member.term)
 
-    def _learn_hosts(self) -> None:
+    def _record_members(self) -> None:
         if self.member is not None:
-            self._membership.learn(self.member.members)
+            self._membership.record_members(self.member.members)
 
-    def _take_in(self, batch: ConsensusBatch) -> None:
+    def _receive_messages(self, batch: ConsensusBatch) -> None:
         if self.member is None or not batch.messages:
             return
         for message in batch.messages:
             self.member.receive(message, self._clock.monotonic())
-        self._pump()
+        self._process_output()
 
     # Timers
 
@@ -435,20 +435,20 @@
             self._save_if_due(now)
             if self.member is not None:
                 self.member.tick(now)
-                self._pump()
+                self._process_output()
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _find_others_forever(self) -> None:
+    async def _maintain_membership_forever(self) -> None:
         """Bootstrap the log, admit hosts as leader, or ask to join."""
         while True:
             member = self.member
             if member is not None and member.role is Role.LEADER:
                 self._change_members()
-            elif member is not None and self._must_ask(member):
-                await self._look_for_members()
-            await asyncio.sleep(GREET_SECONDS)
+            elif member is not None and self._must_ask_to_join(member):
+                await self._join_or_bootstrap()
+            await asyncio.sleep(DISCOVERY_SECONDS)
 
-    def _must_ask(self, member: Member) -> bool:
+    def _must_ask_to_join(self, member: Member) -> bool:
         """Whether this host must ask to join.
 
         A host with a new disk may know the leader from messages to the member of its old disk, so
@@ -456,12 +456,12 @@
         """
         return member.leader is None or not member.members.has(member.id)
 
-    async def _look_for_members(self) -> None:
+    async def _join_or_bootstrap(self) -> None:
         assert self.member is not None and self._journal is not None
         hellos = await self._membership.ask_to_join(self.member.id)
         if not self._journal.is_empty or self.member is None or self.member.members.voters:
             return
-        members = self._membership.plan_beginning(self.greet(), hellos)
+        members = self._membership.plan_bootstrap(self.build_hello(), hellos)
         if members is None:
             return
         first = Snapshot(index=Index(1), term=Term(0), members=members, data="")
@@ -473,14 +473,14 @@
         member = self.member
         assert member is not None
         now = self._clock.monotonic()
-        planned = self._membership.plan_step(member, now)
+        planned = self._membership.plan_member_change(member, now)
         if planned is None:
             return
         changed = member.change_members(planned, now)
         if isinstance(changed, Success):
             voters = ", ".join(planned.voters)
             log_event(Event.MEMBERS_CHANGED, voters=voters, learners=", ".join(planned.learners))
-        self._pump()
+        self._process_output()
 
 
 def _report_storage(error: StorageError) -> None:
--- a/cottonlug/runtime/replicated.py
+++ b/cottonlug/runtime/replicated.py
@@ -9,7 +9,7 @@
 from ..core.cluster.records import Records
 from ..core.consensus.types import Entry, EntryKind, Term
 
-Applied = Callable[[Command], None]
+CommandListener = Callable[[Command], None]
 
 
 class ReplicatedRecords:
@@ -19,7 +19,7 @@
         self.records = Records()
         self.ready_term = Term(0)
         """The newest term whose first entry was applied, and with it all entries before it."""
-        self.listener: Applied | None = None
+        self.listener: CommandListener | None = None
 
     def apply(self, entry: Entry) -> None:
         """Apply a committed entry."""
@@ -62,7 +62,7 @@
             if not future.done():
                 future.set_result(True)
 
-    def give_up(self) -> None:
+    def abandon_all(self) -> None:
         """Complete all futures with False: the outcome will not be known on this host."""
         futures, self._futures = self._futures, {}
         for waiting in futures.values():
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -46,22 +46,22 @@
 from ..storage.journal import Journal, StorageError, open_journal
 from .control import (
     CHANGE_TIMEOUT,
-    Watch,
+    ChangeNotifier,
     find_rules_problem,
-    put_in_force,
-    refuse_unknown,
+    activate_rules,
+    build_unknown_refusal,
 )
 from .events import Event, log_event
 from .rulebook import Rulebook
 
 TICK_SECONDS = 0.1
-COMPACT_AFTER = 500
+COMPACT_AFTER_ENTRIES = 500
 """Number of log entries at which a snapshot replaces them."""
-GREETING_SECONDS = 5.0
-_FIRST_GREETING_SECONDS = 0.5
+VOTER_DISCOVERY_SECONDS = 5.0
+_BOOTSTRAP_DISCOVERY_SECONDS = 0.5
 STALE_AFTER = timedelta(seconds=2)
 _RETRY_SECONDS = 0.1
-_CALL_SECONDS = 2.0
+_CALL_TIMEOUT_SECONDS = 2.0
 
 
 class Voter:
@@ -82,10 +82,10 @@
         self._on_failure = on_failure
         self._journal: Journal | None = None
         self._state = ConfigurationState()
-        self._watch = Watch()
-        self._waiting: dict[str, list[asyncio.Future[ChangeOutcome]]] = {}
+        self._watch = ChangeNotifier()
+        self._pending_changes: dict[str, list[asyncio.Future[ChangeOutcome]]] = {}
         self._outbox: dict[str, ConsensusBatch] = {}
-        self._news: dict[str, asyncio.Event] = {}
+        self._has_messages: dict[str, asyncio.Event] = {}
         self._clients: dict[str, ApiClient] = {}
         self._change_clients: dict[str, ApiClient] = {}
         self._tasks: list[asyncio.Task[None]] = []
@@ -114,26 +114,26 @@
                 self._clients[peer.host] = ApiClient(
                     address=peer.address,
                     token=self._settings.tokens.peers,
-                    timeout_seconds=_CALL_SECONDS,
+                    timeout_seconds=_CALL_TIMEOUT_SECONDS,
                 )
                 # A change waits for its decision, longer than a heartbeat may take.
                 self._change_clients[peer.host] = ApiClient(
                     address=peer.address,
                     token=self._settings.tokens.peers,
-                    timeout_seconds=CHANGE_TIMEOUT.total_seconds() + _CALL_SECONDS,
+                    timeout_seconds=CHANGE_TIMEOUT.total_seconds() + _CALL_TIMEOUT_SECONDS,
                 )
-                self._news[peer.host] = asyncio.Event()
+                self._has_messages[peer.host] = asyncio.Event()
                 self._tasks.append(asyncio.create_task(self._guard(self._send_forever(peer.host))))
         self._build_member()
         self._tasks.append(asyncio.create_task(self._guard(self._tick_forever())))
-        self._tasks.append(asyncio.create_task(self._guard(self._greet_forever())))
+        self._tasks.append(asyncio.create_task(self._guard(self._discover_forever())))
         return None
 
     async def stop(self) -> None:
         """Transfer leadership to another voter if possible, and stop."""
         if self.member is not None and self.member.role is Role.LEADER and self._clients:
             self.member.transfer(self._clock.monotonic())
-            self._pump()
+            self._process_output()
             await asyncio.sleep(TICK_SECONDS)
         for task in self._tasks:
             task.cancel()
@@ -153,7 +153,7 @@
 
     # Calls from other hosts and operators
 
-    def greet(self) -> Hello:
+    def build_hello(self) -> Hello:
         """Return how this voter describes itself to others."""
         assert self._journal is not None, "started before it listens"
         return Hello(
@@ -164,8 +164,8 @@
 
     def receive(self, batch: ConsensusBatch) -> ConsensusBatch:
         """Process another member's messages and return the messages waiting for it."""
-        self._take_in(batch)
-        return self._take_batch(get_host(batch.sender))
+        self._receive_messages(batch)
+        return self._pop_batch(get_host(batch.sender))
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
         """Propose a change here or through the leader, and wait for the decision."""
@@ -174,17 +174,17 @@
             return Success(known)
         member = self.member
         if member is None or member.leader is None:
-            return Err(refuse_unknown("no leader is known at the moment"))
+            return Err(build_unknown_refusal("no leader is known at the moment"))
         if member.role is not Role.LEADER:
             return await self._pass_on(member.leader, command)
         future: asyncio.Future[ChangeOutcome] = asyncio.get_running_loop().create_future()
-        self._waiting.setdefault(command.request_id, []).append(future)
+        self._pending_changes.setdefault(command.request_id, []).append(future)
         member.propose(encode_command(command), self._clock.monotonic())
-        self._pump()
+        self._process_output()
         await asyncio.wait([future], timeout=CHANGE_TIMEOUT.total_seconds())
         if future.done():
             return Success(future.result())
-        return Err(refuse_unknown("no majority of the voters decided in time"))
+        return Err(build_unknown_refusal("no majority of the voters decided in time"))
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
         """Return the active configuration; wait up to `seconds` for one newer than `after`."""
@@ -209,9 +209,9 @@
         for entry in stored.entries:
             if entry.index <= stored.applied:
                 self._apply(entry)
-        put_in_force(self._rulebook, self._state.version, self._state.text)
+        activate_rules(self._rulebook, self._state.version, self._state.text)
 
-    def _pump(self) -> None:
+    def _process_output(self) -> None:
         """Save, send and apply the member's output, in this order."""
         while self.member is not None and self._journal is not None:
             output = self.member.take_output()
@@ -223,10 +223,10 @@
                 self._post(get_host(envelope.to), envelope)
             if output.restore and output.snapshot is not None:
                 self._state = decode_state(output.snapshot.data)
-                put_in_force(self._rulebook, self._state.version, self._state.text)
-                self._watch.wake()
-            self._take_committed(output)
-        self._note_leader()
+                activate_rules(self._rulebook, self._state.version, self._state.text)
+                self._watch.notify()
+            self._apply_committed(output)
+        self._record_leader()
 
     def _save(self, output: Output) -> bool:
         assert self._journal is not None
@@ -245,7 +245,7 @@
         self.member = None
         return False
 
-    def _take_committed(self, output: Output) -> None:
+    def _apply_committed(self, output: Output) -> None:
         assert self.member is not None and self._journal is not None
         if not output.committed:
             return
@@ -254,21 +254,21 @@
             return
         for entry in output.committed:
             self._apply(entry)
-        put_in_force(self._rulebook, self._state.version, self._state.text)
-        self._watch.wake()
+        activate_rules(self._rulebook, self._state.version, self._state.text)
+        self._watch.notify()
         log = self.member.log
-        if log.last_index - log.snapshot.index > COMPACT_AFTER:
+        if log.last_index - log.snapshot.index > COMPACT_AFTER_ENTRIES:
             self.member.compact(encode_state(self._state), last)
 
     def _apply(self, entry: Entry) -> None:
         if entry.kind is not EntryKind.COMMAND:
             return
         outcome = apply_change(self._state, decode_command(entry.data), find_rules_problem)
-        for future in self._waiting.pop(outcome.request_id, []):
+        for future in self._pending_changes.pop(outcome.request_id, []):
             if not future.done():
                 future.set_result(outcome)
 
-    def _note_leader(self) -> None:
+    def _record_leader(self) -> None:
         if self.member is None:
             return
         if self.member.leader is not None:
@@ -286,20 +286,20 @@
             batch = ConsensusBatch(sender=self._journal.member, messages=[])
             self._outbox[host] = batch
         batch.messages.append(envelope.message)
-        if host in self._news:
-            self._news[host].set()
+        if host in self._has_messages:
+            self._has_messages[host].set()
 
-    def _take_batch(self, host: str) -> ConsensusBatch:
+    def _pop_batch(self, host: str) -> ConsensusBatch:
         assert self._journal is not None
         batch = self._outbox.pop(host, None)
         return batch or ConsensusBatch(sender=self._journal.member, messages=[])
 
     async def _send_forever(self, host: str) -> None:
-        news = self._news[host]
+        has_messages = self._has_messages[host]
         while True:
-            await news.wait()
-            news.clear()
-            batch = self._take_batch(host)
+            await has_messages.wait()
+            has_messages.clear()
+            batch = self._pop_batch(host)
             if not batch.messages:
                 continue
             client = self._clients[host]
@@ -308,23 +308,23 @@
                 # The next heartbeat makes up for lost messages.
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
-            self._take_in(sent.unwrap())
+            self._receive_messages(sent.unwrap())
 
-    def _take_in(self, batch: ConsensusBatch) -> None:
+    def _receive_messages(self, batch: ConsensusBatch) -> None:
         for message in batch.messages:
             if self.member is not None:
                 self.member.receive(message, self._clock.monotonic())
-        self._pump()
+        self._process_output()
 
     async def _pass_on(
         self, leader: MemberId, command: ChangeCommand
     ) -> Result[ChangeOutcome, Refusal]:
         client = self._change_clients.get(get_host(leader))
         if client is None:
-            return Err(refuse_unknown(f"the leader {leader} is not among the peers"))
+            return Err(build_unknown_refusal(f"the leader {leader} is not among the peers"))
         sent = await client.call("POST", "/v1/control/change", ChangeOutcome, command)
         if isinstance(sent, Err):
-            return Err(refuse_unknown(f"the leader {leader} did not answer"))
+            return Err(build_unknown_refusal(f"the leader {leader} did not answer"))
         return Success(sent.unwrap())
 
     # Timers
@@ -340,51 +340,51 @@
         while True:
             if self.member is not None:
                 self.member.tick(self._clock.monotonic())
-                self._pump()
+                self._process_output()
             await asyncio.sleep(TICK_SECONDS)
 
-    async def _greet_forever(self) -> None:
+    async def _discover_forever(self) -> None:
         """Fetch the current member ids of all voters to bootstrap the log or replace members."""
         while True:
             member = self.member
             is_new = member is not None and not member.members.voters
             is_leader = member is not None and member.role is Role.LEADER
             if is_new or is_leader:
-                greetings = await self._greet_all()
+                hellos = await self._fetch_hellos()
                 if is_new:
-                    self._begin_together(greetings)
+                    self._bootstrap(hellos)
                 elif is_leader:
-                    self._replace_disks(greetings)
-            await asyncio.sleep(_FIRST_GREETING_SECONDS if is_new else GREETING_SECONDS)
+                    self._replace_members(hellos)
+            await asyncio.sleep(_BOOTSTRAP_DISCOVERY_SECONDS if is_new else VOTER_DISCOVERY_SECONDS)
 
-    async def _greet_all(self) -> dict[HostId, Hello]:
-        greetings = {self._settings.host: self.greet()}
+    async def _fetch_hellos(self) -> dict[HostId, Hello]:
+        hellos = {self._settings.host: self.build_hello()}
         for host, client in self._clients.items():
             reply = await client.call("GET", "/v1/control/hello", Hello, None)
             if isinstance(reply, Success):
-                greetings[HostId(host)] = reply.unwrap()
-        return greetings
+                hellos[HostId(host)] = reply.unwrap()
+        return hellos
 
-    def _begin_together(self, greetings: dict[HostId, Hello]) -> None:
+    def _bootstrap(self, hellos: dict[HostId, Hello]) -> None:
         """Create the first set of members once all voters answer and all their disks are new."""
         voters = sorted(self._settings.voters)
         is_first = voters[0] == self._settings.host
-        all_new = all(host in greetings and greetings[host].is_empty for host in voters)
+        all_new = all(host in hellos and hellos[host].is_empty for host in voters)
         if not is_first or not all_new or self._journal is None:
             return
-        members = Members(voters=tuple(greetings[host].member for host in voters))
+        members = Members(voters=tuple(hellos[host].member for host in voters))
         first = Snapshot(index=Index(1), term=Term(0), members=members, data="")
         if self._check_saved(self._journal.save(Output(snapshot=first, restore=True))):
             self._build_member()
 
-    def _replace_disks(self, greetings: dict[HostId, Hello]) -> None:
+    def _replace_members(self, hellos: dict[HostId, Hello]) -> None:
         if self.member is None:
             return
-        current = {str(host): hello.member for host, hello in greetings.items()}
+        current = {str(host): hello.member for host, hello in hellos.items()}
         planned = plan_change(self.member, current)
         if planned is not None:
             self.member.change_members(planned, self._clock.monotonic())
-            self._pump()
+            self._process_output()
 
 
 def _report_storage(error: StorageError) -> None:
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -401,7 +401,7 @@
         process = machine.process
         if process is None or process.control is None:
             return
-        process.run(process.control.hand_over())
+        process.run(process.control.transfer_leadership())
         await asyncio.sleep(HAND_OVER_SECONDS)
         if machine.process is process:
             self.kill(machine)
@@ -528,7 +528,11 @@
         """Return the machine that decides, if one does."""
         for machine in self.machines.values():
             control = machine.process.control if machine.process is not None else None
-            if control is not None and control.leading is not None and control.replica.has_lease():
+            if (
+                control is not None
+                and control.leadership is not None
+                and control.replica.has_lease()
+            ):
                 return machine
         return None
 
@@ -692,7 +696,7 @@
     """Return the handler of a host's listener for peers."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
-        return host.answer_at_once(request) or await host.handle_peer(request)
+        return host.answer_at_once(request) or await host.handle_peer_request(request)
 
     return handle
 
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -25,7 +25,7 @@
 from ..runtime.decider import CALLS_LOST_AFTER, GREET_TIMEOUT
 from ..runtime.deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE
 from ..runtime.gateways import GATEWAY_SILENT
-from ..runtime.leading import HELD_UP
+from ..runtime.leadership import LONG_DECISION_GAP
 from ..runtime.vouching import GIVEN_UP_TOLD
 from .model_upstreams import (
     Leader,
@@ -68,11 +68,11 @@
         )
 
     def act(self) -> None:
-        """Decide as `Leading` does: not after a gap, and not for gateways that are silent."""
+        """Decide as `Leadership` does: not after a gap, and not for gateways that are silent."""
         now = self.world.now
         if self.is_over or now < self.busy_until:
             return
-        was_held_up, self.decided_at = now - self.decided_at > HELD_UP, now
+        was_held_up, self.decided_at = now - self.decided_at > LONG_DECISION_GAP, now
         if was_held_up:
             return
         self.dispatch.abandon_silent(self.is_heard, now)
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -36,7 +36,7 @@
 from ..net.servers import Listener
 from ..platform.configurations import decode_configuration
 from ..runtime.control_host import ControlHost
-from ..runtime.leading import Leading, LeadingSettings
+from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.membership import JoinRequest
 from ..runtime.messenger import MESSAGES_PATH
 from ..runtime.peer_calls import CALL_PATH
@@ -255,11 +255,11 @@
         """A gateway has stood in where a part of the upstreams was out of the leader's reach."""
         leader = self.world.find_leader()
         control = leader.process.control if leader is not None and leader.process else None
-        if control is None or control.leading is None:
+        if control is None or control.leadership is None:
             return
         for upstream in self.world.upstreams.values():
             if self.chance.random() < 0.3:
-                upstream.token = max(upstream.token, control.leading.token + 1_003)
+                upstream.token = max(upstream.token, control.leadership.token + 1_003)
 
     async def starve(self) -> None:
         machine = self.pick()
@@ -518,25 +518,25 @@
         clock = LateClock(start=datetime(2030, 1, 1, tzinfo=UTC))
         authority = FixedAuthority()
         world = World(1, SimulatedLoop())
-        leading = Leading(
+        leadership = Leadership(
             authority=authority,
             replicated=ReplicatedRecords(),
             port=ModelPort(world),
             clock=clock,
             on_failure=lambda error: None,
-            settings=LeadingSettings(
-                terms=TERMS,
+            settings=LeadershipSettings(
+                lease_terms=TERMS,
                 keep_ended=timedelta(seconds=1),
                 caller_retry=timedelta(seconds=1),
                 control_address=None,
             ),
         )
         configuration = decode_configuration(build_configuration(1)).unwrap()
-        answering = asyncio.create_task(leading.answer(Configure(configuration=configuration)))
+        answering = asyncio.create_task(leadership.answer(Configure(configuration=configuration)))
         await asyncio.sleep(0.5)
         assert authority.proposed
         answering.cancel()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(run())
 
@@ -682,7 +682,7 @@
         await asyncio.sleep(2.0)
         greetings.clear()
         await asyncio.sleep(2.0)
-        assert get_control(leader).leading is not None
+        assert get_control(leader).leadership is not None
         assert len(greetings) <= 1.5 * usual
 
     play_core(1, day)
@@ -714,11 +714,11 @@
     membership = build_membership(1)
     host = get_host(D)
     before = MemberId(f"{host}/before")
-    membership.take_join(JoinRequest(member=before))
+    membership.record_join(JoinRequest(member=before))
     members = Members(voters=(A, B, C), learners=(D,))
     leader.change_members(members, NOW)
     for voter in (B, C):
         acknowledge(leader, voter, leader.log.last_index)
-    membership.learn(members)
-    planned = membership.plan_step(leader, NOW)
+    membership.record_members(members)
+    planned = membership.plan_member_change(leader, NOW)
     assert planned is None or planned.has(D)
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -384,16 +384,16 @@
     """Every later leader must know before the upstream counts on it."""
 
     async def play() -> None:
-        leading, _ = lead_host(IdlePort())
-        record = leading._records.upstreams[FIRST]
+        leadership, _ = lead_host(IdlePort())
+        record = leadership._records.upstreams[FIRST]
         capacity = Capacity(cpu_millis=HALF, memory_mb=1)
         info = msgspec.structs.replace(record.info, capacity=capacity)
         beat = Beat(heartbeat=Heartbeat(info=info, sequence=3, draining=False))
-        answering = asyncio.create_task(leading.answer(beat))
+        answering = asyncio.create_task(leadership.answer(beat))
         await asyncio.sleep(0)
         assert not answering.done()
-        leading._take_applied(ResizeUpstream(upstream=FIRST, capacity=capacity, sequence=3))
+        leadership._handle_applied(ResizeUpstream(upstream=FIRST, capacity=capacity, sequence=3))
         assert (await answering).outcome is Outcome.DONE
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -28,7 +28,7 @@
 from ..runtime.deputy import DEPUTY_AFTER_SILENCE, DeputyAuthority
 from ..runtime.gateway import Gateway
 from ..runtime.gateways import GATEWAY_SILENT, Gateways
-from ..runtime.leading import Leading, LeadingSettings
+from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.replicated import ReplicatedRecords
 from ..runtime.vouching import MOST_GIVEN_UP
 from .gateway_builders import (
@@ -55,7 +55,7 @@
     """The way from a gateway to a leader; while it is cut, what is sent is held."""
 
     gateway: Gateway
-    leading: Leading
+    leadership: Leadership
     is_cut: bool = False
     holds_submissions: bool = False
     answers_late: bool = False
@@ -70,7 +70,7 @@
         if self.is_cut or (self.holds_submissions and isinstance(call, Submit)):
             self.held.append(call)
             return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
-        answer = await self.leading.answer(call)
+        answer = await self.leadership.answer(call)
         if self.answers_late:
             return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
         if isinstance(call, Greet):
@@ -78,19 +78,19 @@
         return answer
 
 
-def build_leading(clock: ManualClock) -> Leading:
+def build_leading(clock: ManualClock) -> Leadership:
     """Return a leader of one upstream."""
     replicated = ReplicatedRecords()
     replicated.records.put_in_force(build_roster().configuration)
     info = build_info("u1")
     replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
-    settings = LeadingSettings(
-        terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+    settings = LeadershipSettings(
+        lease_terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
         keep_ended=timedelta(),
         caller_retry=CALLER_RETRY,
         control_address=None,
     )
-    return Leading(
+    return Leadership(
         authority=DeputyAuthority(term=6, replicated=replicated),
         replicated=replicated,
         port=IdlePort(),
@@ -126,7 +126,7 @@
         await greet_for_a_while(gateway, clock)
         await script(gateway, way, clock)
         gateway.stop()
-        way.leading.stop()
+        way.leadership.stop()
 
     asyncio.run(play_whole())
 
@@ -134,14 +134,14 @@
 def prepare_way() -> tuple[Gateway, Way, ManualClock]:
     clock = build_clock()
     (gateway,) = prepare(1, clock)
-    way = Way(gateway=gateway, leading=build_leading(clock))
+    way = Way(gateway=gateway, leadership=build_leading(clock))
     gateway.calls.ask = way.ask  # type: ignore[method-assign]
     return gateway, way, clock
 
 
 def test_a_greeting_that_was_held_up_says_nothing_of_the_present() -> None:
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        assert way.leading.gateways.is_heard(gateway.link.own)
+        assert way.leadership.gateways.is_heard(gateway.link.own)
         way.is_cut = True
         await gateway.link.greet_leader()
         clock.advance(DEPUTY_AFTER_SILENCE)
@@ -149,8 +149,8 @@
         assert gateway.deputy is not None, "its jobs are decided about here from now on"
         assert way.held
         for call in way.held:
-            await way.leading.answer(call)
-        assert not way.leading.gateways.is_heard(gateway.link.own)
+            await way.leadership.answer(call)
+        assert not way.leadership.gateways.is_heard(gateway.link.own)
 
     play(script)
 
@@ -163,9 +163,9 @@
         await gateway.link.replace_leader()
         assert gateway.deputy is not None
         way.is_cut = False
-        late = asyncio.create_task(way.leading.answer(way.held[0]))
+        late = asyncio.create_task(way.leadership.answer(way.held[0]))
         await let_run()
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
         assert (await late).outcome is Outcome.UNAVAILABLE
 
     play(script)
@@ -179,9 +179,9 @@
         waiting = asyncio.create_task(gateway._try(submit_from(gateway), PATIENCE))
         await let_run()
         clock.advance(milliseconds(20))
-        leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
-        assert leading.dispatch.jobs.is_open(JobId(JOB))
+        leadership = way.leadership
+        leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
+        assert leadership.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
 
     play(script)
@@ -232,7 +232,7 @@
     """Have a caller's job under way at the leader."""
     waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
     await let_run()
-    assert way.leading.dispatch.jobs.is_open(JobId(JOB))
+    assert way.leadership.dispatch.jobs.is_open(JobId(JOB))
     return waiting
 
 
@@ -247,7 +247,7 @@
         waiting.cancel()
         await let_run()
         await gateway.link.greet_leader()
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
@@ -260,9 +260,9 @@
         waiting.cancel()
         await let_run()
         await gateway.link.greet_leader()
-        answer = await asyncio.wait_for(way.leading.answer(way.held[0]), timeout=1)
+        answer = await asyncio.wait_for(way.leadership.answer(way.held[0]), timeout=1)
         assert answer.outcome is Outcome.UNKNOWN
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
@@ -277,14 +277,14 @@
         also_waiting = asyncio.create_task(gateway._try(other, PATIENCE))
         await let_run()
         clock.advance(BETWEEN_GREETINGS + milliseconds(20))
-        leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
-        assert not leading.dispatch.jobs.is_open(JobId(JOB))
-        assert leading.dispatch.jobs.is_open(JobId("f" * 16))
+        leadership = way.leadership
+        leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
+        assert not leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert leadership.dispatch.jobs.is_open(JobId("f" * 16))
         clock.advance(GATEWAY_SILENT)
-        assert leading.gateways.may_be_silent()
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
-        assert not leading.dispatch.jobs.count_jobs()
+        assert leadership.gateways.may_be_silent()
+        leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
+        assert not leadership.dispatch.jobs.count_jobs()
         waiting.cancel()
         also_waiting.cancel()
 
@@ -307,9 +307,9 @@
         while clock.monotonic() < left_at + GATEWAY_SILENT:
             clock.advance(milliseconds(50))
             await gateway.link.greet_leader()
-            way.leading._decide()
-        way.leading._decide()
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+            way.leadership._decide()
+        way.leadership._decide()
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
@@ -325,8 +325,8 @@
         await let_run()
         for _ in range(2):
             await gateway.link.greet_leader()
-        assert way.leading.gateways.is_heard(gateway.link.own)
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert way.leadership.gateways.is_heard(gateway.link.own)
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
@@ -342,7 +342,7 @@
         reborn.calls.ask = way.ask  # type: ignore[method-assign]
         way.gateway = reborn
         await reborn.link.greet_leader()
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
         reborn.stop()
 
@@ -361,8 +361,8 @@
         while clock.monotonic() < until:
             await gateway.link.greet_leader()
             clock.advance(BETWEEN_GREETINGS)
-            way.leading._decide()
-        way.leading._decide()
-        assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
+            way.leadership._decide()
+        way.leadership._decide()
+        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -134,7 +134,7 @@
         for gateway in (gateways[0], gateways[1], gateways[0]):
             await gateway.link.replace_leader()
             assert gateway.deputy is not None
-            tokens.append(gateway.deputy.leading.token)
+            tokens.append(gateway.deputy.leadership.token)
             gateway.link.stand_down()
         return tokens
 
@@ -194,7 +194,7 @@
         assert deputy is not None
         # The deputy plays the leader here: it has the same term as the deputy before it.
         call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), deputy_term=5)
-        answer = await deputy.leading.answer(call)
+        answer = await deputy.leadership.answer(call)
         assert answer.outcome is Outcome.UNKNOWN
         assert deputy.authority.is_over
         gateways[0].stop()
@@ -211,8 +211,8 @@
         await gateways[0].link.replace_leader()
         deputy = gateways[0].deputy
         assert deputy is not None
-        leading = deputy.leading
-        greeted = await leading.answer(greet("10.0.0.9:7000"))
+        leadership = deputy.leadership
+        greeted = await leadership.answer(greet("10.0.0.9:7000"))
         call = Submit(
             host="host",
             path=f"/q/{JOB}",
@@ -220,12 +220,12 @@
             gateway="10.0.0.9:7000",
             contact=greeted.contact,
         )
-        waiting = asyncio.create_task(leading.answer(call))
+        waiting = asyncio.create_task(leadership.answer(call))
         await asyncio.sleep(0)
-        assert leading.dispatch.jobs.count_jobs() == 1
+        assert leadership.dispatch.jobs.count_jobs() == 1
         clock.advance(GATEWAY_SILENT)
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
-        assert leading.dispatch.jobs.count_jobs() == 0
+        leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
+        assert leadership.dispatch.jobs.count_jobs() == 0
         assert (await waiting).outcome is Outcome.UNKNOWN
         gateways[0].stop()
 
@@ -296,7 +296,7 @@
         gateway, _ = stand_in()
         await gateway.link.replace_leader()
         assert gateway.deputy is not None
-        answer = await gateway.deputy.leading.answer(call)
+        answer = await gateway.deputy.leadership.answer(call)
         gateway.stop()
         return answer.outcome
 
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -38,15 +38,15 @@
         port=IdlePort(),
         on_failure=fail,
     )
-    host.leading = SimpleNamespace(term=3)  # type: ignore[assignment]
+    host.leadership = SimpleNamespace(term=3)  # type: ignore[assignment]
     host._had_lease = True
     has_lease = False
     monkeypatch.setattr(host.replica, "has_lease", lambda: has_lease)
-    monkeypatch.setattr(host.replica, "list_unheard", lambda: ["10.0.0.2:7720"])
-    host._note_lease()
-    host._note_lease()
+    monkeypatch.setattr(host.replica, "list_silent_voters", lambda: ["10.0.0.2:7720"])
+    host._log_lease_change()
+    host._log_lease_change()
     has_lease = True
-    host._note_lease()
+    host._log_lease_change()
     assert logged == [
         (Event.LEASE_LOST, {"term": 3, "unheard": ["10.0.0.2:7720"]}),
         (Event.LEASE_REGAINED, {"term": 3}),
@@ -73,5 +73,5 @@
         await gateway.link.replace_leader()
 
     asyncio.run(play())
-    silent = [rest for event, rest in logged if event is Event.DECIDER_SILENT]
+    silent = [rest for event, rest in logged if event is Event.COORDINATOR_SILENT]
     assert silent == [{"decider": LEADER, "silent_ms": 200}]
--- a/cottonlug/tests/test_cluster_logs.py
+++ b/cottonlug/tests/test_cluster_logs.py
@@ -24,10 +24,10 @@
     output = LogOutput(descriptor=writing)
     for _ in range(5_000):
         output.write_record(LINE, logging.INFO)
-    routine = output.left_out
+    routine = output.dropped
     assert 0 < routine < 5_000
     output.write_record(LINE, logging.WARNING)
-    assert output.left_out == routine, "there is still room for what matters more"
+    assert output.dropped == routine, "there is still room for what matters more"
     for _ in range(5_000):
         output.write_record(LINE, logging.WARNING)
     assert output._size <= BUFFER_BYTES + len(LINE) + 1
@@ -40,7 +40,7 @@
         except BlockingIOError:
             break
     told = [line for line in read_lines(text.decode().splitlines()) if "lines" in line]
-    assert sum(line["lines"] for line in told) == output.left_out
+    assert sum(line["lines"] for line in told) == output.dropped
     os.close(reading)
     os.close(writing)
 
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -12,7 +12,7 @@
 from ..core.cluster.calls import Answer, Contact, Outcome
 from ..core.cluster.records import Records
 from ..runtime import gateways as gateways_module
-from ..runtime import leading as leading_module
+from ..runtime import leadership as leading_module
 from ..runtime.cluster_metrics import build_gateway_metrics
 from ..runtime.decider import Via
 from ..runtime.events import Event
@@ -125,7 +125,7 @@
     clock.advance(milliseconds(400))
     gateways.take_greeting(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
     assert ages == [4.0, 404.0]
-    assert capture == [(Event.GREETING_LATE, {"gateway": "10.0.0.2:7000", "age_ms": 404})]
+    assert capture == [(Event.KEEPALIVE_LATE, {"gateway": "10.0.0.2:7000", "age_ms": 404})]
 
 
 def test_a_greeting_under_another_token_tells_no_age() -> None:
@@ -144,16 +144,16 @@
         gateway, clock = stand_in()
         await gateway.link.replace_leader()
         assert gateway.deputy is not None
-        leading = gateway.deputy.leading
+        leadership = gateway.deputy.leadership
         spans: list[float] = []
-        leading.record_hold = spans.append
-        leading._decide()
+        leadership.record_decision_gap = spans.append
+        leadership._decide()
         clock.advance(milliseconds(20))
-        leading._decide()
+        leadership._decide()
         clock.advance(milliseconds(400))
-        leading._decide()
+        leadership._decide()
         assert spans == [400.0]
         gateway.link.stand_down()
 
     asyncio.run(play())
-    assert (Event.HELD_UP, {"term": 5, "held_up_ms": 400}) in capture
+    assert (Event.DECISION_DELAYED, {"term": 5, "held_up_ms": 400}) in capture
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -18,11 +18,16 @@
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
 from ..net.connections import IdleConnections
-from ..runtime import heartbeat_desk
+from ..runtime import heartbeat_responder
 from ..runtime.decider import LONGEST_GREET_SECONDS
 from ..runtime.gateways import GATEWAY_SILENT, PARTS_A_SECOND, Gateways
-from ..runtime.heartbeat_desk import SPREAD_FROM, TRUSTED_FOR, Desks, HeartbeatDesk
-from ..runtime.leading import Leading
+from ..runtime.heartbeat_responder import (
+    SPREAD_MIN_UPSTREAMS,
+    RESPONDER_TRUST_PERIOD,
+    ResponderDirectory,
+    HeartbeatResponder,
+)
+from ..runtime.leadership import Leadership
 from .gateway_builders import (
     IdlePort,
     add_upstream,
@@ -36,24 +41,26 @@
 DESK = "10.1.0.1:80"
 
 
-def build_desk(upstreams: int = SPREAD_FROM) -> tuple[HeartbeatDesk, Records, ManualClock]:
+def build_desk(
+    upstreams: int = SPREAD_MIN_UPSTREAMS,
+) -> tuple[HeartbeatResponder, Records, ManualClock]:
     clock, records = build_clock(), Records()
     records.put_in_force(build_roster().configuration)
     for number in range(upstreams):
         info = build_info(f"u{number}")
         records.upstreams[info.id] = UpstreamRecord(info=info, sequence=5)
-    desk = HeartbeatDesk(control_address=DESK, clock=clock, get_records=lambda: records)
+    desk = HeartbeatResponder(control_address=DESK, clock=clock, get_records=lambda: records)
     return desk, records, clock
 
 
-def tell(desk: HeartbeatDesk, outcome: Outcome = Outcome.DONE) -> list[Heard]:
+def tell(desk: HeartbeatResponder, outcome: Outcome = Outcome.DONE) -> list[Heard]:
     told: list[Heard] = []
 
     async def take(heard: Heard) -> Answer:
         told.append(heard)
         return Answer(outcome=outcome)
 
-    asyncio.run(desk._tell(take))
+    asyncio.run(desk._report(take))
     return told
 
 
@@ -65,7 +72,7 @@
 def test_a_heartbeat_in_which_nothing_is_new_is_answered_and_told_later() -> None:
     desk, _, clock = build_desk()
     tell(desk)
-    answer = desk.take(beat())
+    answer = desk.answer_routine(beat())
     assert answer is not None and answer.leader_control == DESK
     clock.advance(timedelta(milliseconds=100))
     told = tell(desk)
@@ -89,60 +96,60 @@
 def test_what_the_log_does_not_say_goes_to_the_leader(heartbeat: Heartbeat) -> None:
     desk, _, _ = build_desk()
     tell(desk)
-    assert desk.take(heartbeat) is None
+    assert desk.answer_routine(heartbeat) is None
 
 
 def test_an_upstream_that_guards_nothing_is_heard_by_the_leader_itself() -> None:
     desk, records, _ = build_desk()
     tell(desk)
     configuration = records.configuration
-    assert configuration is not None and desk.take(beat()) is not None
+    assert configuration is not None and desk.answer_routine(beat()) is not None
     services = tuple(
         msgspec.structs.replace(service, rejects_overload=False)
         for service in configuration.services
     )
     records.put_in_force(msgspec.structs.replace(configuration, services=services))
-    assert desk.take(beat()) is None
+    assert desk.answer_routine(beat()) is None
 
 
 def test_a_host_out_of_touch_with_the_leader_answers_for_nobody() -> None:
     desk, _, clock = build_desk()
-    assert desk.take(beat()) is None, "nobody has taken anything in yet"
+    assert desk.answer_routine(beat()) is None, "nobody has taken anything in yet"
     tell(desk, Outcome.UNAVAILABLE)
-    assert desk.take(beat()) is None
+    assert desk.answer_routine(beat()) is None
     tell(desk)
-    assert desk.take(beat()) is not None
-    clock.advance(TRUSTED_FOR)
-    assert desk.take(beat()) is None
+    assert desk.answer_routine(beat()) is not None
+    clock.advance(RESPONDER_TRUST_PERIOD)
+    assert desk.answer_routine(beat()) is None
 
 
 def test_few_upstreams_stay_with_the_leader() -> None:
-    desk, _, _ = build_desk(SPREAD_FROM - 1)
+    desk, _, _ = build_desk(SPREAD_MIN_UPSTREAMS - 1)
     tell(desk)
-    assert desk.take(beat()) is None
+    assert desk.answer_routine(beat()) is None
 
 
 def test_upstreams_are_spread_over_the_hosts_that_answer_and_stay_there() -> None:
     clock = build_clock()
-    desks = Desks(clock=clock, own="own")
+    desks = ResponderDirectory(clock=clock, own="own")
     ids = [UpstreamId(f"i-{number:08x}") for number in range(1_000)]
     assert {desks.choose(id) for id in ids} == {"own"}
     hosts = [f"10.1.0.{number}:80" for number in range(5)]
     for host in hosts:
-        desks.note(host)
+        desks.record_report(host)
     chosen = [desks.choose(id) for id in ids]
     assert all(150 < chosen.count(host) < 250 for host in hosts)
     assert chosen == [desks.choose(id) for id in ids]
-    clock.advance(TRUSTED_FOR / 2)
+    clock.advance(RESPONDER_TRUST_PERIOD / 2)
     for host in hosts[1:]:
-        desks.note(host)
-    clock.advance(TRUSTED_FOR / 2 + timedelta(milliseconds=1))
+        desks.record_report(host)
+    clock.advance(RESPONDER_TRUST_PERIOD / 2 + timedelta(milliseconds=1))
     assert {desks.choose(id) for id in ids} == set(hosts[1:])
 
 
-def answer(leading: Leading, call: Beat | Heard) -> Answer:
+def answer(leadership: Leadership, call: Beat | Heard) -> Answer:
     async def ask() -> Answer:
-        return await leading.answer(call)
+        return await leadership.answer(call)
 
     return asyncio.run(ask())
 
@@ -151,20 +158,22 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def play() -> None:
-        leading, _ = lead(IdlePort())
+        leadership, _ = lead(IdlePort())
         upstream = UpstreamId("u1")
-        life = leading.dispatch.lives[upstream]
+        life = leadership.dispatch.lives[upstream]
         first = beat(sequence=1, info=life.info)
-        assert (await leading.answer(Beat(heartbeat=first))).leader_control is None
-        monkeypatch.setattr("cottonlug.runtime.leading.SPREAD_FROM", 2)
+        assert (await leadership.answer(Beat(heartbeat=first))).leader_control is None
+        monkeypatch.setattr("cottonlug.runtime.leadership.SPREAD_MIN_UPSTREAMS", 2)
         told = HeardUpstream(upstream=upstream, sequence=2, clock_ms=90, age_ms=40)
-        assert (await leading.answer(Heard(desk=DESK, upstreams=(told,)))).outcome is Outcome.DONE
+        assert (
+            await leadership.answer(Heard(desk=DESK, upstreams=(told,)))
+        ).outcome is Outcome.DONE
         assert life.sequence == 2
         assert life.heard_at is not None
-        assert leading.read_clock() - life.heard_at <= timedelta(milliseconds=40)
+        assert leadership.read_clock() - life.heard_at <= timedelta(milliseconds=40)
         second = beat(sequence=3, info=life.info)
-        assert (await leading.answer(Beat(heartbeat=second))).leader_control == DESK
-        leading.stop()
+        assert (await leadership.answer(Beat(heartbeat=second))).leader_control == DESK
+        leadership.stop()
 
     asyncio.run(play())
 
@@ -218,4 +227,4 @@
 
 
 def test_a_desk_is_named_only_once_it_has_told_something() -> None:
-    assert heartbeat_desk.TELL_EVERY * 3 < TRUSTED_FOR
+    assert heartbeat_responder.REPORT_INTERVAL * 3 < RESPONDER_TRUST_PERIOD
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -21,7 +21,7 @@
 from ..core.ids import UpstreamId
 from ..runtime.deputy import DeputyAuthority
 from ..runtime.gateways import GATEWAY_SILENT
-from ..runtime.leading import Leading, LeadingSettings
+from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.replicated import ReplicatedRecords
 from .gateway_builders import (
     JOB,
@@ -72,21 +72,21 @@
 
 def lead(
     port: IdlePort, *, keeps_log: bool = True, commits: bool = False
-) -> tuple[Leading, ReplicatedRecords]:
+) -> tuple[Leadership, ReplicatedRecords]:
     """Lead two upstreams; with `commits` the log carries out at once what is proposed."""
     replicated = ReplicatedRecords()
     replicated.records.put_in_force(build_roster().configuration)
     for name in ("u1", "u2"):
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
-    leading = Leading(
+    leadership = Leadership(
         authority=DeputyAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
         replicated=replicated,
         port=port,
         clock=build_clock(),
         on_failure=fail,
-        settings=LeadingSettings(
-            terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+        settings=LeadershipSettings(
+            lease_terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
             keep_ended=timedelta(),
             caller_retry=CALLER_RETRY,
             control_address=None,
@@ -94,7 +94,7 @@
             level=0 if keeps_log else 1_001,
         ),
     )
-    return leading, replicated
+    return leadership, replicated
 
 
 def test_a_gateway_that_stands_in_waits_no_longer_than_its_caller() -> None:
@@ -116,7 +116,7 @@
             await asyncio.sleep(0.02)
         deputy = gateway.deputy
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
-        assert not deputy.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not deputy.leadership.dispatch.jobs.is_open(JobId(JOB))
         gateway.stop()
 
     asyncio.run(play())
@@ -159,11 +159,11 @@
 
     async def play() -> int:
         port = CountingPort()
-        leading, replicated = lead(port)
+        leadership, replicated = lead(port)
         if wakes_by == "a decision that was due":
-            leading._wake()
+            leadership._schedule_decision()
         listener = replicated.listener
-        leading.stop()
+        leadership.stop()
         if wakes_by == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
         await let_run()
@@ -182,12 +182,14 @@
     """
 
     async def play() -> None:
-        leading, _ = lead(CountingPort(answers=False), keeps_log=False)
-        clock = leading._clock
+        leadership, _ = lead(CountingPort(answers=False), keeps_log=False)
+        clock = leadership._clock
 
         def hear(gateway: str) -> None:
-            contact = leading.gateways.make_contact()
-            leading.gateways.take_greeting(msgspec.structs.replace(greet(gateway), contact=contact))
+            contact = leadership.gateways.make_contact()
+            leadership.gateways.take_greeting(
+                msgspec.structs.replace(greet(gateway), contact=contact)
+            )
 
         def send(gateway: str) -> asyncio.Task[Answer]:
             call = Submit(
@@ -198,9 +200,9 @@
                 number=1,
                 may_have_begun=True,
                 may_be_of_deputy=True,
-                contact=leading.gateways.make_contact(),
+                contact=leadership.gateways.make_contact(),
             )
-            return asyncio.create_task(leading.answer(call))
+            return asyncio.create_task(leadership.answer(call))
 
         hear("a")
         hear("b")
@@ -210,15 +212,15 @@
             clock.advance(milliseconds(100))  # type: ignore[attr-defined]
             hear("a")
             hear("b")
-            leading._decide()
+            leadership._decide()
         left_at = clock.monotonic()
         waiting.append(send(second))
         await let_run()
-        job = leading.dispatch.jobs.jobs[JobId(JOB)]
+        job = leadership.dispatch.jobs.jobs[JobId(JOB)]
         assert (job.settle_at >= left_at + CALLER_RETRY) is is_news
         for each in waiting:
             each.cancel()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -45,7 +45,7 @@
 
 HOSTS = ("a", "b", "c")
 STEPS = 6_000
-COMPACT_AFTER = 20
+COMPACT_AFTER_ENTRIES = 20
 
 
 class CrashError(Exception):
@@ -185,7 +185,7 @@
         assert node.state.version >= node.seen_version, "a version went down"
         node.seen_version = node.state.version
         log = node.member.log
-        if output.committed and log.last_index - log.snapshot.index > COMPACT_AFTER:
+        if output.committed and log.last_index - log.snapshot.index > COMPACT_AFTER_ENTRIES:
             node.member.compact(encode_state(node.state), output.committed[-1].index)
 
     def apply(self, node: Node, entry: Entry) -> None:
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -53,7 +53,7 @@
     """Have another host lead that answers after some seconds; return what is sent to it."""
     sent: list[Call] = []
 
-    async def pass_on(
+    async def forward(
         leader: str, call: Call, timeout: timedelta, pools: ConnectionPools
     ) -> Answer:
         sent.append(call)
@@ -66,7 +66,7 @@
         return Answer(outcome=Outcome.DONE, leader_control=LEADER, orders=orders)
 
     monkeypatch.setattr(Replica, "leader_host", LEADER)
-    monkeypatch.setattr(host, "_pass_on", pass_on)
+    monkeypatch.setattr(host, "_forward", forward)
     return sent
 
 
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -28,7 +28,7 @@
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest, HttpResponse
 from ..platform.control import build_control_handler
-from ..runtime.leading import Leading
+from ..runtime.leadership import Leadership
 from .gateway_builders import IdlePort
 from .model_site import EAST
 from .model_upstreams import (
@@ -262,7 +262,9 @@
 # Orders at a leader
 
 
-def order(leading: Leading, domain: str, *, begin: bool = True, base: int = 0, id: str) -> Call:
+def order(
+    leadership: Leadership, domain: str, *, begin: bool = True, base: int = 0, id: str
+) -> Call:
     return Evacuate(
         domain=DomainName(domain), is_evacuated=begin, base_revision=base, order=OrderId(id)
     )
@@ -270,12 +272,12 @@
 
 def test_orders_are_idempotent_and_the_last_acknowledged_one_holds() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort(), commits=True)
+        leadership, replicated = lead(IdlePort(), commits=True)
         evacuations = replicated.records.evacuations
 
         async def send(begin: bool, base: int, id: str) -> Outcome:
-            call = order(leading, "domain", begin=begin, base=base, id=id)
-            return (await leading.answer(call)).outcome
+            call = order(leadership, "domain", begin=begin, base=base, id=id)
+            return (await leadership.answer(call)).outcome
 
         assert await send(True, 0, "a") is Outcome.DONE
         assert await send(True, 0, "a") is Outcome.DONE, "the same order twice"
@@ -285,31 +287,31 @@
         assert await send(False, 1, "d") is Outcome.DONE
         assert await send(True, 0, "a") is Outcome.UNAVAILABLE, "delayed until after the second"
         assert evacuations.evacuated == frozenset()
-        answer = await leading.answer(AskEvacuations())
+        answer = await leadership.answer(AskEvacuations())
         assert answer.evacuations == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
 def test_an_unknown_domain_is_refused_and_nothing_is_kept() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort())
-        answer = await leading.answer(order(leading, "nowhere", id="a"))
+        leadership, replicated = lead(IdlePort())
+        answer = await leadership.answer(order(leadership, "nowhere", id="a"))
         assert answer.outcome is Outcome.NO_DOMAIN and "nowhere" in answer.detail
         assert replicated.records.evacuations.records == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
 def test_a_deputy_takes_no_order() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort(), keeps_log=False)
-        answer = await leading.answer(order(leading, "domain", id="a"))
+        leadership, replicated = lead(IdlePort(), keeps_log=False)
+        answer = await leadership.answer(order(leadership, "domain", id="a"))
         assert answer.outcome is Outcome.UNAVAILABLE
         assert replicated.records.evacuations.records == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -27,10 +27,10 @@
 from ..net.asgi import HttpRequest
 from ..platform.control import build_control_handler
 from ..runtime.heartbeat_port import (
-    ANSWER_VOID,
-    DELIVERY,
-    QUEUED_AT_MOST,
-    SETTLED_WITHIN,
+    ANSWER_EXPIRY,
+    MAX_DELIVERY_DELAY,
+    MAX_QUEUE_TIME,
+    RESOLVED_WITHIN,
     HeartbeatPort,
 )
 from .gateway_builders import build_clock
@@ -51,7 +51,7 @@
         self.port = HeartbeatPort(
             clock=self.clock,
             lease=timedelta(seconds=1),
-            note_listening=lambda id, is_there: self.listening.append(is_there),
+            on_listening_change=lambda id, is_there: self.listening.append(is_there),
         )
         self.sequence = 0
 
@@ -68,7 +68,7 @@
             draining=False,
             held=LookReply(clock_ms=1_000, running=running, ended=ended),
         )
-        return await self.port.exchange(heartbeat, TOKEN)
+        return await self.port.handle_heartbeat(heartbeat, TOKEN)
 
 
 def play(scenario: Callable[[Exchange], Any]) -> None:
@@ -88,7 +88,7 @@
     return LookOrder(upstream=INFO, last_seen=last_seen, expires_ms=2_000, wait=timedelta())
 
 
-async def settle() -> None:
+async def run_callbacks() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
@@ -96,7 +96,7 @@
 def test_a_start_goes_with_an_answer_that_is_kept_and_is_settled_by_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
         kept = asyncio.create_task(exchange.beat())
-        await settle()
+        await run_callbacks()
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         orders = await kept
         assert orders.starts == (HeartbeatStart(task=REF, run=RUN, payload="text"),)
@@ -115,7 +115,7 @@
 def test_a_run_that_has_ended_by_the_next_heartbeat_had_started() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        await settle()
+        await run_callbacks()
         await exchange.beat()
         end = EndReport(number=1, task=REF, run=RUN, how=EndKind.DONE)
         kept = asyncio.create_task(exchange.beat(ended=(end,)))
@@ -129,7 +129,7 @@
 def test_a_start_that_the_next_heartbeat_does_not_list_will_never_begin() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        await settle()
+        await run_callbacks()
         await exchange.beat()
         kept = asyncio.create_task(exchange.beat())
         assert (await starting)[0] is StartOutcome.IGNORED
@@ -142,12 +142,12 @@
 def test_an_overtaken_heartbeat_settles_nothing_and_gets_no_orders() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        await settle()
+        await run_callbacks()
         orders = await exchange.beat()
         assert orders.starts
         late = await exchange.beat(sequence=0)
         assert late == HeartbeatOrders(token=TOKEN, last_seen=0)
-        await settle()
+        await run_callbacks()
         assert not starting.done()
         starting.cancel()
 
@@ -157,11 +157,11 @@
 def test_a_start_for_a_silent_upstream_was_surely_not_sent() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        await settle()
-        exchange.clock.advance(QUEUED_AT_MOST + milliseconds(1))
+        await run_callbacks()
+        exchange.clock.advance(MAX_QUEUE_TIME + milliseconds(1))
         assert (await starting)[0] is StartOutcome.NOT_SENT
         orders = asyncio.create_task(exchange.beat())
-        await settle()
+        await run_callbacks()
         exchange.port.close()
         assert (await orders).starts == ()
 
@@ -171,9 +171,9 @@
 def test_a_start_whose_answer_may_be_lost_is_unknown() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        await settle()
+        await run_callbacks()
         assert (await exchange.beat()).starts
-        exchange.clock.advance(SETTLED_WITHIN + milliseconds(1))
+        exchange.clock.advance(RESOLVED_WITHIN + milliseconds(1))
         assert (await starting)[0] is StartOutcome.UNKNOWN
 
     play(scenario)
@@ -185,7 +185,7 @@
         stopping = asyncio.create_task(
             exchange.port.stop(StopOrder(upstream=INFO, task=REF, run=RUN), TOKEN)
         )
-        await settle()
+        await run_callbacks()
         orders = await exchange.beat()
         assert (orders.last_seen, orders.lease_ms) == (5, 1_000)
         assert orders.stops == ((REF, RUN),)
@@ -204,19 +204,19 @@
 def test_a_look_at_a_silent_upstream_fails() -> None:
     async def scenario(exchange: Exchange) -> None:
         looking = asyncio.create_task(exchange.port.look(build_look(), TOKEN))
-        await settle()
-        exchange.clock.advance(QUEUED_AT_MOST + milliseconds(1))
+        await run_callbacks()
+        exchange.clock.advance(MAX_QUEUE_TIME + milliseconds(1))
         assert await looking is CallFailure.NO_ANSWER
 
     play(scenario)
 
 
 def test_leases_are_counted_from_when_an_order_may_arrive_at_the_latest() -> None:
-    assert DELIVERY >= QUEUED_AT_MOST + ANSWER_VOID
-    assert SETTLED_WITHIN > ANSWER_VOID, "an answer under way may still be taken in until then"
+    assert MAX_DELIVERY_DELAY >= MAX_QUEUE_TIME + ANSWER_EXPIRY
+    assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer under way may still be taken in until then"
     called = LeaseTerms(longest=timedelta(seconds=1))
-    answered = LeaseTerms(longest=timedelta(seconds=1), delivery=DELIVERY)
-    assert answered.lapse_after == called.lapse_after + DELIVERY
+    answered = LeaseTerms(longest=timedelta(seconds=1), delivery=MAX_DELIVERY_DELAY)
+    assert answered.lapse_after == called.lapse_after + MAX_DELIVERY_DELAY
 
 
 def test_lists_and_orders_are_written_as_the_platform_has_them() -> None:
--- a/cottonlug/tests/test_job_lines.py
+++ b/cottonlug/tests/test_job_lines.py
@@ -21,7 +21,7 @@
 from ..runtime import job_line
 from ..runtime.job_line import ANSWERS_PATH, JOBS_PATH, JobLine
 from ..runtime.job_lines import TAKEN_IN_A_TURN, JobLines
-from ..runtime.peer_calls import LINE_CONNECTIONS, PeerCalls
+from ..runtime.peer_calls import JOB_CHANNEL_CONNECTIONS, PeerCalls
 from .gateway_builders import build_clock, submit
 from .processes import find_base_port
 
@@ -264,4 +264,4 @@
         await listener.stop()
         return opened
 
-    assert asyncio.run(asyncio.wait_for(run(), 30)) <= LINE_CONNECTIONS
+    assert asyncio.run(asyncio.wait_for(run(), 30)) <= JOB_CHANNEL_CONNECTIONS
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -24,7 +24,7 @@
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_overtaken import build_dispatch
 from .test_cluster_spread import beat, build_desk, tell
-from .test_heartbeat_orders import REF, RUN, TOKEN, Exchange, play, settle
+from .test_heartbeat_orders import REF, RUN, TOKEN, Exchange, play, run_callbacks
 from .wire_site import WireLeader, build_hosts
 
 BORN = 1_790_000_000_000
@@ -106,8 +106,8 @@
     desk, records, _ = build_desk()
     tell(desk)
     records.apply(AddUpstream(info=FIRST, sequence=5))
-    assert desk.take(msgspec.structs.replace(beat(sequence=6), info=FIRST)) is not None
-    assert desk.take(msgspec.structs.replace(beat(sequence=6), info=SECOND)) is None
+    assert desk.answer_routine(msgspec.structs.replace(beat(sequence=6), info=FIRST)) is not None
+    assert desk.answer_routine(msgspec.structs.replace(beat(sequence=6), info=SECOND)) is None
 
 
 def test_an_answer_to_a_heartbeat_carries_no_order_for_an_earlier_life() -> None:
@@ -117,10 +117,10 @@
             upstream=FIRST, task=REF, run=RUN, payload="", checkpoint="", expires_ms=2_000
         )
         starting = asyncio.create_task(exchange.port.start(start, TOKEN))
-        await settle()
+        await run_callbacks()
         later = Heartbeat(info=SECOND, sequence=1, draining=False, held=held)
-        answering = asyncio.create_task(exchange.port.exchange(later, TOKEN))
-        await settle()
+        answering = asyncio.create_task(exchange.port.handle_heartbeat(later, TOKEN))
+        await run_callbacks()
         assert not answering.done()
         exchange.port.close()
         assert (await answering).starts == ()
--- a/cottonlug/tests/test_other_writers.py
+++ b/cottonlug/tests/test_other_writers.py
@@ -21,7 +21,7 @@
 from ..net.connections import parse_address
 from ..platform.heartbeats import decode_heartbeat, decode_leave
 from ..platform.workers import read_lists
-from ..runtime.refused_heartbeats import LINE_EVERY, RefusedHeartbeats
+from ..runtime.refused_heartbeats import LOG_INTERVAL, RefusedHeartbeats
 from .gateway_builders import build_clock
 from .test_platform import ask, run_control
 
@@ -152,8 +152,8 @@
     refused = RefusedHeartbeats(clock=clock)
     with caplog.at_level(logging.WARNING):
         for _ in range(50):
-            refused.note("i-1" * 100, "unknown state " + "x" * 10_000)
-            clock.advance(LINE_EVERY / 20)
+            refused.record("i-1" * 100, "unknown state " + "x" * 10_000)
+            clock.advance(LOG_INTERVAL / 20)
     assert refused.count == 50
     lines = [record for record in caplog.records if "names no upstream" in record.getMessage()]
     assert len(lines) == 3
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -137,7 +137,7 @@
         # It counts on a gateway that has had an answer of its own, and says so.
         again = msgspec.structs.replace(greet("10.0.0.2:7000"), contact=answer.contact)
         assert gateway.answer_at_once(build_request(again)) is not None
-        assert gateway.deputy.leading.gateways.is_heard("10.0.0.2:7000")
+        assert gateway.deputy.leadership.gateways.is_heard("10.0.0.2:7000")
         assert gateway.answer_at_once(build_request(submit())) is None
         gateway.stop()
 
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -184,7 +184,7 @@
     return Replica(
         settings=settings,
         clock=SystemClock(),
-        machine=replicated,
+        state_machine=replicated,
         on_progress=lambda: None,
         on_failure=fail,
     )
@@ -258,17 +258,17 @@
 
 def test_one_host_begins_once_all_seeds_are_there_and_new() -> None:
     first, second, third = (build_hello(number) for number in (1, 2, 3))
-    planned = build_membership(1).plan_beginning(first, [second, third])
+    planned = build_membership(1).plan_bootstrap(first, [second, third])
     assert planned is not None
     assert planned.voters == (first.member, second.member, third.member)
-    assert build_membership(2).plan_beginning(second, [first, third]) is None
-    assert build_membership(1).plan_beginning(first, [second]) is None
+    assert build_membership(2).plan_bootstrap(second, [first, third]) is None
+    assert build_membership(1).plan_bootstrap(first, [second]) is None
     used = build_hello(3, is_empty=False)
-    assert build_membership(1).plan_beginning(first, [second, used]) is None
+    assert build_membership(1).plan_bootstrap(first, [second, used]) is None
 
 
 def test_another_host_begins_where_the_first_one_may_not() -> None:
     """The first one was restarted before the log began, and its settings say so."""
     first, second, third = build_hello(1, may_begin=False), build_hello(2), build_hello(3)
-    assert build_membership(1).plan_beginning(first, [second, third]) is None
-    assert build_membership(2).plan_beginning(second, [first, third]) is not None
+    assert build_membership(1).plan_bootstrap(first, [second, third]) is None
+    assert build_membership(2).plan_bootstrap(second, [first, third]) is not None
