--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -55,22 +55,22 @@
 
 CONTROL_PORT = 80
 PEER_PORT = 90
-LINK = 0.0005
+LINK_DELAY_SECONDS = 0.0005
 """Seconds that a message is under way."""
 CONNECT_SECONDS = 0.5
-FIRST_RESEND = 0.2
+FIRST_RETRANSMIT_SECONDS = 0.2
 """After so many seconds, and then twice as long each time, lost bytes are sent again."""
 SYNC_SECONDS = 0.009
 CALLBACK_SECONDS = 0.00003
 RESTART_SECONDS = 0.4
 HAND_OVER_SECONDS = 1.5
-PATIENCE_SECONDS = 1.0
+CLIENT_TIMEOUT_SECONDS = 1.0
 """How long an operator or an upstream waits for an answer, before it asks another host."""
 
 _PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("process", default=None)
 
 
-class _Clock(selectors.SelectSelector):
+class _SimulatedSelector(selectors.SelectSelector):
     """Does not wait but moves the time on."""
 
     now = 0.0
@@ -85,12 +85,12 @@
     """A loop in simulated time, on which each process has a thread of its own."""
 
     def __init__(self) -> None:
-        self._moving = _Clock()
-        super().__init__(self._moving)
+        self._selector = _SimulatedSelector()
+        super().__init__(self._selector)
         self.set_exception_handler(lambda loop, context: None)
 
     def time(self) -> float:
-        return self._moving.now
+        return self._selector.now
 
     def call_soon(self, callback, *args, context=None):  # type: ignore[no-untyped-def, override]
         process = _find_process(context)
@@ -148,7 +148,7 @@
         task.add_done_callback(self.tasks.discard, context=contextvars.Context())
         return task
 
-    def work(self, seconds: float) -> None:
+    def use_time(self, seconds: float) -> None:
         """Take time of the thread."""
         self.free_at = max(self.free_at, self._loop.time()) + seconds
 
@@ -158,9 +158,9 @@
         self._is_due = True
         empty = contextvars.Context()
         at = max(self.free_at, self._loop.time())
-        asyncio.SelectorEventLoop.call_at(self._loop, at, self._turn, context=empty)
+        asyncio.SelectorEventLoop.call_at(self._loop, at, self._run_queue, context=empty)
 
-    def _turn(self) -> None:
+    def _run_queue(self) -> None:
         """Run what has been waiting, as one turn of a loop."""
         self._is_due = False
         if not self.is_alive:
@@ -171,7 +171,7 @@
         for _ in range(len(self._queue)):
             handle = self._queue.popleft()
             if not handle.cancelled():
-                self.work(CALLBACK_SECONDS * self.machine.slowness)
+                self.use_time(CALLBACK_SECONDS * self.machine.slowness)
                 handle._run()
             if not self.is_alive:
                 return
@@ -208,7 +208,7 @@
     def _sync(self) -> None:
         process = _PROCESS.get()
         if process is not None:
-            process.work(SYNC_SECONDS * process.machine.slowness)
+            process.use_time(SYNC_SECONDS * process.machine.slowness)
 
 
 @dataclass(slots=True)
@@ -220,7 +220,7 @@
     ip: str
     files: MemoryFiles = field(default_factory=MemoryFiles)
     process: Process | None = None
-    is_dark: bool = False
+    is_powered_off: bool = False
     """Without power: nothing answers, not even a refusal."""
     starts: int = 0
     slowness: float = 1.0
@@ -271,9 +271,9 @@
 
 
 class _Pools:
-    def __init__(self, world: World, *, is_of_the_log: bool = False) -> None:
+    def __init__(self, world: World, *, is_for_log: bool = False) -> None:
         self._world = world
-        self.is_of_the_log = is_of_the_log
+        self.is_for_log = is_for_log
         self.by_address: dict[Address, _Pool] = {}
         world.pools.append(self)
 
@@ -298,8 +298,8 @@
         self.pools: list[_Pools] = []
         self.failures: list[BaseException] = []
         self._cut: set[frozenset[str]] = set()
-        self._graveyard: list[Process] = []
-        self._carried: set[asyncio.Task[Any]] = set()
+        self._dead_processes: list[Process] = []
+        self._exchanges: set[asyncio.Task[Any]] = set()
 
     def add(self, name: str, domain: str, ip: str) -> Machine:
         machine = Machine(name, domain, ip)
@@ -311,7 +311,7 @@
     def start(self, machine: Machine, seeds: list[Machine], *, may_begin: bool = False) -> None:
         assert machine.process is None
         machine.starts += 1
-        machine.is_dark = False
+        machine.is_powered_off = False
         process = Process(machine, self.loop)
         machine.process = process
         settings = ControlSettings(
@@ -390,9 +390,9 @@
         """End a process at once; its machine refuses connections, or without power is silent."""
         if machine.process is not None:
             machine.process.is_alive = False
-            self._graveyard.append(machine.process)
+            self._dead_processes.append(machine.process)
             machine.process = None
-        machine.is_dark = power
+        machine.is_powered_off = power
         if wipe:
             machine.files = MemoryFiles()
 
@@ -408,7 +408,7 @@
 
     def freeze(self, machine: Machine, seconds: float) -> None:
         if machine.process is not None:
-            machine.process.work(seconds)
+            machine.process.use_time(seconds)
 
     # Links
 
@@ -424,10 +424,10 @@
     def heal(self) -> None:
         self._cut.clear()
 
-    def silence_connections(self, *, of_the_log: bool = True) -> None:
+    def silence_connections(self, *, include_log: bool = True) -> None:
         """Leave open connections silent for good, or those for calls alone; new ones work."""
         for pools in self.pools:
-            if pools.is_of_the_log and not of_the_log:
+            if pools.is_for_log and not include_log:
                 continue
             for pool in pools.by_address.values():
                 for connection in pool.idle:
@@ -451,8 +451,8 @@
         carrying = self.loop.create_task(
             self._carry(own, address, request, idle), context=contextvars.Context()
         )
-        self._carried.add(carrying)
-        carrying.add_done_callback(self._carried.discard)
+        self._exchanges.add(carrying)
+        carrying.add_done_callback(self._exchanges.discard)
         try:
             await asyncio.wait([carrying])
             return carrying.result()
@@ -475,7 +475,7 @@
         if isinstance(connection, TransportError):
             return Err(connection)
         await self._travel(own, machine)
-        if connection.is_silent or machine.is_dark:
+        if connection.is_silent or machine.is_powered_off:
             await asyncio.Event().wait()
         if connection.process is not machine.process:
             return Err(TransportError(message="connection lost", unsent=False))
@@ -487,7 +487,7 @@
             while not answering.done():
                 await asyncio.wait([answering], timeout=1.0)
                 if not process.is_alive:
-                    if machine.is_dark:
+                    if machine.is_powered_off:
                         await asyncio.Event().wait()
                     return Err(TransportError(message="connection lost", unsent=False))
             response = answering.result()
@@ -507,19 +507,19 @@
         while idle:
             connection = idle.pop()
             # The end of a process shows at once, but not that of a machine.
-            if connection.process.is_alive or machine.is_dark:
+            if connection.process.is_alive or machine.is_powered_off:
                 return connection
-        if self._is_cut(own, machine) or machine.is_dark:
+        if self._is_cut(own, machine) or machine.is_powered_off:
             await asyncio.sleep(CONNECT_SECONDS)
             return TransportError(message="cannot connect", unsent=True)
-        await asyncio.sleep(2 * LINK)
+        await asyncio.sleep(2 * LINK_DELAY_SECONDS)
         if machine.process is None:
             return TransportError(message="cannot connect", unsent=True)
         return _Connection(machine.process)
 
     async def _travel(self, own: Machine | None, other: Machine) -> None:
-        await asyncio.sleep(LINK * (1.0 + self.chance.random()))
-        resend = FIRST_RESEND
+        await asyncio.sleep(LINK_DELAY_SECONDS * (1.0 + self.chance.random()))
+        resend = FIRST_RETRANSMIT_SECONDS
         while self._is_cut(own, other):
             await asyncio.sleep(resend)
             resend *= 2
@@ -559,7 +559,7 @@
     domain: str
     token: int = 0
     sequence: int = 0
-    decider: str = ""
+    coordinator: str = ""
     """The machine that it was told to send its heartbeats to."""
 
 
@@ -576,7 +576,7 @@
         raise AssertionError("there are no jobs")
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
-        await asyncio.sleep(2 * LINK)
+        await asyncio.sleep(2 * LINK_DELAY_SECONDS)
         upstream = self._world.upstreams.get(order.upstream.id)
         if upstream is None:
             return CallFailure.NO_ANSWER
@@ -639,7 +639,7 @@
         address = Address(machine.ip, CONTROL_PORT)
         request = HttpRequest(method=method, path=path, headers={}, body=body)
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
                 sent = await self._world.exchange(None, address, request, [])
         except TimeoutError:
             return None
@@ -671,14 +671,16 @@
             }
         )
         path = f"/instances/{upstream.id}"
-        reply = await self.send("PUT", path, body, upstream.decider)
+        reply = await self.send("PUT", path, body, upstream.coordinator)
         named = msgspec.json.decode(reply.body).get("heartbeat_url", "").partition(":")[0]
         machine = self._world.find_machine(Address(named, CONTROL_PORT))
-        upstream.decider = machine.name if machine is not None else ""
+        upstream.coordinator = machine.name if machine is not None else ""
         return self._world.loop.time()
 
 
-async def greet_forever(world: World, address: str, domain: str, chance: random.Random) -> None:
+async def send_keepalives_forever(
+    world: World, address: str, domain: str, chance: random.Random
+) -> None:
     """Be a gateway that some control host hears."""
     call = msgspec.json.encode(Greet(gateway=address, domain=DomainName(domain)))
     while True:
@@ -706,7 +708,7 @@
     """Give control hosts the disks, links and chance of a world."""
     chance = random.Random(seed)
 
-    class Lives:
+    class SeededTokens:
         @staticmethod
         def token_hex(count: int) -> str:
             return f"{chance.getrandbits(count * 8):0{count * 2}x}"
@@ -716,12 +718,10 @@
 
     patch = pytest.MonkeyPatch()
     patch.setattr(control_host_module, "ConnectionPools", lambda **which: _Pools(world))
-    patch.setattr(
-        replica_module, "ConnectionPools", lambda **which: _Pools(world, is_of_the_log=True)
-    )
+    patch.setattr(replica_module, "ConnectionPools", lambda **which: _Pools(world, is_for_log=True))
     patch.setattr(peer_calls_module, "ConnectionPools", lambda **which: _Pools(world))
     patch.setattr(replica_module, "FolderFiles", open_files)
-    patch.setattr(replica_module, "secrets", Lives)
+    patch.setattr(replica_module, "secrets", SeededTokens)
     patch.setattr(replica_module, "random", chance)
     try:
         yield
@@ -729,12 +729,12 @@
         patch.undo()
 
 
-def play(seed: int, day: Callable[[World], Coroutine[Any, Any, None]]) -> World:
+def play(seed: int, scenario: Callable[[World], Coroutine[Any, Any, None]]) -> World:
     """Play a day in simulated time."""
     loop = SimulatedLoop()
     world = World(seed, loop)
     with patch_processes(world, seed):
-        main = loop.create_task(day(world), context=contextvars.Context())
+        main = loop.create_task(scenario(world), context=contextvars.Context())
         try:
             loop.run_until_complete(main)
         finally:
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -40,16 +40,16 @@
 NORTH, SOUTH, EAST = DomainName("north"), DomainName("south"), DomainName("east")
 
 CALLER_RETRY = milliseconds(1_300)
-PATIENCE = milliseconds(1_460)
+CALL_TIMEOUT = milliseconds(1_460)
 TERMS = choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT)
-SETTLE_AFTER = TERMS.lapse_after + GATEWAY_SILENT
+RECONCILE_AFTER = TERMS.lapse_after + GATEWAY_SILENT
 LEADER_LEASE = milliseconds(280)
-HOP = milliseconds(1)
-TURN = milliseconds(50)
+HOP_DELAY = milliseconds(1)
+TURN_INTERVAL = milliseconds(50)
 
 
 @dataclass(slots=True, kw_only=True)
-class Decider(Leader):
+class ModelCoordinator(Leader):
     """A leader or a deputy at a host that may be held up, with the gateways it has heard."""
 
     site: Site
@@ -57,7 +57,7 @@
     busy_until: timedelta = timedelta()
     decided_at: timedelta = timedelta()
     heard: dict[str, timedelta] = field(default_factory=dict)
-    given_up: set[int] = field(default_factory=set)
+    abandoned: set[int] = field(default_factory=set)
     """Numbers of the calls that their gateways have given up."""
 
     def when_free(self, act: Callable[[], None]) -> None:
@@ -81,34 +81,34 @@
     def is_heard(self, gateway: str) -> bool:
         return self.world.now - self.heard.get(gateway, -GATEWAY_SILENT) < GATEWAY_SILENT
 
-    def counts(self, contact: Contact | None) -> bool:
+    def is_valid_contact(self, contact: Contact | None) -> bool:
         """Whether what came with a contact was sent here, and lately."""
         if contact is None or contact.decider is not self:
             return False
         return self.world.now - contact.sent_at < GATEWAY_SILENT
 
-    def hear(self, gateway: str, contact: Contact | None) -> None:
+    def record_contact(self, gateway: str, contact: Contact | None) -> None:
         """Count on a gateway from when it sent something, as `Gateways` does."""
-        if contact is None or not self.counts(contact):
+        if contact is None or not self.is_valid_contact(contact):
             return
         if gateway in self.heard and not self.is_heard(gateway):
             self.dispatch.abandon_silent(lambda each: each != gateway, self.world.now)
         known = self.heard.get(gateway, contact.sent_at)
         self.heard[gateway] = max(contact.sent_at, known)
 
-    def take_given_up(self, gateway: str, calls: list[ModelCall]) -> None:
+    def handle_abandoned(self, gateway: str, calls: list[ModelCall]) -> None:
         """Give up what a gateway has given up, and refuse it where it comes only now."""
         for call in calls:
-            self.given_up.add(call.number)
+            self.abandoned.add(call.number)
             job = self.dispatch.jobs.jobs.get(call.job)
             if job is not None and job.gateway == gateway:
                 self.dispatch.abandon(call.job, gateway, self.world.now)
 
-    def take_job(self, gateway: str, call: ModelCall, contact: Contact | None) -> None:
+    def receive_job(self, gateway: str, call: ModelCall, contact: Contact | None) -> None:
         """Take a job in as `JobAnswers` does."""
-        if call.number in self.given_up:
+        if call.number in self.abandoned:
             return
-        if contact is None or not self.counts(contact):
+        if contact is None or not self.is_valid_contact(contact):
             # Refused as not begun: its gateway tries again.
             if call.at is self:
                 call.at, call.has_arrived = None, False
@@ -126,7 +126,9 @@
                 vouched_until=contact.sent_at + GATEWAY_SILENT,
                 may_have_begun=call.may_have_begun,
                 may_be_of_deputy=call.may_be_of_deputy,
-                settle_after=SETTLE_AFTER if call.may_have_begun else SETTLE_AFTER - CALLER_RETRY,
+                settle_after=(
+                    RECONCILE_AFTER if call.may_have_begun else RECONCILE_AFTER - CALLER_RETRY
+                ),
             ),
             self.world.now,
         )
@@ -159,7 +161,7 @@
 class Contact:
     """Whom a message was sent to, by a gateway that it has answered, and when."""
 
-    decider: Decider
+    decider: ModelCoordinator
     sent_at: timedelta
 
 
@@ -170,7 +172,7 @@
     job: JobId
     spec: JobSpec
     give_up_at: timedelta
-    at: Decider | None = None
+    at: ModelCoordinator | None = None
     has_arrived: bool = False
     may_have_begun: bool = False
     may_be_of_deputy: bool = False
@@ -186,42 +188,44 @@
     name: str
     domain: DomainName
     is_up: bool = True
-    decider: Decider | None = None
+    coordinator: ModelCoordinator | None = None
     answered_at: timedelta = timedelta()
     """When the decider that it follows has last answered."""
     led_at: timedelta = timedelta()
     calls: list[ModelCall] = field(default_factory=list)
     is_answered: bool = False
     """Whether the decider that it follows has answered it, so that it can vouch for itself."""
-    given_up: list[tuple[timedelta, ModelCall]] = field(default_factory=list)
+    abandoned: list[tuple[timedelta, ModelCall]] = field(default_factory=list)
 
-    def turn(self) -> None:
+    def run_turn(self) -> None:
         """Greet, follow whoever is to be followed, and pass calls on."""
         site, now = self.site, self.site.world.now
         if not self.is_up:
             return
-        greeted = {id(each): each for each in (site.leader, self.decider) if each is not None}
+        greeted = {id(each): each for each in (site.leader, self.coordinator) if each is not None}
         for each in greeted.values():
             self._greet(each)
-        decider = self.decider
-        if decider is not None and now - self.answered_at >= CALLS_LOST_AFTER:
-            self.leave()
-        if self.decider is None and now - self.led_at >= site.find_deputy_delay(self.domain):
-            self.decider = site.find_deputy(self)
+        coordinator = self.coordinator
+        if coordinator is not None and now - self.answered_at >= CALLS_LOST_AFTER:
+            self.leave_coordinator()
+        if self.coordinator is None and now - self.led_at >= site.find_acting_leader_delay(
+            self.domain
+        ):
+            self.coordinator = site.find_acting_leader(self)
             self.answered_at = now
-            if self.decider is not None:
+            if self.coordinator is not None:
                 # It was asked, and so heard, before it was followed.
                 self.is_answered = True
         for call in list(self.calls):
             self._pass_on(call)
 
-    def _find_contact(self, decider: Decider) -> Contact | None:
-        is_there = self.decider is decider and self.is_answered
-        return Contact(decider=decider, sent_at=self.site.world.now) if is_there else None
+    def _find_contact(self, coordinator: ModelCoordinator) -> Contact | None:
+        is_there = self.coordinator is coordinator and self.is_answered
+        return Contact(decider=coordinator, sent_at=self.site.world.now) if is_there else None
 
-    def leave(self) -> None:
+    def leave_coordinator(self) -> None:
         """Send all calls elsewhere: what has become of them is not known."""
-        self.decider, self.is_answered = None, False
+        self.coordinator, self.is_answered = None, False
         for call in self.calls:
             self._lose(call)
 
@@ -233,37 +237,41 @@
                 call.deputy_term = max(call.deputy_term, call.at.token // TOKENS_PER_TERM)
         call.at, call.has_arrived = None, False
 
-    def _greet(self, decider: Decider) -> None:
+    def _greet(self, coordinator: ModelCoordinator) -> None:
         world, sent_at = self.site.world, self.site.world.now
-        contact = self._find_contact(decider)
-        given_up = [call for at, call in self.given_up if sent_at - at < GIVEN_UP_TOLD]
+        contact = self._find_contact(coordinator)
+        abandoned = [call for at, call in self.abandoned if sent_at - at < GIVEN_UP_TOLD]
 
         def hear() -> None:
-            decider.take_given_up(self.name, given_up)
-            decider.hear(self.name, contact)
-            world.at(HOP, take_answer)
+            coordinator.handle_abandoned(self.name, abandoned)
+            coordinator.record_contact(self.name, contact)
+            world.at(HOP_DELAY, take_answer)
 
         def take_answer() -> None:
             is_late = world.now - sent_at > GREET_TIMEOUT
-            if is_late or not self.is_up or not self.site.can_reach(decider.home, self.domain):
+            if is_late or not self.is_up or not self.site.can_reach(coordinator.home, self.domain):
                 return
-            if decider is self.site.leader:
+            if coordinator is self.site.leader:
                 self.led_at = world.now
-                if self.decider is not decider:
-                    self.leave()
-                    self.decider = decider
-                    self.site.stand_down(self)
-            if self.decider is decider:
+                if self.coordinator is not coordinator:
+                    self.leave_coordinator()
+                    self.coordinator = coordinator
+                    self.site.end_acting_leader(self)
+            if self.coordinator is coordinator:
                 self.answered_at = world.now
                 self.is_answered = True
 
-        if self.site.can_reach(self.domain, decider.home):
-            world.at(HOP, lambda: decider.when_free(hear))
+        if self.site.can_reach(self.domain, coordinator.home):
+            world.at(HOP_DELAY, lambda: coordinator.when_free(hear))
 
     def _pass_on(self, call: ModelCall) -> None:
-        world, decider = self.site.world, call.at
-        if decider is not None and call.has_arrived and not decider.dispatch.jobs.is_open(call.job):
-            if decider.dispatch.jobs.find_ended(call.job) is not None:
+        world, coordinator = self.site.world, call.at
+        if (
+            coordinator is not None
+            and call.has_arrived
+            and not coordinator.dispatch.jobs.is_open(call.job)
+        ):
+            if coordinator.dispatch.jobs.find_ended(call.job) is not None:
                 self.calls.remove(call)
                 return
             self._lose(call)
@@ -272,28 +280,28 @@
             self._abandon(call)
             self.site.send_again(call, self.domain)
             return
-        if call.at is None and self.decider is not None:
-            target = self.decider
+        if call.at is None and self.coordinator is not None:
+            target = self.coordinator
             contact = self._find_contact(target)
             call.at = target
 
             def arrive() -> None:
                 call.has_arrived = call.has_arrived or call.at is target
-                target.take_job(self.name, call, contact)
+                target.receive_job(self.name, call, contact)
 
             if self.site.can_reach(self.domain, target.home):
-                world.at(HOP, lambda: target.when_free(arrive))
+                world.at(HOP_DELAY, lambda: target.when_free(arrive))
 
     def _abandon(self, call: ModelCall) -> None:
-        self.given_up.append((self.site.world.now, call))
-        target = self.decider
+        self.abandoned.append((self.site.world.now, call))
+        target = self.coordinator
         if target is not None and self.site.can_reach(self.domain, target.home):
 
             def abandon() -> None:
                 target.dispatch.abandon(call.job, self.name, target.world.now)
                 target.act()
 
-            self.site.world.at(HOP, lambda: target.when_free(abandon))
+            self.site.world.at(HOP_DELAY, lambda: target.when_free(abandon))
 
 
 @dataclass(slots=True, kw_only=True)
@@ -306,8 +314,8 @@
     records: Records = field(default_factory=Records)
     cut_off: set[DomainName] = field(default_factory=set)
     stops_lost_at: set[UpstreamId] = field(default_factory=set)
-    leader: Decider | None = None
-    deputies: dict[DomainName, Decider] = field(default_factory=dict)
+    leader: ModelCoordinator | None = None
+    acting_leaders: dict[DomainName, ModelCoordinator] = field(default_factory=dict)
     term: int = 0
     level: int = 0
     queue = build_queue(max_attempts=50)
@@ -318,15 +326,15 @@
     def loses_stop(self, order: StopOrder) -> bool:
         return order.upstream.id in self.stops_lost_at
 
-    def turn_forever(self) -> None:
+    def run_turns_forever(self) -> None:
         """Have each gateway take its turn."""
         if self.leader is not None and self.leader.dispatch.is_fenced_off:
             self.lead_from(self.leader.home)
-        for deputy in self.deputies.values():
-            deputy.is_over = deputy.is_over or deputy.dispatch.is_fenced_off
+        for acting_leader in self.acting_leaders.values():
+            acting_leader.is_over = acting_leader.is_over or acting_leader.dispatch.is_fenced_off
         for gateway in self.gateways:
-            gateway.turn()
-        self.world.at(TURN, self.turn_forever)
+            gateway.run_turn()
+        self.world.at(TURN_INTERVAL, self.run_turns_forever)
 
     def lead_from(self, home: DomainName) -> None:
         """Have a host of a domain lead the next term."""
@@ -342,50 +350,50 @@
             self.leader.is_over = True
         self.leader = None
 
-    def find_deputy_delay(self, domain: DomainName) -> timedelta:
+    def find_acting_leader_delay(self, domain: DomainName) -> timedelta:
         return DEPUTY_AFTER_SILENCE if domain in self.cut_off else DEPUTY_AFTER
 
-    def find_deputy(self, gateway: ModelGateway) -> Decider | None:
+    def find_acting_leader(self, gateway: ModelGateway) -> ModelCoordinator | None:
         """Return who stands in for a domain; its lowest gateway does, once it has left the leader.
 
         Only with more upstreams than one small host can order; this model has it so always.
         """
-        deputy = self.deputies.get(gateway.domain)
-        if deputy is not None and not deputy.is_over:
-            return deputy
+        acting_leader = self.acting_leaders.get(gateway.domain)
+        if acting_leader is not None and not acting_leader.is_over:
+            return acting_leader
         if gateway is not next(each for each in self.list_up(gateway.domain)):
             return None
         records = Records()
         records.restore(self.records.encode())
         self.level += 1
         token = self.term * TOKENS_PER_TERM + self.level
-        deputy = self._start(gateway.domain, records, token, gateway.domain)
-        self.deputies[gateway.domain] = deputy
-        return deputy
+        acting_leader = self._start(gateway.domain, records, token, gateway.domain)
+        self.acting_leaders[gateway.domain] = acting_leader
+        return acting_leader
 
-    def stand_down(self, gateway: ModelGateway) -> None:
+    def end_acting_leader(self, gateway: ModelGateway) -> None:
         """End the time of a deputy whose host has found a leader."""
-        deputy = self.deputies.get(gateway.domain)
-        if deputy is not None and gateway is next(iter(self.list_up(gateway.domain))):
-            deputy.is_over = True
+        acting_leader = self.acting_leaders.get(gateway.domain)
+        if acting_leader is not None and gateway is next(iter(self.list_up(gateway.domain))):
+            acting_leader.is_over = True
 
     def list_up(self, domain: DomainName) -> Iterable[ModelGateway]:
         return (each for each in self.gateways if each.domain == domain and each.is_up)
 
     def kill(self, gateway: ModelGateway) -> None:
         """Have a gateway lose everything; its callers see their connections break."""
-        deputy = self.deputies.get(gateway.domain)
-        if deputy is not None and gateway is next(iter(self.list_up(gateway.domain)), None):
-            deputy.is_over = True
+        acting_leader = self.acting_leaders.get(gateway.domain)
+        if acting_leader is not None and gateway is next(iter(self.list_up(gateway.domain)), None):
+            acting_leader.is_over = True
         gateway.is_up = False
-        calls, gateway.calls, gateway.decider = gateway.calls, [], None
+        calls, gateway.calls, gateway.coordinator = gateway.calls, [], None
         gateway.is_answered = False
         for call in calls:
             self.send_again(call, gateway.domain)
 
     def submit(self, job: str, gateway: ModelGateway, run_ms: int = 900, tasks: int = 1) -> None:
         spec = build_spec(tasks=tasks, run_ms=run_ms)
-        give_up_at = self.world.now + PATIENCE
+        give_up_at = self.world.now + CALL_TIMEOUT
         gateway.calls.append(ModelCall(job=JobId(job), spec=spec, give_up_at=give_up_at))
 
     def send_again(self, call: ModelCall, domain: DomainName) -> None:
@@ -398,15 +406,15 @@
                 up = list(self.list_up(domain))
             if up:
                 gateway = self.world.random.choice(up)
-                give_up_at = self.world.now + PATIENCE
+                give_up_at = self.world.now + CALL_TIMEOUT
                 gateway.calls.append(ModelCall(job=call.job, spec=call.spec, give_up_at=give_up_at))
 
         self.world.at(CALLER_RETRY, send)
 
     def _start(
         self, home: DomainName, records: Records, token: int, domain: DomainName | None = None
-    ) -> Decider:
-        return Decider(
+    ) -> ModelCoordinator:
+        return ModelCoordinator(
             world=self.world,
             upstreams=self.upstreams,
             records=records,
@@ -436,6 +444,6 @@
         name = f"{domain}-{len(site.gateways)}"
         site.gateways.append(ModelGateway(site=site, name=name, domain=domain))
     site.lead_from(NORTH)
-    site.turn_forever()
+    site.run_turns_forever()
     site.world.run_until(milliseconds(300))
     return site
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -43,7 +43,7 @@
 from ..runtime.replica import TIMING
 from ..runtime.replicated import ReplicatedRecords
 from .model_hosts import (
-    PATIENCE_SECONDS,
+    CLIENT_TIMEOUT_SECONDS,
     PEER_PORT,
     RESTART_SECONDS,
     Machine,
@@ -54,7 +54,7 @@
     SimulatedLoop,
     World,
     build_configuration,
-    greet_forever,
+    send_keepalives_forever,
     play,
 )
 from .model_upstreams import TERMS
@@ -265,7 +265,7 @@
         machine = self.pick()
         for _ in range(20):
             if machine.process is not None:
-                machine.process.work(self.chance.uniform(0.1, 0.9))
+                machine.process.use_time(self.chance.uniform(0.1, 0.9))
             await asyncio.sleep(0.3)
 
     async def make_trouble(self) -> None:
@@ -293,7 +293,7 @@
     async def play(self) -> None:
         build_core(self.world)
         for number in range(2):
-            greeting = greet_forever(self.world, f"10.8.0.{number}:90", "d0", self.chance)
+            greeting = send_keepalives_forever(self.world, f"10.8.0.{number}:90", "d0", self.chance)
             self.begin(greeting)
         for upstream in self.world.upstreams.values():
             self.begin(self.beat_forever(upstream))
@@ -455,7 +455,7 @@
 async def hold_up(process: Process, seconds: float) -> None:
     """Make each turn of a process's loop so long."""
     while True:
-        process.work(seconds)
+        process.use_time(seconds)
         await asyncio.sleep(0)
 
 
@@ -555,7 +555,7 @@
         follower = next(each for each in machines if each is not leader)
         for version in range(1, 4):
             await operator.send_once(follower, build_configuration(version))
-        world.silence_connections(of_the_log=False)
+        world.silence_connections(include_log=False)
         await asyncio.sleep(CONTACT_SECONDS)
         assert get_leader(world) is leader
         reply = await operator.send_once(follower, build_configuration(4))
@@ -610,7 +610,7 @@
     async def handle(request: HttpRequest) -> HttpResponse:
         response = await handler(request)
         if request.path != MESSAGES_PATH:
-            await asyncio.sleep(1.5 * PATIENCE_SECONDS)
+            await asyncio.sleep(1.5 * CLIENT_TIMEOUT_SECONDS)
         return response
 
     return handle
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -47,11 +47,11 @@
 from .model_upstreams import build_info, milliseconds
 
 CALLER_RETRY = timedelta(milliseconds=1_300)
-BETWEEN_GREETINGS = milliseconds(80)
+KEEPALIVE_INTERVAL = milliseconds(80)
 
 
 @dataclass(slots=True, kw_only=True)
-class Way:
+class ModelLink:
     """The way from a gateway to a leader; while it is cut, what is sent is held."""
 
     gateway: Gateway
@@ -100,86 +100,86 @@
     )
 
 
-async def greet_for_a_while(gateway: Gateway, clock: ManualClock) -> None:
+async def send_keepalives(gateway: Gateway, clock: ManualClock) -> None:
     for _ in range(3):
         await gateway.link.greet_leader()
-        clock.advance(BETWEEN_GREETINGS)
+        clock.advance(KEEPALIVE_INTERVAL)
 
 
 def submit_from(gateway: Gateway) -> Submit:
     return msgspec.structs.replace(submit(), gateway=gateway.link.own)
 
 
-async def let_run() -> None:
+async def run_callbacks() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-Script = Callable[[Gateway, Way, ManualClock], Coroutine[None, None, None]]
+Script = Callable[[Gateway, ModelLink, ManualClock], Coroutine[None, None, None]]
 
 
 def play(script: Script) -> None:
     """Play a script with a gateway that is in touch with a leader."""
 
     async def play_whole() -> None:
-        gateway, way, clock = prepare_way()
-        await greet_for_a_while(gateway, clock)
-        await script(gateway, way, clock)
+        gateway, model_link, clock = prepare_link()
+        await send_keepalives(gateway, clock)
+        await script(gateway, model_link, clock)
         gateway.stop()
-        way.leadership.stop()
+        model_link.leadership.stop()
 
     asyncio.run(play_whole())
 
 
-def prepare_way() -> tuple[Gateway, Way, ManualClock]:
+def prepare_link() -> tuple[Gateway, ModelLink, ManualClock]:
     clock = build_clock()
     (gateway,) = prepare(1, clock)
-    way = Way(gateway=gateway, leadership=build_leading(clock))
-    gateway.calls.ask = way.ask  # type: ignore[method-assign]
-    return gateway, way, clock
+    model_link = ModelLink(gateway=gateway, leadership=build_leading(clock))
+    gateway.calls.ask = model_link.ask  # type: ignore[method-assign]
+    return gateway, model_link, clock
 
 
-def test_a_greeting_that_was_held_up_says_nothing_of_the_present() -> None:
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        assert way.leadership.gateways.is_heard(gateway.link.own)
-        way.is_cut = True
+def test_delayed_keepalive_does_not_count_as_current_contact() -> None:
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        assert model_link.leadership.gateways.is_heard(gateway.link.own)
+        model_link.is_cut = True
         await gateway.link.greet_leader()
         clock.advance(DEPUTY_AFTER_SILENCE)
         await gateway.link.replace_leader()
         assert gateway.deputy is not None, "its jobs are decided about here from now on"
-        assert way.held
-        for call in way.held:
-            await way.leadership.answer(call)
-        assert not way.leadership.gateways.is_heard(gateway.link.own)
+        assert model_link.held
+        for call in model_link.held:
+            await model_link.leadership.answer(call)
+        assert not model_link.leadership.gateways.is_heard(gateway.link.own)
 
     play(script)
 
 
-def test_a_submission_that_was_held_up_begins_nothing() -> None:
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        way.is_cut = True
+def test_delayed_submission_starts_no_job() -> None:
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        model_link.is_cut = True
         await gateway._try(submit_from(gateway), PATIENCE)
         clock.advance(DEPUTY_AFTER_SILENCE)
         await gateway.link.replace_leader()
         assert gateway.deputy is not None
-        way.is_cut = False
-        late = asyncio.create_task(way.leadership.answer(way.held[0]))
-        await let_run()
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+        model_link.is_cut = False
+        late = asyncio.create_task(model_link.leadership.answer(model_link.held[0]))
+        await run_callbacks()
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
         assert (await late).outcome is Outcome.UNAVAILABLE
 
     play(script)
 
 
-def test_a_submission_shows_that_its_gateway_is_there() -> None:
+def test_submission_counts_as_contact_of_its_gateway() -> None:
     """A busy host takes in greetings late: each job was given up on its arrival."""
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        clock.advance(GATEWAY_SILENT - BETWEEN_GREETINGS - milliseconds(10))
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        clock.advance(GATEWAY_SILENT - KEEPALIVE_INTERVAL - milliseconds(10))
         waiting = asyncio.create_task(gateway._try(submit_from(gateway), PATIENCE))
-        await let_run()
+        await run_callbacks()
         clock.advance(milliseconds(20))
-        leadership = way.leadership
+        leadership = model_link.leadership
         leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
         assert leadership.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
@@ -187,7 +187,7 @@
     play(script)
 
 
-def test_silence_is_looked_for_only_when_it_may_have_come() -> None:
+def test_silent_gateways_are_searched_only_when_due() -> None:
     """To ask for the gateway of each open job at each decision was a third of a leader's time."""
     clock = build_clock()
     gateways = Gateways(term=3, token=3_000_000, clock=clock)
@@ -214,7 +214,7 @@
     assert gateways.may_be_silent()
 
 
-def test_what_a_submission_vouches_for_is_looked_at_when_that_ends() -> None:
+def test_silence_is_checked_when_the_confirmation_by_a_submission_ends() -> None:
     clock = build_clock()
     gateways = Gateways(term=3, token=3_000_000, clock=clock)
     contact = gateways.make_contact()
@@ -228,56 +228,56 @@
     assert not gateways.may_be_silent()
 
 
-async def submit_by(gateway: Gateway, way: Way) -> asyncio.Task[Answer]:
+async def submit_by(gateway: Gateway, model_link: ModelLink) -> asyncio.Task[Answer]:
     """Have a caller's job under way at the leader."""
     waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
-    await let_run()
-    assert way.leadership.dispatch.jobs.is_open(JobId(JOB))
+    await run_callbacks()
+    assert model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
     return waiting
 
 
-def test_greetings_tell_what_their_gateway_waits_for_no_more() -> None:
+def test_keepalive_reports_the_abandoned_jobs_of_its_gateway() -> None:
     """The message that a caller has left can be lost; its job went on, and its caller came again.
 
     Whoever decides counts on a gateway while it greets: so the greetings must tell.
     """
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
         waiting.cancel()
-        await let_run()
+        await run_callbacks()
         await gateway.link.greet_leader()
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
 
-def test_a_submission_that_comes_after_its_end_was_told_begins_nothing() -> None:
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        way.holds_submissions = True
+def test_submission_that_arrives_after_its_abandonment_starts_no_job() -> None:
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        model_link.holds_submissions = True
         waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
-        await let_run()
+        await run_callbacks()
         waiting.cancel()
-        await let_run()
+        await run_callbacks()
         await gateway.link.greet_leader()
-        answer = await asyncio.wait_for(way.leadership.answer(way.held[0]), timeout=1)
+        answer = await asyncio.wait_for(model_link.leadership.answer(model_link.held[0]), timeout=1)
         assert answer.outcome is Outcome.UNKNOWN
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
 
-def test_a_submission_vouches_for_its_own_job_only() -> None:
+def test_submission_confirms_only_its_own_job() -> None:
     """It does not tell what its gateway waits for no more, as greetings do."""
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
-        clock.advance(GATEWAY_SILENT - BETWEEN_GREETINGS - milliseconds(10))
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
+        clock.advance(GATEWAY_SILENT - KEEPALIVE_INTERVAL - milliseconds(10))
         other = msgspec.structs.replace(submit_from(gateway), path=f"/q/{'f' * 16}")
         also_waiting = asyncio.create_task(gateway._try(other, PATIENCE))
-        await let_run()
-        clock.advance(BETWEEN_GREETINGS + milliseconds(20))
-        leadership = way.leadership
+        await run_callbacks()
+        clock.advance(KEEPALIVE_INTERVAL + milliseconds(20))
+        leadership = model_link.leadership
         leadership.dispatch.abandon_silent(leadership.gateways.is_heard, clock.monotonic())
         assert not leadership.dispatch.jobs.is_open(JobId(JOB))
         assert leadership.dispatch.jobs.is_open(JobId("f" * 16))
@@ -291,14 +291,14 @@
     play(script)
 
 
-def test_a_leader_has_given_up_what_its_gateway_left_by_the_time_its_caller_comes_again() -> None:
+def test_leader_abandons_left_jobs_before_their_caller_resubmits() -> None:
     """Greetings that arrive, and are answered too late, kept jobs at a leader that was too slow."""
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
         waiting.cancel()
-        await let_run()
-        way.answers_late = True
+        await run_callbacks()
+        model_link.answers_late = True
         while gateway.decider is not None:
             clock.advance(milliseconds(50))
             await gateway.link.greet_leader()
@@ -307,62 +307,62 @@
         while clock.monotonic() < left_at + GATEWAY_SILENT:
             clock.advance(milliseconds(50))
             await gateway.link.greet_leader()
-            way.leadership._decide()
-        way.leadership._decide()
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+            model_link.leadership._decide()
+        model_link.leadership._decide()
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
 
-def test_a_gateway_that_was_silent_has_left_what_it_had_submitted() -> None:
+def test_jobs_of_a_silent_gateway_are_abandoned_when_it_returns() -> None:
     """Also where it greets again before anything is decided, as after a time without a lease."""
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
         clock.advance(GATEWAY_SILENT)
         gateway.link.leave(LEADER)
         waiting.cancel()
-        await let_run()
+        await run_callbacks()
         for _ in range(2):
             await gateway.link.greet_leader()
-        assert way.leadership.gateways.is_heard(gateway.link.own)
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert model_link.leadership.gateways.is_heard(gateway.link.own)
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
 
 
-def test_a_gateway_that_began_anew_has_left_what_it_had_submitted() -> None:
+def test_jobs_of_a_restarted_gateway_are_abandoned() -> None:
     """Its callers saw their connections break; what it greets with now is not for their jobs."""
 
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
         clock.advance(milliseconds(100))
-        reborn = build_gateway(clock, number=1)
-        assert reborn.link.own == gateway.link.own
-        reborn.calls.ask = way.ask  # type: ignore[method-assign]
-        way.gateway = reborn
-        await reborn.link.greet_leader()
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+        restarted = build_gateway(clock, number=1)
+        assert restarted.link.own == gateway.link.own
+        restarted.calls.ask = model_link.ask  # type: ignore[method-assign]
+        model_link.gateway = restarted
+        await restarted.link.greet_leader()
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
-        reborn.stop()
+        restarted.stop()
 
     play(script)
 
 
-def test_with_more_given_up_than_can_be_told_nothing_is_vouched_for() -> None:
-    async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        waiting = await submit_by(gateway, way)
+def test_gateway_with_too_many_abandoned_jobs_to_report_confirms_nothing() -> None:
+    async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
+        waiting = await submit_by(gateway, model_link)
         waiting.cancel()
-        await let_run()
+        await run_callbacks()
         for number in range(MOST_GIVEN_UP):
             other = GivenUp(host="host", path=f"/q/{number:016x}", number=-number - 1)
             gateway.link.vouching.note_given_up(other)
         until = clock.monotonic() + GATEWAY_SILENT
         while clock.monotonic() < until:
             await gateway.link.greet_leader()
-            clock.advance(BETWEEN_GREETINGS)
-            way.leadership._decide()
-        way.leadership._decide()
-        assert not way.leadership.dispatch.jobs.is_open(JobId(JOB))
+            clock.advance(KEEPALIVE_INTERVAL)
+            model_link.leadership._decide()
+        model_link.leadership._decide()
+        assert not model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -27,7 +27,7 @@
     return logged
 
 
-def test_a_leader_logs_once_that_it_may_not_decide_and_who_was_not_heard(
+def test_leader_logs_once_that_it_lost_its_lease_and_which_voters_are_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """For 1.5 s no line told why nobody decided."""
@@ -53,7 +53,7 @@
     ]
 
 
-def test_a_gateway_logs_once_that_the_leader_does_not_answer(
+def test_gateway_logs_once_that_the_leader_does_not_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     logged = record_events(monkeypatch, decider)
--- a/cottonlug/tests/test_cluster_logs.py
+++ b/cottonlug/tests/test_cluster_logs.py
@@ -18,7 +18,7 @@
 LINE = json.dumps({"message": "x" * 200})
 
 
-def test_a_reader_that_never_reads_holds_nothing_up() -> None:
+def test_reader_that_never_reads_does_not_block_logging() -> None:
     """The pipe and the buffer fill; routine lines go first, then all, and both are counted."""
     reading, writing = os.pipe()
     output = LogOutput(descriptor=writing)
@@ -39,13 +39,13 @@
             text += os.read(reading, 1 << 20)
         except BlockingIOError:
             break
-    told = [line for line in read_lines(text.decode().splitlines()) if "lines" in line]
-    assert sum(line["lines"] for line in told) == output.dropped
+    reports = [line for line in read_lines(text.decode().splitlines()) if "lines" in line]
+    assert sum(line["lines"] for line in reports) == output.dropped
     os.close(reading)
     os.close(writing)
 
 
-def test_a_closed_reader_does_not_end_the_process() -> None:
+def test_closed_reader_does_not_end_the_process() -> None:
     reading, writing = os.pipe()
     os.close(reading)
     output = LogOutput(descriptor=writing)
@@ -53,14 +53,14 @@
     os.close(writing)
 
 
-def test_a_job_is_in_the_sample_whole_or_not_at_all() -> None:
+def test_all_decisions_about_a_job_are_sampled_or_none() -> None:
     jobs = [f"{number:016x}" for number in range(3_200)]
     sampled = [job for job in jobs if is_sampled(job)]
     assert sampled == [job for job in jobs if is_sampled(job)]
     assert abs(len(sampled) - 3_200 / SAMPLE_ONE_IN) < 60
 
 
-def test_a_story_is_told_in_order_from_many_files(
+def test_events_of_a_job_are_merged_in_order_from_many_files(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     first = tmp_path / "gateway.log"
@@ -79,7 +79,7 @@
     assert explain_request("nobody", [first, second]) is not ExitCode.OK
 
 
-def test_histograms_are_shown_in_the_usual_text_format() -> None:
+def test_histograms_are_rendered_in_the_prometheus_text_format() -> None:
     metrics = Metrics(counters=lambda: {"calls": 3.0}, gauges=lambda: {"ready": 1.0})
     record = metrics.add_histogram("call_ms", (10.0, 100.0))
     for value in (5, 50, 500):
--- a/cottonlug/tests/test_cluster_site.py
+++ b/cottonlug/tests/test_cluster_site.py
@@ -65,7 +65,7 @@
 
 def hold_up(site: Site, chance: random.Random) -> None:
     """Have a host that decides get on for 25 ms between times in which it does nothing."""
-    deciders = [each for each in (site.leader, *site.deputies.values()) if each is not None]
+    deciders = [each for each in (site.leader, *site.acting_leaders.values()) if each is not None]
     held = chance.choice(deciders) if deciders else None
     span = milliseconds(chance.choice((120, 250, 600)))
 
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -34,7 +34,7 @@
     submit,
 )
 from .model_upstreams import ModelUpstream, build_info, build_queue, build_spec, milliseconds
-from .test_cluster_contact import CALLER_RETRY, let_run
+from .test_cluster_contact import CALLER_RETRY, run_callbacks
 from .test_cluster_dispatch import build_world, start_leader
 
 LONG = build_spec(tasks=1, run_ms=2_500)
@@ -166,7 +166,7 @@
         leadership.stop()
         if wakes_by == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
-        await let_run()
+        await run_callbacks()
         return port.looks
 
     assert asyncio.run(play()) == 0
@@ -207,7 +207,7 @@
         hear("a")
         hear("b")
         waiting = [send("a")]
-        await let_run()
+        await run_callbacks()
         for _ in range(10):
             clock.advance(milliseconds(100))  # type: ignore[attr-defined]
             hear("a")
@@ -215,7 +215,7 @@
             leadership._decide()
         left_at = clock.monotonic()
         waiting.append(send(second))
-        await let_run()
+        await run_callbacks()
         job = leadership.dispatch.jobs.jobs[JobId(JOB)]
         assert (job.settle_at >= left_at + CALLER_RETRY) is is_news
         for each in waiting:
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -47,7 +47,7 @@
     return host
 
 
-def lead_elsewhere(
+def mock_other_leader(
     host: ControlHost, answer_after: float, monkeypatch: pytest.MonkeyPatch
 ) -> list[Call]:
     """Have another host lead that answers after some seconds; return what is sent to it."""
@@ -79,31 +79,31 @@
 ) -> tuple[Answer, list[Call]]:
     async def run() -> tuple[Answer, list[Call]]:
         host = build_host(orders, folder)
-        sent = lead_elsewhere(host, answer_after, monkeypatch)
+        sent = mock_other_leader(host, answer_after, monkeypatch)
         return await script(host), sent
 
     return asyncio.run(run())
 
 
-def beat(*, draining: bool) -> Beat:
+def build_beat(*, draining: bool) -> Beat:
     return Beat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
 
 
-def test_a_leaving_upstream_gets_its_orders_with_its_heartbeat(
+def test_draining_upstream_still_receives_orders_and_its_lease(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Answered from the log, it had no lease, and what still ran there lapsed."""
 
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
-        return await host.answer(beat(draining=True))
+        return await host.answer(build_beat(draining=True))
 
     answer, _ = play(OrdersBy.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
     assert answer.orders is not None and answer.orders.lease_ms
 
 
 @pytest.mark.parametrize("orders", list(OrdersBy))
-def test_a_heartbeat_goes_to_the_leader_once(
+def test_heartbeat_is_forwarded_to_the_leader_only_once(
     orders: OrdersBy, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The leader may keep it for 0.7 s; a second one would count as overtaken, and be for nothing.
@@ -112,21 +112,21 @@
     """
 
     async def script(host: ControlHost) -> Answer:
-        return await host.answer(beat(draining=False))
+        return await host.answer(build_beat(draining=False))
 
     answer, sent = play(orders, 0.5, script, tmp_path, monkeypatch)
     assert len(sent) == 1
     assert answer.outcome is Outcome.DONE
 
 
-def test_what_its_own_log_says_is_acknowledged_though_the_leader_is_late(
+def test_call_committed_in_the_local_log_is_acknowledged_despite_a_late_leader(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
         leaving = await host.answer(Leave(upstream=INFO.id))
         assert leaving.outcome is Outcome.DONE
-        return await host.answer(beat(draining=True))
+        return await host.answer(build_beat(draining=True))
 
     answer, _ = play(OrdersBy.CALL, 10.0, script, tmp_path, monkeypatch)
     assert answer.outcome is Outcome.DONE
--- a/cottonlug/tests/test_control_processes.py
+++ b/cottonlug/tests/test_control_processes.py
@@ -93,7 +93,7 @@
     wait_ready(fleet.get_address(plan, "callers"))
 
 
-def test_accepted_change_is_in_force_on_every_host(fleet: Fleet) -> None:
+def test_accepted_change_becomes_active_on_every_host(fleet: Fleet) -> None:
     assert apply(fleet, "e2", "first", 0)["version"] == 1
     wait_until(lambda: all(read_version(fleet, host) == 1 for host in HOSTS))
     rejecting = "rules:\n  - name: stop\n    when: {team: t}\n    then: {reject: closed}\n"
@@ -112,7 +112,7 @@
     assert "did you mean 'name'" in reply.json()["detail"]
 
 
-def test_operators_racing_with_equal_numbers(fleet: Fleet) -> None:
+def test_only_one_of_several_concurrent_changes_is_accepted(fleet: Fleet) -> None:
     with ThreadPoolExecutor(8) as pool:
         racers = [(HOSTS[at % 4], f"racer-{at}") for at in range(8)]
         decided = list(pool.map(lambda racer: apply(fleet, racer[0], racer[1], 0), racers))
@@ -124,7 +124,7 @@
         assert again == outcome
 
 
-def test_leaders_killed_during_many_changes(fleet: Fleet) -> None:
+def test_no_change_is_lost_when_leaders_are_killed(fleet: Fleet) -> None:
     version = 0
     for number in range(40):
         if number % 10 == 5:
@@ -150,7 +150,7 @@
     assert apply(fleet, "e2", "change-7", 7)["version"] == 8
 
 
-def test_frozen_leader_comes_back_without_reverting_anything(fleet: Fleet) -> None:
+def test_frozen_leader_does_not_revert_changes(fleet: Fleet) -> None:
     assert apply(fleet, "e1", "first", 0)["version"] == 1
     leader = find_leader(fleet)
     fleet.processes[leader].send_signal(signal.SIGSTOP)
@@ -167,7 +167,7 @@
     wait_until(lambda: all(read_version(fleet, host) == 3 for host in HOSTS))
 
 
-def test_replaced_disk_joins_again_and_counts_only_then(fleet: Fleet) -> None:
+def test_replaced_disk_counts_only_after_rejoining(fleet: Fleet) -> None:
     assert apply(fleet, "e1", "first", 0)["version"] == 1
     old = read_dump(fleet, "e3")["consensus"]["member"]
     fleet.processes["e3"].kill()
@@ -188,7 +188,7 @@
     assert apply(fleet, "e3", "second", 1)["version"] == 2
 
 
-def test_lost_majority_answers_unknown_and_keeps_serving(fleet: Fleet) -> None:
+def test_without_a_majority_changes_are_unknown_and_jobs_are_served(fleet: Fleet) -> None:
     assert apply(fleet, "e1", "first", 0)["version"] == 1
     wait_until(lambda: read_version(fleet, "e2") == 1)
     for host in ("e3", "e4"):
@@ -208,7 +208,7 @@
     assert (outcome["decision"], outcome["version"]) == ("accepted", 2)
 
 
-def test_damaged_journal_is_reported_and_left_alone(fleet: Fleet) -> None:
+def test_damaged_journal_is_reported_and_not_modified(fleet: Fleet) -> None:
     assert apply(fleet, "e1", "first", 0)["version"] == 1
     fleet.processes["e4"].kill()
     fleet.processes["e4"].wait()
--- a/cottonlug/tests/test_evacuation_campaign.py
+++ b/cottonlug/tests/test_evacuation_campaign.py
@@ -15,9 +15,9 @@
 from .test_evacuations import commit
 
 DOMAINS_OF_SITE = (NORTH, SOUTH, EAST)
-IN_FORCE_WITHIN = milliseconds(500)
+EFFECTIVE_WITHIN = milliseconds(500)
 """An order commits in 15 ms and a start arrives 4 ms after it was sent; the operators bear 5 s."""
-CONTACT = timedelta(seconds=4)
+CONTACT_TIMEOUT = timedelta(seconds=4)
 
 
 class Campaign:
@@ -26,24 +26,26 @@
     def __init__(self, seed: int) -> None:
         self.site = build_site(seed, upstreams_each=3)
         self.chance = random.Random(seed)
-        self.since: dict[DomainName, timedelta] = {}
+        self.evacuated_since: dict[DomainName, timedelta] = {}
         """Evacuated domains, and when the order was committed."""
         self.cut_at: dict[DomainName, timedelta] = {}
         """When a domain was last seen cut off: its deputy may not know of the order."""
         self.orders = 0
         for upstream in self.site.upstreams.values():
-            upstream.run_times = self.watch(upstream.info.id)
+            upstream.run_times = self.choose_run_times(upstream.info.id)
 
-    def watch(self, id: UpstreamId):  # type: ignore[no-untyped-def]
+    def choose_run_times(self, id: UpstreamId):  # type: ignore[no-untyped-def]
         """Return the run times of an upstream, which is asked for one at every start."""
         domain = self.site.upstreams[id].info.domain
 
         def choose(job: JobId) -> timedelta:
             now = self.site.world.now
-            since, cut_at = self.since.get(domain), self.cut_at.get(domain)
-            is_in_touch = cut_at is None or now > cut_at + CONTACT
-            if since is not None and is_in_touch:
-                assert now <= since + IN_FORCE_WITHIN, f"{job} starts in {domain}, evacuated"
+            evacuated_since, cut_at = self.evacuated_since.get(domain), self.cut_at.get(domain)
+            is_connected = cut_at is None or now > cut_at + CONTACT_TIMEOUT
+            if evacuated_since is not None and is_connected:
+                assert (
+                    now <= evacuated_since + EFFECTIVE_WITHIN
+                ), f"{job} starts in {domain}, evacuated"
             return milliseconds(self.chance.choice((60, 700, 2_500)))
 
         return choose
@@ -53,12 +55,12 @@
         domain = self.chance.choice(DOMAINS_OF_SITE)
         if leader is None or leader.is_over or leader.home in self.site.cut_off:
             return
-        begin = domain not in self.since
-        self.since.pop(domain, None)
+        begin = domain not in self.evacuated_since
+        self.evacuated_since.pop(domain, None)
         commit(leader, domain, is_evacuated=begin)
         self.orders += 1
         if begin:
-            self.since[domain] = self.site.world.now
+            self.evacuated_since[domain] = self.site.world.now
 
     def play(self) -> None:
         world, number = self.site.world, 0
@@ -73,12 +75,12 @@
             if self.chance.random() < 0.12:
                 self.send_order()
             if self.chance.random() < 0.05:
-                self.chance.choice((cut_domain, kill_gateway, change_leader_now))(
+                self.chance.choice((cut_domain, kill_gateway, change_leader))(
                     self.site, self.chance
                 )
 
 
-def change_leader_now(site: Site, chance: random.Random) -> None:
+def change_leader(site: Site, chance: random.Random) -> None:
     """Have another host lead at once, as after a graceful shutdown."""
     if site.leader is not None:
         site.lead_from(
@@ -87,7 +89,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_campaign_of_evacuations(seed: int) -> None:
+def test_no_run_starts_in_an_evacuated_domain_under_random_faults(seed: int) -> None:
     campaign = Campaign(seed)
     campaign.play()
     assert campaign.orders > 3 and campaign.site.world.starts > 30
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -15,7 +15,7 @@
 from ..config.options import Address
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest
-from .model_hosts import CONTROL_PORT, PATIENCE_SECONDS, Machine, World, play
+from .model_hosts import CONTROL_PORT, CLIENT_TIMEOUT_SECONDS, Machine, World, play
 from .test_acknowledgements import (
     ACKNOWLEDGED_WITHIN,
     CONTACT_SECONDS,
@@ -34,7 +34,7 @@
     """Return the status of one call, 0 where none came in the time that operators wait."""
     request = HttpRequest(method=method, path=f"/evacuation/{domain}", headers={}, body=b"")
     try:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
             address = Address(machine.ip, CONTROL_PORT)
             sent = await world.exchange(None, address, request, [])
     except TimeoutError:
--- a/cottonlug/tests/test_first_election.py
+++ b/cottonlug/tests/test_first_election.py
@@ -24,7 +24,7 @@
 SEEDS = 200
 VOTERS = 7
 SYNC_MS = 9.0
-ENOUGH = milliseconds(300)
+MAX_ELECTION_TIME = milliseconds(300)
 """With one vote that nobody won; everybody used to wait for 350 to 700 ms after it."""
 
 
@@ -66,11 +66,11 @@
             plan(saved + milliseconds(chance.uniform(1, 4)), envelope.to, envelope.message)
 
 
-def test_somebody_leads_soon_after_a_vote_that_nobody_won() -> None:
+def test_leader_is_elected_soon_after_a_split_vote() -> None:
     """Load: all control hosts lose power together, and start within 3 ms of one another.
 
     In 31 of these 200 starts several asked for votes at once and none had four; all then waited as
     long as for a lost leader, while nobody was served.
     """
-    taken = sorted(measure_first_election(seed) for seed in range(SEEDS))
-    assert taken[int(0.95 * SEEDS)] <= ENOUGH
+    election_times = sorted(measure_first_election(seed) for seed in range(SEEDS))
+    assert election_times[int(0.95 * SEEDS)] <= MAX_ELECTION_TIME
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -93,7 +93,7 @@
         await asyncio.sleep(0)
 
 
-def test_a_start_goes_with_an_answer_that_is_kept_and_is_settled_by_the_next_heartbeat() -> None:
+def test_start_is_sent_with_a_parked_answer_and_resolved_by_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
         kept = asyncio.create_task(exchange.beat())
         await run_callbacks()
@@ -112,7 +112,7 @@
     play(scenario)
 
 
-def test_a_run_that_has_ended_by_the_next_heartbeat_had_started() -> None:
+def test_run_that_ended_before_the_next_heartbeat_counts_as_started() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
@@ -126,7 +126,7 @@
     play(scenario)
 
 
-def test_a_start_that_the_next_heartbeat_does_not_list_will_never_begin() -> None:
+def test_start_missing_from_the_next_heartbeat_counts_as_ignored() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
@@ -139,7 +139,7 @@
     play(scenario)
 
 
-def test_an_overtaken_heartbeat_settles_nothing_and_gets_no_orders() -> None:
+def test_overtaken_heartbeat_resolves_nothing_and_gets_no_orders() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
@@ -154,7 +154,7 @@
     play(scenario)
 
 
-def test_a_start_for_a_silent_upstream_was_surely_not_sent() -> None:
+def test_start_for_a_silent_upstream_counts_as_not_sent() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
@@ -168,7 +168,7 @@
     play(scenario)
 
 
-def test_a_start_whose_answer_may_be_lost_is_unknown() -> None:
+def test_start_whose_answer_may_be_lost_is_unknown() -> None:
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
@@ -179,7 +179,7 @@
     play(scenario)
 
 
-def test_a_look_renews_the_lease_and_returns_the_lists_of_the_next_heartbeat() -> None:
+def test_poll_renews_the_lease_and_returns_the_lists_of_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
         looking = asyncio.create_task(exchange.port.look(build_look(last_seen=5), TOKEN))
         stopping = asyncio.create_task(
@@ -201,7 +201,7 @@
     play(scenario)
 
 
-def test_a_look_at_a_silent_upstream_fails() -> None:
+def test_poll_of_a_silent_upstream_fails() -> None:
     async def scenario(exchange: Exchange) -> None:
         looking = asyncio.create_task(exchange.port.look(build_look(), TOKEN))
         await run_callbacks()
@@ -211,7 +211,7 @@
     play(scenario)
 
 
-def test_leases_are_counted_from_when_an_order_may_arrive_at_the_latest() -> None:
+def test_leases_count_from_the_latest_arrival_of_an_order() -> None:
     assert MAX_DELIVERY_DELAY >= MAX_QUEUE_TIME + ANSWER_EXPIRY
     assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer under way may still be taken in until then"
     called = LeaseTerms(longest=timedelta(seconds=1))
@@ -219,7 +219,7 @@
     assert answered.lapse_after == called.lapse_after + MAX_DELIVERY_DELAY
 
 
-def test_lists_and_orders_are_written_as_the_platform_has_them() -> None:
+def test_lists_and_orders_use_the_wire_format_of_the_platform() -> None:
     calls: list[Call] = []
     orders = HeartbeatOrders(
         token=7,
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -18,13 +18,13 @@
 from .gateway_builders import build_clock, greet, stand_in, submit
 from .processes import find_base_port
 
-GREET_TIMEOUT = timedelta(milliseconds=500)
+KEEPALIVE_TIMEOUT = timedelta(milliseconds=500)
 """Much longer than a gateway waits (0.1 s): only one that is stuck takes as long."""
 
 
-HELD_CALLS = 200
+WAITING_JOBS = 200
 """Jobs that wait at one host: more than it may have connections."""
-WAITING = 200
+WAITING_CONNECTIONS = 200
 """Connections that nobody has taken in yet."""
 
 
@@ -32,7 +32,7 @@
     return HttpRequest(method="POST", path=CALL_PATH, headers={}, body=msgspec.json.encode(call))
 
 
-def test_a_host_is_greeted_while_as_many_jobs_wait_there_as_may() -> None:
+def test_keepalive_is_answered_while_the_maximum_of_jobs_wait() -> None:
     """Load: a backlog. A gateway whose jobs held all connections fell out of touch with it."""
 
     async def play() -> Answer:
@@ -42,7 +42,7 @@
         async def hold(call: Call) -> Answer:
             nonlocal held
             held += 1
-            if held == HELD_CALLS:
+            if held == WAITING_JOBS:
                 all_held.set()
             await asyncio.Event().wait()
             raise AssertionError("unreachable")
@@ -62,21 +62,23 @@
         calls = PeerCalls()
         waiting = [
             asyncio.create_task(calls.ask(str(address), submit(), timedelta(seconds=10)))
-            for _ in range(HELD_CALLS)
+            for _ in range(WAITING_JOBS)
         ]
         await asyncio.wait_for(all_held.wait(), 5)
-        greeted = await calls.ask(str(address), greet("10.0.0.2:7000"), GREET_TIMEOUT)
+        answer_to_keepalive = await calls.ask(
+            str(address), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT
+        )
         for task in waiting:
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
         calls.close()
         await listener.stop()
-        return greeted
+        return answer_to_keepalive
 
     assert asyncio.run(play()).outcome is Outcome.DONE
 
 
-def test_a_greeting_does_not_wait_behind_connections_for_jobs() -> None:
+def test_keepalive_does_not_wait_behind_job_connections() -> None:
     """Load: hundreds of jobs have waited for a host that comes back, and each opens a connection.
 
     Failed before: after a power cut of all hosts the leader took one connection in a turn, and for
@@ -84,7 +86,7 @@
     """
 
     async def play() -> tuple[Outcome, int]:
-        taken_in = 0
+        accepted = 0
 
         async def answer(request: HttpRequest) -> HttpResponse:
             return HttpResponse(status=200, body=msgspec.json.encode(Answer(outcome=Outcome.DONE)))
@@ -92,8 +94,8 @@
         app = build_asgi(answer, lambda: 10_000)
 
         async def count(scope: object, receive: object, send: object) -> None:
-            nonlocal taken_in
-            taken_in += 1
+            nonlocal accepted
+            accepted += 1
             await app(scope, receive, send)  # type: ignore[arg-type]
 
         peers = Address("127.0.0.1", find_base_port() + 3)
@@ -104,26 +106,28 @@
         ]
         for listener in listeners:
             assert await listener.start() is None
-        clients = [socket.create_connection((peers.host, peers.port)) for _ in range(WAITING)]
+        clients = [
+            socket.create_connection((peers.host, peers.port)) for _ in range(WAITING_CONNECTIONS)
+        ]
         for client in clients:
             client.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         calls = PeerCalls(urgent_port=urgent.port)
-        greeted = await calls.ask(str(peers), greet("10.0.0.2:7000"), GREET_TIMEOUT)
-        before_it = taken_in
+        answer_to_keepalive = await calls.ask(str(peers), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
+        accepted_before = accepted
         for client in clients:
             client.close()
         calls.close()
         for listener in listeners:
             await listener.stop()
-        return greeted.outcome, before_it
+        return answer_to_keepalive.outcome, accepted_before
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        outcome, before_it = runner.run(play())
+        outcome, accepted_before = runner.run(play())
     assert outcome is Outcome.DONE
-    assert before_it < WAITING / 4
+    assert accepted_before < WAITING_CONNECTIONS / 4
 
 
-def test_a_deputy_answers_greetings_at_once_and_nothing_else() -> None:
+def test_acting_leader_answers_only_keepalives_immediately() -> None:
     async def play() -> None:
         gateway, _ = stand_in()
         request = build_request(greet("10.0.0.2:7000"))
@@ -144,7 +148,7 @@
     asyncio.run(play())
 
 
-def test_what_is_answered_at_once_makes_no_task() -> None:
+def test_immediate_answer_creates_no_task() -> None:
     """On a host with much to do each turn of the loop is long, and a task takes two."""
 
     async def play() -> tuple[list[int], int]:
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -61,7 +61,7 @@
     member.receive(reply, NOW)
 
 
-def test_a_leader_that_saves_late_does_not_count_itself_before() -> None:
+def test_leader_counts_itself_only_after_its_own_sync() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     acknowledge(member, B, last)
@@ -70,7 +70,7 @@
     assert member.commit == last
 
 
-def test_the_disks_of_the_others_decide_without_the_leaders() -> None:
+def test_entry_commits_without_the_leaders_own_disk() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     acknowledge(member, B, last)
@@ -78,7 +78,7 @@
     assert member.commit == last
 
 
-def test_a_new_host_takes_the_place_of_a_lost_one() -> None:
+def test_new_host_replaces_a_lost_voter() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     for voter in (B, C):
@@ -97,7 +97,9 @@
     assert plan_removal(member, lost=[C]) is None, "three voters are not made two without need"
 
 
-def grow(member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()) -> None:
+def apply_member_changes(
+    member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()
+) -> None:
     """Take every step towards members that are all there, each acknowledged by all."""
     for _ in range(20):
         most = find_most_voters(member.members, lost)
@@ -119,37 +121,37 @@
 
 
 @pytest.mark.parametrize(("hosts", "voters"), [(4, 3), (5, 5), (6, 5), (8, 7), (10, 7)])
-def test_an_odd_number_votes_so_that_a_split_leaves_a_majority(hosts: int, voters: int) -> None:
+def test_voter_count_stays_odd_so_that_a_split_leaves_a_majority(hosts: int, voters: int) -> None:
     """8 voters were split 4 to 4 for 7 s, and nobody led."""
     member = build_leader(A, B, C)
     for voter in (B, C):
         acknowledge(member, voter, member.log.last_index)
-    grow(member, name_hosts(4, hosts))
+    apply_member_changes(member, name_hosts(4, hosts))
     assert len(member.members.voters) == voters
     assert len(member.members.learners) == hosts - voters
 
 
-def test_a_host_that_only_learns_takes_the_place_of_a_lost_voter() -> None:
+def test_learner_replaces_a_lost_voter() -> None:
     member = build_leader(A, B, C)
     for voter in (B, C):
         acknowledge(member, voter, member.log.last_index)
-    grow(member, name_hosts(4, 6))
+    apply_member_changes(member, name_hosts(4, 6))
     (learner,) = member.members.learners
     lost = next(voter for voter in member.members.voters if voter not in (A, B))
-    grow(member, name_hosts(4, 6), (lost,))
+    apply_member_changes(member, name_hosts(4, 6), (lost,))
     assert learner in member.members.voters
     assert lost not in member.members.voters
     assert len(member.members.voters) == 5
 
 
-def test_a_fourth_voter_that_is_lost_is_removed() -> None:
+def test_lost_fourth_voter_is_removed() -> None:
     member = build_leader(A, B, C, D)
     planned = plan_removal(member, lost=[D])
     assert planned is not None
     assert planned.voters == (A, B, C)
 
 
-def test_random_late_saves_never_commit_what_one_disk_has() -> None:
+def test_late_saves_never_commit_an_entry_held_by_one_disk() -> None:
     chance = random.Random(1)
     member = build_leader(A, B, C)
     saved, acknowledged = 1, {B: 1, C: 1}
@@ -190,7 +192,7 @@
     )
 
 
-def test_a_disk_that_fails_for_a_while_loses_nothing(tmp_path: Path) -> None:
+def test_temporary_disk_failure_loses_no_committed_entry(tmp_path: Path) -> None:
     """Found with a day of `disk_full`: the host stayed out of the quorum until it was restarted."""
 
     async def play() -> None:
@@ -226,7 +228,7 @@
     asyncio.run(play())
 
 
-def test_what_is_saved_at_once_counts_at_once(tmp_path: Path) -> None:
+def test_entries_saved_with_a_vote_count_immediately(tmp_path: Path) -> None:
     """Failed before: entries saved beside a vote were not counted until a later save."""
 
     async def play() -> None:
@@ -256,7 +258,7 @@
     return Membership(own=Address(f"10.0.0.{own}", 1), seeds=seeds, pools=ConnectionPools())
 
 
-def test_one_host_begins_once_all_seeds_are_there_and_new() -> None:
+def test_only_the_first_seed_bootstraps_once_all_seeds_are_new() -> None:
     first, second, third = (build_hello(number) for number in (1, 2, 3))
     planned = build_membership(1).plan_bootstrap(first, [second, third])
     assert planned is not None
@@ -267,7 +269,7 @@
     assert build_membership(1).plan_bootstrap(first, [second, used]) is None
 
 
-def test_another_host_begins_where_the_first_one_may_not() -> None:
+def test_next_seed_bootstraps_if_the_first_one_may_not() -> None:
     """The first one was restarted before the log began, and its settings say so."""
     first, second, third = build_hello(1, may_begin=False), build_hello(2), build_hello(3)
     assert build_membership(1).plan_bootstrap(first, [second, third]) is None
