--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -71,7 +71,7 @@
             return await self._get_job_channel(host, address).ask(call, timeout)
         sent = await self._send(host, address, call, timeout)
         if sent is None:
-            return Answer(outcome=Outcome.UNKNOWN, detail=f"{host} does not decide any more")
+            return Answer(outcome=Outcome.UNKNOWN, detail=f"the call to {host} was abandoned")
         if isinstance(sent, Err):
             error = sent.failure()
             outcome = Outcome.UNAVAILABLE if error.unsent else Outcome.UNKNOWN
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -1,8 +1,9 @@
-"""Control hosts in simulated time: the real ones, on a model of machines, links and disks.
+"""The real control hosts in simulated time, on a model of machines, links and disks.
 
-Each host has one thread, as a process has: its callbacks run in turn and take time, a frozen host
-runs none until it thaws, and a killed one never again. Links delay, hold up what was sent while
-they are cut, and leave connections silent. A day of eight hosts takes a second or two.
+Each host has one thread, like a process: its callbacks run one after another and take time, a
+frozen host runs none until it is resumed, and a killed one never again. Links have delays, hold
+back what is sent while they are cut, and may leave connections silent. Simulating a scenario with
+eight hosts takes a second or two.
 """
 
 from __future__ import annotations
@@ -56,10 +57,10 @@
 CONTROL_PORT = 80
 PEER_PORT = 90
 LINK_DELAY_SECONDS = 0.0005
-"""Seconds that a message is under way."""
+"""How long a message takes to arrive."""
 CONNECT_SECONDS = 0.5
 FIRST_RETRANSMIT_SECONDS = 0.2
-"""After so many seconds, and then twice as long each time, lost bytes are sent again."""
+"""Lost bytes are retransmitted after this time, and then after twice as long each time."""
 SYNC_SECONDS = 0.009
 CALLBACK_SECONDS = 0.00003
 RESTART_SECONDS = 0.4
@@ -71,18 +72,18 @@
 
 
 class _SimulatedSelector(selectors.SelectSelector):
-    """Does not wait but moves the time on."""
+    """A selector that advances the simulated time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "nothing is left to happen"
+        assert timeout is not None, "no event is left"
         self.now += max(timeout, 0.0)
         return []
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop in simulated time, on which each process has a thread of its own."""
+    """An event loop in simulated time on which each process has its own thread."""
 
     def __init__(self) -> None:
         self._selector = _SimulatedSelector()
@@ -107,7 +108,7 @@
         timers: list[asyncio.TimerHandle] = []
 
         def run() -> None:
-            # It may have been cancelled while it waited for its thread.
+            # The timer may have been cancelled while it waited for its thread.
             if not timers[0].cancelled():
                 callback(*args)
 
@@ -122,13 +123,13 @@
 
 
 class Process:
-    """One life of a host's process: its queue of callbacks, and when it may run."""
+    """One process of a host, from start to end: its callback queue and when it may run."""
 
     def __init__(self, machine: Machine, loop: SimulatedLoop) -> None:
         self.machine = machine
         self.is_alive = True
         self.free_at = 0.0
-        """Until then its thread is at work, or held up."""
+        """Until then its thread is busy or frozen."""
         self.control: ControlHost | None = None
         self.handlers: dict[int, Handler] = {}
         self.context = contextvars.Context()
@@ -149,7 +150,7 @@
         return task
 
     def use_time(self, seconds: float) -> None:
-        """Take time of the thread."""
+        """Use time of the thread."""
         self.free_at = max(self.free_at, self._loop.time()) + seconds
 
     def _schedule(self) -> None:
@@ -161,7 +162,7 @@
         asyncio.SelectorEventLoop.call_at(self._loop, at, self._run_queue, context=empty)
 
     def _run_queue(self) -> None:
-        """Run what has been waiting, as one turn of a loop."""
+        """Run the queued callbacks, as one turn of an event loop."""
         self._is_due = False
         if not self.is_alive:
             return
@@ -179,7 +180,7 @@
 
 
 class MemoryFiles:
-    """A disk: each write is synced, which holds the thread up."""
+    """A disk; each write is synced, which blocks the thread."""
 
     def __init__(self) -> None:
         self.content: dict[str, bytes] = {}
@@ -213,7 +214,7 @@
 
 @dataclass(slots=True)
 class Machine:
-    """One host: its disk stays, its processes come and go."""
+    """One host with a permanent disk and successive processes."""
 
     name: str
     domain: str
@@ -221,7 +222,7 @@
     files: MemoryFiles = field(default_factory=MemoryFiles)
     process: Process | None = None
     is_powered_off: bool = False
-    """Without power: nothing answers, not even a refusal."""
+    """Without power it answers nothing; not even connections are refused."""
     starts: int = 0
     slowness: float = 1.0
 
@@ -237,7 +238,7 @@
 
 
 class _Pool:
-    """The connections of one process to one address, as `net.connections.ConnectionPool`."""
+    """The connections of one process to one address, like `net.connections.ConnectionPool`."""
 
     def __init__(self, world: World, address: Address) -> None:
         self._world = world
@@ -287,7 +288,7 @@
 
 
 class World:
-    """The machines, the links between them, and the upstreams that take orders."""
+    """The machines, the links between them, and the upstreams that receive orders."""
 
     def __init__(self, seed: int, loop: SimulatedLoop) -> None:
         self.loop = loop
@@ -387,7 +388,7 @@
         return gateway
 
     def kill(self, machine: Machine, *, power: bool = False, wipe: bool = False) -> None:
-        """End a process at once; its machine refuses connections, or without power is silent."""
+        """End a process; its machine then refuses connections or, without power, is silent."""
         if machine.process is not None:
             machine.process.is_alive = False
             self._dead_processes.append(machine.process)
@@ -397,7 +398,7 @@
             machine.files = MemoryFiles()
 
     async def terminate(self, machine: Machine) -> None:
-        """End a process as a SIGTERM does, with nothing left to answer after it."""
+        """End a process like SIGTERM, after it has transferred leadership."""
         process = machine.process
         if process is None or process.control is None:
             return
@@ -425,7 +426,7 @@
         self._cut.clear()
 
     def silence_connections(self, *, include_log: bool = True) -> None:
-        """Leave open connections silent for good, or those for calls alone; new ones work."""
+        """Make open connections silent for good, all or only those for calls; new ones work."""
         for pools in self.pools:
             if pools.is_for_log and not include_log:
                 continue
@@ -447,7 +448,7 @@
         request: HttpRequest,
         idle: list[_Connection],
     ) -> Result[HttpReply, TransportError]:
-        """Carry a request to another machine and its answer back; cancelled, it is hung up."""
+        """Deliver a request to another machine and return its answer; cancelling hangs up."""
         carrying = self.loop.create_task(
             self._carry(own, address, request, idle), context=contextvars.Context()
         )
@@ -494,7 +495,7 @@
         finally:
             if not answering.done() and process.is_alive:
                 process.enqueue(asyncio.Handle(hang_up.set, (), self.loop, process.context))
-        assert response is not None, "nobody has hung up"
+        assert response is not None, "the caller has not hung up"
         await self._travel(own, machine)
         if connection.is_silent:
             await asyncio.Event().wait()
@@ -506,7 +507,7 @@
     ) -> _Connection | TransportError:
         while idle:
             connection = idle.pop()
-            # The end of a process shows at once, but not that of a machine.
+            # The end of a process is noticed immediately, a power failure of its machine is not.
             if connection.process.is_alive or machine.is_powered_off:
                 return connection
         if self._is_cut(own, machine) or machine.is_powered_off:
@@ -525,7 +526,7 @@
             resend *= 2
 
     def find_leader(self) -> Machine | None:
-        """Return the machine that decides, if one does."""
+        """Return the machine that is the leader and has a lease, or None."""
         for machine in self.machines.values():
             control = machine.process.control if machine.process is not None else None
             if (
@@ -538,7 +539,7 @@
 
 
 class HostClock:
-    """The clock of the simulated world, which goes on while a host is frozen."""
+    """The clock of the simulated world; it continues while a host is frozen."""
 
     def __init__(self, loop: SimulatedLoop) -> None:
         self._loop = loop
@@ -552,7 +553,7 @@
 
 @dataclass(slots=True)
 class ModelUpstream:
-    """An upstream that runs nothing, but remembers the highest token."""
+    """An upstream that runs nothing but remembers the highest fencing token."""
 
     id: UpstreamId
     ip: str
@@ -560,11 +561,11 @@
     token: int = 0
     sequence: int = 0
     coordinator: str = ""
-    """The machine that it was told to send its heartbeats to."""
+    """The machine to which it was told to send its heartbeats."""
 
 
 class ModelPort:
-    """Orders to the upstreams of a world."""
+    """An `UpstreamPort` to the upstreams of a world."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -588,7 +589,7 @@
 
 
 def build_configuration(version: int) -> bytes:
-    """Return the body of a configuration."""
+    """Return the encoded body of a configuration."""
     route = {
         "name": "r",
         "host": "h.example",
@@ -606,7 +607,7 @@
 
 
 class Operator:
-    """Sends an order until it is acknowledged, as the users' operators and upstreams do."""
+    """Sends a call until it is acknowledged, as operators and upstreams do."""
 
     def __init__(self, world: World, chance: random.Random) -> None:
         self._world = world
@@ -614,7 +615,7 @@
         self.refusals: list[str] = []
 
     async def send(self, method: str, path: str, body: bytes, first: str = "") -> HttpReply:
-        """Return the acknowledgement; `first` is the machine to begin with, if any."""
+        """Return the acknowledgement; `first` is the machine to try first, if any."""
         backoff = 0.1
         last = ""
         while True:
@@ -630,7 +631,7 @@
             backoff = min(backoff * 2, 0.8)
 
     async def send_once(self, machine: Machine, body: bytes) -> HttpReply | None:
-        """Send a configuration to one machine, and wait for as long as operators do."""
+        """Send a configuration to one machine, and wait as long as operators do."""
         return await self._send_to(machine, "PUT", "/config", body)
 
     async def _send_to(
@@ -646,7 +647,7 @@
         return sent.unwrap() if isinstance(sent, Success) else None
 
     async def configure(self, version: int, insist_on: Machine | None = None) -> float:
-        """Return when a configuration was acknowledged, by one machine if that answers first."""
+        """Send a configuration, to one machine until that answers if given; return the time."""
         body = build_configuration(version)
         reply = None
         while insist_on is not None and reply is None:
@@ -681,7 +682,7 @@
 async def send_keepalives_forever(
     world: World, address: str, domain: str, chance: random.Random
 ) -> None:
-    """Be a gateway that some control host hears."""
+    """Send keep-alives like a gateway, to the leader or else to any control host."""
     call = msgspec.json.encode(Greet(gateway=address, domain=DomainName(domain)))
     while True:
         machine = world.find_leader() or chance.choice(list(world.machines.values()))
@@ -705,7 +706,7 @@
 
 @contextmanager
 def patch_processes(world: World, seed: int) -> Iterator[None]:
-    """Give control hosts the disks, links and chance of a world."""
+    """Make control hosts use the disks, links and randomness of a world."""
     chance = random.Random(seed)
 
     class SeededTokens:
@@ -730,7 +731,7 @@
 
 
 def play(seed: int, scenario: Callable[[World], Coroutine[Any, Any, None]]) -> World:
-    """Play a day in simulated time."""
+    """Run a scenario in simulated time."""
     loop = SimulatedLoop()
     world = World(seed, loop)
     with patch_processes(world, seed):
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -1,9 +1,9 @@
-"""A model of a whole site: gateways, leaders in turn, deputies by domain, cuts between domains.
+"""A model of a site: gateways, successive leaders, acting leaders by domain, network cuts.
 
-Gateways keep the times of `runtime.decider`: a decider that has not answered for 0.35 s is left, a
-deputy is followed after 0.52 s (0.9 s where an election may come about), and a caller sends a job
-again 1.3 s after its gateway was lost or has given the job up. A host that is held up takes in what
-has arrived, and decides, only when it gets on. `ModelUpstream` stops the test at a second run.
+Gateways use the time-outs of `runtime.decider`: they leave a coordinator that has not answered for
+0.35 s and follow an acting leader after 0.52 s (0.9 s if an election is possible). A caller submits
+a job again 1.3 s after its gateway was lost or has abandoned the job. A delayed host processes what
+has arrived, and schedules, only when it continues. `ModelUpstream` fails the test at a second run.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelCoordinator(Leader):
-    """A leader or a deputy at a host that may be held up, with the gateways it has heard."""
+    """A leader or acting leader on a host that may be delayed, with the gateways it has heard."""
 
     site: Site
     home: DomainName
@@ -58,17 +58,17 @@
     decided_at: timedelta = timedelta()
     heard: dict[str, timedelta] = field(default_factory=dict)
     abandoned: set[int] = field(default_factory=set)
-    """Numbers of the calls that their gateways have given up."""
+    """Numbers of the calls that their gateways have abandoned."""
 
     def when_free(self, act: Callable[[], None]) -> None:
-        """Do something as soon as this host gets on, unless it has ceased to decide by then."""
+        """Do something once this host continues, unless its term is over by then."""
         self.world.at(
             max(self.busy_until - self.world.now, timedelta()),
             lambda: None if self.is_over else act(),
         )
 
     def act(self) -> None:
-        """Decide as `Leadership` does: not after a gap, and not for gateways that are silent."""
+        """Schedule as `Leadership` does: not after a delay, and not for silent gateways."""
         now = self.world.now
         if self.is_over or now < self.busy_until:
             return
@@ -82,13 +82,13 @@
         return self.world.now - self.heard.get(gateway, -GATEWAY_SILENT) < GATEWAY_SILENT
 
     def is_valid_contact(self, contact: Contact | None) -> bool:
-        """Whether what came with a contact was sent here, and lately."""
+        """Whether a message was sent to this host, and recently, according to its contact."""
         if contact is None or contact.decider is not self:
             return False
         return self.world.now - contact.sent_at < GATEWAY_SILENT
 
     def record_contact(self, gateway: str, contact: Contact | None) -> None:
-        """Count on a gateway from when it sent something, as `Gateways` does."""
+        """Record contact with a gateway from when it sent a message, as `Gateways` does."""
         if contact is None or not self.is_valid_contact(contact):
             return
         if gateway in self.heard and not self.is_heard(gateway):
@@ -97,7 +97,7 @@
         self.heard[gateway] = max(contact.sent_at, known)
 
     def handle_abandoned(self, gateway: str, calls: list[ModelCall]) -> None:
-        """Give up what a gateway has given up, and refuse it where it comes only now."""
+        """Abandon the calls that a gateway has abandoned, and refuse those yet to arrive."""
         for call in calls:
             self.abandoned.add(call.number)
             job = self.dispatch.jobs.jobs.get(call.job)
@@ -105,16 +105,16 @@
                 self.dispatch.abandon(call.job, gateway, self.world.now)
 
     def receive_job(self, gateway: str, call: ModelCall, contact: Contact | None) -> None:
-        """Take a job in as `JobAnswers` does."""
+        """Accept a job as `JobAnswers` does."""
         if call.number in self.abandoned:
             return
         if contact is None or not self.is_valid_contact(contact):
-            # Refused as not begun: its gateway tries again.
+            # Refused as not started: its gateway tries again.
             if call.at is self:
                 call.at, call.has_arrived = None, False
             return
         if not self.is_deputy and call.deputy_term * TOKENS_PER_TERM >= self.token:
-            # A deputy's token is higher: only a leader of a later term may go on.
+            # An acting leader's token is higher: only a leader of a later term may continue.
             self.site.lead_from(self.home)
             return
         if self.dispatch.jobs.is_open(call.job) or self.dispatch.jobs.find_ended(call.job):
@@ -135,7 +135,7 @@
         self.act()
 
     def _commit(self, command: Command) -> None:
-        # A new leader begins once all that may be left of earlier terms is in its record.
+        # A new leader starts once everything left of earlier terms is in its records.
         if not self.is_over or self.site.leader is None:
             Leader._commit(self, command)
 
@@ -159,7 +159,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Contact:
-    """Whom a message was sent to, by a gateway that it has answered, and when."""
+    """The coordinator to which a message was sent by a gateway it has answered, and when."""
 
     decider: ModelCoordinator
     sent_at: timedelta
@@ -167,7 +167,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelCall:
-    """One try of a caller to have a job run, and where its gateway has it."""
+    """One attempt of a caller to run a job, and the coordinator to which its gateway sent it."""
 
     job: JobId
     spec: JobSpec
@@ -182,7 +182,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelGateway:
-    """A gateway: whom it follows, and the calls that it has under way."""
+    """A gateway, the coordinator that it follows, and its calls in progress."""
 
     site: Site
     name: str
@@ -190,15 +190,15 @@
     is_up: bool = True
     coordinator: ModelCoordinator | None = None
     answered_at: timedelta = timedelta()
-    """When the decider that it follows has last answered."""
+    """When the coordinator that it follows last answered."""
     led_at: timedelta = timedelta()
     calls: list[ModelCall] = field(default_factory=list)
     is_answered: bool = False
-    """Whether the decider that it follows has answered it, so that it can vouch for itself."""
+    """Whether the coordinator that it follows has answered, so that it can confirm its calls."""
     abandoned: list[tuple[timedelta, ModelCall]] = field(default_factory=list)
 
     def run_turn(self) -> None:
-        """Greet, follow whoever is to be followed, and pass calls on."""
+        """Send keep-alives, choose the coordinator to follow, and forward calls."""
         site, now = self.site, self.site.world.now
         if not self.is_up:
             return
@@ -214,7 +214,7 @@
             self.coordinator = site.find_acting_leader(self)
             self.answered_at = now
             if self.coordinator is not None:
-                # It was asked, and so heard, before it was followed.
+                # The acting leader has been asked, and so has answered, before it is followed.
                 self.is_answered = True
         for call in list(self.calls):
             self._pass_on(call)
@@ -224,7 +224,7 @@
         return Contact(decider=coordinator, sent_at=self.site.world.now) if is_there else None
 
     def leave_coordinator(self) -> None:
-        """Send all calls elsewhere: what has become of them is not known."""
+        """Leave the coordinator; the outcome of all calls is unknown, and they go elsewhere."""
         self.coordinator, self.is_answered = None, False
         for call in self.calls:
             self._lose(call)
@@ -306,7 +306,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Site:
-    """All hosts, what is cut off, and who decides."""
+    """All hosts, the network cuts, the leader and the acting leaders."""
 
     world: World
     upstreams: dict[UpstreamId, ModelUpstream]
@@ -327,7 +327,7 @@
         return order.upstream.id in self.stops_lost_at
 
     def run_turns_forever(self) -> None:
-        """Have each gateway take its turn."""
+        """Let each gateway take its turn, periodically."""
         if self.leader is not None and self.leader.dispatch.is_fenced_off:
             self.lead_from(self.leader.home)
         for acting_leader in self.acting_leaders.values():
@@ -337,7 +337,7 @@
         self.world.at(TURN_INTERVAL, self.run_turns_forever)
 
     def lead_from(self, home: DomainName) -> None:
-        """Have a host of a domain lead the next term."""
+        """Make a host of a domain the leader of the next term."""
         self.lose_leader()
         self.term += 1
         self.leader = self._start(home, self.records, self.term * TOKENS_PER_TERM)
@@ -354,9 +354,10 @@
         return DEPUTY_AFTER_SILENCE if domain in self.cut_off else DEPUTY_AFTER
 
     def find_acting_leader(self, gateway: ModelGateway) -> ModelCoordinator | None:
-        """Return who stands in for a domain; its lowest gateway does, once it has left the leader.
+        """Return the acting leader of a domain: its first gateway, once that has left the leader.
 
-        Only with more upstreams than one small host can order; this model has it so always.
+        Real domains have one each only with more upstreams than a small host can coordinate; this
+        model always does.
         """
         acting_leader = self.acting_leaders.get(gateway.domain)
         if acting_leader is not None and not acting_leader.is_over:
@@ -372,7 +373,7 @@
         return acting_leader
 
     def end_acting_leader(self, gateway: ModelGateway) -> None:
-        """End the time of a deputy whose host has found a leader."""
+        """End the term of an acting leader whose host has found a leader."""
         acting_leader = self.acting_leaders.get(gateway.domain)
         if acting_leader is not None and gateway is next(iter(self.list_up(gateway.domain))):
             acting_leader.is_over = True
@@ -381,7 +382,7 @@
         return (each for each in self.gateways if each.domain == domain and each.is_up)
 
     def kill(self, gateway: ModelGateway) -> None:
-        """Have a gateway lose everything; its callers see their connections break."""
+        """Kill a gateway with all its state; its callers see their connections break."""
         acting_leader = self.acting_leaders.get(gateway.domain)
         if acting_leader is not None and gateway is next(iter(self.list_up(gateway.domain)), None):
             acting_leader.is_over = True
@@ -397,7 +398,7 @@
         gateway.calls.append(ModelCall(job=JobId(job), spec=spec, give_up_at=give_up_at))
 
     def send_again(self, call: ModelCall, domain: DomainName) -> None:
-        """Have a caller send its job again, mostly to a gateway of its domain, or to any."""
+        """Let a caller submit its job again, mostly to a gateway of its domain, or to any."""
         elsewhere = self.world.random.random() < 0.25
 
         def send() -> None:
@@ -429,7 +430,7 @@
 
 
 def build_site(seed: int, upstreams_each: int = 1, **shares: float) -> Site:
-    """Return a site of three domains with two gateways each, that a host in the north leads."""
+    """Return a site of three domains with two gateways each; the leader is in the north."""
     chance = random.Random(seed)
     site = Site(world=World(random=chance, **shares), upstreams={})  # type: ignore[arg-type]
     for domain in (NORTH, SOUTH, EAST) * upstreams_each:
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -1,14 +1,11 @@
-"""Messages of gateways that were held up, on their way or at whoever decides.
-
-Seen: two runs of one task at once beside a failure domain that was cut off. The leader outside
-began the first for a gateway inside, 0.42 s after the cut; the deputy inside began the second.
-How it came about: whoever decides gives up a gateway's jobs 0.3 s after it last heard it, and the
-gateway takes them elsewhere 0.52 s after it was last answered. The leader was busy, and took in
-late what had come before the cut.
-Cause: a message counted as of the moment at which it was taken in, not at which it was sent, so
-that the two spans had nothing to do with each other.
-Proof: the leader could begin that run only if it had heard the gateway within 0.3 s, and nothing
-sent after the cut could reach it; with the messages below held up, it does the same every time.
+"""Messages of gateways that are delayed on the network or at a busy coordinator.
+
+Failure: two simultaneous runs of one task after a failure domain was cut off. The leader outside
+started the first one for a gateway inside, 0.42 s after the cut; the acting leader inside started
+the second one. A coordinator abandons a gateway's jobs 0.3 s after it last heard from it, and the
+gateway sends them elsewhere 0.52 s after its last answer. A busy leader processed late what had
+arrived before the cut, and a message counted from its processing instead of its sending, so the
+two time-outs were unrelated. Delaying the messages as below reproduces the failure every time.
 """
 
 from __future__ import annotations
@@ -52,7 +49,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelLink:
-    """The way from a gateway to a leader; while it is cut, what is sent is held."""
+    """The link from a gateway to a leader; while it is cut, sent calls are held back."""
 
     gateway: Gateway
     leadership: Leadership
@@ -79,7 +76,7 @@
 
 
 def build_leading(clock: ManualClock) -> Leadership:
-    """Return a leader of one upstream."""
+    """Return a leader with one upstream."""
     replicated = ReplicatedRecords()
     replicated.records.put_in_force(build_roster().configuration)
     info = build_info("u1")
@@ -119,7 +116,7 @@
 
 
 def play(script: Script) -> None:
-    """Play a script with a gateway that is in touch with a leader."""
+    """Run a script with a gateway that is connected to a leader."""
 
     async def play_whole() -> None:
         gateway, model_link, clock = prepare_link()
@@ -146,7 +143,7 @@
         await gateway.link.greet_leader()
         clock.advance(DEPUTY_AFTER_SILENCE)
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None, "its jobs are decided about here from now on"
+        assert gateway.deputy is not None, "from now on its jobs are scheduled here"
         assert model_link.held
         for call in model_link.held:
             await model_link.leadership.answer(call)
@@ -172,7 +169,7 @@
 
 
 def test_submission_counts_as_contact_of_its_gateway() -> None:
-    """A busy host takes in greetings late: each job was given up on its arrival."""
+    """A busy host processes keep-alives late: each job was abandoned on its arrival."""
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         clock.advance(GATEWAY_SILENT - KEEPALIVE_INTERVAL - milliseconds(10))
@@ -188,7 +185,7 @@
 
 
 def test_silent_gateways_are_searched_only_when_due() -> None:
-    """To ask for the gateway of each open job at each decision was a third of a leader's time."""
+    """Checking the gateway of each open job at each decision took a third of a leader's time."""
     clock = build_clock()
     gateways = Gateways(term=3, token=3_000_000, clock=clock)
 
@@ -229,7 +226,7 @@
 
 
 async def submit_by(gateway: Gateway, model_link: ModelLink) -> asyncio.Task[Answer]:
-    """Have a caller's job under way at the leader."""
+    """Submit a caller's job to the leader and leave it in progress."""
     waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
     await run_callbacks()
     assert model_link.leadership.dispatch.jobs.is_open(JobId(JOB))
@@ -237,9 +234,9 @@
 
 
 def test_keepalive_reports_the_abandoned_jobs_of_its_gateway() -> None:
-    """The message that a caller has left can be lost; its job went on, and its caller came again.
+    """The message that a caller has left can be lost; its job continued and was submitted again.
 
-    Whoever decides counts on a gateway while it greets: so the greetings must tell.
+    A coordinator relies on a gateway that sends keep-alives, so these must report abandoned jobs.
     """
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
@@ -268,7 +265,7 @@
 
 
 def test_submission_confirms_only_its_own_job() -> None:
-    """It does not tell what its gateway waits for no more, as greetings do."""
+    """Unlike a keep-alive, it does not report which jobs its gateway has abandoned."""
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, model_link)
@@ -292,7 +289,7 @@
 
 
 def test_leader_abandons_left_jobs_before_their_caller_resubmits() -> None:
-    """Greetings that arrive, and are answered too late, kept jobs at a leader that was too slow."""
+    """Keep-alives that arrived but were answered too late kept jobs open at a slow leader."""
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, model_link)
@@ -315,7 +312,7 @@
 
 
 def test_jobs_of_a_silent_gateway_are_abandoned_when_it_returns() -> None:
-    """Also where it greets again before anything is decided, as after a time without a lease."""
+    """Also if its next keep-alive precedes the next decision, as after a time without a lease."""
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, model_link)
@@ -332,7 +329,7 @@
 
 
 def test_jobs_of_a_restarted_gateway_are_abandoned() -> None:
-    """Its callers saw their connections break; what it greets with now is not for their jobs."""
+    """Its callers saw their connections break; its new keep-alives do not confirm their jobs."""
 
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, model_link)
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -1,4 +1,4 @@
-"""What is logged when whoever decides is lost and comes back."""
+"""Events logged when the coordinator is lost and returns."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def test_leader_logs_once_that_it_lost_its_lease_and_which_voters_are_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """For 1.5 s no line told why nobody decided."""
+    """Without these events, no log line explained why nothing was scheduled for 1.5 s."""
     logged = record_events(monkeypatch, control_host)
     host = ControlHost(
         settings=load_control_settings(write(tmp_path, CONTROL)),
--- a/cottonlug/tests/test_cluster_logs.py
+++ b/cottonlug/tests/test_cluster_logs.py
@@ -1,4 +1,4 @@
-"""Logs that nobody reads, the sample of routine lines, metrics as text, and one job's story."""
+"""Logs without a reader, the sampling of routine lines, metrics as text, and `explain`."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_reader_that_never_reads_does_not_block_logging() -> None:
-    """The pipe and the buffer fill; routine lines go first, then all, and both are counted."""
+    """The pipe and the buffer fill; routine lines are dropped first, then all; both are counted."""
     reading, writing = os.pipe()
     output = LogOutput(descriptor=writing)
     for _ in range(5_000):
@@ -27,7 +27,7 @@
     routine = output.dropped
     assert 0 < routine < 5_000
     output.write_record(LINE, logging.WARNING)
-    assert output.dropped == routine, "there is still room for what matters more"
+    assert output.dropped == routine, "there is still space for more important lines"
     for _ in range(5_000):
         output.write_record(LINE, logging.WARNING)
     assert output._size <= BUFFER_BYTES + len(LINE) + 1
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -1,4 +1,4 @@
-"""What a control host that does not lead does with orders and heartbeats that come to it."""
+"""Idempotent calls and heartbeats that arrive at a control host that is not the leader."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def mock_other_leader(
     host: ControlHost, answer_after: float, monkeypatch: pytest.MonkeyPatch
 ) -> list[Call]:
-    """Have another host lead that answers after some seconds; return what is sent to it."""
+    """Mock another host as leader that answers after some seconds; return the calls sent to it."""
     sent: list[Call] = []
 
     async def forward(
@@ -92,7 +92,7 @@
 def test_draining_upstream_still_receives_orders_and_its_lease(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Answered from the log, it had no lease, and what still ran there lapsed."""
+    """An answer from the log carried no lease, and the runs still active there lapsed."""
 
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
@@ -106,9 +106,9 @@
 def test_heartbeat_is_forwarded_to_the_leader_only_once(
     orders: OrdersBy, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The leader may keep it for 0.7 s; a second one would count as overtaken, and be for nothing.
+    """The leader may park a heartbeat for 0.7 s; a second copy would count as overtaken.
 
-    Beside a leader that is late, each would make it later.
+    Copies would also put more load on a leader that is late already.
     """
 
     async def script(host: ControlHost) -> Answer:
--- a/cottonlug/tests/test_control_processes.py
+++ b/cottonlug/tests/test_control_processes.py
@@ -1,4 +1,4 @@
-"""The replicated configuration on real processes: kills, freezes, lost disks, racing operators."""
+"""The replicated configuration on real processes: kills, freezes, lost disks, racing changes."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def apply(fleet: Fleet, host: str, request_id: str, base: int) -> dict[str, Any]:
-    """Ask until the decision is known, as an operator would, at one host or else at another."""
+    """Send a change until its decision is known, to one host or else to others."""
     change = {"request_id": request_id, "base_version": base, "text": write_rules(request_id)}
     body = json.dumps(change).encode()
     decided: list[dict[str, Any]] = []
--- a/cottonlug/tests/test_evacuation_campaign.py
+++ b/cottonlug/tests/test_evacuation_campaign.py
@@ -1,4 +1,4 @@
-"""A seeded campaign on the model of a site: evacuations beside cuts, leaders in turn and kills."""
+"""Randomised runs of the site model: evacuations with network cuts, leader changes and kills."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 DOMAINS_OF_SITE = (NORTH, SOUTH, EAST)
 EFFECTIVE_WITHIN = milliseconds(500)
-"""An order commits in 15 ms and a start arrives 4 ms after it was sent; the operators bear 5 s."""
+"""An order commits in 15 ms and a start arrives 4 ms after sending; operators tolerate 5 s."""
 CONTACT_TIMEOUT = timedelta(seconds=4)
 
 
 class Campaign:
-    """A day of a site on which domains are evacuated and taken back, beside other troubles."""
+    """A site whose domains are evacuated and used again while other faults occur."""
 
     def __init__(self, seed: int) -> None:
         self.site = build_site(seed, upstreams_each=3)
         self.chance = random.Random(seed)
         self.evacuated_since: dict[DomainName, timedelta] = {}
-        """Evacuated domains, and when the order was committed."""
+        """When the order was committed, by evacuated domain."""
         self.cut_at: dict[DomainName, timedelta] = {}
-        """When a domain was last seen cut off: its deputy may not know of the order."""
+        """When a domain was last cut off; its acting leader may not know the order."""
         self.orders = 0
         for upstream in self.site.upstreams.values():
             upstream.run_times = self.choose_run_times(upstream.info.id)
 
     def choose_run_times(self, id: UpstreamId):  # type: ignore[no-untyped-def]
-        """Return the run times of an upstream, which is asked for one at every start."""
+        """Return a function that chooses a run time and checks the start of a run."""
         domain = self.site.upstreams[id].info.domain
 
         def choose(job: JobId) -> timedelta:
@@ -81,7 +81,7 @@
 
 
 def change_leader(site: Site, chance: random.Random) -> None:
-    """Have another host lead at once, as after a graceful shutdown."""
+    """Change the leader immediately, as after a graceful shutdown."""
     if site.leader is not None:
         site.lead_from(
             chance.choice([each for each in DOMAINS_OF_SITE if each not in site.cut_off])
--- a/cottonlug/tests/test_first_election.py
+++ b/cottonlug/tests/test_first_election.py
@@ -1,4 +1,4 @@
-"""How soon somebody leads after all control hosts have come back at the same moment."""
+"""The time to the first election after all control hosts have started simultaneously."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 VOTERS = 7
 SYNC_MS = 9.0
 MAX_ELECTION_TIME = milliseconds(300)
-"""With one vote that nobody won; everybody used to wait for 350 to 700 ms after it."""
+"""Includes one split vote; all voters used to wait for 350 to 700 ms after one."""
 
 
 def measure_first_election(seed: int) -> timedelta:
-    """Return when the first of seven voters leads that start within 3 ms of one another."""
+    """Return when the first of seven voters that start within 3 ms becomes leader."""
     chance = random.Random(seed)
     voters = tuple(MemberId(f"{name}/1") for name in "abcdefg"[:VOTERS])
     snapshot = Snapshot(index=Index(1), term=Term(0), members=Members(voters=voters), data="")
@@ -51,7 +51,7 @@
             )
         member = members.get(voter)
         if member is None:
-            # Not listening yet.
+            # The member has not started yet.
             continue
         if message in ("start", "tick"):
             member.tick(now)
@@ -67,10 +67,10 @@
 
 
 def test_leader_is_elected_soon_after_a_split_vote() -> None:
-    """Load: all control hosts lose power together, and start within 3 ms of one another.
+    """All control hosts lose power together and start within 3 ms of each other.
 
-    In 31 of these 200 starts several asked for votes at once and none had four; all then waited as
-    long as for a lost leader, while nobody was served.
+    In 31 of these 200 starts several voters campaigned at once and none won four votes. All then
+    waited as long as for a lost leader, and no caller was served.
     """
     election_times = sorted(measure_first_election(seed) for seed in range(SEEDS))
     assert election_times[int(0.95 * SEEDS)] <= MAX_ELECTION_TIME
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -1,4 +1,4 @@
-"""Orders that travel in the answers to heartbeats, against an upstream of our own."""
+"""Orders that are sent in the answers to heartbeats, against a simulated upstream."""
 
 from __future__ import annotations
 
@@ -213,7 +213,7 @@
 
 def test_leases_count_from_the_latest_arrival_of_an_order() -> None:
     assert MAX_DELIVERY_DELAY >= MAX_QUEUE_TIME + ANSWER_EXPIRY
-    assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer under way may still be taken in until then"
+    assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer in transit may be processed until then"
     called = LeaseTerms(longest=timedelta(seconds=1))
     answered = LeaseTerms(longest=timedelta(seconds=1), delivery=MAX_DELIVERY_DELAY)
     assert answered.lapse_after == called.lapse_after + MAX_DELIVERY_DELAY
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -1,4 +1,4 @@
-"""Calls between hosts while many jobs wait, and greetings of hosts with much to do."""
+"""Calls between hosts while many jobs wait, and keep-alives to busy hosts."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from .processes import find_base_port
 
 KEEPALIVE_TIMEOUT = timedelta(milliseconds=500)
-"""Much longer than a gateway waits (0.1 s): only one that is stuck takes as long."""
+"""Much longer than a gateway waits (0.1 s); only a blocked keep-alive takes this long."""
 
 
 WAITING_JOBS = 200
-"""Jobs that wait at one host: more than it may have connections."""
+"""More jobs than one host may have connections."""
 WAITING_CONNECTIONS = 200
-"""Connections that nobody has taken in yet."""
+"""Connections that the listener has not accepted yet."""
 
 
 def build_request(call: Call) -> HttpRequest:
@@ -33,7 +33,7 @@
 
 
 def test_keepalive_is_answered_while_the_maximum_of_jobs_wait() -> None:
-    """Load: a backlog. A gateway whose jobs held all connections fell out of touch with it."""
+    """A gateway whose waiting jobs used all connections to a host lost contact with it."""
 
     async def play() -> Answer:
         held = 0
@@ -79,10 +79,10 @@
 
 
 def test_keepalive_does_not_wait_behind_job_connections() -> None:
-    """Load: hundreds of jobs have waited for a host that comes back, and each opens a connection.
+    """Hundreds of jobs wait for a host that restarts, and each opens a connection.
 
-    Failed before: after a power cut of all hosts the leader took one connection in a turn, and for
-    six seconds greetings came 0.4 to 0.85 s late: jobs were given up and came again.
+    After a power failure of all hosts the leader accepted one connection per event loop turn. For
+    six seconds keep-alives were 0.4 to 0.85 s late: jobs were abandoned and submitted again.
     """
 
     async def play() -> tuple[Outcome, int]:
@@ -138,7 +138,7 @@
         answer = answer_decoder.decode(reply.body)
         assert (answer.outcome, answer.is_deputy) == (Outcome.DONE, True)
         assert gateway.deputy is not None
-        # It counts on a gateway that has had an answer of its own, and says so.
+        # The acting leader relies on a gateway that proves contact by an answer received from it.
         again = msgspec.structs.replace(greet("10.0.0.2:7000"), contact=answer.contact)
         assert gateway.answer_at_once(build_request(again)) is not None
         assert gateway.deputy.leadership.gateways.is_heard("10.0.0.2:7000")
@@ -149,7 +149,7 @@
 
 
 def test_immediate_answer_creates_no_task() -> None:
-    """On a host with much to do each turn of the loop is long, and a task takes two."""
+    """On a busy host each turn of the event loop is long, and a task takes two turns."""
 
     async def play() -> tuple[list[int], int]:
         async def never(request: HttpRequest) -> HttpResponse:
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""A replica on its disk: late saves, replaced hosts, and a disk that fails for a while."""
+"""A replica and its disk: late saves, replaced hosts, and temporary disk failures."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def build_leader(*voters: MemberId) -> Member:
-    """Return a member that has just been elected by all voters."""
+    """Return a member that all voters have just elected."""
     members = Members(voters=voters)
     snapshot = Snapshot(index=Index(1), term=Term(0), members=members, data="")
     stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
@@ -65,7 +65,7 @@
     member = build_leader(A, B, C)
     last = member.log.last_index
     acknowledge(member, B, last)
-    assert member.commit < last, "one disk of three has it"
+    assert member.commit < last, "only one disk of three has the entry"
     member.note_saved()
     assert member.commit == last
 
@@ -94,13 +94,13 @@
     planned = plan_change(member, current, lost=[C])
     assert planned is not None
     assert planned.voters == (A, B)
-    assert plan_removal(member, lost=[C]) is None, "three voters are not made two without need"
+    assert plan_removal(member, lost=[C]) is None, "three voters are not reduced to two"
 
 
 def apply_member_changes(
     member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()
 ) -> None:
-    """Take every step towards members that are all there, each acknowledged by all."""
+    """Make all membership changes until all members are reachable; all acknowledge each change."""
     for _ in range(20):
         most = find_most_voters(member.members, lost)
         planned = plan_change(member, hosts, lost, most)
@@ -112,7 +112,7 @@
             if each != A and each not in lost:
                 acknowledge(member, each, last)
         member.note_saved()
-    raise AssertionError("the members never settle")
+    raise AssertionError("the membership changes do not end")
 
 
 def name_hosts(first: int, last: int) -> dict[str, MemberId]:
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize(("hosts", "voters"), [(4, 3), (5, 5), (6, 5), (8, 7), (10, 7)])
 def test_voter_count_stays_odd_so_that_a_split_leaves_a_majority(hosts: int, voters: int) -> None:
-    """8 voters were split 4 to 4 for 7 s, and nobody led."""
+    """Eight voters that a network partition splits 4 to 4 had no leader for 7 s."""
     member = build_leader(A, B, C)
     for voter in (B, C):
         acknowledge(member, voter, member.log.last_index)
@@ -193,7 +193,7 @@
 
 
 def test_temporary_disk_failure_loses_no_committed_entry(tmp_path: Path) -> None:
-    """Found with a day of `disk_full`: the host stayed out of the quorum until it was restarted."""
+    """After a full disk the host stayed out of the quorum until it was restarted."""
 
     async def play() -> None:
         replicated = ReplicatedRecords()
@@ -229,7 +229,7 @@
 
 
 def test_entries_saved_with_a_vote_count_immediately(tmp_path: Path) -> None:
-    """Failed before: entries saved beside a vote were not counted until a later save."""
+    """Entries saved together with a vote were not counted until a later save."""
 
     async def play() -> None:
         replicated = ReplicatedRecords()
@@ -270,7 +270,7 @@
 
 
 def test_next_seed_bootstraps_if_the_first_one_may_not() -> None:
-    """The first one was restarted before the log began, and its settings say so."""
+    """The first seed was restarted before the bootstrap; its settings then forbid it to begin."""
     first, second, third = build_hello(1, may_begin=False), build_hello(2), build_hello(3)
     assert build_membership(1).plan_bootstrap(first, [second, third]) is None
     assert build_membership(2).plan_bootstrap(second, [first, third]) is not None
