--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -120,14 +120,14 @@
         self._own = own
         self._reported_at: dict[str, timedelta] = {}
 
-    def record_report(self, desk: str) -> None:
+    def record_report(self, responder: str) -> None:
         """Record a report; its responder counts as active for `RESPONDER_TRUST_PERIOD`."""
-        self._reported_at[desk] = self._clock.monotonic()
+        self._reported_at[responder] = self._clock.monotonic()
 
     def list_active(self) -> list[str]:
         """Return the active responders in order."""
         since = self._clock.monotonic() - RESPONDER_TRUST_PERIOD
-        return sorted(desk for desk, at in self._reported_at.items() if at >= since)
+        return sorted(responder for responder, at in self._reported_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
         """Return where an upstream sends its heartbeats; stable while the responders are."""
