--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -1,7 +1,8 @@
-"""How a gateway keeps in touch with whoever decides: a leader, or a gateway that stands in.
+"""The link of a gateway to the coordinator: a leader, or a gateway that acts as leader.
 
-A leader is greeted directly. Where a gateway reaches no control host, another gateway that does
-passes its calls on. Where no gateway reaches a leader, one of them stands in (`deputy`).
+A gateway sends keep-alives directly to the leader. If it reaches no control host, it relays its
+calls through another gateway that does. If no gateway reaches a leader, one of the gateways acts as
+leader (`acting_leader`).
 """
 
 from __future__ import annotations
@@ -31,47 +32,50 @@
 
 GREET_SECONDS = 0.08
 GREET_SECONDS_EACH = 0.0004
-"""For each gateway: with 300 the leader is greeted 2,500 times a second, half of what it can bear.
-Two greetings fit into `GATEWAY_SILENT` up to 125 ms, so that one may be lost."""
+"""The interval grows with the number of gateways: with 300 the leader gets 2,500 keep-alives a
+second, half of what it can handle. With an interval of at most 125 ms, two keep-alives fit into
+`GATEWAY_TIMEOUT`, so that one of them may be lost."""
 LONGEST_GREET_SECONDS = 0.125
 GREET_SECONDS_WITHOUT_LEADER = 0.05
 GREET_SECONDS_BETWEEN = 0.025
-"""Control hosts keep a greeting for 70 ms until somebody leads; who is elected in the pause between
-two of them a gateway learns only with the next."""
+"""Control hosts hold a keep-alive for up to 70 ms until a leader is elected. A gateway learns of a
+leader that is elected between two keep-alives only with the next one, so this pause is short."""
 TURN_SECONDS = 0.003
-"""For each gateway: the lowest of them is asked by all others in each turn."""
+"""Per gateway, since all others contact the gateway with the lowest address in each check."""
 LONGEST_TURN_SECONDS = 0.15
 ASK_AGAIN_SECONDS = 0.01
-"""Before a greeting without an answer is repeated: two in a row fit into `GATEWAY_SILENT`."""
+"""Pause before an unanswered keep-alive is repeated: two in a row fit into `GATEWAY_TIMEOUT`."""
 GREET_TIMEOUT = timedelta(milliseconds=100)
-"""A leader counts on a gateway that it hears within 300 ms, so that one greeting may be lost."""
+"""A leader counts a gateway as connected for 300 ms after contact: one keep-alive may be lost."""
 READY_FOR = timedelta(milliseconds=1_200)
-"""A host is ready for callers for so long after it last reached one that decides."""
+"""How long a gateway stays ready for callers after its last contact with the coordinator."""
 RELAY_AFTER = timedelta(milliseconds=200)
-"""Two greetings unanswered; a change of leader is seen sooner by those who reach a control host."""
+"""Two unanswered keep-alives. Gateways that reach a control host notice a new leader sooner."""
 CALLS_LOST_AFTER = GATEWAY_SILENT + timedelta(milliseconds=50)
-"""After so long without a leader, calls that it has not answered are not waited for."""
+"""After this time without a leader, a gateway stops waiting for calls that the leader has not
+answered."""
 CORE_SILENT = timedelta(milliseconds=250)
-"""A control host that has not answered for so long can take no part in an election."""
+"""A control host that has not answered for this long cannot take part in an election."""
 LEVELS_PER_TURN = 1_000
 STAND_DOWN_GAP = timedelta(milliseconds=400)
-"""A deputy that was held up for so long may have been replaced."""
+"""An acting leader whose process was delayed for this long may have been replaced."""
 STAND_IN_AGAIN_AFTER = timedelta(seconds=2)
-"""Another one decides, whom this host does not reach: with the same roster it would be fenced off
-at once, and its callers' jobs lost each time (every 0.3 s beside a leader that is overloaded)."""
+"""Pause after this gateway was fenced off as acting leader by a coordinator that it cannot reach.
+With the same failover state it would be fenced off again at once and lose its callers' jobs each
+time (every 0.3 s beside an overloaded leader)."""
 
 
 class Via(Enum):
-    """By which way a gateway reaches whoever decides."""
+    """How a gateway reaches the coordinator."""
 
     LEADER = "leader"
     RELAY = "relay"
-    """Another gateway passes calls on to the leader."""
+    """Another gateway relays calls to the leader."""
     DEPUTY = "deputy"
 
 
 class DeciderLink:
-    """Who decides, as far as this gateway knows, and its own time of standing in."""
+    """The coordinator as far as this gateway knows, and its own role as acting leader."""
 
     def __init__(
         self,
@@ -88,16 +92,16 @@
         self.hosts: list[str] = [str(seed) for seed in settings.seeds]
         """Addresses of the known control hosts."""
         self.host: str | None = None
-        """Address to which calls go."""
+        """Address of the coordinator, to which calls are sent; None while none is known."""
         self.via = Via.LEADER
         self.deputy: Deputy | None = None
         self.deputy_term = 0
-        """The term in which the present or last deputy stands in."""
+        """The term of the current or last acting leader."""
         self.rosters = RosterKeeper(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
         self.record_change: Callable[[float], object] = lambda silence_ms: None
-        """Called when another host decides, with the milliseconds since anybody was reached."""
+        """Called when the coordinator changes, with the milliseconds since the last contact."""
         self._settings = settings
         self._clock = clock
         self._port = port
@@ -106,7 +110,8 @@
         self._reached_at: timedelta | None = None
         self._led_at = clock.monotonic()
         self._named: set[str] = set()
-        """Who is greeted in this round, and need not be once more because others name it."""
+        """Hosts that get a keep-alive in this round, so that they are not contacted again when
+        other hosts name them as leader."""
         self._answered_at: dict[str, timedelta] = {}
         """When each control host last answered."""
         self._level = 0
@@ -114,43 +119,43 @@
         self._was_silent = False
         self._checked_at = clock.monotonic()
         self._fenced_off_at: timedelta | None = None
-        """When upstreams last showed this host, as a deputy, that another one decides."""
+        """When upstreams last fenced this host off as acting leader."""
         self._news = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._greetings: set[asyncio.Task[bool]] = set()
 
     def start(self) -> None:
-        """Begin to look for the leader."""
+        """Start the background tasks that find and follow the coordinator."""
         self._tasks.append(asyncio.create_task(self._greet_forever()))
         self._tasks.append(asyncio.create_task(self._replace_leader_forever()))
 
     def stop(self) -> None:
-        """Stop looking, and stand down."""
+        """Cancel the background tasks and step down as acting leader."""
         self.stand_down()
         for task in (*self._tasks, *self._greetings):
             task.cancel()
 
     def is_reached(self) -> bool:
-        """Whether whoever decides was reached lately."""
+        """Return whether the last contact with the coordinator is within the timeout."""
         if self._reached_at is None:
             return False
         return self._clock.monotonic() - self._reached_at < READY_FOR
 
     def is_overdue(self) -> bool:
-        """Whether whoever decides owes an answer for too long, so that it may be lost."""
+        """Return whether an answer of the coordinator is overdue, so that it may have failed."""
         return self.host is not None and self._overdue.is_overdue(self.host)
 
     def use_seeds(self, seeds: list[Address]) -> None:
-        """Look for control hosts at these addresses, too."""
+        """Add addresses at which control hosts may be found."""
         self.hosts = sorted({*self.hosts, *(str(seed) for seed in seeds)})
 
     def use_roster(self, received: Roster) -> None:
-        """Keep what is needed to stand in."""
+        """Store failover state that was received."""
         if self.rosters.take(received):
             self._level = 0
 
     async def wait_change(self, seconds: float) -> None:
-        """Wait until calls go elsewhere, but no longer than that."""
+        """Wait until the coordinator changes or answers again, at most the given seconds."""
         try:
             async with asyncio.timeout(seconds):
                 await self._news.wait()
@@ -158,7 +163,7 @@
             return
 
     def follow(self, host: str, via: Via) -> None:
-        """Send calls to a host from now on; those to another one are sent again."""
+        """Send calls to a host from now on; calls pending at another host are retried there."""
         if via is Via.DEPUTY and self.rosters.whole is not None:
             self.deputy_term = self.rosters.whole.term
         if host != self.host or via is not self.via:
@@ -169,7 +174,7 @@
                 self._calls.lose(self.host)
             self.host = host
             self.via = via
-            # It has just answered somebody, whatever it owed before.
+            # It has just answered this or another host, so earlier unanswered keep-alives are moot.
             self._overdue.note_answered(host)
             self._tell_news()
             log_event(Event.DECIDER_CHANGED, decider=host, via=via.value)
@@ -180,9 +185,9 @@
             self.stand_down()
 
     def leave(self, host: str) -> None:
-        """Send no more calls to a host, and those that it has not answered elsewhere.
+        """Stop sending calls to a host; calls that it has not answered are retried elsewhere.
 
-        Nothing that is sent from now on vouches for this gateway there: see `Contact`.
+        What this gateway sends from now on confirms none of its jobs to that host: see `Contact`.
         """
         if self.host == host:
             self.host = None
@@ -191,7 +196,7 @@
             self._calls.lose(host)
 
     def stand_down(self) -> None:
-        """Decide nothing any more, if this gateway stands in."""
+        """Stop acting as leader, if this gateway does."""
         if self.deputy is None:
             return
         deputy, self.deputy = self.deputy, None
@@ -202,13 +207,13 @@
             self.host = None
             self.via = Via.LEADER
 
-    # Greeting
+    # Keep-alives
 
     async def greet_leader(self) -> None:
-        """Greet the host known as leader, or else all control hosts at once.
+        """Send a keep-alive to the known leader, or to all control hosts at once if it is late.
 
-        One of them passes the greeting on to the leader. A leader that has too much to do is late:
-        with a greeting from each of them it had more to do, and was later still.
+        Only one control host forwards the keep-alive to the leader: if each of them did, an
+        overloaded leader that already answers late would get even more work.
         """
         known = self.host if self.via is Via.LEADER else None
         self._named = {*self.hosts, known or ""}
@@ -219,7 +224,7 @@
                 return
         others = [host for host in self.hosts if host != known]
         is_late = asking is not None and not asking.done()
-        # A leader that is only late gets no second greeting from here.
+        # A leader that is only late gets no second keep-alive from this gateway.
         passes_on = None if is_late or not others else random.choice(others)
         if others and await self._greet_any(others, passes_on):
             return
@@ -236,14 +241,14 @@
         )
 
     def _begin_greeting(self, host: str, *, is_probe: bool = False) -> asyncio.Task[bool]:
-        """Greet a host; what it answers counts also where nobody waits for that any more."""
+        """Start sending a keep-alive; its answer is handled even if the task is not awaited."""
         task = asyncio.create_task(self._greet(host, Via.LEADER, is_probe=is_probe))
         self._greetings.add(task)
         task.add_done_callback(self._greetings.discard)
         return task
 
     async def _greet_any(self, hosts: Iterable[str], passes_on: str | None) -> bool:
-        """Greet several hosts at once; return as soon as one of them has led to the leader."""
+        """Send keep-alives to several hosts at once; return once one of them led to the leader."""
         waiting = {self._begin_greeting(host, is_probe=host != passes_on) for host in hosts}
         while waiting:
             done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
@@ -252,7 +257,7 @@
         return False
 
     async def _greet(self, host: str, via: Via, *, is_probe: bool = False) -> bool:
-        """Greet a host; follow the leader that it is, passes the greeting on to, or names."""
+        """Send a keep-alive to a host, and follow the leader that it is, forwards to, or names."""
         answer = await self._ask_greeting(host, is_probe=is_probe)
         if self._take_greeted(host, via, answer):
             return True
@@ -271,7 +276,7 @@
         return answer
 
     def _take_greeted(self, host: str, via: Via, answer: Answer) -> bool:
-        """Follow whom the answer to a greeting leads to; False where that is nobody."""
+        """Follow the coordinator that the answer to a keep-alive names; False if it names none."""
         if via is Via.LEADER and answer.hosts:
             self._answered_at[host] = self._clock.monotonic()
             self.hosts = sorted({*answer.hosts})
@@ -280,7 +285,7 @@
         if answer.outcome is not Outcome.DONE or answer.is_deputy:
             return False
         if via is Via.RELAY and self.is_led_directly():
-            # A control host has answered in the meantime.
+            # A control host has named the leader in the meantime: a relay is not needed.
             return True
         self.vouching.take(answer)
         self.follow(host if via is Via.RELAY else answer.leader or host, via)
@@ -288,12 +293,12 @@
         return True
 
     def _take_roster(self, answer: Answer) -> None:
-        """Learn from a leader's answer to a greeting, which brings nothing where all is known."""
+        """Store the failover state in a leader's answer, which has none if nothing has changed."""
         if self.rosters.take_answer(answer):
             self._level = 0
 
     def is_led_directly(self) -> bool:
-        """Whether a control host has led to the leader lately."""
+        """Return whether this gateway reached the leader through a control host lately."""
         is_direct = self.host is not None and self.via is Via.LEADER
         return is_direct and self._clock.monotonic() - self._led_at < RELAY_AFTER
 
@@ -308,17 +313,17 @@
             await asyncio.sleep(self._find_pause(self._clock.monotonic() - began_at))
 
     def _find_pause(self, taken: timedelta) -> float:
-        """Return how long to wait before the leader is greeted or looked for again, in seconds."""
+        """Return the seconds until the next keep-alive or the next search for the leader."""
         if self.host is not None and self.via is Via.LEADER and not self.is_overdue():
             return self._find_usual_pause()
         return max(GREET_SECONDS_WITHOUT_LEADER - taken.total_seconds(), GREET_SECONDS_BETWEEN)
 
     def _find_usual_pause(self) -> float:
-        """Return how long to wait between two greetings that are answered, in seconds."""
+        """Return the seconds between two keep-alives while they are answered."""
         by_count = self.rosters.count_gateways() * GREET_SECONDS_EACH
         return min(max(GREET_SECONDS, by_count), LONGEST_GREET_SECONDS)
 
-    # Without a leader
+    # Failover
 
     async def _replace_leader_forever(self) -> None:
         while True:
@@ -326,14 +331,14 @@
             await asyncio.sleep(ASK_AGAIN_SECONDS if is_due else self._find_turn())
 
     def _find_turn(self) -> float:
-        """Return how long to wait between two tries to replace the leader, in seconds."""
+        """Return the seconds between two checks whether the leader must be replaced."""
         by_count = self.rosters.count_gateways() * TURN_SECONDS
         return min(max(by_count, GREET_SECONDS_WITHOUT_LEADER), LONGEST_TURN_SECONDS)
 
     async def replace_leader(self) -> bool:
-        """Without a leader in reach, keep in touch with a stand-in, find one, or become one.
+        """Without a leader, check the acting leader or relay, find one, or act as leader here.
 
-        Return whether to go on at once.
+        Return whether the next check is due at once.
         """
         now = self._clock.monotonic()
         was_held_up = now - self._checked_at > STAND_DOWN_GAP
@@ -351,7 +356,7 @@
             return False
         self._note_silence(now - self._led_at)
         if self.host is not None and now - self._led_at >= CALLS_LOST_AFTER:
-            # The leader gives these calls up, and what it does not get has surely not begun.
+            # The leader abandons these calls too, and calls that it never gets have not started.
             self.leave(self.host)
         await self._find_replacement(self.rosters.whole)
         return False
@@ -363,11 +368,11 @@
             log_event(Event.DECIDER_SILENT, decider=self.host, silent_ms=silent_ms)
 
     async def _keep(self, host: str, via: Via) -> bool:
-        """Greet a gateway that stands in or passes calls on; leave it where it no longer does.
+        """Send a keep-alive to the acting leader or relay; unfollow it if it no longer is one.
 
-        One that is late is not left at once: it is a small host with the work of a domain, and to
-        lose the calls under way there sends it all of them again. Return whether to greet it again
-        at once.
+        A gateway that is only late is not unfollowed at once: it is a small host with the work of a
+        whole domain, and abandoning the pending calls would send it all of them again. Return
+        whether the next keep-alive is due at once.
         """
         answer = await self._ask_greeting(host)
         if (self.host, self.via) != (host, via) or self._take_kept(host, via, answer):
@@ -379,7 +384,7 @@
         return False
 
     def _take_kept(self, host: str, via: Via, answer: Answer) -> bool:
-        """Whether a gateway still stands in or passes calls on, by its answer to a greeting."""
+        """Handle an answer of the acting leader or relay; return whether it still is one."""
         if via is Via.RELAY:
             return self._take_greeted(host, via, answer)
         if not answer.is_deputy or answer.outcome is not Outcome.DONE:
@@ -389,11 +394,11 @@
         return True
 
     def _is_silent_for(self, span: timedelta) -> bool:
-        """Whether whoever calls go to has not answered for so long."""
+        """Return whether the coordinator has not answered for this long."""
         return self._reached_at is None or self._clock.monotonic() - self._reached_at >= span
 
     async def _find_replacement(self, roster: Roster) -> None:
-        """Follow a gateway that reaches a leader or stands in, or stand in where none can be."""
+        """Follow a gateway that reaches a leader or acts as one; otherwise act as leader here."""
         if all(gateway.address != self.own for gateway in roster.gateways):
             return
         answers = await self._ask_gateways(choose_asked(roster.gateways, self.own), roster)
@@ -405,7 +410,7 @@
                 self._follow_gateway(gateway, answer)
                 return
         if any(answer.leader is not None for answer in answers.values()):
-            # One of them is in touch with the leader, but its answer was lost: ask again.
+            # One of them is connected to the leader, but the leader's answer was lost: retry.
             return
         rivals = _list_rivals(roster, self.own)
         is_lowest = not any(rival in answers and answers[rival].hosts for rival in rivals)
@@ -413,7 +418,7 @@
             await self._stand_in_if_lowest(roster, rivals)
 
     async def _ask_gateways(self, gateways: Iterable[str], roster: Roster) -> dict[str, Answer]:
-        """Greet several gateways at once and return their answers."""
+        """Send keep-alives to several gateways at once and return their answers."""
         asked = list(gateways)
         greeting = self._build_greeting(roster.version)
         answers = await asyncio.gather(
@@ -429,7 +434,7 @@
         return is_due and not (roster.keeps_jobs or not roster.takes_calls or self.is_stopping)
 
     async def _stand_in_if_lowest(self, roster: Roster, rivals: list[str]) -> None:
-        """Stand in, unless any lower gateway can be reached: then that one does."""
+        """Act as leader, unless a gateway with a lower address answers: then that one does."""
         answers = await self._ask_gateways(rivals, roster)
         is_replaced = self.is_led_directly() or self.deputy is not None
         if not is_replaced and not any(answer.hosts for answer in answers.values()):
@@ -445,11 +450,11 @@
             self.follow(gateway, Via.DEPUTY)
 
     def _find_deputy_delay(self) -> timedelta:
-        """Return how long a leader must be out of reach before anybody stands in."""
+        """Return how long no leader must be reached before a gateway acts as leader."""
         return DEPUTY_AFTER_SILENCE if self.is_core_silent() else DEPUTY_AFTER
 
     def is_core_silent(self) -> bool:
-        """Whether no majority of the control hosts has answered lately, so that none can lead."""
+        """Return whether no majority of the control hosts answers, so that none can be elected."""
         now = self._clock.monotonic()
         alive = sum(
             1
@@ -460,10 +465,11 @@
 
     def _stand_in(self, roster: Roster) -> None:
         if self.host is not None:
-            # Calls under way there could still have been answered; now they go elsewhere.
+            # Pending calls could still have been answered there; now they are retried here.
             self.leave(self.host)
         self._level += 1
-        # Unlike for every gateway, and above what this one and lower ones have used before.
+        # Distinct for each gateway, and above the levels that this gateway and those with lower
+        # addresses have used before.
         addresses = [gateway.address for gateway in roster.gateways]
         level = self._level * LEVELS_PER_TURN + addresses.index(self.own)
         self.deputy = Deputy(
@@ -497,14 +503,14 @@
 
 
 def _can_be_followed(answer: Answer, own_domain: DomainName | None) -> bool:
-    """Whether a gateway passes calls on to a leader, or stands in for this one's domain."""
+    """Return whether a gateway relays calls to a leader or acts as leader for this one's domain."""
     if answer.outcome is not Outcome.DONE:
         return False
     return not answer.is_deputy or answer.domain == own_domain
 
 
 def _list_rivals(roster: Roster, own: str) -> list[str]:
-    """Return the gateways that would stand in rather than this one, if they can be reached."""
+    """Return the gateways that take precedence over this one as acting leader."""
     domain = find_own_domain(roster, own)
     return [
         gateway.address
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -1,19 +1,22 @@
-"""A gateway that decides for want of a leader: jobs that need not be kept go on being served.
+"""A gateway that acts as leader while none can be reached, so that jobs without a log are served.
 
-Pattern: all control hosts are off for seconds, or a failure domain is cut off with its gateways and
-upstreams. Such jobs need no log, so any one host may decide, if two can never run a task at once:
+Used when all control hosts are down for seconds, or when a failure domain is cut off together with
+its gateways and upstreams. Best-effort jobs need no log, so any single host may schedule them, as
+long as no task can run twice:
 
-- upstreams take orders under the highest token only, and a deputy's lies between two leaders';
-- whoever decides gives up the jobs of a gateway that it does not hear (`GATEWAY_SILENT`), and a
-  gateway takes its jobs elsewhere only after a longer silence (`DEPUTY_AFTER_SILENCE`);
-- a job that may have begun waits until every upstream was seen, or its leases have lapsed.
+- upstreams accept only orders with the highest fencing token, and the token of an acting leader
+  lies between those of two leaders;
+- the coordinator abandons the jobs of a gateway after `GATEWAY_TIMEOUT` without contact, and a
+  gateway moves its jobs to another coordinator only after the longer `ACT_AS_LEADER_AFTER_SILENCE`;
+- a job that may have started waits until every upstream was polled or its leases have expired.
 
-Among gateways that reach no leader, the one with the lowest address stands in. A roster from the
-last leader tells it the upstreams and the configuration. It takes no configuration, keeps nothing.
+Among the gateways that reach no leader, the one with the lowest address acts as leader. It knows
+the upstreams and the configuration from the failover state of the last leader. It accepts no new
+configuration and stores nothing.
 
-A gateway is a small host: with many upstreams the lowest of each failure domain stands in for that
-domain alone. Upstreams of other domains then count as out of sight: what may have begun waits until
-their leases have lapsed.
+A gateway is a small host: with many upstreams, the lowest gateway of each failure domain acts as
+leader for that domain only. Upstreams of other domains then count as unreachable: jobs that may
+have started there wait until the leases of these upstreams have expired.
 """
 
 from __future__ import annotations
@@ -33,14 +36,14 @@
 from .replicated import ReplicatedRecords
 
 DEPUTY_AFTER = timedelta(milliseconds=900)
-"""Where control hosts answer that have no leader: longer than an election takes (0.35 to 0.7 s)."""
+"""If control hosts answer but have no leader: longer than an election takes (0.35 to 0.7 s)."""
 DEPUTY_AFTER_SILENCE = timedelta(milliseconds=520)
-"""Where no majority of them answers, nobody can be elected; longer than `GATEWAY_SILENT` with a
+"""If no majority of them answers, no leader can be elected; longer than `GATEWAY_TIMEOUT`, with a
 margin."""
 
 
 class DeputyAuthority:
-    """The right of a deputy to decide: until an upstream shows a higher token."""
+    """The authority of an acting leader, which ends when an upstream reports a higher token."""
 
     def __init__(self, *, term: int, replicated: ReplicatedRecords) -> None:
         self._term = term
@@ -53,11 +56,11 @@
         return self._term
 
     def has_lease(self) -> bool:
-        """Whether nobody has taken over."""
+        """Return whether no other coordinator is known to have taken over."""
         return not self.is_over
 
     def propose(self, data: str) -> bool:
-        """Carry out commands here at once; nothing is kept."""
+        """Apply commands at once, in memory only; False if the authority has ended."""
         if self.is_over:
             return False
         for command in decode_commands(data):
@@ -67,12 +70,12 @@
         return True
 
     def renew(self) -> None:
-        """Stand down: another host has a higher token."""
+        """End this authority, since another host has a higher token."""
         self.is_over = True
 
 
 class Deputy:
-    """One time of standing in."""
+    """One period in which this gateway acts as leader."""
 
     def __init__(
         self,
@@ -89,7 +92,7 @@
         on_failure: OnFailure,
     ) -> None:
         self.domain = domain
-        """The failure domain that it stands in for; None for all."""
+        """The failure domain that it acts as leader for; None for all."""
         replicated = ReplicatedRecords()
         records = replicated.records
         records.put_in_force(roster.configuration)
@@ -112,12 +115,12 @@
                 domain=domain,
                 level=level,
                 reports=reports,
-                # Heartbeats go to control hosts only.
+                # Upstreams send heartbeats to control hosts only, so none will confirm capacities.
                 known_until=reports.find_known_until(known_at),
             ),
         )
 
     def stop(self) -> None:
-        """Decide nothing more."""
+        """Stop scheduling."""
         self.authority.renew()
         self.leading.stop()
--- a/cottonlug/runtime/dump.py
+++ b/cottonlug/runtime/dump.py
@@ -15,7 +15,7 @@
 
 
 class SessionDump(Message, omit_defaults=False):
-    """One upstream as an entry host sees it."""
+    """The session of one upstream at an entry host."""
 
     upstream: UpstreamId
     state: SessionState
@@ -27,7 +27,7 @@
 
 
 class ConsensusDump(Message, omit_defaults=False):
-    """A voter's member of the replicated log."""
+    """State of a voter as a member of the replicated log."""
 
     member: MemberId
     role: Role
@@ -40,7 +40,7 @@
 
 
 class EntryDump(Message, omit_defaults=False):
-    """State of an entry host; jobs are the newest active ones."""
+    """State of an entry host; `jobs` holds the newest active ones."""
 
     host: HostId
     domain: DomainName
@@ -56,7 +56,7 @@
 
 
 class LinkDump(Message, omit_defaults=False):
-    """One link of an upstream."""
+    """One link of an upstream to an entry host."""
 
     host: HostId
     session: int
@@ -67,7 +67,7 @@
 
 
 class UpstreamDump(Message, omit_defaults=False):
-    """State of a stand-in upstream; `duplicate_starts` must be zero."""
+    """State of a simulated upstream; `duplicate_starts` must be zero."""
 
     upstream: UpstreamId
     leaving: bool
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -1,4 +1,4 @@
-"""An entry host: the dispatcher core with its timers, waiting callers and parked upstreams."""
+"""An entry host: the dispatcher core with its timers, waiting callers and parked exchanges."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class EntryHost:
-    """State of one entry host; all of it on one loop."""
+    """State of one entry host; all of it is used on one event loop."""
 
     def __init__(
         self, *, settings: EntrySettings, clock: Clock, rulebook: Rulebook, control: Control
@@ -85,15 +85,15 @@
         self._unfetched: set[SubmissionId] = set()
         self._failure: Callable[[BaseException], None] | None = None
 
-    # Life
+    # Lifecycle
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
-        """Begin the timers; `on_failure` hears of a broken invariant."""
+        """Start the timers; `on_failure` is called when an invariant is broken."""
         self._failure = on_failure
         self._ticker = asyncio.create_task(self._tick_forever())
 
     async def drain(self) -> None:
-        """Take no new work, finish what was accepted and let callers fetch their answers."""
+        """Accept no new jobs, finish the accepted ones and let callers fetch their answers."""
         self.dispatcher.draining = True
         log_event(Event.DRAINING, host=self.settings.host, jobs=self.dispatcher.active_jobs)
         now = self._clock.monotonic()
@@ -117,7 +117,7 @@
     def mint(self, count: int) -> Result[MintReply, Refusal]:
         """Return fresh submission ids."""
         if not 1 <= count <= MAX_IDS_PER_MINT:
-            message = f"ask for 1 to {MAX_IDS_PER_MINT} ids at a time"
+            message = f"the number of ids must be between 1 and {MAX_IDS_PER_MINT}"
             return Err(Refusal(code=RefusalCode.INVALID, message=message, path="$.count"))
         now = self._clock.monotonic()
         store = self.dispatcher.store
@@ -127,7 +127,10 @@
     def submit(
         self, request: SubmitRequest, idempotent: bool = False
     ) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Accept a job or attach to it; `record_lost` is an answer already."""
+        """Accept a job, or attach to the job with the same id.
+
+        A job whose record was lost has an answer already, which is returned.
+        """
         now = self._clock.monotonic()
         store = self.dispatcher.store
         id = request.id or store.mint(now)
@@ -137,7 +140,7 @@
             if isinstance(known, JobAnswer):
                 return Success(known)
             return self.dispatcher.attach(known, compute_digest(request))
-        # Before any check that may say `not_run`: an id without a record here may have run.
+        # Check this before anything that may answer `not_run`: a job without a record may have run.
         refusal = store.check_new(id, now)
         refusal = refusal or check_submit(request, self.settings.bodies.max_payload_kb * 1024)
         if refusal is None and not self.control.is_ready():
@@ -161,14 +164,14 @@
         return accepted
 
     def get_status(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Return how far a job has come."""
+        """Return the status of a job, or its answer if that alone is kept."""
         found = self.dispatcher.store.find(id, self._clock.monotonic())
         return found.map(lambda known: build_status(known) if isinstance(known, Job) else known)
 
     async def wait_answer(
         self, id: SubmissionId, wait_seconds: float
     ) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Return the whole answer, or the status once the wait is over."""
+        """Return the answer of a job, or its status if it has not ended within the wait."""
         found = self.dispatcher.store.find(id, self._clock.monotonic())
         if isinstance(found, Err):
             return Err(found.failure())
@@ -183,7 +186,7 @@
         return Success(build_answer(known))
 
     def cancel(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Cancel a job; the answer is the same for all who ask."""
+        """Cancel a job; all callers that ask for it get the same answer."""
         now = self._clock.monotonic()
         found = self.dispatcher.store.find(id, now)
         if isinstance(found, Err):
@@ -196,7 +199,7 @@
         return Success(status)
 
     async def run_single(self, request: SingleRequest) -> Result[JobAnswer, Refusal]:
-        """Run one task and return its answer, which comes at its deadline at the latest."""
+        """Run one task and return its answer, at its deadline at the latest."""
         submitted = self.submit(build_submit(request), request.idempotent)
         if isinstance(submitted, Err):
             return Err(submitted.failure())
@@ -214,7 +217,7 @@
     def open_exchange(
         self, request: ExchangeRequest
     ) -> Result[asyncio.Future[ExchangeReply], Refusal]:
-        """Take in an upstream's message and return the future of its reply."""
+        """Handle an upstream's message and return the future of its reply."""
         refusal = self.dispatcher.exchange(request, self._clock.monotonic())
         if refusal is not None:
             return Err(refusal)
@@ -224,14 +227,14 @@
         return Success(future)
 
     def close_exchange(self, request: ExchangeRequest) -> None:
-        """Note that an upstream hung up before its reply."""
+        """Handle an upstream's disconnect before its reply."""
         if self._exchange_waiters.pop(_identify(request), None) is None:
             return
         now = self._clock.monotonic()
         self.dispatcher.disconnect(request.upstream, request.session, request.seq, now)
 
     def plan_dispatch(self) -> None:
-        """Dispatch once all messages that wait on the loop have been taken in."""
+        """Schedule a dispatch after all messages that are ready on the event loop."""
         if self._dispatch_planned:
             return
         self._dispatch_planned = True
@@ -240,12 +243,12 @@
     # Operators
 
     def count(self) -> dict[str, float]:
-        """Return all counters."""
+        """Return all counters by name."""
         counters: dict[str, float] = asdict(self.dispatcher.counters)
         return counters
 
     def gauge(self) -> dict[str, float]:
-        """Return the current sizes."""
+        """Return all gauges by name."""
         dispatcher = self.dispatcher
         return {
             "active_jobs": dispatcher.active_jobs,
@@ -258,7 +261,7 @@
             "rules_stale": float(self.control.is_stale()),
         }
 
-    # Inside
+    # Internals
 
     def _run_dispatch(self) -> None:
         self._dispatch_planned = False
@@ -320,7 +323,7 @@
 def _refuse_not_ready() -> Refusal:
     return Refusal(
         code=RefusalCode.NOT_READY,
-        message="this entry host does not know the rules in force yet",
+        message="this entry host has not received the active rules yet",
         outcome=RunOutcome.NOT_RUN,
         retry_after_ms=NOT_READY_RETRY_AFTER_MS,
     )
--- a/cottonlug/runtime/follower.py
+++ b/cottonlug/runtime/follower.py
@@ -1,4 +1,4 @@
-"""A host without a vote: it takes the configuration from a voter by long poll."""
+"""An entry host without a vote, which gets the configuration from a voter by long polling."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 POLL_MS = 1_500
 STALE_AFTER = timedelta(seconds=4)
-"""Two polls that should have come back."""
+"""Longer than two polls take."""
 _RETRY_SECONDS = 0.25
 _SLACK_SECONDS = 1.0
 
 
 class Follower:
-    """State of one host without a vote."""
+    """The replicated configuration at a host without a vote."""
 
     def __init__(self, *, settings: EntrySettings, clock: Clock, rulebook: Rulebook) -> None:
         self._settings = settings
@@ -41,7 +41,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> str | None:
-        """Begin to poll."""
+        """Start polling."""
         self._task = asyncio.create_task(self._poll_forever())
         return None
 
@@ -53,18 +53,18 @@
             await client.close()
 
     def is_ready(self) -> bool:
-        """Whether a voter has told what is in force."""
+        """Return whether a voter has sent the active configuration."""
         return self._polled_at is not None
 
     def is_stale(self) -> bool:
-        """Whether no voter that is itself up to date was heard for a while."""
+        """Return whether no voter that is itself up to date has answered within `STALE_AFTER`."""
         if self._polled_at is None or self._voter_is_stale:
             return True
         return self._clock.monotonic() - self._polled_at > STALE_AFTER
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
-        """Pass a change on to the voters, the nearest first."""
-        refusal = refuse_unknown("no voter answers")
+        """Forward a change to the voters, those in this failure domain first."""
+        refusal = refuse_unknown("no voter answered")
         for client in self._change_clients:
             sent = await client.call("POST", "/v1/control/change", ChangeOutcome, command)
             if isinstance(sent, Success):
@@ -74,7 +74,7 @@
         return Err(refusal)
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
-        """Return the configuration in force, waiting for one newer than `after`."""
+        """Return the active configuration, after waiting for one newer than `after`."""
         if self._rulebook.version <= after:
             await self._watch.wait(seconds)
         book = self._rulebook
@@ -88,7 +88,7 @@
             await asyncio.sleep(_RETRY_SECONDS)
 
     async def _poll(self, client: ApiClient) -> bool:
-        """Ask one voter; False where the next one should be asked."""
+        """Poll one voter; False if the next one should be polled."""
         path = f"/v1/control/view?after={self._rulebook.version}&wait_ms={POLL_MS}"
         reply = await client.call("GET", path, ConfigurationView, None)
         if isinstance(reply, Err):
@@ -110,6 +110,6 @@
 
 
 def list_voters(settings: EntrySettings) -> list[PeerSettings]:
-    """Return the voters that this host can ask, those of its own failure domain first."""
+    """Return the voters that this host can poll, those of its own failure domain first."""
     voters = [peer for peer in settings.peers if peer.host in settings.voters]
     return sorted(voters, key=lambda peer: (peer.domain != settings.domain, peer.host))
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -1,4 +1,4 @@
-"""An entry host of the cluster: passes callers' requests to whoever decides, and answers them."""
+"""An entry host of the cluster: sends callers' requests to the coordinator, and answers them."""
 
 from __future__ import annotations
 
@@ -44,20 +44,20 @@
 RETRY_SECONDS = 0.05
 ABANDON_PATIENCE = timedelta(milliseconds=500)
 LEAST_TIME = timedelta(milliseconds=20)
-"""With less time left a call is not tried again."""
+"""A call is not tried again with less time left than this."""
 NOBODY_PATIENCE = timedelta(milliseconds=2_000)
-"""How long a call waits for somebody who decides, before its caller is told to come back."""
-NO_LEADER = "neither a deputy nor in touch with a leader"
-NO_ANSWER = "whoever decides has not answered lately"
+"""How long a call waits for a coordinator before its caller is told to retry later."""
+NO_LEADER = "neither an acting leader nor connected to a leader"
+NO_ANSWER = "the coordinator has not answered lately"
 KEPT_PATIENCE = timedelta(milliseconds=800)
-"""The same for a job that must be kept: no deputy can take it, and an election takes 0.7 s. Where
-no majority of control hosts answers none can come about, and its caller is told at once."""
+"""The same for a durable job: an acting leader cannot accept it, and an election takes 0.7 s. If no
+majority of control hosts answers, no leader can be elected, and its caller is told at once."""
 DEFAULT_MAX_BODY_BYTES = 262_144
 _ORDINARY = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
 
 
 class Gateway:
-    """State of one entry host."""
+    """State of one gateway."""
 
     def __init__(
         self,
@@ -68,15 +68,15 @@
         on_failure: OnFailure,
     ) -> None:
         self.outcomes: dict[str, int] = {outcome.value: 0 for outcome in Outcome}
-        """How many calls had which outcome."""
+        """Number of calls by outcome."""
         self.record_call: Callable[[float], object] = lambda took_ms: None
-        """Called with the milliseconds that each call took."""
+        """Called with the duration of each call in milliseconds."""
         self.record_refusal: Callable[[float], object] = lambda share: None
-        """Called for each job that was not served with the time that took, over its objective."""
+        """Called for each job that was not served with the time taken divided by its objective."""
         self.held_to_end = 0
-        """How many calls were answered only when their callers gave up waiting."""
+        """Number of failed calls that were answered only when their callers' wait timed out."""
         self.held_back = 0
-        """How often a job was not sent to a host that owed an answer."""
+        """How often a job was withheld from a coordinator whose answer was overdue."""
         self._clock = clock
         self.calls = PeerCalls(own=str(settings.listen.peers), urgent_port=settings.urgent_port)
         self._job_lines = JobLines(
@@ -90,12 +90,12 @@
             on_failure=on_failure,
         )
         self._number = self.link.vouching.life
-        """Of the last submission; no earlier process at this address has used it."""
+        """Number of the last submission; no earlier process at this address has used it."""
         self.calls.stamp = self.link.vouching.stamp
         self._background: set[asyncio.Task[Answer]] = set()
 
     def start(self) -> None:
-        """Begin to look for the leader."""
+        """Start the background tasks that find and follow the coordinator."""
         self.link.start()
 
     def stop(self) -> None:
@@ -104,31 +104,31 @@
         self.calls.close()
 
     def begin_stopping(self) -> None:
-        """Be ready for callers no more; what has arrived is still answered."""
+        """Become not ready for callers; calls that have arrived are still answered."""
         self.link.is_stopping = True
 
     @property
     def is_stopping(self) -> bool:
-        """Whether this host is about to stop."""
+        """Whether this gateway is shutting down."""
         return self.link.is_stopping
 
     def is_ready(self) -> bool:
-        """Whether callers' requests can be carried out here at the moment."""
+        """Return whether this gateway can serve callers' requests now."""
         return not self.is_stopping and self.link.is_reached()
 
     @property
     def max_body_bytes(self) -> int:
-        """Longest body of a request, as the configuration says."""
+        """Maximum size of a request body, from the configuration if it is known."""
         return self.link.max_body_bytes or DEFAULT_MAX_BODY_BYTES
 
     @property
     def deputy(self) -> Deputy | None:
-        """This host's decisions for want of a leader, while it stands in."""
+        """The acting leader in this process, or None."""
         return self.link.deputy
 
     @property
     def decider(self) -> str | None:
-        """Address of the host that calls go to, where it is known."""
+        """Address of the coordinator, or None while none is known."""
         return self.link.host
 
     @property
@@ -137,20 +137,23 @@
         return self.link.hosts
 
     def use_seeds(self, seeds: list[Address]) -> None:
-        """Look for control hosts at these addresses, too."""
+        """Add addresses at which control hosts may be found."""
         self.link.use_seeds(seeds)
 
     # Calls of callers
 
     def abandon(self, call: Submit) -> None:
-        """Tell the leader that a caller has left; nobody waits for the answer."""
+        """Tell the coordinator that a caller has disconnected, without waiting for the answer."""
         abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own)
         task = asyncio.create_task(self._call(abandon, ABANDON_PATIENCE))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
     async def call(self, call: Call, patience: timedelta) -> Answer:
-        """Have a call carried out, and log what was not."""
+        """Have a call carried out, and log it if it was not.
+
+        Returns an answer within `patience`.
+        """
         began_at = self._clock.monotonic()
         if isinstance(call, Submit):
             self._number += 1
@@ -163,7 +166,7 @@
         if answer.outcome in (Outcome.UNKNOWN, Outcome.GIVEN_UP):
             self._note_given_up(call)
         if answer.outcome is Outcome.UNKNOWN and isinstance(call, Submit) and call.spec.best_effort:
-            # Its caller hears no more of this try, so what runs of it is of no use.
+            # Its caller gets no result of this try, so its runs are useless and can be stopped.
             self.abandon(call)
         self._count(call, answer, self._clock.monotonic() - began_at, patience)
         if answer.outcome not in _ORDINARY:
@@ -178,14 +181,14 @@
         return answer
 
     def _note_given_up(self, call: Call) -> None:
-        """Have whoever decides told, until it surely knows, that nobody waits for a job here."""
+        """Report with keep-alives that this gateway no longer waits for a best-effort job."""
         if isinstance(call, Submit) and call.spec.best_effort:
             self.link.vouching.note_given_up(
                 GivenUp(host=call.host, path=call.path, number=call.number)
             )
 
     def _count(self, call: Call, answer: Answer, took: timedelta, patience: timedelta) -> None:
-        """Count a call that has been answered."""
+        """Update the metrics for a call that has been answered."""
         self.outcomes[answer.outcome.value] += 1
         self.record_call(took / timedelta(milliseconds=1))
         if answer.outcome in _ORDINARY:
@@ -196,13 +199,13 @@
             self.record_refusal(took / find_declared_objective(queue, call.spec))
 
     def _find_queue(self, call: Submit) -> Queue | None:
-        """Return the queue of a job, as far as the last leader has told."""
+        """Return the queue of a job in the last known configuration, or None."""
         queues = self.link.rosters.queues
         found = queues.find(call.host, call.path) if queues is not None else None
         return found[0] if found is not None else None
 
     async def _call(self, call: Call, patience: timedelta) -> Answer:
-        """Try a call until it is answered for good; every call may be sent twice."""
+        """Retry a call until it has a final answer; every call is safe to send twice."""
         began_at = self._clock.monotonic()
         give_up_at = began_at + patience
         nobody_since: timedelta | None = None
@@ -230,7 +233,7 @@
             elif answer.outcome is Outcome.UNAVAILABLE:
                 nobody_since = now if nobody_since is None else nobody_since
             elif answer.outcome is Outcome.REJECTED and is_unknown:
-                # An earlier try may have run: "not run" cannot be said any more.
+                # An earlier try may have run, so the job can no longer be reported as not run.
                 break
             else:
                 return answer
@@ -239,16 +242,16 @@
                 break
             await self.link.wait_change(RETRY_SECONDS)
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
-        return Answer(outcome=outcome, detail="nobody could be reached in time who decides")
+        return Answer(outcome=outcome, detail="no coordinator could be reached in time")
 
     def _find_patience(self, call: Call) -> timedelta:
-        """Return how long a call waits for somebody who decides."""
+        """Return how long a call waits for a coordinator."""
         if not isinstance(call, Submit) or call.spec.best_effort:
             return NOBODY_PATIENCE
         return timedelta() if self.link.is_core_silent() else KEPT_PATIENCE
 
     def _is_hopeless(self, call: Submit, waited: timedelta) -> bool:
-        """Whether a job that waited so long would end too late to be of any use."""
+        """Return whether a job that has waited this long would end too late to be useful."""
         queue = self._find_queue(call)
         spec = call.spec
         if queue is None or not spec.best_effort or spec.is_timed or spec.long_running:
@@ -256,7 +259,7 @@
         return waited > find_last_use(queue, spec)
 
     def _find_slack(self, call: Submit) -> float:
-        """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
+        """Return for how many seconds a job can still wait and be useful; 0 if not known."""
         queue = self._find_queue(call)
         if queue is None:
             return 0.0
@@ -267,7 +270,7 @@
             return await _ask_itself(self.deputy, call, timeout)
         host = self.link.host
         if host is None:
-            return Answer(outcome=Outcome.UNAVAILABLE, detail="nobody is known who decides")
+            return Answer(outcome=Outcome.UNAVAILABLE, detail="no coordinator is known")
         if isinstance(call, Submit) and self.link.is_overdue():
             self.held_back += 1
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_ANSWER)
@@ -281,7 +284,7 @@
     # Calls of other gateways
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Take jobs in, and answer greetings where this gateway stands in; None for all else."""
+        """Receive jobs, and answer keep-alives while acting as leader; None for other requests."""
         taken = self._job_lines.handle_at_once(request)
         if taken is not None:
             return taken
@@ -294,7 +297,7 @@
         return HttpResponse(status=200, body=msgspec.json.encode(answer))
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request of another gateway, as its deputy or by passing it on to the leader."""
+        """Answer a request of another gateway, as acting leader or by relaying it to the leader."""
         try:
             if self._job_lines.handles(request.path):
                 return await self._job_lines.handle(request)
@@ -310,7 +313,7 @@
         """Answer a call of another gateway."""
         deputy = self.deputy
         if deputy is not None:
-            # It may have stood down by the time at which a job has ended.
+            # It may have stepped down by the time a job has ended: mark its answers all the same.
             answer = await deputy.leading.answer(call)
             return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
         leader = self.link.host if self.link.is_led_directly() else None
@@ -323,30 +326,33 @@
 
 
 def _mark_begun(call: Submit, deputy_term: int, via: Via) -> Submit:
-    """Return a submission whose last try may have begun it, under a deputy of that term or none."""
+    """Return a submission marked as possibly started, by an acting leader of that term if any."""
     return msgspec.structs.replace(
         call,
         may_have_begun=True,
         deputy_term=max(deputy_term, call.deputy_term),
-        # A gateway that passes calls on may stand in before it has seen one.
+        # A relay may have begun to act as leader before it handled the call.
         may_be_of_deputy=call.may_be_of_deputy or via is not Via.LEADER,
     )
 
 
 def _add_suspects(call: Submit, answer: Answer) -> Submit:
-    """Return a submission that tells the next host what the last one had against its tasks."""
+    """Return a submission that tells the next coordinator which tasks the last one suspects."""
     return msgspec.structs.replace(call, suspects=answer.suspects or call.suspects)
 
 
 def _to_deputy(call: Call) -> Call:
-    """Return a call as a deputy takes it, whose token is above that of deputies before it."""
+    """Return a call as sent to an acting leader.
+
+    The term of an earlier acting leader is cleared, since the new one has a higher fencing token.
+    """
     if isinstance(call, Submit) and call.deputy_term:
         return msgspec.structs.replace(call, deputy_term=0)
     return call
 
 
 async def _ask_itself(deputy: Deputy, call: Call, timeout: timedelta) -> Answer:
-    """Have this gateway answer a call of its own, while it stands in, and wait no longer."""
+    """Answer a call of this gateway's own callers while it acts as leader, within a timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
             return await deputy.leading.answer(_to_itself(call))
@@ -355,14 +361,17 @@
 
 
 def _to_itself(call: Call) -> Call:
-    """Return a call as this gateway answers it, while it stands in: it cannot lose itself."""
+    """Return a call as this gateway answers it itself.
+
+    The gateway's address is cleared: it cannot lose contact with itself.
+    """
     if isinstance(call, Submit | Abandon):
         call = msgspec.structs.replace(call, gateway="")
     return _to_deputy(call)
 
 
 def _find_patience(call: Call) -> timedelta:
-    """Return how long the caller of a call that is passed on still waits."""
+    """Return how long the caller of a relayed call still waits."""
     if isinstance(call, Greet):
         return GREETING_PASSED
     if isinstance(call, Submit) and call.patience_ms:
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways that whoever decides has heard, and the rosters that it gives them."""
+"""The gateways that the coordinator knows, and the failover state that it sends them."""
 
 from __future__ import annotations
 
@@ -13,39 +13,42 @@
 from .events import Event, log_event
 
 GATEWAY_SILENT = timedelta(milliseconds=300)
-"""Jobs of a gateway not heard for so long are given up; it takes them elsewhere no sooner."""
+"""Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
+move them to another coordinator any sooner."""
 CHECK_SUBMISSIONS = timedelta(milliseconds=10)
-"""Each vouches for its job for a span of its own; half of the time between two decisions."""
+"""Each submission confirms its own job for a span of its own; half of the time between two
+scheduling rounds."""
 PARTS_A_SECOND = 600
-"""Large parts of rosters, for all gateways: 140 Mbit/s, and a tenth of the time of a leader.
-Whoever is not served now asks with its next greeting."""
+"""Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
+CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
 LATE_GREETING = timedelta(milliseconds=150)
-"""A greeting takes some milliseconds; one that took as long was held up, on its way or here."""
+"""A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
 LATE_LINE_EVERY = timedelta(seconds=1)
-"""How often a line is written about late greetings: a leader held up gets them from everybody."""
+"""Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
+gateways' keep-alives are late."""
 
 
 class Gateways:
-    """Gateways by the address that they greet with."""
+    """Known gateways by the address that they send in keep-alives."""
 
     def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
         self.log = RosterLog(term=term, takes_calls=takes_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
-        """Called with how old each greeting was when it was taken in, in milliseconds."""
+        """Called with the age of each keep-alive when it was handled, in milliseconds."""
         self._vouched_until = timedelta()
-        """Until when the newest submission, or greeting, vouches for anything."""
+        """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
-        """Until then no gateway falls silent."""
+        """Until then no gateway can exceed the contact timeout."""
         self.on_silence: Callable[[str], object] = lambda gateway: None
-        """Called when a gateway that was silent is counted on again."""
+        """Called when a gateway is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
-        """Called when another process than before greets from the address of a gateway."""
+        """Called when a keep-alive comes from a new process at the address of a gateway."""
         self._token = token
         self._clock = clock
         self._late_line_due = timedelta()
         self._sent_at: dict[str, timedelta] = {}
-        """When each gateway last sent something, at the earliest, as its contacts tell."""
+        """Earliest time at which each gateway can have sent its last message, by its contacts."""
         self._domains: dict[str, DomainName] = {}
         self._lives: dict[str, int] = {}
         self._keeps_jobs = False
@@ -53,13 +56,13 @@
         self._parts_at = clock.monotonic()
 
     def note_kept_jobs(self, are_open: bool) -> None:
-        """Tell whether jobs are under way that must be kept."""
+        """Record whether any durable jobs are open."""
         if are_open != self._keeps_jobs:
             self._keeps_jobs = are_open
             self.log.note_other()
 
     def take_greeting(self, greeting: Greet) -> None:
-        """Know a gateway, and count on it for as long as its contact allows."""
+        """Record a gateway and its contact, if that is recent enough."""
         gateway = greeting.gateway
         if not gateway:
             return
@@ -74,10 +77,11 @@
             self._vouch(gateway, sent_at)
 
     def find_sent(self, gateway: str, contact: Contact | None) -> timedelta | None:
-        """Return when something was sent, at the earliest; None where it counts no more.
+        """Return the earliest time at which a message was sent; None if it is too old to count.
 
-        It counts from the sending, never from the arrival: a gateway takes its jobs elsewhere by
-        when it was last answered, and what was held up on its way or here says nothing of that.
+        The timeout counts from sending, never from arrival: a gateway moves its jobs to another
+        coordinator depending on when it was last answered, and a message that was delayed in the
+        network or here says nothing about that.
         """
         if contact is None or contact.token != self._token:
             return None
@@ -91,14 +95,14 @@
         return sent_at
 
     def _vouch(self, gateway: str, sent_at: timedelta) -> None:
-        """Count on a gateway; what it had submitted before a silence it has taken elsewhere."""
+        """Record contact with a gateway; after a timeout, abandon what it had submitted before."""
         known = self._sent_at.get(gateway)
         if known is not None and not self.is_heard(gateway):
             self.on_silence(gateway)
         self._sent_at[gateway] = max(sent_at, known or sent_at)
 
     def make_contact(self) -> Contact:
-        """Return what a gateway that is answered now is to return."""
+        """Return the contact that a gateway sends back after an answer that is sent now."""
         return Contact(token=self._token, answered_ms=to_milliseconds(self._clock.monotonic()))
 
     def _note_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
@@ -108,14 +112,15 @@
             log_event(Event.GREETING_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
     def is_heard(self, gateway: str) -> bool:
-        """Whether a gateway was heard lately."""
+        """Return whether the last contact with a gateway is within the timeout."""
         sent_at = self._sent_at.get(gateway)
         return sent_at is not None and self._clock.monotonic() - sent_at < GATEWAY_SILENT
 
     def may_be_silent(self) -> bool:
-        """Whether a gateway may have fallen silent since this last said so.
+        """Return whether a gateway may have timed out since this method last returned True.
 
-        Decisions are thousands a second, and silence comes by the clock.
+        The caller asks thousands of times a second, while timeouts depend on the clock alone, so
+        this check is cheap.
         """
         now = self._clock.monotonic()
         if now < self._check_at:
@@ -127,26 +132,26 @@
         return True
 
     def find_domain(self, gateway: str) -> DomainName | None:
-        """Return the failure domain of a gateway that was heard."""
+        """Return the failure domain of a known gateway."""
         return self._domains.get(gateway)
 
     def is_any_heard(self) -> bool:
-        """Whether any gateway was heard lately."""
+        """Return whether the last contact with any gateway is within the timeout."""
         return any(self.is_heard(gateway) for gateway in self._sent_at)
 
     def may_stand_in(self, domains: set[DomainName]) -> bool:
-        """Whether a gateway that was not heard lately may stand in for upstreams of these domains.
+        """Return whether a disconnected gateway may act as leader for upstreams of these domains.
 
-        None can where each of the domains has gateways, and all that were ever heard are in touch.
+        None can if each of the domains has a known gateway and all known gateways are connected.
         """
         if not domains <= set(self._domains.values()):
             return True
         return not all(self.is_heard(gateway) for gateway in self._domains)
 
     def build_roster(self, records: Records, known: str) -> Roster | None:
-        """Return what a gateway that has the version `known` must learn next, or None.
+        """Return the next part of the failover state for a gateway that has the version `known`.
 
-        Also None where that has to wait: see `is_current`.
+        None if there is nothing new, and also if a large part has to wait: see `is_current`.
         """
         gateways = tuple(
             GatewayInfo(address=address, domain=domain)
@@ -157,11 +162,11 @@
         return self.log.build(records, gateways, keeps_jobs=self._keeps_jobs, known=known)
 
     def is_current(self, known: str) -> bool:
-        """Whether a gateway that has this version has all there is to know."""
+        """Return whether this is the latest version of the failover state."""
         return known == self.log.version
 
     def _may_send_part(self) -> bool:
-        """Whether one more large part may be sent now, and count it if so."""
+        """Return whether another large part may be sent now, and count it if so."""
         now = self._clock.monotonic()
         earned = (now - self._parts_at).total_seconds() * PARTS_A_SECOND
         self._parts_at = now
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -1,4 +1,4 @@
-"""What a host that decides answers to calls about jobs."""
+"""Answers of the coordinator to calls about jobs."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 from .replicated import Waiters
 
 STATE_WAIT = timedelta(milliseconds=60)
-"""How long a question for the state of a job waits that is about to end; a commit takes 20 ms."""
+"""How long a state query waits for a job whose end is being committed; a commit takes 20 ms."""
 
 KEEP_GIVEN_UP = timedelta(seconds=2)
-"""A submission that is older than `GATEWAY_SILENT` is refused in any case."""
+"""A submission that is older than `GATEWAY_TIMEOUT` is refused in any case."""
 
 
 class JobAnswers:
-    """Answers about jobs, for as long as one term lasts."""
+    """Answers calls about jobs during one term."""
 
     def __init__(
         self,
@@ -68,25 +68,25 @@
         self._propose = propose
         self._wait = wait
         self._given_up: dict[tuple[str, int], timedelta] = {}
-        """Submissions that gateways wait for no more, by their numbers, and since when."""
+        """Abandoned submissions, by gateway and number, with the time when they were abandoned."""
         self._wake = wake
 
     async def answer_submit(self, call: Submit) -> Answer:
-        """Take a job in; one that need not be kept is answered when it has ended."""
+        """Accept a job; a best-effort job is answered when it has ended."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
         queue, job = found
         if (call.gateway, call.number) in self._given_up:
-            return Answer(outcome=Outcome.UNKNOWN, detail="its gateway waits for it no more")
+            return Answer(outcome=Outcome.UNKNOWN, detail="the gateway abandoned this submission")
         sent_at = self._gateways.find_sent(call.gateway, call.contact)
         if call.gateway and sent_at is None:
-            # Held up: by now its gateway may have taken it to another host that decides.
+            # Delayed: by now its gateway may have submitted the job to another coordinator.
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_IN_TOUCH)
         if call.deputy_term >= self._term:
-            # The deputy's token is higher than ours: take a later term before going on.
+            # The token of the acting leader is higher than ours: a later term is needed first.
             self._authority.renew()
-            return Answer(outcome=Outcome.UNKNOWN, detail="a later term is needed after a deputy's")
+            return Answer(outcome=Outcome.UNKNOWN, detail="an acting leader requires a later term")
         if job in self._records.jobs:
             return Answer(outcome=Outcome.DONE)
         if call.spec.best_effort and self._dispatch.jobs.find_ended(job) is not None:
@@ -120,7 +120,7 @@
         return await self._propose(command, ("job", job))
 
     def answer_abandon(self, call: Abandon) -> Answer:
-        """Give up a job that nobody waits for any more."""
+        """Abandon a job whose caller has disconnected."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -129,7 +129,7 @@
         return Answer(outcome=Outcome.DONE)
 
     def give_up(self, gateway: str, given_up: GivenUp) -> bool:
-        """Give up what a gateway waits for no more; False where that is known already."""
+        """Abandon a submission that its gateway no longer waits for; False if already known."""
         key = (gateway, given_up.number)
         if key in self._given_up:
             return False
@@ -141,12 +141,12 @@
         return True
 
     def forget_given_up(self) -> None:
-        """Forget what was given up so long ago that it can hardly come any more."""
+        """Forget submissions that were abandoned so long ago that they can hardly still arrive."""
         limit = self._clock.monotonic() - KEEP_GIVEN_UP
         self._given_up = {key: at for key, at in self._given_up.items() if at >= limit}
 
     async def answer_state(self, call: AskState) -> Answer:
-        """Tell a job's state, or how many jobs of a queue have not begun."""
+        """Return a job's state, or how many jobs of a queue have not started."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -158,13 +158,13 @@
         if record is None or record.queue.key != queue.key:
             return Answer(outcome=Outcome.NO_JOB)
         if self._dispatch.jobs.is_ending(job):
-            # Callers ask again much later than a commit takes.
+            # Wait for the commit, which is short: callers query again only much later.
             waiting = self._waiters.wait_for(("end", job))
             await asyncio.wait([waiting], timeout=STATE_WAIT.total_seconds())
         return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_state(record))
 
     async def answer_cancel(self, call: Cancel) -> Answer:
-        """End a job by its caller's wish."""
+        """Cancel a job at its caller's request."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -190,7 +190,7 @@
     async def _run_to_end(
         self, job: JobId, queue: Queue, call: Submit, sent_at: timedelta
     ) -> Answer:
-        """Run a job that need not be kept, and answer when it has ended."""
+        """Run a best-effort job, and answer when it has ended."""
         record = JobRecord(id=job, queue=queue, spec=call.spec, accepted_ms=self._read_wall())
         now = self._clock.monotonic()
         submission = self._build_submission(call, sent_at)
@@ -207,7 +207,7 @@
             vouched_until=sent_at + GATEWAY_SILENT,
             may_have_begun=call.may_have_begun,
             may_be_of_deputy=call.may_be_of_deputy or bool(call.deputy_term),
-            # A caller whose gateway was lost sends its job again only after a while.
+            # A caller that lost its gateway sends its job again only after `caller_retry`.
             settle_after=longest if call.may_have_begun else after_retry,
             waited=timedelta(milliseconds=call.waited_ms),
         )
@@ -215,16 +215,16 @@
     async def _wait_end(self, job: JobId) -> Answer:
         if self._dispatch.jobs.is_open(job) and not await self._waiters.wait_for(("end", job)):
             suspects = self._dispatch.jobs.suspicion.list_suspects(job)
-            detail = "this host does not lead any more"
+            detail = "this host is no longer the leader"
             return Answer(outcome=Outcome.UNKNOWN, detail=detail, suspects=suspects)
         rejection = self._dispatch.jobs.rejections.get(job)
         if rejection is not None:
             return _reject(job, rejection)
         if job in self._dispatch.jobs.given_up:
-            return Answer(outcome=Outcome.GIVEN_UP, detail="it would end too late for any use")
+            return Answer(outcome=Outcome.GIVEN_UP, detail="it would end too late to be useful")
         state = self._dispatch.jobs.find_ended(job)
         if state is None:
-            return Answer(outcome=Outcome.UNKNOWN, detail="the job was given up")
+            return Answer(outcome=Outcome.UNKNOWN, detail="the job was abandoned")
         return Answer(outcome=Outcome.DONE, state=state)
 
     def _read_wall(self) -> int:
--- a/cottonlug/runtime/job_line.py
+++ b/cottonlug/runtime/job_line.py
@@ -1,12 +1,12 @@
-"""Jobs of one host to another over few connections: sent in batches, answered as they end.
+"""Client end of a job channel: sends jobs to another host in batches and polls for their answers.
 
-Load pattern: hundreds of hosts, each with some jobs under way at whoever decides, who changes.
-With a connection for each job, a thousand had to be opened at once, and a host takes in one in each
-turn of its loop: for seconds after a change of leader jobs arrived a second late, and were refused
-as not begun. Three connections a host carry any number of jobs.
+Load pattern: hundreds of hosts, each with some jobs pending at the coordinator, which may change.
+With one connection per job, a thousand connections had to be opened at once, while a host accepts
+only one in each iteration of its event loop: for seconds after a change of leader, jobs arrived a
+second late and were refused as not started. Three connections per host carry any number of jobs.
 
-A batch that had no reply is sent again under the same numbers, so that none is carried out twice;
-an answer is given again until the next question shows that it has arrived.
+A batch without a reply is sent again under the same numbers, so that no job is run twice. An answer
+is repeated until the next poll shows that it has arrived.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 JOBS_PATH = "/v1/jobs"
 ANSWERS_PATH = "/v1/answers"
 MOST_IN_BATCH = 64
-"""Jobs of 1,000 tasks have 5 KB each: a third of a megabyte at the most."""
+"""Jobs of 1,000 tasks have 5 KB each, so a batch has a third of a megabyte at the most."""
 SEND_TIMEOUT = timedelta(milliseconds=300)
-"""A host that is alive replies in a few milliseconds; a connection may have gone silent."""
+"""A live host replies within a few milliseconds; a connection may be broken without a reset."""
 ANSWERS_KEPT = timedelta(milliseconds=300)
-"""How long a question for answers is kept at the other host until there is one."""
+"""How long the other host holds a poll for answers until there is one."""
 ANSWERS_TIMEOUT = ANSWERS_KEPT + SEND_TIMEOUT
 NOT_SENT = "it was not sent"
-"""Detail of an answer to a job that was given up before it was sent."""
+"""Detail of the answer for a job that was abandoned before it was sent."""
 RETRY_SECONDS = 0.02
 IDLE_SECONDS = 1.0
-"""So long after its last job a line asks for answers no more."""
-_GONE = "the host does not decide any more"
+"""A channel stops polling this long after its last job."""
+_GONE = "the host is no longer the coordinator"
 _MOST_LINES = 1 << 53
 
 
@@ -57,13 +57,13 @@
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
     is_sent: bool = False
-    """Whether it may have arrived."""
+    """Whether it may have reached the other host."""
     is_taken: bool = False
-    """Whether the other host has said that it has."""
+    """Whether the other host has acknowledged it."""
 
 
 class JobLine:
-    """The jobs of this host at another one."""
+    """The jobs that this host has sent to another one."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def ask(self, submit: Submit, timeout: timedelta) -> Answer:
-        """Have the other host carry out a job; `UNAVAILABLE` only where it has not seen it."""
+        """Have the other host run a job; `UNAVAILABLE` only if the job was never sent."""
         number = next(self._numbers)
         item = self._items[number] = _Item(submit)
         self._start()
@@ -97,18 +97,18 @@
             del self._items[number]
 
     def lose(self) -> None:
-        """Wait for no answer any more: what was sent may have been carried out."""
+        """End all pending jobs without an answer; those that were sent may have been run."""
         for item in self._items.values():
             if not item.answer.done():
                 item.answer.set_result(_give_up(item, _GONE))
 
     def close(self) -> None:
-        """Send and ask nothing more."""
+        """Stop sending jobs and polling for answers."""
         for task in self._tasks.values():
             task.cancel()
 
     def _start(self) -> None:
-        """Begin to send, and to ask; either may have left off by itself."""
+        """Start the send and poll tasks; either may have ended after idling."""
         for name, work in (("send", self._send_forever), ("ask", self._ask_forever)):
             task = self._tasks.get(name)
             if task is None or task.done():
@@ -132,11 +132,11 @@
         return True
 
     def _encode(self, batch: dict[int, _Item]) -> bytes:
-        """Return a message with what of a batch is still waited for, as of now."""
+        """Encode a batch, with each job stamped at the time of sending."""
         jobs: list[NumberedJob] = []
         for number, item in batch.items():
             stamped = self._stamp(item.submit)
-            assert isinstance(stamped, Submit), "a call is stamped as what it is"
+            assert isinstance(stamped, Submit), "stamping must not change the type of a call"
             item.is_sent = True
             jobs.append(NumberedJob(number=number, submit=stamped))
         return msgspec.json.encode(JobBatch(caller=self._own, line=self._line, jobs=tuple(jobs)))
@@ -151,7 +151,7 @@
                 await asyncio.sleep(RETRY_SECONDS)
 
     def _take_answers(self, reply: HttpReply) -> bool:
-        """Give what has been answered to those who wait; False where it cannot be read."""
+        """Pass answers to the pending jobs; False if the reply cannot be read."""
         if reply.status != 200:
             return False
         try:
@@ -176,7 +176,7 @@
         ]
 
     async def _wait_for(self, find: Callable[[], list[tuple[int, _Item]]]) -> bool:
-        """Return True once there is something to do, False if there is nothing for a while."""
+        """Return True once there is work, False if no job was pending for `IDLE_SECONDS`."""
         while not find():
             self._news.clear()
             try:
--- a/cottonlug/runtime/job_lines.py
+++ b/cottonlug/runtime/job_lines.py
@@ -1,8 +1,8 @@
-"""The other end of `job_line`: jobs that hosts send in batches, and answers kept until they arrive.
+"""Server end of job channels: receives batches of jobs, and holds answers until they have arrived.
 
-Load pattern: all that has waited for a host that decides comes at once. Taken in together, it would
-hold the loop up for longer than a gateway bears without a greeting; so some are taken in each turn,
-those first that can wait the least.
+Load pattern: all jobs that waited for a coordinator arrive at once. Started together, they would
+block the event loop for longer than a gateway tolerates an unanswered keep-alive. So only some are
+started in each iteration of the loop, those with the least slack first.
 """
 
 from __future__ import annotations
@@ -32,34 +32,35 @@
 from .job_line import ANSWERS_KEPT, ANSWERS_PATH, JOBS_PATH
 
 TAKEN_IN_A_TURN = 8
-"""Each takes some 0.3 ms with its first start; greetings are answered between turns."""
+"""Jobs started per iteration of the event loop. Each takes some 0.3 ms including the start of its
+first task; keep-alives are answered between iterations."""
 FORGOTTEN_AFTER = timedelta(seconds=30)
-"""A host that is there asks each 0.3 s."""
+"""A live host polls every 0.3 s."""
 
 _MOST_COUNTS = 1 << 52
-"""No process begins to count where an earlier one did."""
+"""Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
 
 AnswerCall = Callable[[Call], Awaitable[Answer]]
 
 
 @dataclass(slots=True, kw_only=True)
 class _Line:
-    """What has come from one line, and what it has not been told for sure."""
+    """Jobs received on one channel, and the answers that are not known to have arrived."""
 
     used_at: timedelta
     count: int
-    """Names the counting of its answers."""
+    """Identifies the numbering of its answers."""
     through: int = 0
-    """The highest number that has come."""
+    """The highest job number received."""
     given: int = 0
-    """How many answers were given."""
+    """Number of answers so far, and thus the number of the last one."""
     answers: list[tuple[int, NumberedAnswer]] = field(default_factory=list)
     news: asyncio.Event = field(default_factory=asyncio.Event)
     under_way: int = 0
 
 
 class JobLines:
-    """All lines that end at this host."""
+    """All job channels that end at this host."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         clock: Clock,
         find_slack: Callable[[Submit], float],
     ) -> None:
-        """Answer jobs by `answer`, those first for which `find_slack` tells the fewest seconds."""
+        """Run jobs by calling `answer`, those with the least slack in seconds first."""
         self._answer = answer
         self._clock = clock
         self._find_slack = find_slack
@@ -80,16 +81,16 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def handles(self, path: str) -> bool:
-        """Whether a request is for here."""
+        """Return whether a path is that of a poll for answers."""
         return path == ANSWERS_PATH
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """Answer a question for answers; raises `msgspec.MsgspecError` if it cannot be read."""
+        """Answer a poll for answers; raises `msgspec.MsgspecError` if it cannot be decoded."""
         batch = await self.find_answers(ask_answers_decoder.decode(request.body))
         return HttpResponse(status=200, body=msgspec.json.encode(batch))
 
     def handle_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Take a batch of jobs in; None for any other request."""
+        """Receive a batch of jobs; None for any other request."""
         if request.path != JOBS_PATH:
             return None
         try:
@@ -99,7 +100,7 @@
         return HttpResponse(status=200)
 
     def take(self, batch: JobBatch) -> None:
-        """Take jobs in that have not come before."""
+        """Queue the jobs of a batch that were not received before."""
         line = self._find_line(batch.caller, batch.line)
         now = self._clock.monotonic() / timedelta(seconds=1)
         for job in batch.jobs:
@@ -115,7 +116,10 @@
             asyncio.get_running_loop().call_soon(self._take_some)
 
     async def find_answers(self, ask: AskAnswers) -> AnswerBatch:
-        """Return the answers that a line does not have, as soon as there are any."""
+        """Return the answers that the client lacks, as soon as there are any.
+
+        Returns none after `ANSWER_POLL_WAIT`.
+        """
         line = self._find_line(ask.caller, ask.line)
         if ask.count == line.count:
             line.answers = [each for each in line.answers if each[0] > ask.have]
@@ -130,7 +134,7 @@
         return AnswerBatch(count=line.count, through=line.given, answers=answers)
 
     def _take_some(self) -> None:
-        """Begin with the most urgent jobs that wait, and go on in the next turn of the loop."""
+        """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
         for _ in range(min(TAKEN_IN_A_TURN, len(self._waiting))):
             _, _, number, line, submit = heapq.heappop(self._waiting)
             task = asyncio.create_task(self._carry_out(line, number, submit))
@@ -144,7 +148,7 @@
         try:
             answer = await self._answer(submit)
         except Exception as error:
-            # Its caller must not wait for an answer that does not come.
+            # Without an answer the client would wait until its timeout.
             detail = f"{type(error).__name__}: {error}"
             log_event(Event.CALL_FAILED, call="Submit", path=submit.path, detail=detail)
             answer = Answer(outcome=Outcome.UNKNOWN, detail=detail)
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -1,4 +1,4 @@
-"""An entry host as a running whole: core, timers and one listener for each kind of peer."""
+"""A running entry host: core, timers and one listener for each kind of client."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class EntryNode:
-    """One entry host and everything round it."""
+    """One entry host with its control, listeners and connections to homes."""
 
     def __init__(
         self, *, settings: EntrySettings, clock: Clock, on_failure: Callable[[BaseException], None]
@@ -41,7 +41,7 @@
         self._listeners: list[Listener] = []
 
     async def start(self) -> str | None:
-        """Start everything; return why that failed, or None."""
+        """Start all components; return an error message if one failed, else None."""
         settings = self._settings
         if settings.rules is not None:
             load_first_rules(self.rulebook, settings.rules)
@@ -58,7 +58,7 @@
         return None
 
     async def drain(self) -> None:
-        """Finish what was accepted."""
+        """Finish all accepted jobs."""
         await self.host.drain()
 
     async def stop(self) -> None:
@@ -93,7 +93,7 @@
 
 
 def load_first_rules(rulebook: Rulebook, file: Path) -> None:
-    """Put the rules of a file in force, or raise `SettingsError` naming every problem."""
+    """Activate the rules of a file; raise `SettingsError` that lists every problem."""
     try:
         text = file.read_text()
     except OSError as error:
--- a/cottonlug/runtime/overdue.py
+++ b/cottonlug/runtime/overdue.py
@@ -1,9 +1,10 @@
-"""Whether whoever decides owes an answer for so long that jobs had better not be sent there.
+"""Tracks unanswered keep-alives, so that no jobs are sent to a coordinator whose answer is overdue.
 
-Pattern: a leader is lost, frozen or cut off. It takes 0.35 s to leave it, and what was sent there
-meanwhile may have begun: it can be begun elsewhere only once all upstreams were seen, and its
-caller can never be told that it has not run. What is held back here begins with the next leader at
-once, or is refused truthfully. A leader that is only late would have got to it no sooner.
+A leader may have failed, be frozen or be cut off. Until a gateway unfollows it, 0.35 s pass, and a
+job that is sent to it meanwhile may have started: another coordinator can start it only after all
+upstreams were polled, and its caller can never be told that it has not run. A job that is withheld
+instead starts at once with the next leader, or is truthfully refused as not run. A leader that is
+only late would not have started it any sooner.
 """
 
 from __future__ import annotations
@@ -13,29 +14,29 @@
 from ..core.clock import Clock
 
 OVERDUE_AFTER = timedelta(milliseconds=40)
-"""A greeting is answered within some milliseconds, and within 30 by a leader that takes in hundreds
-of answers in one turn of its loop, or waits for its disk (9 ms a sync)."""
+"""A keep-alive is answered within some milliseconds, and within 30 ms by a leader that handles
+hundreds of answers in one iteration of its event loop, or waits for its disk (9 ms per sync)."""
 
 
 class Overdue:
-    """The greetings of one gateway that were not answered yet."""
+    """The keep-alives of one gateway that are not answered yet."""
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._asked_at: dict[str, timedelta] = {}
-        """When each host was first greeted since it last answered."""
+        """Time of the first keep-alive to each host since it last answered."""
 
     def note_asked(self, host: str) -> None:
-        """Count from now on, unless that host owes an answer already."""
+        """Record that a keep-alive is sent, unless an earlier one is still unanswered."""
         self._asked_at.setdefault(host, self._clock.monotonic())
 
     def note_answered(self, host: str) -> bool:
-        """Count no more; return whether the answer was overdue."""
+        """Record that a host has answered; return whether the answer was overdue."""
         was_overdue = self.is_overdue(host)
         self._asked_at.pop(host, None)
         return was_overdue
 
     def is_overdue(self, host: str) -> bool:
-        """Whether a host owes an answer for too long."""
+        """Return whether a keep-alive to a host is unanswered for too long."""
         asked_at = self._asked_at.get(host)
         return asked_at is not None and self._clock.monotonic() - asked_at >= OVERDUE_AFTER
--- a/cottonlug/runtime/ports.py
+++ b/cottonlug/runtime/ports.py
@@ -1,4 +1,4 @@
-"""What a host that decides needs from the outside: upstreams to order, and the right to do so."""
+"""Interfaces that a coordinator depends on: calls to upstreams, and its authority to schedule."""
 
 from __future__ import annotations
 
@@ -18,37 +18,37 @@
 
 
 class UpstreamPort(Protocol):
-    """How orders reach upstreams."""
+    """Sends orders to upstreams."""
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
-        """Send a start; return what became of it and the upstream's clock where it was told."""
+        """Send a start; return its outcome, and the upstream's clock in ms if it was reported."""
         ...
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
-        """Send a stop."""
+        """Send a stop; return why it failed, or None."""
         ...
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
-        """Ask what runs and what has ended."""
+        """List the runs and ended runs of an upstream, or return why that failed."""
         ...
 
 
 class Authority(Protocol):
-    """Why this host may decide: the lease of a leader, or a deputy's for want of a leader."""
+    """The right of this host to schedule: a leader's lease, or the role of acting leader."""
 
     @property
     def term(self) -> int:
-        """The present term."""
+        """The current term."""
         ...
 
     def has_lease(self) -> bool:
-        """Whether no other can decide in this term."""
+        """Return whether no other host can schedule in this term."""
         ...
 
     def propose(self, data: str) -> bool:
-        """Put commands into the log."""
+        """Append commands to the log; return whether they were accepted."""
         ...
 
     def renew(self) -> None:
-        """Give the present term up, and begin a later one if that can be had."""
+        """Give up the current term, and begin a later one if possible."""
         ...
--- a/cottonlug/runtime/process.py
+++ b/cottonlug/runtime/process.py
@@ -1,4 +1,4 @@
-"""Life of a process: signals, graceful shutdown and the dump on request."""
+"""Process lifecycle: signals, graceful shutdown and the state dump on request."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class Life:
-    """Tells the program when to stop; a second signal changes nothing."""
+    """Tells the program when to stop; a second signal has no effect."""
 
     def __init__(self) -> None:
         self._stop = asyncio.Event()
         self.failure: BaseException | None = None
 
     def watch_signals(self, build_dump: Callable[[], Any]) -> None:
-        """Begin a graceful stop on SIGTERM and SIGINT, dump the state on SIGUSR1."""
+        """Begin a graceful stop on SIGTERM or SIGINT, and dump the state on SIGUSR1."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGINT, self._stop.set)
@@ -33,24 +33,24 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
     def fail(self, error: BaseException) -> None:
-        """Stop because an invariant is broken."""
+        """Begin to stop because an invariant is broken."""
         self.failure = error
         self._stop.set()
 
     async def wait_stop(self) -> None:
-        """Return once the process is to stop."""
+        """Wait until the process is to stop."""
         await self._stop.wait()
 
 
 def dump_state(build_dump: Callable[[], Any]) -> None:
-    """Write the state to standard error as one line of JSON."""
+    """Write the state of the process to standard error as one line of JSON."""
     sys.stderr.write(encode(build_dump()).decode() + "\n")
     sys.stderr.flush()
     log_event(Event.STATE_DUMPED)
 
 
 def run_loop(main: Any) -> int:
-    """Run a coroutine that returns an exit code on the process's one loop."""
+    """Run a coroutine that returns an exit code on the only event loop of the process."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         code: int = runner.run(main)
         return code
--- a/cottonlug/runtime/roster_keeper.py
+++ b/cottonlug/runtime/roster_keeper.py
@@ -1,4 +1,4 @@
-"""What a gateway has been told so that it can stand in for want of a leader."""
+"""The failover state that a gateway has received, so that it can act as leader."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class RosterKeeper:
-    """The last whole roster, and what has arrived of the next one."""
+    """The last complete failover state, and the parts of the next one that have arrived."""
 
     def __init__(self, *, clock: Clock) -> None:
         self.whole: Roster | None = None
         self.confirmed_at = clock.monotonic()
-        """When a leader last said, or confirmed, what the whole one says."""
+        """When a leader last sent or confirmed the complete failover state."""
         self.queues: QueueIndex | None = None
         """The queues of the last leader's configuration."""
         self._clock = clock
@@ -22,7 +22,7 @@
 
     @property
     def version(self) -> str:
-        """What to ask the leader for more with."""
+        """Version that tells the leader which changes to send next; empty if nothing is known."""
         known = self._next or self.whole
         return known.version if known is not None else ""
 
@@ -31,7 +31,7 @@
         return len(self.whole.gateways) if self.whole is not None else 0
 
     def take_answer(self, answer: Answer) -> bool:
-        """Learn from the answer to a greeting; return whether a whole roster has arrived."""
+        """Handle the answer to a keep-alive; return whether the failover state was replaced."""
         if answer.roster is not None:
             return self.take(answer.roster)
         if not answer.is_roster_due:
@@ -39,9 +39,9 @@
         return False
 
     def take(self, received: Roster) -> bool:
-        """Take a part in; one that does not follow on what is known is left out.
+        """Add a received part; one that does not follow on the known version is ignored.
 
-        Return whether the next roster is whole by now, and so takes the place of the last.
+        Return whether the next failover state is now complete and has replaced the last one.
         """
         known = self._next or self.whole
         roster = merge_roster(known, received)
--- a/cottonlug/runtime/rulebook.py
+++ b/cottonlug/runtime/rulebook.py
@@ -1,4 +1,4 @@
-"""The rules in force at this process, compiled for matching."""
+"""The active rules of this process, compiled for matching."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Rulebook:
-    """The version and rules in force; versions only ever go up."""
+    """The active rules and their version, which only increases."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -16,11 +16,11 @@
         self._match: Matcher = compile_rules([])
 
     def match(self, question: Question) -> Rule | None:
-        """Return the first rule that matches."""
+        """Return the first rule that matches, or None."""
         return self._match(question)
 
     def put_in_force(self, version: int, text: str, document: RulesDocument) -> bool:
-        """Take a document into force; False where a version as high is in force already."""
+        """Activate a document; False if the active version is at least as new."""
         if version <= self.version:
             return False
         self._match = compile_rules(document.rules)
@@ -31,5 +31,5 @@
 
 
 def read_valid_rules(text: str) -> RulesDocument | None:
-    """Return the document of a text that was checked before, or None."""
+    """Parse a text that was checked before; None if it has errors."""
     return read_rules(text).value
--- a/cottonlug/runtime/vouching.py
+++ b/cottonlug/runtime/vouching.py
@@ -1,7 +1,8 @@
-"""What a gateway tells of itself with what it sends to whoever decides.
+"""Confirmations that a gateway adds to the calls that it sends to the coordinator.
 
-Whoever decides goes on with a gateway's jobs only while something vouches for them (`Contact`); the
-gateway vouches to nobody any more once it has left, and for nothing that it waits for no more.
+The coordinator continues a gateway's jobs only while they are confirmed (`Contact`). A gateway no
+longer confirms anything to a coordinator that it has stopped following, nor any job that it no
+longer waits for.
 """
 
 from __future__ import annotations
@@ -15,45 +16,47 @@
 from ..core.cluster.calls import Answer, Call, Contact, GivenUp, Greet, Submit
 
 GIVEN_UP_TOLD = timedelta(seconds=1)
-"""For so long greetings tell it: whoever gets none of them for a third of that gives all up."""
+"""How long keep-alives report an abandoned submission. A coordinator that gets no keep-alive for a
+third of this time abandons all jobs of the gateway."""
 MOST_GIVEN_UP = 256
-"""In a second of a gateway: 20 KB of a greeting."""
+"""Abandoned submissions of a gateway within a second: 20 KB of a keep-alive."""
 
 
 class Vouching:
-    """The contact with whoever decides, and what was given up lately."""
+    """The last contact with the coordinator, and the submissions abandoned lately."""
 
     def __init__(self, *, own: str, clock: Clock) -> None:
         self.life = int(clock.now().timestamp() * 1000)
-        """Names this process: no earlier one at this address has begun at the same millisecond."""
+        """Identifies this process by its start time in milliseconds: no earlier process at this
+        address started in the same millisecond."""
         self._own = own
         self._clock = clock
         self._contact: Contact | None = None
-        """What whoever decides gave with its last answer, and when that arrived."""
+        """Contact from the last answer of the coordinator; `_contact_at` is when it arrived."""
         self._contact_at = clock.monotonic()
         self._given_up: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
-        """What is waited for no more, and since when."""
+        """Abandoned submissions, with the time when each was abandoned."""
         self._silent_until = timedelta()
 
     def take(self, answer: Answer) -> None:
-        """Keep the contact that came with an answer of whoever decides."""
+        """Record the contact in an answer of the coordinator."""
         self._contact = answer.contact
         self._contact_at = self._clock.monotonic()
 
     def end(self) -> None:
-        """Vouch to nobody any more, since calls go elsewhere."""
+        """Stop confirming, since calls go to another coordinator."""
         self._contact = None
 
     def note_given_up(self, given_up: GivenUp) -> None:
-        """Tell whoever is greeted in the next while that a submission is waited for no more."""
+        """Report a submission as abandoned with the keep-alives of the next second."""
         now = self._clock.monotonic()
         if len(self._list_given_up()) >= MOST_GIVEN_UP:
-            # Not all can be told: until the oldest need not be, nothing is vouched for at all.
+            # Not all can be reported: confirm nothing until the oldest need not be reported.
             self._silent_until = now + GIVEN_UP_TOLD
         self._given_up.append((now, given_up))
 
     def stamp(self, call: Call) -> Call:
-        """Return a call of this gateway with its contact, as of now; others as they are."""
+        """Return a call of this gateway with its current contact; other calls are unchanged."""
         if not isinstance(call, Greet | Submit) or call.gateway != self._own:
             return call
         if isinstance(call, Greet):
