--- a/bench/leader.py
+++ b/bench/leader.py
@@ -46,8 +46,8 @@
 from cottonlug.net.servers import Listener
 from cottonlug.platform.workers import WorkerClient
 from cottonlug.runtime.clocks import SystemClock
-from cottonlug.runtime.gateways import GATEWAY_SILENT
-from cottonlug.runtime.job_lines import JobLines
+from cottonlug.runtime.gateways import GATEWAY_TIMEOUT
+from cottonlug.runtime.job_lines import JobChannelServer
 from cottonlug.runtime.leading import Leading, LeadingSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
 from cottonlug.tests.gateway_builders import fail
@@ -125,7 +125,7 @@
             clock=clock,
             on_failure=fail,
             settings=LeadingSettings(
-                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
                 keep_ended=timedelta(seconds=120),
                 caller_retry=CALLER_RETRY,
                 control_address=None,
@@ -134,7 +134,7 @@
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
             self.leading.dispatch.take_heartbeat(heartbeat, clock.monotonic())
-        self._lines = JobLines(
+        self._lines = JobChannelServer(
             answer=self.leading.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -92,5 +92,5 @@
     except SettingsError as error:
         log_event(Event.SETTINGS_REFUSED, error=str(error))
         return
-    gateway.use_seeds(settings.seeds)
+    gateway.add_seeds(settings.seeds)
     log_event(Event.SETTINGS_RELOADED, seeds=[str(seed) for seed in settings.seeds])
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -44,7 +44,7 @@
 beyond a cut, where a deputy uses it."""
 SILENT_LOOK = timedelta(seconds=5)
 """Between looks at one that may be: a later life at its address answers that it is over."""
-FORGOTTEN_AFTER = timedelta(hours=1)
+CHANNEL_RETENTION = timedelta(hours=1)
 """Longer than domains are cut off as a rule (minutes)."""
 MOST_MOVES = 2
 """How often a task is moved: one that stands still everywhere is not moved for ever."""
@@ -379,7 +379,7 @@
         for life in self._lives.by_id.values():
             if life.is_over or life.runs or not _is_silent(life, now, SILENT_AFTER):
                 continue
-            may_be_kept = not (life.draining or _is_silent(life, now, FORGOTTEN_AFTER))
+            may_be_kept = not (life.draining or _is_silent(life, now, CHANNEL_RETENTION))
             if may_be_kept and may_be_used():
                 self._cordon_silent(life)
                 continue
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -66,8 +66,8 @@
     return {
         "ready": gateway.is_ready(),
         "stopping": gateway.is_stopping,
-        "decider": gateway.decider,
+        "decider": gateway.coordinator,
         "via": gateway.link.via.value,
-        "is_deputy": gateway.deputy is not None,
+        "is_deputy": gateway.acting_leader is not None,
         "hosts": gateway.hosts,
     }
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -66,7 +66,7 @@
     def gauge() -> dict[str, float]:
         return {
             "ready": float(gateway.is_ready()),
-            "is_deputy": float(gateway.deputy is not None),
+            "is_deputy": float(gateway.acting_leader is not None),
             "peak_memory_mb": _read_peak_memory(),
         }
 
--- a/cottonlug/runtime/vouching.py
+++ b/cottonlug/runtime/confirmations.py
@@ -34,7 +34,7 @@
         self._contact: Contact | None = None
         """Contact from the last answer of the coordinator; `_contact_at` is when it arrived."""
         self._contact_at = clock.monotonic()
-        self._given_up: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
+        self._abandoned: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
         """Abandoned submissions, with the time when each was abandoned."""
         self._silent_until = timedelta()
 
@@ -53,7 +53,7 @@
         if len(self._list_given_up()) >= MOST_GIVEN_UP:
             # Not all can be reported: confirm nothing until the oldest need not be reported.
             self._silent_until = now + GIVEN_UP_TOLD
-        self._given_up.append((now, given_up))
+        self._abandoned.append((now, given_up))
 
     def stamp(self, call: Call) -> Call:
         """Return a call of this gateway with its current contact; other calls are unchanged."""
@@ -71,6 +71,6 @@
 
     def _list_given_up(self) -> tuple[GivenUp, ...]:
         oldest = self._clock.monotonic() - GIVEN_UP_TOLD
-        while self._given_up and self._given_up[0][0] < oldest:
-            self._given_up.popleft()
-        return tuple(given_up for _, given_up in self._given_up)
+        while self._abandoned and self._abandoned[0][0] < oldest:
+            self._abandoned.popleft()
+        return tuple(given_up for _, given_up in self._abandoned)
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -31,10 +31,10 @@
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools, parse_address
 from .events import Event, log_event
-from .gateways import GATEWAY_SILENT
+from .gateways import GATEWAY_TIMEOUT
 from .heartbeat_desk import HeartbeatDesk
 from .heartbeat_port import DELIVERY
-from .job_lines import JobLines
+from .job_lines import JobChannelServer
 from .leading import Leading, LeadingSettings
 from .membership import JOIN_PATH, JoinRequest
 from .messenger import MESSAGES_PATH
@@ -88,7 +88,9 @@
         self._order_pools = ConnectionPools(port=settings.urgent_port)
         """For orders alone: what is passed on for gateways is given up, and its connection closed,
         as soon as it is late, and a busy leader takes new ones in late."""
-        self._job_lines = JobLines(answer=self.answer, clock=clock, find_slack=self._find_slack)
+        self._job_lines = JobChannelServer(
+            answer=self.answer, clock=clock, find_slack=self._find_slack
+        )
         self._desk = OrderDesk(
             host=settings.host,
             clock=clock,
@@ -251,7 +253,7 @@
 
     def _choose_terms(self) -> LeaseTerms:
         settings = self._settings
-        terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
+        terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
         if settings.orders is OrdersBy.HEARTBEAT:
             return LeaseTerms(longest=settings.longest_lease, delivery=DELIVERY)
         return terms
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -21,45 +21,45 @@
 from ..core.cluster.calls import Answer, Greet, Outcome, Roster
 from ..core.cluster.rosters import choose_asked, find_own_domain
 from ..core.ids import DomainName
-from .deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE, Deputy
+from .deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE, ActingLeader
 from .events import Event, log_event
-from .gateways import GATEWAY_SILENT
+from .gateways import GATEWAY_TIMEOUT
 from .overdue import OVERDUE_AFTER, Overdue
 from .peer_calls import PeerCalls
 from .ports import OnFailure, UpstreamPort
 from .roster_keeper import RosterKeeper
-from .vouching import Vouching
+from .confirmations import Vouching
 
-GREET_SECONDS = 0.08
-GREET_SECONDS_EACH = 0.0004
+KEEPALIVE_SECONDS = 0.08
+KEEPALIVE_SECONDS_PER_GATEWAY = 0.0004
 """The interval grows with the number of gateways: with 300 the leader gets 2,500 keep-alives a
 second, half of what it can handle. With an interval of at most 125 ms, two keep-alives fit into
 `GATEWAY_TIMEOUT`, so that one of them may be lost."""
-LONGEST_GREET_SECONDS = 0.125
-GREET_SECONDS_WITHOUT_LEADER = 0.05
-GREET_SECONDS_BETWEEN = 0.025
+MAX_KEEPALIVE_SECONDS = 0.125
+KEEPALIVE_SECONDS_WITHOUT_LEADER = 0.05
+MIN_KEEPALIVE_PAUSE_SECONDS = 0.025
 """Control hosts hold a keep-alive for up to 70 ms until a leader is elected. A gateway learns of a
 leader that is elected between two keep-alives only with the next one, so this pause is short."""
-TURN_SECONDS = 0.003
+FAILOVER_CHECK_SECONDS_PER_GATEWAY = 0.003
 """Per gateway, since all others contact the gateway with the lowest address in each check."""
-LONGEST_TURN_SECONDS = 0.15
-ASK_AGAIN_SECONDS = 0.01
+MAX_FAILOVER_CHECK_SECONDS = 0.15
+KEEPALIVE_RETRY_SECONDS = 0.01
 """Pause before an unanswered keep-alive is repeated: two in a row fit into `GATEWAY_TIMEOUT`."""
-GREET_TIMEOUT = timedelta(milliseconds=100)
+KEEPALIVE_TIMEOUT = timedelta(milliseconds=100)
 """A leader counts a gateway as connected for 300 ms after contact: one keep-alive may be lost."""
-READY_FOR = timedelta(milliseconds=1_200)
+READINESS_TIMEOUT = timedelta(milliseconds=1_200)
 """How long a gateway stays ready for callers after its last contact with the coordinator."""
 RELAY_AFTER = timedelta(milliseconds=200)
 """Two unanswered keep-alives. Gateways that reach a control host notice a new leader sooner."""
-CALLS_LOST_AFTER = GATEWAY_SILENT + timedelta(milliseconds=50)
+CALLS_LOST_AFTER = GATEWAY_TIMEOUT + timedelta(milliseconds=50)
 """After this time without a leader, a gateway stops waiting for calls that the leader has not
 answered."""
-CORE_SILENT = timedelta(milliseconds=250)
+CONTROL_HOST_TIMEOUT = timedelta(milliseconds=250)
 """A control host that has not answered for this long cannot take part in an election."""
-LEVELS_PER_TURN = 1_000
-STAND_DOWN_GAP = timedelta(milliseconds=400)
+LEVELS_PER_ACTING_PERIOD = 1_000
+STEP_DOWN_DELAY = timedelta(milliseconds=400)
 """An acting leader whose process was delayed for this long may have been replaced."""
-STAND_IN_AGAIN_AFTER = timedelta(seconds=2)
+ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
 """Pause after this gateway was fenced off as acting leader by a coordinator that it cannot reach.
 With the same failover state it would be fenced off again at once and lose its callers' jobs each
 time (every 0.3 s beside an overloaded leader)."""
@@ -71,10 +71,10 @@
     LEADER = "leader"
     RELAY = "relay"
     """Another gateway relays calls to the leader."""
-    DEPUTY = "deputy"
+    ACTING_LEADER = "deputy"
 
 
-class DeciderLink:
+class CoordinatorLink:
     """The coordinator as far as this gateway knows, and its own role as acting leader."""
 
     def __init__(
@@ -86,18 +86,18 @@
         calls: PeerCalls,
         on_failure: OnFailure,
     ) -> None:
-        self.own = str(settings.listen.peers)
-        self.vouching = Vouching(own=self.own, clock=clock)
-        self._overdue = Overdue(clock=clock)
+        self.own_address = str(settings.listen.peers)
+        self.confirmations = Vouching(own=self.own_address, clock=clock)
+        self._keepalive_tracker = Overdue(clock=clock)
         self.hosts: list[str] = [str(seed) for seed in settings.seeds]
         """Addresses of the known control hosts."""
-        self.host: str | None = None
+        self.coordinator: str | None = None
         """Address of the coordinator, to which calls are sent; None while none is known."""
         self.via = Via.LEADER
-        self.deputy: Deputy | None = None
-        self.deputy_term = 0
+        self.acting_leader: ActingLeader | None = None
+        self.acting_leader_term = 0
         """The term of the current or last acting leader."""
-        self.rosters = RosterKeeper(clock=clock)
+        self.failover_store = RosterKeeper(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
         self.record_change: Callable[[float], object] = lambda silence_ms: None
@@ -108,116 +108,116 @@
         self._calls = calls
         self._on_failure = on_failure
         self._reached_at: timedelta | None = None
-        self._led_at = clock.monotonic()
-        self._named: set[str] = set()
+        self._leader_seen_at = clock.monotonic()
+        self._contacted: set[str] = set()
         """Hosts that get a keep-alive in this round, so that they are not contacted again when
         other hosts name them as leader."""
         self._answered_at: dict[str, timedelta] = {}
         """When each control host last answered."""
-        self._level = 0
+        self._acting_periods = 0
         self._was_ready = False
         self._was_silent = False
         self._checked_at = clock.monotonic()
         self._fenced_off_at: timedelta | None = None
         """When upstreams last fenced this host off as acting leader."""
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
-        self._greetings: set[asyncio.Task[bool]] = set()
+        self._keepalive_tasks: set[asyncio.Task[bool]] = set()
 
     def start(self) -> None:
         """Start the background tasks that find and follow the coordinator."""
-        self._tasks.append(asyncio.create_task(self._greet_forever()))
+        self._tasks.append(asyncio.create_task(self._send_keepalives_forever()))
         self._tasks.append(asyncio.create_task(self._replace_leader_forever()))
 
     def stop(self) -> None:
         """Cancel the background tasks and step down as acting leader."""
-        self.stand_down()
-        for task in (*self._tasks, *self._greetings):
+        self.step_down()
+        for task in (*self._tasks, *self._keepalive_tasks):
             task.cancel()
 
-    def is_reached(self) -> bool:
+    def is_connected(self) -> bool:
         """Return whether the last contact with the coordinator is within the timeout."""
         if self._reached_at is None:
             return False
-        return self._clock.monotonic() - self._reached_at < READY_FOR
+        return self._clock.monotonic() - self._reached_at < READINESS_TIMEOUT
 
     def is_overdue(self) -> bool:
         """Return whether an answer of the coordinator is overdue, so that it may have failed."""
-        return self.host is not None and self._overdue.is_overdue(self.host)
+        return self.coordinator is not None and self._keepalive_tracker.is_overdue(self.coordinator)
 
-    def use_seeds(self, seeds: list[Address]) -> None:
+    def add_seeds(self, seeds: list[Address]) -> None:
         """Add addresses at which control hosts may be found."""
         self.hosts = sorted({*self.hosts, *(str(seed) for seed in seeds)})
 
-    def use_roster(self, received: Roster) -> None:
+    def receive_failover_state(self, received: Roster) -> None:
         """Store failover state that was received."""
-        if self.rosters.take(received):
-            self._level = 0
+        if self.failover_store.take(received):
+            self._acting_periods = 0
 
-    async def wait_change(self, seconds: float) -> None:
+    async def wait_for_change(self, seconds: float) -> None:
         """Wait until the coordinator changes or answers again, at most the given seconds."""
         try:
             async with asyncio.timeout(seconds):
-                await self._news.wait()
+                await self._changed.wait()
         except TimeoutError:
             return
 
     def follow(self, host: str, via: Via) -> None:
         """Send calls to a host from now on; calls pending at another host are retried there."""
-        if via is Via.DEPUTY and self.rosters.whole is not None:
-            self.deputy_term = self.rosters.whole.term
-        if host != self.host or via is not self.via:
+        if via is Via.ACTING_LEADER and self.failover_store.whole is not None:
+            self.acting_leader_term = self.failover_store.whole.term
+        if host != self.coordinator or via is not self.via:
             if self._reached_at is not None:
                 silence = self._clock.monotonic() - self._reached_at
                 self.record_change(silence / timedelta(milliseconds=1))
-            if self.host is not None and host != self.host:
-                self._calls.lose(self.host)
-            self.host = host
+            if self.coordinator is not None and host != self.coordinator:
+                self._calls.lose(self.coordinator)
+            self.coordinator = host
             self.via = via
             # It has just answered this or another host, so earlier unanswered keep-alives are moot.
-            self._overdue.note_answered(host)
-            self._tell_news()
+            self._keepalive_tracker.note_answered(host)
+            self._notify_change()
             log_event(Event.DECIDER_CHANGED, decider=host, via=via.value)
         self._reached_at = self._clock.monotonic()
-        if via is not Via.DEPUTY:
-            self._led_at = self._clock.monotonic()
+        if via is not Via.ACTING_LEADER:
+            self._leader_seen_at = self._clock.monotonic()
             self._was_silent = False
-            self.stand_down()
+            self.step_down()
 
-    def leave(self, host: str) -> None:
+    def unfollow(self, host: str) -> None:
         """Stop sending calls to a host; calls that it has not answered are retried elsewhere.
 
         What this gateway sends from now on confirms none of its jobs to that host: see `Contact`.
         """
-        if self.host == host:
-            self.host = None
+        if self.coordinator == host:
+            self.coordinator = None
             self.via = Via.LEADER
-            self.vouching.end()
+            self.confirmations.end()
             self._calls.lose(host)
 
-    def stand_down(self) -> None:
+    def step_down(self) -> None:
         """Stop acting as leader, if this gateway does."""
-        if self.deputy is None:
+        if self.acting_leader is None:
             return
-        deputy, self.deputy = self.deputy, None
+        deputy, self.acting_leader = self.acting_leader, None
         if deputy.authority.is_over:
             self._fenced_off_at = self._clock.monotonic()
         deputy.stop()
-        if self.host == self.own:
-            self.host = None
+        if self.coordinator == self.own_address:
+            self.coordinator = None
             self.via = Via.LEADER
 
     # Keep-alives
 
-    async def greet_leader(self) -> None:
+    async def send_keepalive(self) -> None:
         """Send a keep-alive to the known leader, or to all control hosts at once if it is late.
 
         Only one control host forwards the keep-alive to the leader: if each of them did, an
         overloaded leader that already answers late would get even more work.
         """
-        known = self.host if self.via is Via.LEADER else None
-        self._named = {*self.hosts, known or ""}
-        asking = self._begin_greeting(known) if known is not None else None
+        known = self.coordinator if self.via is Via.LEADER else None
+        self._contacted = {*self.hosts, known or ""}
+        asking = self._start_keepalive(known) if known is not None else None
         if asking is not None:
             await asyncio.wait([asking], timeout=OVERDUE_AFTER.total_seconds())
             if asking.done() and asking.result():
@@ -225,57 +225,57 @@
         others = [host for host in self.hosts if host != known]
         is_late = asking is not None and not asking.done()
         # A leader that is only late gets no second keep-alive from this gateway.
-        passes_on = None if is_late or not others else random.choice(others)
-        if others and await self._greet_any(others, passes_on):
+        forwarding_host = None if is_late or not others else random.choice(others)
+        if others and await self._send_keepalives(others, forwarding_host):
             return
         if asking is not None:
             await asking
 
-    def _build_greeting(self, roster: str = "", *, is_probe: bool = False) -> Greet:
+    def _build_keepalive(self, roster: str = "", *, is_probe: bool = False) -> Greet:
         return Greet(
-            gateway=self.own,
-            life=self.vouching.life,
+            gateway=self.own_address,
+            life=self.confirmations.life,
             domain=self._settings.domain,
             roster=roster,
             is_probe=is_probe,
         )
 
-    def _begin_greeting(self, host: str, *, is_probe: bool = False) -> asyncio.Task[bool]:
+    def _start_keepalive(self, host: str, *, is_probe: bool = False) -> asyncio.Task[bool]:
         """Start sending a keep-alive; its answer is handled even if the task is not awaited."""
-        task = asyncio.create_task(self._greet(host, Via.LEADER, is_probe=is_probe))
-        self._greetings.add(task)
-        task.add_done_callback(self._greetings.discard)
+        task = asyncio.create_task(self._send_keepalive_to(host, Via.LEADER, is_probe=is_probe))
+        self._keepalive_tasks.add(task)
+        task.add_done_callback(self._keepalive_tasks.discard)
         return task
 
-    async def _greet_any(self, hosts: Iterable[str], passes_on: str | None) -> bool:
+    async def _send_keepalives(self, hosts: Iterable[str], forwarding_host: str | None) -> bool:
         """Send keep-alives to several hosts at once; return once one of them led to the leader."""
-        waiting = {self._begin_greeting(host, is_probe=host != passes_on) for host in hosts}
+        waiting = {self._start_keepalive(host, is_probe=host != forwarding_host) for host in hosts}
         while waiting:
             done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             if any(task.result() for task in done):
                 return True
         return False
 
-    async def _greet(self, host: str, via: Via, *, is_probe: bool = False) -> bool:
+    async def _send_keepalive_to(self, host: str, via: Via, *, is_probe: bool = False) -> bool:
         """Send a keep-alive to a host, and follow the leader that it is, forwards to, or names."""
-        answer = await self._ask_greeting(host, is_probe=is_probe)
-        if self._take_greeted(host, via, answer):
+        answer = await self._exchange_keepalive(host, is_probe=is_probe)
+        if self._handle_keepalive_answer(host, via, answer):
             return True
         named = answer.leader
-        if via is not Via.LEADER or named is None or named in (host, *self._named):
+        if via is not Via.LEADER or named is None or named in (host, *self._contacted):
             return False
-        self._named.add(named)
-        return await self._greet(named, via)
-
-    async def _ask_greeting(self, host: str, *, is_probe: bool = False) -> Answer:
-        greeting = self._build_greeting(self.rosters.version, is_probe=is_probe)
-        self._overdue.note_asked(host)
-        answer = await self._calls.ask(host, greeting, GREET_TIMEOUT)
-        if answer.outcome is Outcome.DONE and self._overdue.note_answered(host):
-            self._tell_news()
+        self._contacted.add(named)
+        return await self._send_keepalive_to(named, via)
+
+    async def _exchange_keepalive(self, host: str, *, is_probe: bool = False) -> Answer:
+        greeting = self._build_keepalive(self.failover_store.version, is_probe=is_probe)
+        self._keepalive_tracker.note_asked(host)
+        answer = await self._calls.ask(host, greeting, KEEPALIVE_TIMEOUT)
+        if answer.outcome is Outcome.DONE and self._keepalive_tracker.note_answered(host):
+            self._notify_change()
         return answer
 
-    def _take_greeted(self, host: str, via: Via, answer: Answer) -> bool:
+    def _handle_keepalive_answer(self, host: str, via: Via, answer: Answer) -> bool:
         """Follow the coordinator that the answer to a keep-alive names; False if it names none."""
         if via is Via.LEADER and answer.hosts:
             self._answered_at[host] = self._clock.monotonic()
@@ -284,56 +284,60 @@
             self.max_body_bytes = answer.max_body_bytes
         if answer.outcome is not Outcome.DONE or answer.is_deputy:
             return False
-        if via is Via.RELAY and self.is_led_directly():
+        if via is Via.RELAY and self.has_direct_leader():
             # A control host has named the leader in the meantime: a relay is not needed.
             return True
-        self.vouching.take(answer)
+        self.confirmations.take(answer)
         self.follow(host if via is Via.RELAY else answer.leader or host, via)
-        self._take_roster(answer)
+        self._receive_answered_state(answer)
         return True
 
-    def _take_roster(self, answer: Answer) -> None:
+    def _receive_answered_state(self, answer: Answer) -> None:
         """Store the failover state in a leader's answer, which has none if nothing has changed."""
-        if self.rosters.take_answer(answer):
-            self._level = 0
+        if self.failover_store.take_answer(answer):
+            self._acting_periods = 0
 
-    def is_led_directly(self) -> bool:
+    def has_direct_leader(self) -> bool:
         """Return whether this gateway reached the leader through a control host lately."""
-        is_direct = self.host is not None and self.via is Via.LEADER
-        return is_direct and self._clock.monotonic() - self._led_at < RELAY_AFTER
+        is_direct = self.coordinator is not None and self.via is Via.LEADER
+        return is_direct and self._clock.monotonic() - self._leader_seen_at < RELAY_AFTER
 
-    async def _greet_forever(self) -> None:
+    async def _send_keepalives_forever(self) -> None:
         while True:
             began_at = self._clock.monotonic()
-            await self.greet_leader()
-            is_ready = self.is_reached() and not self.is_stopping
+            await self.send_keepalive()
+            is_ready = self.is_connected() and not self.is_stopping
             if is_ready != self._was_ready:
                 self._was_ready = is_ready
                 log_event(Event.READINESS_CHANGED, ready=is_ready)
-            await asyncio.sleep(self._find_pause(self._clock.monotonic() - began_at))
+            await asyncio.sleep(self._choose_keepalive_pause(self._clock.monotonic() - began_at))
 
-    def _find_pause(self, taken: timedelta) -> float:
+    def _choose_keepalive_pause(self, taken: timedelta) -> float:
         """Return the seconds until the next keep-alive or the next search for the leader."""
-        if self.host is not None and self.via is Via.LEADER and not self.is_overdue():
-            return self._find_usual_pause()
-        return max(GREET_SECONDS_WITHOUT_LEADER - taken.total_seconds(), GREET_SECONDS_BETWEEN)
+        if self.coordinator is not None and self.via is Via.LEADER and not self.is_overdue():
+            return self._choose_usual_pause()
+        return max(
+            KEEPALIVE_SECONDS_WITHOUT_LEADER - taken.total_seconds(), MIN_KEEPALIVE_PAUSE_SECONDS
+        )
 
-    def _find_usual_pause(self) -> float:
+    def _choose_usual_pause(self) -> float:
         """Return the seconds between two keep-alives while they are answered."""
-        by_count = self.rosters.count_gateways() * GREET_SECONDS_EACH
-        return min(max(GREET_SECONDS, by_count), LONGEST_GREET_SECONDS)
+        by_count = self.failover_store.count_gateways() * KEEPALIVE_SECONDS_PER_GATEWAY
+        return min(max(KEEPALIVE_SECONDS, by_count), MAX_KEEPALIVE_SECONDS)
 
     # Failover
 
     async def _replace_leader_forever(self) -> None:
         while True:
             is_due = await self.replace_leader()
-            await asyncio.sleep(ASK_AGAIN_SECONDS if is_due else self._find_turn())
+            await asyncio.sleep(
+                KEEPALIVE_RETRY_SECONDS if is_due else self._choose_failover_check_pause()
+            )
 
-    def _find_turn(self) -> float:
+    def _choose_failover_check_pause(self) -> float:
         """Return the seconds between two checks whether the leader must be replaced."""
-        by_count = self.rosters.count_gateways() * TURN_SECONDS
-        return min(max(by_count, GREET_SECONDS_WITHOUT_LEADER), LONGEST_TURN_SECONDS)
+        by_count = self.failover_store.count_gateways() * FAILOVER_CHECK_SECONDS_PER_GATEWAY
+        return min(max(by_count, KEEPALIVE_SECONDS_WITHOUT_LEADER), MAX_FAILOVER_CHECK_SECONDS)
 
     async def replace_leader(self) -> bool:
         """Without a leader, check the acting leader or relay, find one, or act as leader here.
@@ -341,55 +345,57 @@
         Return whether the next check is due at once.
         """
         now = self._clock.monotonic()
-        was_held_up = now - self._checked_at > STAND_DOWN_GAP
+        was_held_up = now - self._checked_at > STEP_DOWN_DELAY
         self._checked_at = now
-        if self.deputy is not None:
-            if was_held_up or self.deputy.authority.is_over:
-                self.stand_down()
+        if self.acting_leader is not None:
+            if was_held_up or self.acting_leader.authority.is_over:
+                self.step_down()
                 return False
-            self._greet_itself(self.deputy)
+            self._register_itself(self.acting_leader)
             self._reached_at = now
             return False
-        if self.host is not None and self.via is not Via.LEADER:
-            return await self._keep(self.host, self.via)
-        if now - self._led_at < RELAY_AFTER or self.rosters.whole is None:
+        if self.coordinator is not None and self.via is not Via.LEADER:
+            return await self._check_gateway(self.coordinator, self.via)
+        if now - self._leader_seen_at < RELAY_AFTER or self.failover_store.whole is None:
             return False
-        self._note_silence(now - self._led_at)
-        if self.host is not None and now - self._led_at >= CALLS_LOST_AFTER:
+        self._log_silence(now - self._leader_seen_at)
+        if self.coordinator is not None and now - self._leader_seen_at >= CALLS_LOST_AFTER:
             # The leader abandons these calls too, and calls that it never gets have not started.
-            self.leave(self.host)
-        await self._find_replacement(self.rosters.whole)
+            self.unfollow(self.coordinator)
+        await self._find_replacement(self.failover_store.whole)
         return False
 
-    def _note_silence(self, silence: timedelta) -> None:
+    def _log_silence(self, silence: timedelta) -> None:
         if not self._was_silent:
             self._was_silent = True
             silent_ms = to_milliseconds(silence)
-            log_event(Event.DECIDER_SILENT, decider=self.host, silent_ms=silent_ms)
+            log_event(Event.DECIDER_SILENT, decider=self.coordinator, silent_ms=silent_ms)
 
-    async def _keep(self, host: str, via: Via) -> bool:
+    async def _check_gateway(self, host: str, via: Via) -> bool:
         """Send a keep-alive to the acting leader or relay; unfollow it if it no longer is one.
 
         A gateway that is only late is not unfollowed at once: it is a small host with the work of a
         whole domain, and abandoning the pending calls would send it all of them again. Return
         whether the next keep-alive is due at once.
         """
-        answer = await self._ask_greeting(host)
-        if (self.host, self.via) != (host, via) or self._take_kept(host, via, answer):
+        answer = await self._exchange_keepalive(host)
+        if (self.coordinator, self.via) != (host, via) or self._handle_gateway_answer(
+            host, via, answer
+        ):
             return False
         is_late = answer.outcome is Outcome.UNKNOWN
         if is_late and not self._is_silent_for(CALLS_LOST_AFTER):
             return True
-        self.leave(host)
+        self.unfollow(host)
         return False
 
-    def _take_kept(self, host: str, via: Via, answer: Answer) -> bool:
+    def _handle_gateway_answer(self, host: str, via: Via, answer: Answer) -> bool:
         """Handle an answer of the acting leader or relay; return whether it still is one."""
         if via is Via.RELAY:
-            return self._take_greeted(host, via, answer)
+            return self._handle_keepalive_answer(host, via, answer)
         if not answer.is_deputy or answer.outcome is not Outcome.DONE:
             return False
-        self.vouching.take(answer)
+        self.confirmations.take(answer)
         self._reached_at = self._clock.monotonic()
         return True
 
@@ -399,12 +405,12 @@
 
     async def _find_replacement(self, roster: Roster) -> None:
         """Follow a gateway that reaches a leader or acts as one; otherwise act as leader here."""
-        if all(gateway.address != self.own for gateway in roster.gateways):
+        if all(gateway.address != self.own_address for gateway in roster.gateways):
             return
-        answers = await self._ask_gateways(choose_asked(roster.gateways, self.own), roster)
-        if self.is_led_directly():
+        answers = await self._ask_gateways(choose_asked(roster.gateways, self.own_address), roster)
+        if self.has_direct_leader():
             return
-        own_domain = find_own_domain(roster, self.own)
+        own_domain = find_own_domain(roster, self.own_address)
         for gateway, answer in answers.items():
             if _can_be_followed(answer, own_domain):
                 self._follow_gateway(gateway, answer)
@@ -412,94 +418,103 @@
         if any(answer.leader is not None for answer in answers.values()):
             # One of them is connected to the leader, but the leader's answer was lost: retry.
             return
-        rivals = _list_rivals(roster, self.own)
+        rivals = _list_lower_gateways(roster, self.own_address)
         is_lowest = not any(rival in answers and answers[rival].hosts for rival in rivals)
-        if self._may_stand_in(roster) and is_lowest:
-            await self._stand_in_if_lowest(roster, rivals)
+        if self._may_act_as_leader(roster) and is_lowest:
+            await self._act_as_leader_if_lowest(roster, rivals)
 
     async def _ask_gateways(self, gateways: Iterable[str], roster: Roster) -> dict[str, Answer]:
         """Send keep-alives to several gateways at once and return their answers."""
         asked = list(gateways)
-        greeting = self._build_greeting(roster.version)
+        greeting = self._build_keepalive(roster.version)
         answers = await asyncio.gather(
-            *(self._calls.ask(gateway, greeting, GREET_TIMEOUT) for gateway in asked)
+            *(self._calls.ask(gateway, greeting, KEEPALIVE_TIMEOUT) for gateway in asked)
         )
         return dict(zip(asked, answers, strict=True))
 
-    def _may_stand_in(self, roster: Roster) -> bool:
+    def _may_act_as_leader(self, roster: Roster) -> bool:
         now = self._clock.monotonic()
-        if self._fenced_off_at is not None and now - self._fenced_off_at < STAND_IN_AGAIN_AFTER:
+        if (
+            self._fenced_off_at is not None
+            and now - self._fenced_off_at < ACT_AS_LEADER_AGAIN_AFTER
+        ):
             return False
-        is_due = now - self._led_at >= self._find_deputy_delay()
+        is_due = now - self._leader_seen_at >= self._get_acting_delay()
         return is_due and not (roster.keeps_jobs or not roster.takes_calls or self.is_stopping)
 
-    async def _stand_in_if_lowest(self, roster: Roster, rivals: list[str]) -> None:
+    async def _act_as_leader_if_lowest(self, roster: Roster, rivals: list[str]) -> None:
         """Act as leader, unless a gateway with a lower address answers: then that one does."""
         answers = await self._ask_gateways(rivals, roster)
-        is_replaced = self.is_led_directly() or self.deputy is not None
+        is_replaced = self.has_direct_leader() or self.acting_leader is not None
         if not is_replaced and not any(answer.hosts for answer in answers.values()):
-            self._stand_in(roster)
+            self._act_as_leader(roster)
 
     def _follow_gateway(self, gateway: str, answer: Answer) -> None:
         if not answer.is_deputy:
-            self.vouching.take(answer)
+            self.confirmations.take(answer)
             self.follow(gateway, Via.RELAY)
-            self._take_roster(answer)
-        elif self._clock.monotonic() - self._led_at >= DEPUTY_AFTER_SILENCE:
-            self.vouching.take(answer)
-            self.follow(gateway, Via.DEPUTY)
+            self._receive_answered_state(answer)
+        elif self._clock.monotonic() - self._leader_seen_at >= ACT_AS_LEADER_AFTER_SILENCE:
+            self.confirmations.take(answer)
+            self.follow(gateway, Via.ACTING_LEADER)
 
-    def _find_deputy_delay(self) -> timedelta:
+    def _get_acting_delay(self) -> timedelta:
         """Return how long no leader must be reached before a gateway acts as leader."""
-        return DEPUTY_AFTER_SILENCE if self.is_core_silent() else DEPUTY_AFTER
+        return (
+            ACT_AS_LEADER_AFTER_SILENCE
+            if self.is_control_majority_silent()
+            else ACT_AS_LEADER_AFTER
+        )
 
-    def is_core_silent(self) -> bool:
+    def is_control_majority_silent(self) -> bool:
         """Return whether no majority of the control hosts answers, so that none can be elected."""
         now = self._clock.monotonic()
         alive = sum(
             1
             for host in self.hosts
-            if host in self._answered_at and now - self._answered_at[host] < CORE_SILENT
+            if host in self._answered_at and now - self._answered_at[host] < CONTROL_HOST_TIMEOUT
         )
         return 2 * alive <= len(self.hosts)
 
-    def _stand_in(self, roster: Roster) -> None:
-        if self.host is not None:
+    def _act_as_leader(self, roster: Roster) -> None:
+        if self.coordinator is not None:
             # Pending calls could still have been answered there; now they are retried here.
-            self.leave(self.host)
-        self._level += 1
+            self.unfollow(self.coordinator)
+        self._acting_periods += 1
         # Distinct for each gateway, and above the levels that this gateway and those with lower
         # addresses have used before.
         addresses = [gateway.address for gateway in roster.gateways]
-        level = self._level * LEVELS_PER_TURN + addresses.index(self.own)
-        self.deputy = Deputy(
+        level = self._acting_periods * LEVELS_PER_ACTING_PERIOD + addresses.index(self.own_address)
+        self.acting_leader = ActingLeader(
             roster=roster,
             level=level,
-            domain=find_own_domain(roster, self.own),
+            domain=find_own_domain(roster, self.own_address),
             port=self._port,
             clock=self._clock,
             longest_lease=self._settings.longest_lease,
             caller_retry=self._settings.caller_retry,
             reports=self._settings.reports,
-            known_at=self.rosters.confirmed_at,
+            confirmed_at=self.failover_store.confirmed_at,
             on_failure=self._on_failure,
         )
-        self._greet_itself(self.deputy)
-        self.host = self.own
-        self.deputy_term = roster.term
-        self.via = Via.DEPUTY
+        self._register_itself(self.acting_leader)
+        self.coordinator = self.own_address
+        self.acting_leader_term = roster.term
+        self.via = Via.ACTING_LEADER
         self._checked_at = self._clock.monotonic()
-        self._tell_news()
+        self._notify_change()
         log_event(Event.STANDING_IN, term=roster.term, at_level=level)
 
-    def _greet_itself(self, deputy: Deputy) -> None:
+    def _register_itself(self, deputy: ActingLeader) -> None:
         gateways = deputy.leading.gateways
-        greeting = msgspec.structs.replace(self._build_greeting(), contact=gateways.make_contact())
-        gateways.take_greeting(greeting)
+        greeting = msgspec.structs.replace(
+            self._build_keepalive(), contact=gateways.build_contact()
+        )
+        gateways.handle_keepalive(greeting)
 
-    def _tell_news(self) -> None:
-        self._news.set()
-        self._news = asyncio.Event()
+    def _notify_change(self) -> None:
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
 def _can_be_followed(answer: Answer, own_domain: DomainName | None) -> bool:
@@ -509,7 +524,7 @@
     return not answer.is_deputy or answer.domain == own_domain
 
 
-def _list_rivals(roster: Roster, own: str) -> list[str]:
+def _list_lower_gateways(roster: Roster, own: str) -> list[str]:
     """Return the gateways that take precedence over this one as acting leader."""
     domain = find_own_domain(roster, own)
     return [
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -30,19 +30,19 @@
 from ..core.cluster.lives import choose_terms
 from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
-from .gateways import GATEWAY_SILENT
+from .gateways import GATEWAY_TIMEOUT
 from .leading import Leading, LeadingSettings
 from .ports import OnFailure, UpstreamPort
 from .replicated import ReplicatedRecords
 
-DEPUTY_AFTER = timedelta(milliseconds=900)
+ACT_AS_LEADER_AFTER = timedelta(milliseconds=900)
 """If control hosts answer but have no leader: longer than an election takes (0.35 to 0.7 s)."""
-DEPUTY_AFTER_SILENCE = timedelta(milliseconds=520)
+ACT_AS_LEADER_AFTER_SILENCE = timedelta(milliseconds=520)
 """If no majority of them answers, no leader can be elected; longer than `GATEWAY_TIMEOUT`, with a
 margin."""
 
 
-class DeputyAuthority:
+class ActingLeaderAuthority:
     """The authority of an acting leader, which ends when an upstream reports a higher token."""
 
     def __init__(self, *, term: int, replicated: ReplicatedRecords) -> None:
@@ -74,7 +74,7 @@
         self.is_over = True
 
 
-class Deputy:
+class ActingLeader:
     """One period in which this gateway acts as leader."""
 
     def __init__(
@@ -88,7 +88,7 @@
         longest_lease: timedelta,
         caller_retry: timedelta,
         reports: ReportTerms,
-        known_at: timedelta,
+        confirmed_at: timedelta,
         on_failure: OnFailure,
     ) -> None:
         self.domain = domain
@@ -99,7 +99,7 @@
         records.upstreams = {record.info.id: record for record in roster.upstreams}
         records.suspects = {suspect.task: suspect for suspect in roster.suspects}
         records.evacuations = Evacuations(roster.evacuations)
-        self.authority = DeputyAuthority(term=roster.term, replicated=replicated)
+        self.authority = ActingLeaderAuthority(term=roster.term, replicated=replicated)
         self.leading = Leading(
             authority=self.authority,
             replicated=replicated,
@@ -107,7 +107,7 @@
             clock=clock,
             on_failure=on_failure,
             settings=LeadingSettings(
-                terms=choose_terms(longest_lease, caller_retry, GATEWAY_SILENT),
+                terms=choose_terms(longest_lease, caller_retry, GATEWAY_TIMEOUT),
                 keep_ended=timedelta(),
                 caller_retry=caller_retry,
                 control_address=None,
@@ -116,7 +116,7 @@
                 level=level,
                 reports=reports,
                 # Upstreams send heartbeats to control hosts only, so none will confirm capacities.
-                known_until=reports.find_known_until(known_at),
+                known_until=reports.find_known_until(confirmed_at),
             ),
         )
 
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -27,11 +27,11 @@
 from ..core.cluster.forecast import find_declared_objective, find_last_use
 from ..core.cluster.model import Queue
 from ..net.asgi import HttpRequest, HttpResponse
-from .decider import DeciderLink, Via
-from .deputy import Deputy
+from .decider import CoordinatorLink, Via
+from .deputy import ActingLeader
 from .events import Event, log_event
 from .job_line import NOT_SENT
-from .job_lines import JobLines
+from .job_lines import JobChannelServer
 from .peer_calls import (
     CALL_PATH,
     GREETING_PASSED,
@@ -79,19 +79,19 @@
         """How often a job was withheld from a coordinator whose answer was overdue."""
         self._clock = clock
         self.calls = PeerCalls(own=str(settings.listen.peers), urgent_port=settings.urgent_port)
-        self._job_lines = JobLines(
+        self._job_lines = JobChannelServer(
             answer=self.answer_peer, clock=clock, find_slack=self._find_slack
         )
-        self.link = DeciderLink(
+        self.link = CoordinatorLink(
             settings=settings,
             clock=clock,
             port=port,
             calls=self.calls,
             on_failure=on_failure,
         )
-        self._number = self.link.vouching.life
+        self._number = self.link.confirmations.life
         """Number of the last submission; no earlier process at this address has used it."""
-        self.calls.stamp = self.link.vouching.stamp
+        self.calls.stamp = self.link.confirmations.stamp
         self._background: set[asyncio.Task[Answer]] = set()
 
     def start(self) -> None:
@@ -114,7 +114,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this gateway can serve callers' requests now."""
-        return not self.is_stopping and self.link.is_reached()
+        return not self.is_stopping and self.link.is_connected()
 
     @property
     def max_body_bytes(self) -> int:
@@ -122,29 +122,29 @@
         return self.link.max_body_bytes or DEFAULT_MAX_BODY_BYTES
 
     @property
-    def deputy(self) -> Deputy | None:
+    def acting_leader(self) -> ActingLeader | None:
         """The acting leader in this process, or None."""
-        return self.link.deputy
+        return self.link.acting_leader
 
     @property
-    def decider(self) -> str | None:
+    def coordinator(self) -> str | None:
         """Address of the coordinator, or None while none is known."""
-        return self.link.host
+        return self.link.coordinator
 
     @property
     def hosts(self) -> list[str]:
         """Addresses of the known control hosts."""
         return self.link.hosts
 
-    def use_seeds(self, seeds: list[Address]) -> None:
+    def add_seeds(self, seeds: list[Address]) -> None:
         """Add addresses at which control hosts may be found."""
-        self.link.use_seeds(seeds)
+        self.link.add_seeds(seeds)
 
     # Calls of callers
 
     def abandon(self, call: Submit) -> None:
         """Tell the coordinator that a caller has disconnected, without waiting for the answer."""
-        abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own)
+        abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own_address)
         task = asyncio.create_task(self._call(abandon, ABANDON_PATIENCE))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
@@ -157,7 +157,7 @@
         began_at = self._clock.monotonic()
         if isinstance(call, Submit):
             self._number += 1
-            call = msgspec.structs.replace(call, gateway=self.link.own, number=self._number)
+            call = msgspec.structs.replace(call, gateway=self.link.own_address, number=self._number)
         try:
             answer = await self._call(call, patience)
         except asyncio.CancelledError:
@@ -183,7 +183,7 @@
     def _note_given_up(self, call: Call) -> None:
         """Report with keep-alives that this gateway no longer waits for a best-effort job."""
         if isinstance(call, Submit) and call.spec.best_effort:
-            self.link.vouching.note_given_up(
+            self.link.confirmations.note_given_up(
                 GivenUp(host=call.host, path=call.path, number=call.number)
             )
 
@@ -200,7 +200,7 @@
 
     def _find_queue(self, call: Submit) -> Queue | None:
         """Return the queue of a job in the last known configuration, or None."""
-        queues = self.link.rosters.queues
+        queues = self.link.failover_store.queues
         found = queues.find(call.host, call.path) if queues is not None else None
         return found[0] if found is not None else None
 
@@ -218,7 +218,7 @@
             if nobody_since is not None and now - nobody_since > self._find_patience(call):
                 break
             via = self.link.via
-            deputy_term = self.link.deputy_term if via is Via.DEPUTY else 0
+            deputy_term = self.link.acting_leader_term if via is Via.ACTING_LEADER else 0
             if isinstance(call, Submit):
                 waited_ms = to_milliseconds(now - began_at)
                 call = msgspec.structs.replace(call, waited_ms=waited_ms)
@@ -240,7 +240,7 @@
             waited = self._clock.monotonic() - began_at
             if is_open and isinstance(call, Submit) and self._is_hopeless(call, waited):
                 break
-            await self.link.wait_change(RETRY_SECONDS)
+            await self.link.wait_for_change(RETRY_SECONDS)
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
         return Answer(outcome=outcome, detail="no coordinator could be reached in time")
 
@@ -248,7 +248,7 @@
         """Return how long a call waits for a coordinator."""
         if not isinstance(call, Submit) or call.spec.best_effort:
             return NOBODY_PATIENCE
-        return timedelta() if self.link.is_core_silent() else KEPT_PATIENCE
+        return timedelta() if self.link.is_control_majority_silent() else KEPT_PATIENCE
 
     def _is_hopeless(self, call: Submit, waited: timedelta) -> bool:
         """Return whether a job that has waited this long would end too late to be useful."""
@@ -266,19 +266,19 @@
         return find_last_use(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _try(self, call: Call, timeout: timedelta) -> Answer:
-        if self.deputy is not None:
-            return await _ask_itself(self.deputy, call, timeout)
-        host = self.link.host
+        if self.acting_leader is not None:
+            return await _ask_itself(self.acting_leader, call, timeout)
+        host = self.link.coordinator
         if host is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no coordinator is known")
         if isinstance(call, Submit) and self.link.is_overdue():
             self.held_back += 1
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_ANSWER)
-        sent_call = _to_deputy(call) if self.link.via is Via.DEPUTY else call
+        sent_call = _to_deputy(call) if self.link.via is Via.ACTING_LEADER else call
         answer = await self.calls.ask(host, sent_call, timeout)
         still_decides = answer.detail in (NO_CONFIGURATION, NO_LOG, NOT_IN_TOUCH, NOT_SENT)
         if answer.outcome is Outcome.UNAVAILABLE and not still_decides:
-            self.link.leave(host)
+            self.link.unfollow(host)
         return answer
 
     # Calls of other gateways
@@ -288,7 +288,7 @@
         taken = self._job_lines.handle_at_once(request)
         if taken is not None:
             return taken
-        deputy = self.deputy
+        deputy = self.acting_leader
         greeting = decode_greeting(request) if deputy is not None else None
         if deputy is None or greeting is None:
             return None
@@ -311,12 +311,12 @@
 
     async def answer_peer(self, call: Call) -> Answer:
         """Answer a call of another gateway."""
-        deputy = self.deputy
+        deputy = self.acting_leader
         if deputy is not None:
             # It may have stepped down by the time a job has ended: mark its answers all the same.
             answer = await deputy.leading.answer(call)
             return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
-        leader = self.link.host if self.link.is_led_directly() else None
+        leader = self.link.coordinator if self.link.has_direct_leader() else None
         if leader is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LEADER, hosts=tuple(self.hosts))
         answer = await self.calls.ask(leader, call, _find_patience(call))
@@ -351,7 +351,7 @@
     return call
 
 
-async def _ask_itself(deputy: Deputy, call: Call, timeout: timedelta) -> Answer:
+async def _ask_itself(deputy: ActingLeader, call: Call, timeout: timedelta) -> Answer:
     """Answer a call of this gateway's own callers while it acts as leader, within a timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -12,31 +12,31 @@
 from ..core.ids import DomainName
 from .events import Event, log_event
 
-GATEWAY_SILENT = timedelta(milliseconds=300)
+GATEWAY_TIMEOUT = timedelta(milliseconds=300)
 """Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
 move them to another coordinator any sooner."""
-CHECK_SUBMISSIONS = timedelta(milliseconds=10)
+SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
 """Each submission confirms its own job for a span of its own; half of the time between two
 scheduling rounds."""
-PARTS_A_SECOND = 600
+MAX_PARTS_PER_SECOND = 600
 """Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
 CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
-LATE_GREETING = timedelta(milliseconds=150)
+LATE_KEEPALIVE_AGE = timedelta(milliseconds=150)
 """A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
-LATE_LINE_EVERY = timedelta(seconds=1)
+LATE_LOG_INTERVAL = timedelta(seconds=1)
 """Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
 gateways' keep-alives are late."""
 
 
-class Gateways:
+class GatewayRegistry:
     """Known gateways by the address that they send in keep-alives."""
 
     def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
-        self.log = RosterLog(term=term, takes_calls=takes_calls)
+        self.failover_log = RosterLog(term=term, takes_calls=takes_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
         """Called with the age of each keep-alive when it was handled, in milliseconds."""
-        self._vouched_until = timedelta()
+        self._confirmed_until = timedelta()
         """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
         """Until then no gateway can exceed the contact timeout."""
@@ -46,37 +46,37 @@
         """Called when a keep-alive comes from a new process at the address of a gateway."""
         self._token = token
         self._clock = clock
-        self._late_line_due = timedelta()
+        self._late_log_due = timedelta()
         self._sent_at: dict[str, timedelta] = {}
         """Earliest time at which each gateway can have sent its last message, by its contacts."""
         self._domains: dict[str, DomainName] = {}
-        self._lives: dict[str, int] = {}
-        self._keeps_jobs = False
-        self._parts_left = float(PARTS_A_SECOND)
+        self._instances: dict[str, int] = {}
+        self._has_durable_jobs = False
+        self._parts_left = float(MAX_PARTS_PER_SECOND)
         self._parts_at = clock.monotonic()
 
-    def note_kept_jobs(self, are_open: bool) -> None:
+    def record_durable_jobs(self, are_open: bool) -> None:
         """Record whether any durable jobs are open."""
-        if are_open != self._keeps_jobs:
-            self._keeps_jobs = are_open
-            self.log.note_other()
+        if are_open != self._has_durable_jobs:
+            self._has_durable_jobs = are_open
+            self.failover_log.note_other()
 
-    def take_greeting(self, greeting: Greet) -> None:
+    def handle_keepalive(self, greeting: Greet) -> None:
         """Record a gateway and its contact, if that is recent enough."""
         gateway = greeting.gateway
         if not gateway:
             return
         if gateway not in self._domains:
             self._domains[gateway] = greeting.domain
-            self.log.note_other()
-        if self._lives.setdefault(gateway, greeting.life) != greeting.life:
-            self._lives[gateway] = greeting.life
+            self.failover_log.note_other()
+        if self._instances.setdefault(gateway, greeting.life) != greeting.life:
+            self._instances[gateway] = greeting.life
             self.on_restart(gateway)
-        sent_at = self.find_sent(gateway, greeting.contact)
+        sent_at = self.find_send_time(gateway, greeting.contact)
         if sent_at is not None:
-            self._vouch(gateway, sent_at)
+            self._record_contact(gateway, sent_at)
 
-    def find_sent(self, gateway: str, contact: Contact | None) -> timedelta | None:
+    def find_send_time(self, gateway: str, contact: Contact | None) -> timedelta | None:
         """Return the earliest time at which a message was sent; None if it is too old to count.
 
         The timeout counts from sending, never from arrival: a gateway moves its jobs to another
@@ -87,36 +87,36 @@
             return None
         now = self._clock.monotonic()
         sent_at = timedelta(milliseconds=contact.answered_ms + contact.since_ms)
-        self._note_age(gateway, now - sent_at, now)
-        if now - sent_at >= GATEWAY_SILENT:
+        self._record_keepalive_age(gateway, now - sent_at, now)
+        if now - sent_at >= GATEWAY_TIMEOUT:
             return None
-        self._vouched_until = max(self._vouched_until, sent_at + GATEWAY_SILENT)
-        self._check_at = min(self._check_at, sent_at + GATEWAY_SILENT)
+        self._confirmed_until = max(self._confirmed_until, sent_at + GATEWAY_TIMEOUT)
+        self._check_at = min(self._check_at, sent_at + GATEWAY_TIMEOUT)
         return sent_at
 
-    def _vouch(self, gateway: str, sent_at: timedelta) -> None:
+    def _record_contact(self, gateway: str, sent_at: timedelta) -> None:
         """Record contact with a gateway; after a timeout, abandon what it had submitted before."""
         known = self._sent_at.get(gateway)
-        if known is not None and not self.is_heard(gateway):
+        if known is not None and not self.is_connected(gateway):
             self.on_silence(gateway)
         self._sent_at[gateway] = max(sent_at, known or sent_at)
 
-    def make_contact(self) -> Contact:
+    def build_contact(self) -> Contact:
         """Return the contact that a gateway sends back after an answer that is sent now."""
         return Contact(token=self._token, answered_ms=to_milliseconds(self._clock.monotonic()))
 
-    def _note_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
+    def _record_keepalive_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
-        if age >= LATE_GREETING and now >= self._late_line_due:
-            self._late_line_due = now + LATE_LINE_EVERY
+        if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
+            self._late_log_due = now + LATE_LOG_INTERVAL
             log_event(Event.GREETING_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
-    def is_heard(self, gateway: str) -> bool:
+    def is_connected(self, gateway: str) -> bool:
         """Return whether the last contact with a gateway is within the timeout."""
         sent_at = self._sent_at.get(gateway)
-        return sent_at is not None and self._clock.monotonic() - sent_at < GATEWAY_SILENT
+        return sent_at is not None and self._clock.monotonic() - sent_at < GATEWAY_TIMEOUT
 
-    def may_be_silent(self) -> bool:
+    def may_have_timed_out(self) -> bool:
         """Return whether a gateway may have timed out since this method last returned True.
 
         The caller asks thousands of times a second, while timeouts depend on the clock alone, so
@@ -125,30 +125,32 @@
         now = self._clock.monotonic()
         if now < self._check_at:
             return False
-        heard = (at + GATEWAY_SILENT for at in self._sent_at.values() if now - at < GATEWAY_SILENT)
+        heard = (
+            at + GATEWAY_TIMEOUT for at in self._sent_at.values() if now - at < GATEWAY_TIMEOUT
+        )
         self._check_at = min(heard, default=NEVER)
-        if now < self._vouched_until:
-            self._check_at = min(self._check_at, now + CHECK_SUBMISSIONS)
+        if now < self._confirmed_until:
+            self._check_at = min(self._check_at, now + SUBMISSION_CHECK_INTERVAL)
         return True
 
     def find_domain(self, gateway: str) -> DomainName | None:
         """Return the failure domain of a known gateway."""
         return self._domains.get(gateway)
 
-    def is_any_heard(self) -> bool:
+    def is_any_connected(self) -> bool:
         """Return whether the last contact with any gateway is within the timeout."""
-        return any(self.is_heard(gateway) for gateway in self._sent_at)
+        return any(self.is_connected(gateway) for gateway in self._sent_at)
 
-    def may_stand_in(self, domains: set[DomainName]) -> bool:
+    def may_act_as_leader(self, domains: set[DomainName]) -> bool:
         """Return whether a disconnected gateway may act as leader for upstreams of these domains.
 
         None can if each of the domains has a known gateway and all known gateways are connected.
         """
         if not domains <= set(self._domains.values()):
             return True
-        return not all(self.is_heard(gateway) for gateway in self._domains)
+        return not all(self.is_connected(gateway) for gateway in self._domains)
 
-    def build_roster(self, records: Records, known: str) -> Roster | None:
+    def build_failover_state(self, records: Records, known: str) -> Roster | None:
         """Return the next part of the failover state for a gateway that has the version `known`.
 
         None if there is nothing new, and also if a large part has to wait: see `is_current`.
@@ -157,20 +159,22 @@
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.log.is_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_large(records, known) and not self._may_send_part():
             return None
-        return self.log.build(records, gateways, keeps_jobs=self._keeps_jobs, known=known)
+        return self.failover_log.build(
+            records, gateways, keeps_jobs=self._has_durable_jobs, known=known
+        )
 
     def is_current(self, known: str) -> bool:
         """Return whether this is the latest version of the failover state."""
-        return known == self.log.version
+        return known == self.failover_log.version
 
     def _may_send_part(self) -> bool:
         """Return whether another large part may be sent now, and count it if so."""
         now = self._clock.monotonic()
-        earned = (now - self._parts_at).total_seconds() * PARTS_A_SECOND
+        earned = (now - self._parts_at).total_seconds() * MAX_PARTS_PER_SECOND
         self._parts_at = now
-        self._parts_left = min(self._parts_left + earned, float(PARTS_A_SECOND))
+        self._parts_left = min(self._parts_left + earned, float(MAX_PARTS_PER_SECOND))
         if self._parts_left < 1.0:
             return False
         self._parts_left -= 1.0
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -67,7 +67,7 @@
     waiting: list[_Item] = field(default_factory=list)
     sent: list[_Item] = field(default_factory=list)
     last_seen: int = 0
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class HeartbeatPort:
@@ -90,7 +90,7 @@
         """Answer all heartbeats that are kept, without orders."""
         self._is_over = True
         for line in self._lines.values():
-            line.news.set()
+            line.changed.set()
 
     # For whoever decides
 
@@ -123,7 +123,7 @@
         settled: asyncio.Future[LookReply | None] = asyncio.get_running_loop().create_future()
         item = _Item(order=order, queued_at=self._clock.monotonic(), settled=settled)
         line.waiting.append(item)
-        line.news.set()
+        line.changed.set()
         while not settled.done():
             await asyncio.wait([settled], timeout=CHECK_SECONDS)
             now = self._clock.monotonic()
@@ -162,7 +162,7 @@
         """Keep an answer until there is something to say, or the upstream is to report again."""
         began_at = self._clock.monotonic()
         while not self._is_over and heartbeat.sequence == line.sequence:
-            line.news.clear()
+            line.changed.clear()
             if any(not isinstance(item.order, LookOrder) for item in line.waiting):
                 return
             left = began_at + _find_kept(line, heartbeat) - self._clock.monotonic()
@@ -170,7 +170,7 @@
                 return
             try:
                 async with asyncio.timeout(left.total_seconds()):
-                    await line.news.wait()
+                    await line.changed.wait()
             except TimeoutError:
                 continue
 
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -27,14 +27,14 @@
 from ..core.cluster.open_job import Submission
 from ..core.cluster.records import JobRecord, Records
 from .events import Event, log_event
-from .gateways import GATEWAY_SILENT, Gateways
+from .gateways import GATEWAY_TIMEOUT, GatewayRegistry
 from .ports import Authority
 from .replicated import Waiters
 
 STATE_WAIT = timedelta(milliseconds=60)
 """How long a state query waits for a job whose end is being committed; a commit takes 20 ms."""
 
-KEEP_GIVEN_UP = timedelta(seconds=2)
+ABANDONED_RETENTION = timedelta(seconds=2)
 """A submission that is older than `GATEWAY_TIMEOUT` is refused in any case."""
 
 
@@ -47,7 +47,7 @@
         authority: Authority,
         records: Records,
         dispatch: Dispatch,
-        gateways: Gateways,
+        gateways: GatewayRegistry,
         waiters: Waiters,
         clock: Clock,
         terms: LeaseTerms,
@@ -67,7 +67,7 @@
         self._caller_retry = caller_retry
         self._propose = propose
         self._wait = wait
-        self._given_up: dict[tuple[str, int], timedelta] = {}
+        self._abandoned: dict[tuple[str, int], timedelta] = {}
         """Abandoned submissions, by gateway and number, with the time when they were abandoned."""
         self._wake = wake
 
@@ -77,9 +77,9 @@
         if isinstance(found, Answer):
             return found
         queue, job = found
-        if (call.gateway, call.number) in self._given_up:
+        if (call.gateway, call.number) in self._abandoned:
             return Answer(outcome=Outcome.UNKNOWN, detail="the gateway abandoned this submission")
-        sent_at = self._gateways.find_sent(call.gateway, call.contact)
+        sent_at = self._gateways.find_send_time(call.gateway, call.contact)
         if call.gateway and sent_at is None:
             # Delayed: by now its gateway may have submitted the job to another coordinator.
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_IN_TOUCH)
@@ -128,22 +128,22 @@
         self._wake()
         return Answer(outcome=Outcome.DONE)
 
-    def give_up(self, gateway: str, given_up: GivenUp) -> bool:
+    def abandon_submission(self, gateway: str, given_up: GivenUp) -> bool:
         """Abandon a submission that its gateway no longer waits for; False if already known."""
         key = (gateway, given_up.number)
-        if key in self._given_up:
+        if key in self._abandoned:
             return False
         now = self._clock.monotonic()
-        self._given_up[key] = now
+        self._abandoned[key] = now
         found = self._find_queue(given_up.host, given_up.path)
         if not isinstance(found, Answer):
             self._dispatch.abandon(found[1], gateway, now)
         return True
 
-    def forget_given_up(self) -> None:
+    def forget_abandoned(self) -> None:
         """Forget submissions that were abandoned so long ago that they can hardly still arrive."""
-        limit = self._clock.monotonic() - KEEP_GIVEN_UP
-        self._given_up = {key: at for key, at in self._given_up.items() if at >= limit}
+        limit = self._clock.monotonic() - ABANDONED_RETENTION
+        self._abandoned = {key: at for key, at in self._abandoned.items() if at >= limit}
 
     async def answer_state(self, call: AskState) -> Answer:
         """Return a job's state, or how many jobs of a queue have not started."""
@@ -199,12 +199,12 @@
         return await self._wait_end(job)
 
     def _build_submission(self, call: Submit, sent_at: timedelta) -> Submission:
-        longest = self._terms.lapse_after + GATEWAY_SILENT
+        longest = self._terms.lapse_after + GATEWAY_TIMEOUT
         after_retry = max(longest - self._caller_retry, timedelta())
         return Submission(
             gateway=call.gateway,
             home=self._gateways.find_domain(call.gateway),
-            vouched_until=sent_at + GATEWAY_SILENT,
+            vouched_until=sent_at + GATEWAY_TIMEOUT,
             may_have_begun=call.may_have_begun,
             may_be_of_deputy=call.may_be_of_deputy or bool(call.deputy_term),
             # A caller that lost its gateway sends its job again only after `caller_retry`.
--- a/cottonlug/runtime/job_line.py
+++ b/cottonlug/runtime/job_line.py
@@ -34,35 +34,35 @@
 
 JOBS_PATH = "/v1/jobs"
 ANSWERS_PATH = "/v1/answers"
-MOST_IN_BATCH = 64
+MAX_BATCH_JOBS = 64
 """Jobs of 1,000 tasks have 5 KB each, so a batch has a third of a megabyte at the most."""
 SEND_TIMEOUT = timedelta(milliseconds=300)
 """A live host replies within a few milliseconds; a connection may be broken without a reset."""
-ANSWERS_KEPT = timedelta(milliseconds=300)
+ANSWER_POLL_WAIT = timedelta(milliseconds=300)
 """How long the other host holds a poll for answers until there is one."""
-ANSWERS_TIMEOUT = ANSWERS_KEPT + SEND_TIMEOUT
+ANSWER_POLL_TIMEOUT = ANSWER_POLL_WAIT + SEND_TIMEOUT
 NOT_SENT = "it was not sent"
 """Detail of the answer for a job that was abandoned before it was sent."""
 RETRY_SECONDS = 0.02
 IDLE_SECONDS = 1.0
 """A channel stops polling this long after its last job."""
-_GONE = "the host is no longer the coordinator"
-_MOST_LINES = 1 << 53
+_COORDINATOR_CHANGED = "the host is no longer the coordinator"
+_MAX_CHANNEL_ID = 1 << 53
 
 
 @dataclass(slots=True)
-class _Item:
+class _PendingJob:
     submit: Submit
     answer: asyncio.Future[Answer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
     is_sent: bool = False
     """Whether it may have reached the other host."""
-    is_taken: bool = False
+    is_acknowledged: bool = False
     """Whether the other host has acknowledged it."""
 
 
-class JobLine:
+class JobChannel:
     """The jobs that this host has sent to another one."""
 
     def __init__(
@@ -73,54 +73,54 @@
         stamp: Callable[[Call], Call],
     ) -> None:
         self._own = own
-        self._line = random.randrange(_MOST_LINES)
+        self._channel_id = random.randrange(_MAX_CHANNEL_ID)
         self._open_pool = open_pool
         self._stamp = stamp
         self._numbers = itertools.count(1)
-        self._items: dict[int, _Item] = {}
-        self._count = self._have = 0
-        self._news = asyncio.Event()
+        self._pending: dict[int, _PendingJob] = {}
+        self._numbering = self._received_through = 0
+        self._changed = asyncio.Event()
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    async def ask(self, submit: Submit, timeout: timedelta) -> Answer:
+    async def submit(self, submit: Submit, timeout: timedelta) -> Answer:
         """Have the other host run a job; `UNAVAILABLE` only if the job was never sent."""
         number = next(self._numbers)
-        item = self._items[number] = _Item(submit)
-        self._start()
-        self._news.set()
+        item = self._pending[number] = _PendingJob(submit)
+        self._ensure_tasks()
+        self._changed.set()
         try:
             async with asyncio.timeout(timeout.total_seconds()):
                 return await item.answer
         except TimeoutError:
-            return _give_up(item, "no reply in time")
+            return _build_lost_answer(item, "no reply in time")
         finally:
-            del self._items[number]
+            del self._pending[number]
 
-    def lose(self) -> None:
+    def fail_pending(self) -> None:
         """End all pending jobs without an answer; those that were sent may have been run."""
-        for item in self._items.values():
+        for item in self._pending.values():
             if not item.answer.done():
-                item.answer.set_result(_give_up(item, _GONE))
+                item.answer.set_result(_build_lost_answer(item, _COORDINATOR_CHANGED))
 
     def close(self) -> None:
         """Stop sending jobs and polling for answers."""
         for task in self._tasks.values():
             task.cancel()
 
-    def _start(self) -> None:
+    def _ensure_tasks(self) -> None:
         """Start the send and poll tasks; either may have ended after idling."""
-        for name, work in (("send", self._send_forever), ("ask", self._ask_forever)):
+        for name, work in (("send", self._send_forever), ("ask", self._poll_answers_forever)):
             task = self._tasks.get(name)
             if task is None or task.done():
                 self._tasks[name] = asyncio.create_task(work())
 
     async def _send_forever(self) -> None:
-        while await self._wait_for(self._list_unsent):
-            batch = dict(self._list_unsent()[:MOST_IN_BATCH])
+        while await self._wait_for_work(self._list_unsent):
+            batch = dict(self._list_unsent()[:MAX_BATCH_JOBS])
             if not await self._send(batch):
                 await asyncio.sleep(RETRY_SECONDS)
 
-    async def _send(self, batch: dict[int, _Item]) -> bool:
+    async def _send(self, batch: dict[int, _PendingJob]) -> bool:
         def build() -> bytes:
             return self._encode(batch)
 
@@ -128,10 +128,10 @@
         if isinstance(sent, Err) or sent.unwrap().status != 200:
             return False
         for item in batch.values():
-            item.is_taken = True
+            item.is_acknowledged = True
         return True
 
-    def _encode(self, batch: dict[int, _Item]) -> bytes:
+    def _encode(self, batch: dict[int, _PendingJob]) -> bytes:
         """Encode a batch, with each job stamped at the time of sending."""
         jobs: list[NumberedJob] = []
         for number, item in batch.items():
@@ -139,18 +139,25 @@
             assert isinstance(stamped, Submit), "stamping must not change the type of a call"
             item.is_sent = True
             jobs.append(NumberedJob(number=number, submit=stamped))
-        return msgspec.json.encode(JobBatch(caller=self._own, line=self._line, jobs=tuple(jobs)))
-
-    async def _ask_forever(self) -> None:
-        while await self._wait_for(lambda: list(self._items.items())):
-            ask = AskAnswers(caller=self._own, line=self._line, count=self._count, have=self._have)
+        return msgspec.json.encode(
+            JobBatch(caller=self._own, line=self._channel_id, jobs=tuple(jobs))
+        )
+
+    async def _poll_answers_forever(self) -> None:
+        while await self._wait_for_work(lambda: list(self._pending.items())):
+            ask = AskAnswers(
+                caller=self._own,
+                line=self._channel_id,
+                count=self._numbering,
+                have=self._received_through,
+            )
             sent = await self._open_pool().call(
-                "POST", ANSWERS_PATH, msgspec.json.encode(ask), timeout=ANSWERS_TIMEOUT
+                "POST", ANSWERS_PATH, msgspec.json.encode(ask), timeout=ANSWER_POLL_TIMEOUT
             )
-            if isinstance(sent, Err) or not self._take_answers(sent.unwrap()):
+            if isinstance(sent, Err) or not self._handle_answers(sent.unwrap()):
                 await asyncio.sleep(RETRY_SECONDS)
 
-    def _take_answers(self, reply: HttpReply) -> bool:
+    def _handle_answers(self, reply: HttpReply) -> bool:
         """Pass answers to the pending jobs; False if the reply cannot be read."""
         if reply.status != 200:
             return False
@@ -159,36 +166,38 @@
         except msgspec.MsgspecError as error:
             log_event(Event.CALL_FAILED, call="AskAnswers", outcome="unknown", detail=str(error))
             return False
-        is_known = answers.count == self._count
-        self._have = max(self._have, answers.through) if is_known else answers.through
-        self._count = answers.count
+        is_known = answers.count == self._numbering
+        self._received_through = (
+            max(self._received_through, answers.through) if is_known else answers.through
+        )
+        self._numbering = answers.count
         for each in answers.answers:
-            item = self._items.get(each.number)
+            item = self._pending.get(each.number)
             if item is not None and not item.answer.done():
                 item.answer.set_result(each.answer)
         return True
 
-    def _list_unsent(self) -> list[tuple[int, _Item]]:
+    def _list_unsent(self) -> list[tuple[int, _PendingJob]]:
         return [
             (number, item)
-            for number, item in self._items.items()
-            if not (item.is_taken or item.answer.done())
+            for number, item in self._pending.items()
+            if not (item.is_acknowledged or item.answer.done())
         ]
 
-    async def _wait_for(self, find: Callable[[], list[tuple[int, _Item]]]) -> bool:
+    async def _wait_for_work(self, find: Callable[[], list[tuple[int, _PendingJob]]]) -> bool:
         """Return True once there is work, False if no job was pending for `IDLE_SECONDS`."""
         while not find():
-            self._news.clear()
+            self._changed.clear()
             try:
                 async with asyncio.timeout(IDLE_SECONDS):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
-                if not self._items:
+                if not self._pending:
                     return False
         return True
 
 
-def _give_up(item: _Item, detail: str) -> Answer:
+def _build_lost_answer(item: _PendingJob, detail: str) -> Answer:
     if item.is_sent:
         return Answer(outcome=Outcome.UNKNOWN, detail=detail)
     return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_SENT)
--- a/cottonlug/runtime/job_lines.py
+++ b/cottonlug/runtime/job_lines.py
@@ -29,37 +29,37 @@
 from ..core.cluster.calls import Answer, Call, Outcome, Submit
 from ..net.asgi import HttpRequest, HttpResponse
 from .events import Event, log_event
-from .job_line import ANSWERS_KEPT, ANSWERS_PATH, JOBS_PATH
+from .job_line import ANSWER_POLL_WAIT, ANSWERS_PATH, JOBS_PATH
 
-TAKEN_IN_A_TURN = 8
+MAX_STARTS_PER_TURN = 8
 """Jobs started per iteration of the event loop. Each takes some 0.3 ms including the start of its
 first task; keep-alives are answered between iterations."""
-FORGOTTEN_AFTER = timedelta(seconds=30)
+CHANNEL_RETENTION = timedelta(seconds=30)
 """A live host polls every 0.3 s."""
 
-_MOST_COUNTS = 1 << 52
+_MAX_NUMBERING = 1 << 52
 """Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
 
 AnswerCall = Callable[[Call], Awaitable[Answer]]
 
 
 @dataclass(slots=True, kw_only=True)
-class _Line:
+class _Channel:
     """Jobs received on one channel, and the answers that are not known to have arrived."""
 
     used_at: timedelta
-    count: int
+    numbering: int
     """Identifies the numbering of its answers."""
-    through: int = 0
+    received_through: int = 0
     """The highest job number received."""
-    given: int = 0
+    answer_count: int = 0
     """Number of answers so far, and thus the number of the last one."""
     answers: list[tuple[int, NumberedAnswer]] = field(default_factory=list)
-    news: asyncio.Event = field(default_factory=asyncio.Event)
-    under_way: int = 0
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    running_count: int = 0
 
 
-class JobLines:
+class JobChannelServer:
     """All job channels that end at this host."""
 
     def __init__(
@@ -73,11 +73,11 @@
         self._answer = answer
         self._clock = clock
         self._find_slack = find_slack
-        self._lines: dict[tuple[str, int], _Line] = {}
-        self._waiting: list[tuple[float, int, int, _Line, Submit]] = []
+        self._channels: dict[tuple[str, int], _Channel] = {}
+        self._waiting: list[tuple[float, int, int, _Channel, Submit]] = []
         self._order = itertools.count()
-        self._count = random.randrange(_MOST_COUNTS)
-        self._is_taking = False
+        self._numbering = random.randrange(_MAX_NUMBERING)
+        self._is_start_scheduled = False
         self._tasks: set[asyncio.Task[None]] = set()
 
     def handles(self, path: str) -> bool:
@@ -86,7 +86,7 @@
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
         """Answer a poll for answers; raises `msgspec.MsgspecError` if it cannot be decoded."""
-        batch = await self.find_answers(ask_answers_decoder.decode(request.body))
+        batch = await self.poll_answers(ask_answers_decoder.decode(request.body))
         return HttpResponse(status=200, body=msgspec.json.encode(batch))
 
     def handle_at_once(self, request: HttpRequest) -> HttpResponse | None:
@@ -94,57 +94,57 @@
         if request.path != JOBS_PATH:
             return None
         try:
-            self.take(job_batch_decoder.decode(request.body))
+            self.receive(job_batch_decoder.decode(request.body))
         except msgspec.MsgspecError as error:
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=200)
 
-    def take(self, batch: JobBatch) -> None:
+    def receive(self, batch: JobBatch) -> None:
         """Queue the jobs of a batch that were not received before."""
-        line = self._find_line(batch.caller, batch.line)
+        line = self._get_channel(batch.caller, batch.line)
         now = self._clock.monotonic() / timedelta(seconds=1)
         for job in batch.jobs:
-            if job.number <= line.through:
+            if job.number <= line.received_through:
                 continue
-            line.through = job.number
-            line.under_way += 1
+            line.received_through = job.number
+            line.running_count += 1
             last_use = now + self._find_slack(job.submit)
             entry = (last_use, next(self._order), job.number, line, job.submit)
             heapq.heappush(self._waiting, entry)
-        if self._waiting and not self._is_taking:
-            self._is_taking = True
-            asyncio.get_running_loop().call_soon(self._take_some)
+        if self._waiting and not self._is_start_scheduled:
+            self._is_start_scheduled = True
+            asyncio.get_running_loop().call_soon(self._start_next)
 
-    async def find_answers(self, ask: AskAnswers) -> AnswerBatch:
+    async def poll_answers(self, ask: AskAnswers) -> AnswerBatch:
         """Return the answers that the client lacks, as soon as there are any.
 
         Returns none after `ANSWER_POLL_WAIT`.
         """
-        line = self._find_line(ask.caller, ask.line)
-        if ask.count == line.count:
+        line = self._get_channel(ask.caller, ask.line)
+        if ask.count == line.numbering:
             line.answers = [each for each in line.answers if each[0] > ask.have]
         if not line.answers:
-            line.news.clear()
+            line.changed.clear()
             try:
-                async with asyncio.timeout(ANSWERS_KEPT.total_seconds()):
-                    await line.news.wait()
+                async with asyncio.timeout(ANSWER_POLL_WAIT.total_seconds()):
+                    await line.changed.wait()
             except TimeoutError:
                 pass
         answers = tuple(answer for _, answer in line.answers)
-        return AnswerBatch(count=line.count, through=line.given, answers=answers)
+        return AnswerBatch(count=line.numbering, through=line.answer_count, answers=answers)
 
-    def _take_some(self) -> None:
+    def _start_next(self) -> None:
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
-        for _ in range(min(TAKEN_IN_A_TURN, len(self._waiting))):
+        for _ in range(min(MAX_STARTS_PER_TURN, len(self._waiting))):
             _, _, number, line, submit = heapq.heappop(self._waiting)
             task = asyncio.create_task(self._carry_out(line, number, submit))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        self._is_taking = bool(self._waiting)
-        if self._is_taking:
-            asyncio.get_running_loop().call_soon(self._take_some)
+        self._is_start_scheduled = bool(self._waiting)
+        if self._is_start_scheduled:
+            asyncio.get_running_loop().call_soon(self._start_next)
 
-    async def _carry_out(self, line: _Line, number: int, submit: Submit) -> None:
+    async def _carry_out(self, line: _Channel, number: int, submit: Submit) -> None:
         try:
             answer = await self._answer(submit)
         except Exception as error:
@@ -153,24 +153,26 @@
             log_event(Event.CALL_FAILED, call="Submit", path=submit.path, detail=detail)
             answer = Answer(outcome=Outcome.UNKNOWN, detail=detail)
         finally:
-            line.under_way -= 1
-        line.given += 1
-        line.answers.append((line.given, NumberedAnswer(number=number, answer=answer)))
-        line.news.set()
+            line.running_count -= 1
+        line.answer_count += 1
+        line.answers.append((line.answer_count, NumberedAnswer(number=number, answer=answer)))
+        line.changed.set()
 
-    def _find_line(self, caller: str, number: int) -> _Line:
+    def _get_channel(self, caller: str, number: int) -> _Channel:
         now = self._clock.monotonic()
-        line = self._lines.get((caller, number))
+        line = self._channels.get((caller, number))
         if line is None:
-            self._forget_old(now)
-            self._count += 1
-            line = self._lines[(caller, number)] = _Line(used_at=now, count=self._count)
+            self._drop_idle(now)
+            self._numbering += 1
+            line = self._channels[(caller, number)] = _Channel(
+                used_at=now, numbering=self._numbering
+            )
         line.used_at = now
         return line
 
-    def _forget_old(self, now: timedelta) -> None:
-        self._lines = {
+    def _drop_idle(self, now: timedelta) -> None:
+        self._channels = {
             key: line
-            for key, line in self._lines.items()
-            if line.under_way or now - line.used_at < FORGOTTEN_AFTER
+            for key, line in self._channels.items()
+            if line.running_count or now - line.used_at < CHANNEL_RETENTION
         }
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -53,7 +53,7 @@
 from ..core.ids import DomainName
 from .decisions import note_decision
 from .events import Event, log_event
-from .gateways import Gateways
+from .gateways import GatewayRegistry
 from .heartbeat_desk import SPREAD_FROM, Desks
 from .heartbeat_port import HeartbeatPort
 from .job_answers import JobAnswers
@@ -126,7 +126,7 @@
         self._settings = settings
         self._control_address = settings.control_address
         self._desks = Desks(clock=clock, own=settings.control_address)
-        self.gateways = Gateways(
+        self.gateways = GatewayRegistry(
             term=int(authority.term),
             token=self.token,
             clock=clock,
@@ -264,13 +264,13 @@
     def answer_greeting(self, call: Greet) -> Answer:
         """Tell a gateway what it needs to know, and count on it for its jobs."""
         self._take_given_up(call)
-        self.gateways.take_greeting(call)
+        self.gateways.handle_keepalive(call)
         if not self._settings.keeps_log:
             # A deputy has nothing to tell that its roster did not.
-            return Answer(outcome=Outcome.DONE, contact=self.gateways.make_contact())
-        self.gateways.note_kept_jobs(self.dispatch.jobs.keeps_any())
-        roster = self.gateways.build_roster(self._records, call.roster)
-        contact = self.gateways.make_contact()
+            return Answer(outcome=Outcome.DONE, contact=self.gateways.build_contact())
+        self.gateways.record_durable_jobs(self.dispatch.jobs.keeps_any())
+        roster = self.gateways.build_failover_state(self._records, call.roster)
+        contact = self.gateways.build_contact()
         is_due = roster is None and not self.gateways.is_current(call.roster)
         return Answer(outcome=Outcome.DONE, roster=roster, is_roster_due=is_due, contact=contact)
 
@@ -280,7 +280,7 @@
         Its callers may have sent it again: see `JobAnswers.answer_submit`.
         """
         for each in greeting.given_up:
-            if self._jobs.give_up(greeting.gateway, each):
+            if self._jobs.abandon_submission(greeting.gateway, each):
                 self._wake()
 
     def _give_up_silent(self, gateway: str) -> None:
@@ -288,7 +288,7 @@
 
     def _may_be_stood_in_for(self) -> bool:
         domains = {record.info.domain for record in self._records.upstreams.values()}
-        return self.gateways.may_stand_in(domains)
+        return self.gateways.may_act_as_leader(domains)
 
     def _give_up_all(self, gateway: str) -> None:
         self.dispatch.abandon_gateway(gateway, self._clock.monotonic())
@@ -363,7 +363,7 @@
         if self._is_over:
             return
         self.dispatch.take_applied(command, self._clock.monotonic())
-        self.gateways.log.note_command(command)
+        self.gateways.failover_log.note_command(command)
         if isinstance(command, AcceptJob):
             self.waiters.resolve(("job", command.job))
         elif isinstance(command, CancelJob):
@@ -422,12 +422,12 @@
             self._has_waited = True
             return
         self._has_waited = False
-        if self.dispatch.is_fenced_off and self.gateways.is_any_heard():
+        if self.dispatch.is_fenced_off and self.gateways.is_any_connected():
             self.dispatch.forgive_fence()
             self._authority.renew()
             return
-        if self.gateways.may_be_silent():
-            self.dispatch.abandon_silent(self.gateways.is_heard, now)
+        if self.gateways.may_have_timed_out():
+            self.dispatch.abandon_silent(self.gateways.is_connected, now)
         self.dispatch.tick(now)
         for order in self.dispatch.take_orders():
             task = asyncio.create_task(self._carry_out(order))
@@ -475,7 +475,7 @@
         if now < self._forget_at:
             return
         self._forget_at = now + FORGET_EVERY
-        self._jobs.forget_given_up()
+        self._jobs.forget_abandoned()
         limit = self._read_wall() - int(self._settings.keep_ended / timedelta(milliseconds=1))
         jobs = self._records.jobs.values()
         old = tuple(job.id for job in jobs if not job.is_open and job.ended_ms < limit)
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -20,7 +20,7 @@
 from ..net.asgi import HttpRequest
 from ..net.connections import ConnectionPools, parse_address
 from ..net.transport import HttpReply, TransportError
-from .job_line import JobLine
+from .job_line import JobChannel
 
 CALL_PATH = "/v1/call"
 PASS_ON_TIMEOUT = timedelta(seconds=3)
@@ -55,7 +55,7 @@
         self._own = own
         self._pools = ConnectionPools(max_connections=SHORT_CALLS, port=urgent_port)
         self._job_pools = ConnectionPools(max_connections=LINE_CONNECTIONS)
-        self._lines: dict[str, JobLine] = {}
+        self._lines: dict[str, JobChannel] = {}
         self.stamp: Callable[[Call], Call] = lambda call: call
         """Called with each call in the moment in which it is sent; returns what is sent."""
         self._lost: dict[str, asyncio.Event] = {}
@@ -67,7 +67,7 @@
         if address is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=f"{host} is not an address")
         if isinstance(call, Submit) and call.spec.best_effort:
-            return await self._find_line(host, address).ask(call, timeout)
+            return await self._find_line(host, address).submit(call, timeout)
         sent = await self._send(host, address, call, timeout)
         if sent is None:
             return Answer(outcome=Outcome.UNKNOWN, detail=f"{host} does not decide any more")
@@ -87,7 +87,7 @@
             lost.set()
         line = self._lines.get(host)
         if line is not None:
-            line.lose()
+            line.fail_pending()
 
     def close(self) -> None:
         """Close all connections."""
@@ -96,10 +96,10 @@
         self._pools.close()
         self._job_pools.close()
 
-    def _find_line(self, host: str, address: Address) -> JobLine:
+    def _find_line(self, host: str, address: Address) -> JobChannel:
         line = self._lines.get(host)
         if line is None:
-            line = self._lines[host] = JobLine(
+            line = self._lines[host] = JobChannel(
                 own=self._own,
                 open_pool=lambda: self._job_pools.get(address),
                 stamp=lambda call: self.stamp(call),
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -24,9 +24,9 @@
 from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import DomainName, HostId
-from ..runtime.deputy import DEPUTY_AFTER_SILENCE
+from ..runtime.deputy import ACT_AS_LEADER_AFTER_SILENCE
 from ..runtime.gateway import Gateway
-from ..runtime.gateways import Gateways
+from ..runtime.gateways import GatewayRegistry
 from .model_upstreams import SERVICE, build_info, build_queue, build_spec
 
 PATIENCE = timedelta(seconds=1)
@@ -122,7 +122,7 @@
 
 def connect(gateways: list[Gateway], cut: Callable[[Gateway, str], bool]) -> None:
     """Let gateways ask one another; control hosts do not answer."""
-    by_address = {gateway.link.own: gateway for gateway in gateways}
+    by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
@@ -139,7 +139,7 @@
 def prepare(count: int, clock: ManualClock, **roster: Any) -> list[Gateway]:
     gateways = [build_gateway(clock, number) for number in range(1, count + 1)]
     for gateway in gateways:
-        gateway.link.use_roster(build_roster(count, **roster))
+        gateway.link.receive_failover_state(build_roster(count, **roster))
     return gateways
 
 
@@ -147,10 +147,10 @@
     return Greet(gateway=gateway, domain=DomainName(domain), roster=roster)
 
 
-def add_upstream(gateways: Gateways, records: Records, name: str) -> None:
+def add_upstream(gateways: GatewayRegistry, records: Records, name: str) -> None:
     info = build_info(name)
     records.upstreams[info.id] = UpstreamRecord(info=info)
-    gateways.log.note_upstream(info.id)
+    gateways.failover_log.note_upstream(info.id)
 
 
 def stand_in() -> tuple[Gateway, ManualClock]:
@@ -158,7 +158,7 @@
     clock = build_clock()
     gateway = prepare(1, clock)[0]
     connect([gateway], lambda asking, host: False)
-    clock.advance(DEPUTY_AFTER_SILENCE)
+    clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
     return gateway, clock
 
 
@@ -169,7 +169,7 @@
     gateways: list[Gateway], cut: Callable[[Gateway, str], bool], led: Callable[[Call], Answer]
 ) -> None:
     """Let gateways ask one another and a leader, where they are not cut off from it."""
-    by_address = {gateway.link.own: gateway for gateway in gateways}
+    by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -22,11 +22,11 @@
 from ..core.cluster.records import JobRecord, Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName, UpstreamId
-from ..runtime.decider import CALLS_LOST_AFTER, GREET_TIMEOUT
-from ..runtime.deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE
-from ..runtime.gateways import GATEWAY_SILENT
+from ..runtime.decider import CALLS_LOST_AFTER, KEEPALIVE_TIMEOUT
+from ..runtime.deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
+from ..runtime.gateways import GATEWAY_TIMEOUT
 from ..runtime.leading import HELD_UP
-from ..runtime.vouching import GIVEN_UP_TOLD
+from ..runtime.confirmations import GIVEN_UP_TOLD
 from .model_upstreams import (
     Leader,
     ModelUpstream,
@@ -41,8 +41,8 @@
 
 CALLER_RETRY = milliseconds(1_300)
 PATIENCE = milliseconds(1_460)
-TERMS = choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT)
-SETTLE_AFTER = TERMS.lapse_after + GATEWAY_SILENT
+TERMS = choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT)
+SETTLE_AFTER = TERMS.lapse_after + GATEWAY_TIMEOUT
 LEADER_LEASE = milliseconds(280)
 HOP = milliseconds(1)
 TURN = milliseconds(50)
@@ -79,13 +79,13 @@
         Leader.act(self)
 
     def is_heard(self, gateway: str) -> bool:
-        return self.world.now - self.heard.get(gateway, -GATEWAY_SILENT) < GATEWAY_SILENT
+        return self.world.now - self.heard.get(gateway, -GATEWAY_TIMEOUT) < GATEWAY_TIMEOUT
 
     def counts(self, contact: Contact | None) -> bool:
         """Whether what came with a contact was sent here, and lately."""
         if contact is None or contact.decider is not self:
             return False
-        return self.world.now - contact.sent_at < GATEWAY_SILENT
+        return self.world.now - contact.sent_at < GATEWAY_TIMEOUT
 
     def hear(self, gateway: str, contact: Contact | None) -> None:
         """Count on a gateway from when it sent something, as `Gateways` does."""
@@ -123,7 +123,7 @@
             JobRecord(id=call.job, queue=self.site.queue, spec=call.spec, accepted_ms=0),
             Submission(
                 gateway=gateway,
-                vouched_until=contact.sent_at + GATEWAY_SILENT,
+                vouched_until=contact.sent_at + GATEWAY_TIMEOUT,
                 may_have_begun=call.may_have_begun,
                 may_be_of_deputy=call.may_be_of_deputy,
                 settle_after=SETTLE_AFTER if call.may_have_begun else SETTLE_AFTER - CALLER_RETRY,
@@ -244,7 +244,7 @@
             world.at(HOP, take_answer)
 
         def take_answer() -> None:
-            is_late = world.now - sent_at > GREET_TIMEOUT
+            is_late = world.now - sent_at > KEEPALIVE_TIMEOUT
             if is_late or not self.is_up or not self.site.can_reach(decider.home, self.domain):
                 return
             if decider is self.site.leader:
@@ -343,7 +343,7 @@
         self.leader = None
 
     def find_deputy_delay(self, domain: DomainName) -> timedelta:
-        return DEPUTY_AFTER_SILENCE if domain in self.cut_off else DEPUTY_AFTER
+        return ACT_AS_LEADER_AFTER_SILENCE if domain in self.cut_off else ACT_AS_LEADER_AFTER
 
     def find_deputy(self, gateway: ModelGateway) -> Decider | None:
         """Return who stands in for a domain; its lowest gateway does, once it has left the leader.
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -25,12 +25,12 @@
 from ..core.cluster.lives import choose_terms
 from ..core.cluster.model import JobId
 from ..core.cluster.records import UpstreamRecord
-from ..runtime.deputy import DEPUTY_AFTER_SILENCE, DeputyAuthority
+from ..runtime.deputy import ACT_AS_LEADER_AFTER_SILENCE, ActingLeaderAuthority
 from ..runtime.gateway import Gateway
-from ..runtime.gateways import GATEWAY_SILENT, Gateways
+from ..runtime.gateways import GATEWAY_TIMEOUT, GatewayRegistry
 from ..runtime.leading import Leading, LeadingSettings
 from ..runtime.replicated import ReplicatedRecords
-from ..runtime.vouching import MOST_GIVEN_UP
+from ..runtime.confirmations import MOST_GIVEN_UP
 from .gateway_builders import (
     JOB,
     LEADER,
@@ -62,7 +62,7 @@
     held: list[Call] = field(default_factory=list)
 
     async def ask(self, host: str, call: Call, timeout: timedelta) -> Answer:
-        call = self.gateway.link.vouching.stamp(call)
+        call = self.gateway.link.confirmations.stamp(call)
         if host != LEADER:
             return Answer(outcome=Outcome.UNAVAILABLE, detail="cannot connect")
         if isinstance(call, Abandon):
@@ -85,13 +85,13 @@
     info = build_info("u1")
     replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     settings = LeadingSettings(
-        terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+        terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
         keep_ended=timedelta(),
         caller_retry=CALLER_RETRY,
         control_address=None,
     )
     return Leading(
-        authority=DeputyAuthority(term=6, replicated=replicated),
+        authority=ActingLeaderAuthority(term=6, replicated=replicated),
         replicated=replicated,
         port=IdlePort(),
         clock=clock,
@@ -102,12 +102,12 @@
 
 async def greet_for_a_while(gateway: Gateway, clock: ManualClock) -> None:
     for _ in range(3):
-        await gateway.link.greet_leader()
+        await gateway.link.send_keepalive()
         clock.advance(BETWEEN_GREETINGS)
 
 
 def submit_from(gateway: Gateway) -> Submit:
-    return msgspec.structs.replace(submit(), gateway=gateway.link.own)
+    return msgspec.structs.replace(submit(), gateway=gateway.link.own_address)
 
 
 async def let_run() -> None:
@@ -141,16 +141,16 @@
 
 def test_a_greeting_that_was_held_up_says_nothing_of_the_present() -> None:
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        assert way.leading.gateways.is_heard(gateway.link.own)
+        assert way.leading.gateways.is_connected(gateway.link.own_address)
         way.is_cut = True
-        await gateway.link.greet_leader()
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        await gateway.link.send_keepalive()
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None, "its jobs are decided about here from now on"
+        assert gateway.acting_leader is not None, "its jobs are decided about here from now on"
         assert way.held
         for call in way.held:
             await way.leading.answer(call)
-        assert not way.leading.gateways.is_heard(gateway.link.own)
+        assert not way.leading.gateways.is_connected(gateway.link.own_address)
 
     play(script)
 
@@ -159,9 +159,9 @@
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         way.is_cut = True
         await gateway._try(submit_from(gateway), PATIENCE)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         way.is_cut = False
         late = asyncio.create_task(way.leading.answer(way.held[0]))
         await let_run()
@@ -175,12 +175,12 @@
     """A busy host takes in greetings late: each job was given up on its arrival."""
 
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
-        clock.advance(GATEWAY_SILENT - BETWEEN_GREETINGS - milliseconds(10))
+        clock.advance(GATEWAY_TIMEOUT - BETWEEN_GREETINGS - milliseconds(10))
         waiting = asyncio.create_task(gateway._try(submit_from(gateway), PATIENCE))
         await let_run()
         clock.advance(milliseconds(20))
         leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent(leading.gateways.is_connected, clock.monotonic())
         assert leading.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
 
@@ -190,42 +190,42 @@
 def test_silence_is_looked_for_only_when_it_may_have_come() -> None:
     """To ask for the gateway of each open job at each decision was a third of a leader's time."""
     clock = build_clock()
-    gateways = Gateways(term=3, token=3_000_000, clock=clock)
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
 
     def hear(gateway: str) -> None:
-        contact = gateways.make_contact()
-        gateways.take_greeting(msgspec.structs.replace(greet(gateway), contact=contact))
+        contact = gateways.build_contact()
+        gateways.handle_keepalive(msgspec.structs.replace(greet(gateway), contact=contact))
 
-    assert not gateways.may_be_silent()
+    assert not gateways.may_have_timed_out()
     hear("a")
     clock.advance(milliseconds(100))
     hear("b")
-    clock.advance(GATEWAY_SILENT - milliseconds(101))
-    assert not gateways.may_be_silent()
+    clock.advance(GATEWAY_TIMEOUT - milliseconds(101))
+    assert not gateways.may_have_timed_out()
     clock.advance(milliseconds(1))
-    assert gateways.may_be_silent() and not gateways.is_heard("a")
-    assert not gateways.may_be_silent()
+    assert gateways.may_have_timed_out() and not gateways.is_connected("a")
+    assert not gateways.may_have_timed_out()
     clock.advance(milliseconds(100))
-    assert gateways.may_be_silent() and not gateways.is_heard("b")
+    assert gateways.may_have_timed_out() and not gateways.is_connected("b")
     clock.advance(timedelta(seconds=9))
-    assert not gateways.may_be_silent()
+    assert not gateways.may_have_timed_out()
     hear("a")
-    clock.advance(GATEWAY_SILENT)
-    assert gateways.may_be_silent()
+    clock.advance(GATEWAY_TIMEOUT)
+    assert gateways.may_have_timed_out()
 
 
 def test_what_a_submission_vouches_for_is_looked_at_when_that_ends() -> None:
     clock = build_clock()
-    gateways = Gateways(term=3, token=3_000_000, clock=clock)
-    contact = gateways.make_contact()
-    gateways.take_greeting(msgspec.structs.replace(greet("a"), contact=contact))
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
+    contact = gateways.build_contact()
+    gateways.handle_keepalive(msgspec.structs.replace(greet("a"), contact=contact))
     clock.advance(milliseconds(200))
-    assert gateways.find_sent("b", gateways.make_contact()) is not None
+    assert gateways.find_send_time("b", gateways.build_contact()) is not None
     clock.advance(milliseconds(100))
-    assert gateways.may_be_silent() and not gateways.is_heard("a")
+    assert gateways.may_have_timed_out() and not gateways.is_connected("a")
     clock.advance(milliseconds(200))
-    assert gateways.may_be_silent()
-    assert not gateways.may_be_silent()
+    assert gateways.may_have_timed_out()
+    assert not gateways.may_have_timed_out()
 
 
 async def submit_by(gateway: Gateway, way: Way) -> asyncio.Task[Answer]:
@@ -246,7 +246,7 @@
         waiting = await submit_by(gateway, way)
         waiting.cancel()
         await let_run()
-        await gateway.link.greet_leader()
+        await gateway.link.send_keepalive()
         assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
@@ -259,7 +259,7 @@
         await let_run()
         waiting.cancel()
         await let_run()
-        await gateway.link.greet_leader()
+        await gateway.link.send_keepalive()
         answer = await asyncio.wait_for(way.leading.answer(way.held[0]), timeout=1)
         assert answer.outcome is Outcome.UNKNOWN
         assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
@@ -272,18 +272,18 @@
 
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, way)
-        clock.advance(GATEWAY_SILENT - BETWEEN_GREETINGS - milliseconds(10))
+        clock.advance(GATEWAY_TIMEOUT - BETWEEN_GREETINGS - milliseconds(10))
         other = msgspec.structs.replace(submit_from(gateway), path=f"/q/{'f' * 16}")
         also_waiting = asyncio.create_task(gateway._try(other, PATIENCE))
         await let_run()
         clock.advance(BETWEEN_GREETINGS + milliseconds(20))
         leading = way.leading
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        leading.dispatch.abandon_silent(leading.gateways.is_connected, clock.monotonic())
         assert not leading.dispatch.jobs.is_open(JobId(JOB))
         assert leading.dispatch.jobs.is_open(JobId("f" * 16))
-        clock.advance(GATEWAY_SILENT)
-        assert leading.gateways.may_be_silent()
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        clock.advance(GATEWAY_TIMEOUT)
+        assert leading.gateways.may_have_timed_out()
+        leading.dispatch.abandon_silent(leading.gateways.is_connected, clock.monotonic())
         assert not leading.dispatch.jobs.count_jobs()
         waiting.cancel()
         also_waiting.cancel()
@@ -299,14 +299,14 @@
         waiting.cancel()
         await let_run()
         way.answers_late = True
-        while gateway.decider is not None:
+        while gateway.coordinator is not None:
             clock.advance(milliseconds(50))
-            await gateway.link.greet_leader()
+            await gateway.link.send_keepalive()
             await gateway.link.replace_leader()
         left_at = clock.monotonic()
-        while clock.monotonic() < left_at + GATEWAY_SILENT:
+        while clock.monotonic() < left_at + GATEWAY_TIMEOUT:
             clock.advance(milliseconds(50))
-            await gateway.link.greet_leader()
+            await gateway.link.send_keepalive()
             way.leading._decide()
         way.leading._decide()
         assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
@@ -319,13 +319,13 @@
 
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, way)
-        clock.advance(GATEWAY_SILENT)
-        gateway.link.leave(LEADER)
+        clock.advance(GATEWAY_TIMEOUT)
+        gateway.link.unfollow(LEADER)
         waiting.cancel()
         await let_run()
         for _ in range(2):
-            await gateway.link.greet_leader()
-        assert way.leading.gateways.is_heard(gateway.link.own)
+            await gateway.link.send_keepalive()
+        assert way.leading.gateways.is_connected(gateway.link.own_address)
         assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
 
     play(script)
@@ -338,10 +338,10 @@
         waiting = await submit_by(gateway, way)
         clock.advance(milliseconds(100))
         reborn = build_gateway(clock, number=1)
-        assert reborn.link.own == gateway.link.own
+        assert reborn.link.own_address == gateway.link.own_address
         reborn.calls.ask = way.ask  # type: ignore[method-assign]
         way.gateway = reborn
-        await reborn.link.greet_leader()
+        await reborn.link.send_keepalive()
         assert not way.leading.dispatch.jobs.is_open(JobId(JOB))
         waiting.cancel()
         reborn.stop()
@@ -356,10 +356,10 @@
         await let_run()
         for number in range(MOST_GIVEN_UP):
             other = GivenUp(host="host", path=f"/q/{number:016x}", number=-number - 1)
-            gateway.link.vouching.note_given_up(other)
-        until = clock.monotonic() + GATEWAY_SILENT
+            gateway.link.confirmations.note_given_up(other)
+        until = clock.monotonic() + GATEWAY_TIMEOUT
         while clock.monotonic() < until:
-            await gateway.link.greet_leader()
+            await gateway.link.send_keepalive()
             clock.advance(BETWEEN_GREETINGS)
             way.leading._decide()
         way.leading._decide()
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -26,9 +26,9 @@
     choose_asked,
 )
 from ..core.ids import DomainName
-from ..runtime.decider import CALLS_LOST_AFTER, STAND_IN_AGAIN_AFTER, Via
-from ..runtime.deputy import DEPUTY_AFTER, DEPUTY_AFTER_SILENCE
-from ..runtime.gateways import GATEWAY_SILENT
+from ..runtime.decider import CALLS_LOST_AFTER, ACT_AS_LEADER_AGAIN_AFTER, Via
+from ..runtime.deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
+from ..runtime.gateways import GATEWAY_TIMEOUT
 from .gateway_builders import (
     JOB,
     LEADER,
@@ -50,13 +50,13 @@
         clock = build_clock()
         gateways = prepare(3, clock)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
             await gateway.link.replace_leader()
-        assert [gateway.deputy is not None for gateway in gateways] == [True, False, False]
+        assert [gateway.acting_leader is not None for gateway in gateways] == [True, False, False]
         for gateway in gateways[1:]:
             await gateway.link.replace_leader()
-            assert gateway.decider == gateways[0].link.own
+            assert gateway.coordinator == gateways[0].link.own_address
             assert gateway.is_ready()
         gateways[0].stop()
 
@@ -68,13 +68,13 @@
         clock = build_clock()
         gateways = prepare(2, clock)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE - milliseconds(1))
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE - milliseconds(1))
         await gateways[0].link.replace_leader()
-        assert gateways[0].deputy is None
+        assert gateways[0].acting_leader is None
         gateways[1].link.follow("10.0.1.1:7000", Via.LEADER)
         clock.advance(milliseconds(2))
         await gateways[0].link.replace_leader()
-        assert gateways[0].deputy is None
+        assert gateways[0].acting_leader is None
 
     asyncio.run(play())
 
@@ -86,7 +86,7 @@
         clock = build_clock()
         gateways = prepare(4, clock)
         infos = tuple(
-            GatewayInfo(address=gateway.link.own, domain=DomainName(domain))
+            GatewayInfo(address=gateway.link.own_address, domain=DomainName(domain))
             for gateway, domain in zip(gateways, ("north", "north", "south", "south"), strict=True)
         )
         upstreams = tuple(
@@ -95,16 +95,18 @@
         )
         roster = msgspec.structs.replace(build_roster(4), gateways=infos, upstreams=upstreams)
         for gateway in gateways:
-            gateway.link.use_roster(roster)
+            gateway.link.receive_failover_state(roster)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
             await gateway.link.replace_leader()
-        domains = [gateway.deputy.domain if gateway.deputy else None for gateway in gateways]
+        domains = [
+            gateway.acting_leader.domain if gateway.acting_leader else None for gateway in gateways
+        ]
         assert domains == ["north", None, "south", None]
         for gateway in gateways:
             await gateway.link.replace_leader()
-        followed = [gateway.decider for gateway in gateways]
+        followed = [gateway.coordinator for gateway in gateways]
         assert followed == [infos[0].address] * 2 + [infos[2].address] * 2
         for gateway in gateways:
             gateway.stop()
@@ -117,9 +119,9 @@
         clock = build_clock()
         gateways = prepare(1, clock, keeps_jobs=True)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        assert gateways[0].deputy is None
+        assert gateways[0].acting_leader is None
 
     asyncio.run(play())
 
@@ -129,13 +131,13 @@
         clock = build_clock()
         gateways = prepare(2, clock)
         connect(gateways, lambda asking, host: True)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         tokens = []
         for gateway in (gateways[0], gateways[1], gateways[0]):
             await gateway.link.replace_leader()
-            assert gateway.deputy is not None
-            tokens.append(gateway.deputy.leading.token)
-            gateway.link.stand_down()
+            assert gateway.acting_leader is not None
+            tokens.append(gateway.acting_leader.leading.token)
+            gateway.link.step_down()
         return tokens
 
     tokens = asyncio.run(play())
@@ -148,12 +150,12 @@
         clock = build_clock()
         gateways = prepare(1, clock)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        assert gateways[0].deputy is not None
+        assert gateways[0].acting_leader is not None
         clock.advance(timedelta(seconds=3))
         await gateways[0].link.replace_leader()
-        assert gateways[0].deputy is None
+        assert gateways[0].acting_leader is None
 
     asyncio.run(play())
 
@@ -165,17 +167,17 @@
         clock = build_clock()
         (gateway,) = prepare(1, clock)
         connect([gateway], lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
-        gateway.deputy.authority.renew()
+        assert gateway.acting_leader is not None
+        gateway.acting_leader.authority.renew()
         for _ in range(10):
             clock.advance(milliseconds(180))
             await gateway.link.replace_leader()
-            assert gateway.deputy is None
-        clock.advance(STAND_IN_AGAIN_AFTER)
+            assert gateway.acting_leader is None
+        clock.advance(ACT_AS_LEADER_AGAIN_AFTER)
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         gateway.stop()
 
     asyncio.run(play())
@@ -188,9 +190,9 @@
         clock = build_clock()
         gateways = prepare(1, clock)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        deputy = gateways[0].deputy
+        deputy = gateways[0].acting_leader
         assert deputy is not None
         # The deputy plays the leader here: it has the same term as the deputy before it.
         call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), deputy_term=5)
@@ -207,9 +209,9 @@
         clock = build_clock()
         gateways = prepare(1, clock)
         connect(gateways, lambda asking, host: False)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        deputy = gateways[0].deputy
+        deputy = gateways[0].acting_leader
         assert deputy is not None
         leading = deputy.leading
         greeted = await leading.answer(greet("10.0.0.9:7000"))
@@ -223,13 +225,13 @@
         waiting = asyncio.create_task(leading.answer(call))
         await asyncio.sleep(0)
         assert leading.dispatch.jobs.count_jobs() == 1
-        clock.advance(GATEWAY_SILENT)
-        leading.dispatch.abandon_silent(leading.gateways.is_heard, clock.monotonic())
+        clock.advance(GATEWAY_TIMEOUT)
+        leading.dispatch.abandon_silent(leading.gateways.is_connected, clock.monotonic())
         assert leading.dispatch.jobs.count_jobs() == 0
         assert (await waiting).outcome is Outcome.UNKNOWN
         gateways[0].stop()
 
-    assert GATEWAY_SILENT + milliseconds(200) < DEPUTY_AFTER_SILENCE < DEPUTY_AFTER
+    assert GATEWAY_TIMEOUT + milliseconds(200) < ACT_AS_LEADER_AFTER_SILENCE < ACT_AS_LEADER_AFTER
     asyncio.run(play())
 
 
@@ -237,13 +239,13 @@
 def test_leases_have_ended_before_a_lost_caller_can_come_again(longest_ms: float) -> None:
     """For 1.1 s each job of a cut-off domain waited for 0.24 s."""
     longest, retry = milliseconds(longest_ms), timedelta(milliseconds=1_300)
-    terms = choose_terms(longest, retry, GATEWAY_SILENT)
-    assert terms.lapse_after + GATEWAY_SILENT <= retry
+    terms = choose_terms(longest, retry, GATEWAY_TIMEOUT)
+    assert terms.lapse_after + GATEWAY_TIMEOUT <= retry
     assert terms.longest <= longest
 
 
 def test_leases_are_never_too_short_to_outlast_a_change_of_leader() -> None:
-    terms = choose_terms(timedelta(seconds=1), milliseconds(200), GATEWAY_SILENT)
+    terms = choose_terms(timedelta(seconds=1), milliseconds(200), GATEWAY_TIMEOUT)
     assert terms.longest == LEAST_LEASE
 
 
@@ -267,13 +269,13 @@
     async def play() -> None:
         clock = build_clock()
         gateways = prepare(6, clock)
-        down = {gateway.link.own for gateway in gateways[:4]}
+        down = {gateway.link.own_address for gateway in gateways[:4]}
         connect(gateways, lambda asking, host: host in down)
-        clock.advance(DEPUTY_AFTER_SILENCE)
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[5].link.replace_leader()
-        assert gateways[5].deputy is None
+        assert gateways[5].acting_leader is None
         await gateways[4].link.replace_leader()
-        assert gateways[4].deputy is not None
+        assert gateways[4].acting_leader is not None
         gateways[4].stop()
 
     asyncio.run(play())
@@ -295,8 +297,8 @@
     async def play() -> Outcome:
         gateway, _ = stand_in()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
-        answer = await gateway.deputy.leading.answer(call)
+        assert gateway.acting_leader is not None
+        answer = await gateway.acting_leader.leading.answer(call)
         gateway.stop()
         return answer.outcome
 
@@ -306,12 +308,12 @@
 def test_the_term_of_a_deputy_is_that_of_the_roster_it_stands_in_with() -> None:
     """A leader took two later terms after one deputy."""
     gateway = build_gateway(build_clock())
-    gateway.link.use_roster(build_roster())
-    gateway.link.follow("10.0.0.2:7000", Via.DEPUTY)
+    gateway.link.receive_failover_state(build_roster())
+    gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
     async def lose_deputy(call: Call, timeout: timedelta) -> Answer:
         # The next leader's roster comes while the call is under way.
-        gateway.link.use_roster(msgspec.structs.replace(build_roster(), term=6))
+        gateway.link.receive_failover_state(msgspec.structs.replace(build_roster(), term=6))
         assert not isinstance(call, Submit) or call.deputy_term in (0, 5)
         if isinstance(call, Submit) and call.may_have_begun:
             return Answer(outcome=Outcome.DONE)
@@ -324,14 +326,14 @@
 def test_what_a_deputy_cannot_answer_does_not_lose_what_it_has_under_way() -> None:
     async def play() -> None:
         gateway = build_gateway(build_clock())
-        gateway.link.follow("10.0.0.2:7000", Via.DEPUTY)
+        gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG, is_deputy=True)
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
         await gateway._try(AskState(host="host", path="/q/"), PATIENCE)
-        assert gateway.decider == "10.0.0.2:7000"
+        assert gateway.coordinator == "10.0.0.2:7000"
 
     asyncio.run(play())
 
@@ -348,14 +350,14 @@
             return answers
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
-        clock.advance(DEPUTY_AFTER_SILENCE)
-        await gateway.link.greet_leader()
+        clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
+        await gateway.link.send_keepalive()
         await gateway.link.replace_leader()
-        assert gateway.deputy is None
-        clock.advance(DEPUTY_AFTER - DEPUTY_AFTER_SILENCE)
-        await gateway.link.greet_leader()
+        assert gateway.acting_leader is None
+        clock.advance(ACT_AS_LEADER_AFTER - ACT_AS_LEADER_AFTER_SILENCE)
+        await gateway.link.send_keepalive()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         gateway.stop()
 
     asyncio.run(play())
@@ -369,7 +371,7 @@
         await gateway.link.replace_leader()
         answering = asyncio.create_task(gateway.answer_peer(submit()))
         await asyncio.sleep(0.05)
-        gateway.link.stand_down()
+        gateway.link.step_down()
         answer = await answering
         assert answer.outcome is Outcome.UNKNOWN
         assert answer.is_deputy
@@ -393,14 +395,14 @@
             return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
         follower.calls.ask = ask  # type: ignore[method-assign]
-        follower.link.follow(deputy, Via.DEPUTY)
+        follower.link.follow(deputy, Via.ACTING_LEADER)
         # Greeted again at once, so that it hears its followers before it gives their jobs up.
         assert await follower.link.replace_leader()
-        assert follower.decider == deputy
+        assert follower.coordinator == deputy
         await follower.link.replace_leader()
         clock.advance(CALLS_LOST_AFTER)
         await follower.link.replace_leader()
-        assert follower.decider is None
+        assert follower.coordinator is None
 
     asyncio.run(play())
 
@@ -413,8 +415,8 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail="cannot connect")
 
         follower.calls.ask = ask  # type: ignore[method-assign]
-        follower.link.follow("10.0.0.1:7000", Via.DEPUTY)
+        follower.link.follow("10.0.0.1:7000", Via.ACTING_LEADER)
         assert not await follower.link.replace_leader()
-        assert follower.decider is None
+        assert follower.coordinator is None
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -61,7 +61,7 @@
     async def play() -> None:
         clock = build_clock()
         gateway = build_gateway(clock)
-        gateway.link.use_roster(build_roster(1))
+        gateway.link.receive_failover_state(build_roster(1))
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             return Answer(outcome=Outcome.UNKNOWN)
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -52,8 +52,8 @@
 
 def test_a_try_at_a_deputy_is_told_to_the_next_leader() -> None:
     gateway = build_gateway(build_clock())
-    gateway.link.use_roster(build_roster())
-    gateway.link.follow("10.0.0.2:7000", Via.DEPUTY)
+    gateway.link.receive_failover_state(build_roster())
+    gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
     answers = [Answer(outcome=Outcome.UNKNOWN), Answer(outcome=Outcome.DONE)]
     tried = answer_in_turn(gateway, answers)
     asyncio.run(gateway.call(submit(), PATIENCE))
@@ -68,7 +68,7 @@
     async def play() -> list[Call]:
         clock = build_clock()
         gateway = build_gateway(clock)
-        gateway.link.use_roster(build_roster())
+        gateway.link.receive_failover_state(build_roster())
         tried: list[Call] = []
 
         async def try_once(call: Call, timeout: timedelta) -> Answer:
@@ -100,8 +100,8 @@
             return Answer(outcome=Outcome.DONE, leader="10.0.1.3:7000")
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
-        await gateway.link.greet_leader()
-        assert gateway.decider == "10.0.1.3:7000"
+        await gateway.link.send_keepalive()
+        assert gateway.coordinator == "10.0.1.3:7000"
 
     asyncio.run(play())
 
@@ -122,8 +122,8 @@
             return Answer(outcome=Outcome.DONE, leader=host, hosts=("10.0.1.2:7000", host))
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
-        await gateway.link.greet_leader()
-        assert gateway.decider == "10.0.1.3:7000"
+        await gateway.link.send_keepalive()
+        assert gateway.coordinator == "10.0.1.3:7000"
         gateway.stop()
 
     asyncio.run(asyncio.wait_for(play(), 30))
@@ -153,9 +153,9 @@
             return Answer(outcome=Outcome.DONE, leader=LEADER, hosts=(LEADER,))
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
-        await gateway.link.greet_leader()
+        await gateway.link.send_keepalive()
         is_lost = True
-        greeting = asyncio.create_task(gateway.link.greet_leader())
+        greeting = asyncio.create_task(gateway.link.send_keepalive())
         await asyncio.sleep(0)
         calling = asyncio.create_task(gateway.call(submit(), PATIENCE))
         await asyncio.sleep(0.02)
@@ -177,13 +177,13 @@
         gateway = prepare(1, clock)[0]
         connect_with_leader([gateway], lambda asking, host: False, lead)
         gateway.link.follow(LEADER, Via.LEADER)
-        gateway.link._overdue.note_asked(LEADER)
+        gateway.link._keepalive_tracker.note_asked(LEADER)
         clock.advance(milliseconds(50))
         assert gateway.link.is_overdue()
         calling = asyncio.create_task(gateway.call(submit(), PATIENCE))
         await asyncio.sleep(0)
         assert not calling.done()
-        await gateway.link.greet_leader()
+        await gateway.link.send_keepalive()
         assert not gateway.link.is_overdue()
         assert (await calling).outcome is Outcome.DONE
 
@@ -199,19 +199,19 @@
         connect_with_leader(
             gateways, lambda asking, host: asking is cut_off and host == LEADER, lead
         )
-        await other.link.greet_leader()
+        await other.link.send_keepalive()
         cut_off.link.follow(LEADER, Via.LEADER)
         clock.advance(RELAY_AFTER)
-        await other.link.greet_leader()
-        await cut_off.link.greet_leader()
+        await other.link.send_keepalive()
+        await cut_off.link.send_keepalive()
         await cut_off.link.replace_leader()
-        assert (cut_off.decider, cut_off.link.via) == (other.link.own, Via.RELAY)
+        assert (cut_off.coordinator, cut_off.link.via) == (other.link.own_address, Via.RELAY)
         assert (await cut_off.call(submit(), PATIENCE)).detail == "led"
         clock.advance(timedelta(seconds=1))
-        await other.link.greet_leader()
+        await other.link.send_keepalive()
         await cut_off.link.replace_leader()
         assert cut_off.is_ready()
-        assert cut_off.deputy is None
+        assert cut_off.acting_leader is None
 
     asyncio.run(play())
 
@@ -226,10 +226,10 @@
         gateway.link.follow(LEADER, Via.LEADER)
         clock.advance(CALLS_LOST_AFTER - milliseconds(1))
         await gateway.link.replace_leader()
-        assert gateway.decider == LEADER
+        assert gateway.coordinator == LEADER
         clock.advance(milliseconds(1))
         await gateway.link.replace_leader()
-        assert gateway.decider is None
+        assert gateway.coordinator is None
         assert (await gateway._try(submit(), PATIENCE)).outcome is Outcome.UNAVAILABLE
 
     asyncio.run(play())
@@ -243,17 +243,17 @@
         connect_with_leader(
             gateways, lambda asking, host: is_cut[0] and asking is cut_off and host == LEADER, lead
         )
-        await other.link.greet_leader()
+        await other.link.send_keepalive()
         clock.advance(RELAY_AFTER - milliseconds(1))
         await cut_off.link.replace_leader()
-        assert cut_off.decider is None
+        assert cut_off.coordinator is None
         clock.advance(milliseconds(1))
-        await other.link.greet_leader()
+        await other.link.send_keepalive()
         await cut_off.link.replace_leader()
         assert cut_off.link.via is Via.RELAY
         is_cut[0] = False
-        await cut_off.link.greet_leader()
-        assert cut_off.decider == LEADER
+        await cut_off.link.send_keepalive()
+        assert cut_off.coordinator == LEADER
         assert [gateway.link.via for gateway in gateways] == [Via.LEADER, Via.LEADER]
 
     asyncio.run(play())
@@ -267,17 +267,17 @@
             gateways, lambda asking, host: asking is cut_off and host == LEADER, lead
         )
         clock.advance(RELAY_AFTER)
-        await other.link.greet_leader()
+        await other.link.send_keepalive()
         await cut_off.link.replace_leader()
         assert cut_off.link.via is Via.RELAY
-        other.link.leave(LEADER)
+        other.link.unfollow(LEADER)
         await cut_off.link.replace_leader()
-        assert cut_off.decider is None
+        assert cut_off.coordinator is None
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("via", [Via.DEPUTY, Via.RELAY])
+@pytest.mark.parametrize("via", [Via.ACTING_LEADER, Via.RELAY])
 def test_a_gateway_that_answers_late_is_not_left_at_once(via: Via) -> None:
     """One late answer of a busy deputy sent it every call of its gateways again."""
 
@@ -294,15 +294,15 @@
         gateway.link.follow(other, via)
         clock.advance(CALLS_LOST_AFTER - milliseconds(1))
         await gateway.link.replace_leader()
-        assert (gateway.decider, gateway.link.via) == (other, via)
+        assert (gateway.coordinator, gateway.link.via) == (other, via)
         clock.advance(milliseconds(1))
         await gateway.link.replace_leader()
-        assert gateway.decider is None
+        assert gateway.coordinator is None
 
     asyncio.run(play())
 
 
-@pytest.mark.parametrize("via", [Via.DEPUTY, Via.RELAY])
+@pytest.mark.parametrize("via", [Via.ACTING_LEADER, Via.RELAY])
 def test_a_gateway_that_neither_stands_in_nor_passes_on_any_more_is_left_at_once(via: Via) -> None:
     async def play() -> None:
         (gateway,) = prepare(1, build_clock())
@@ -314,6 +314,6 @@
         gateway.calls.ask = ask  # type: ignore[method-assign]
         gateway.link.follow(other, via)
         await gateway.link.replace_leader()
-        assert gateway.decider is None
+        assert gateway.coordinator is None
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -16,7 +16,7 @@
 from ..runtime.cluster_metrics import build_gateway_metrics
 from ..runtime.decider import Via
 from ..runtime.events import Event
-from ..runtime.gateways import Gateways
+from ..runtime.gateways import GatewayRegistry
 from ..runtime.log_output import LogOutput
 from .gateway_builders import (
     PATIENCE,
@@ -46,7 +46,7 @@
 def test_a_refusal_is_measured_by_the_objective_of_its_job() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.use_roster(build_roster())
+    gateway.link.receive_failover_state(build_roster())
     shares: list[float] = []
     gateway.record_refusal = shares.append
     answer_in_turn(gateway, [Answer(outcome=Outcome.REJECTED), Answer(outcome=Outcome.DONE)])
@@ -114,26 +114,26 @@
     capture: list[tuple[Event, dict[str, object]]],
 ) -> None:
     clock = build_clock()
-    gateways = Gateways(term=3, token=3_000_000, clock=clock)
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
     ages: list[float] = []
     gateways.record_age = ages.append
-    contact = gateways.make_contact()
+    contact = gateways.build_contact()
     clock.advance(milliseconds(84))
     prompt = msgspec.structs.replace(contact, since_ms=80)
-    gateways.take_greeting(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
+    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
     assert not capture
     clock.advance(milliseconds(400))
-    gateways.take_greeting(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
+    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
     assert ages == [4.0, 404.0]
     assert capture == [(Event.GREETING_LATE, {"gateway": "10.0.0.2:7000", "age_ms": 404})]
 
 
 def test_a_greeting_under_another_token_tells_no_age() -> None:
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     ages: list[float] = []
     gateways.record_age = ages.append
     other = Contact(token=2_000_000, answered_ms=0)
-    gateways.take_greeting(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=other))
+    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=other))
     assert not ages
 
 
@@ -143,8 +143,8 @@
     async def play() -> None:
         gateway, clock = stand_in()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
-        leading = gateway.deputy.leading
+        assert gateway.acting_leader is not None
+        leading = gateway.acting_leader.leading
         spans: list[float] = []
         leading.record_hold = spans.append
         leading._decide()
@@ -153,7 +153,7 @@
         clock.advance(milliseconds(400))
         leading._decide()
         assert spans == [400.0]
-        gateway.link.stand_down()
+        gateway.link.step_down()
 
     asyncio.run(play())
     assert (Event.HELD_UP, {"term": 5, "held_up_ms": 400}) in capture
--- a/cottonlug/tests/test_cluster_orphans.py
+++ b/cottonlug/tests/test_cluster_orphans.py
@@ -17,7 +17,7 @@
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.cluster.watcher import SILENT_AFTER
 from ..core.ids import UpstreamId
-from ..runtime.gateways import GATEWAY_SILENT
+from ..runtime.gateways import GATEWAY_TIMEOUT
 from .gateway_builders import JOB
 from .model_site import NORTH, SOUTH, TERMS, Site, build_site
 from .model_upstreams import Leader, build_queue, build_spec, milliseconds
@@ -145,7 +145,7 @@
     world.run_until(world.now + milliseconds(100))
     assert len(leader.upstreams[where].runs) == 2
     leader.dispatch.abandon(JobId(JOB), "", world.now)
-    world.run_until(world.now + TERMS.lapse_after + GATEWAY_SILENT)
+    world.run_until(world.now + TERMS.lapse_after + GATEWAY_TIMEOUT)
     assert not any(ref.job == JOB for ref in world.running)
 
 
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -141,7 +141,7 @@
     """Callers were held to their deadlines, 144 of 4,286."""
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.use_roster(build_roster())
+    gateway.link.receive_failover_state(build_roster())
     tried = answer_unavailable(gateway, clock, milliseconds(100))
     answer = asyncio.run(gateway.call(submit(), timedelta(seconds=10)))
     assert answer.outcome is Outcome.UNAVAILABLE
@@ -154,22 +154,24 @@
 def test_a_job_that_is_of_use_for_long_is_tried_for_long() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.use_roster(build_roster())
+    gateway.link.receive_failover_state(build_roster())
     tried = answer_unavailable(gateway, clock, milliseconds(100))
     call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(run_ms=5_000))
     asyncio.run(gateway.call(call, timedelta(seconds=1)))
     assert len(tried) == 10
 
 
-@pytest.mark.parametrize(("is_core_silent", "tries"), [(True, 1), (False, 9)])
+@pytest.mark.parametrize(("is_control_majority_silent", "tries"), [(True, 1), (False, 9)])
 def test_a_job_that_must_be_kept_is_told_to_come_back_once_no_election_can_help(
-    is_core_silent: bool, tries: int, monkeypatch: pytest.MonkeyPatch
+    is_control_majority_silent: bool, tries: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Failed on a site of kept jobs: callers were held for 2 s while all control hosts were off."""
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.use_roster(build_roster())
-    monkeypatch.setattr(gateway.link, "is_core_silent", lambda: is_core_silent)
+    gateway.link.receive_failover_state(build_roster())
+    monkeypatch.setattr(
+        gateway.link, "is_control_majority_silent", lambda: is_control_majority_silent
+    )
     tried = answer_unavailable(gateway, clock, milliseconds(100))
     call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(run_ms=5_000, kept=True))
     answer = asyncio.run(gateway.call(call, timedelta(seconds=10)))
--- a/cottonlug/tests/test_cluster_rosters.py
+++ b/cottonlug/tests/test_cluster_rosters.py
@@ -21,8 +21,8 @@
     merge_roster,
 )
 from ..core.ids import UpstreamId
-from ..runtime.decider import GREET_TIMEOUT
-from ..runtime.gateways import Gateways
+from ..runtime.decider import KEEPALIVE_TIMEOUT
+from ..runtime.gateways import GatewayRegistry
 from .gateway_builders import (
     add_upstream,
     build_clock,
@@ -35,60 +35,60 @@
 
 def test_a_roster_holds_what_a_deputy_decides_by_and_no_more() -> None:
     clock = build_clock()
-    gateways = Gateways(term=3, token=3_000_000, clock=clock)
-    gateways.take_greeting(greet("10.0.0.2:7000"))
-    gateways.take_greeting(greet("10.0.0.1:7000"))
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
+    gateways.handle_keepalive(greet("10.0.0.2:7000"))
+    gateways.handle_keepalive(greet("10.0.0.1:7000"))
     records = Records()
     records.put_in_force(build_roster().configuration)
-    roster = gateways.build_roster(records, "")
+    roster = gateways.build_failover_state(records, "")
     assert roster is not None
     assert [each.address for each in roster.gateways] == ["10.0.0.1:7000", "10.0.0.2:7000"]
     assert roster.configuration is not None
     assert roster.configuration.document == ""
     assert roster.configuration.queues
-    gateways.take_greeting(greet("10.0.0.2:7000"))
-    assert gateways.build_roster(records, roster.version) is None
-    gateways.log.note_other()
-    assert gateways.build_roster(records, roster.version) is not None
+    gateways.handle_keepalive(greet("10.0.0.2:7000"))
+    assert gateways.build_failover_state(records, roster.version) is None
+    gateways.failover_log.note_other()
+    assert gateways.build_failover_state(records, roster.version) is not None
 
 
 def test_kept_jobs_change_the_roster_only_when_the_first_begins_or_the_last_ends() -> None:
     """Failed on a site of kept jobs: each job sent a roster to each gateway (0.03 GB in 48 s)."""
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
-    before = gateways.log.version
-    gateways.note_kept_jobs(False)
-    assert gateways.log.version == before
-    gateways.note_kept_jobs(True)
-    begun = gateways.log.version
-    gateways.note_kept_jobs(True)
-    assert gateways.log.version == begun != before
-    roster = gateways.build_roster(Records(), "")
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
+    before = gateways.failover_log.version
+    gateways.record_durable_jobs(False)
+    assert gateways.failover_log.version == before
+    gateways.record_durable_jobs(True)
+    begun = gateways.failover_log.version
+    gateways.record_durable_jobs(True)
+    assert gateways.failover_log.version == begun != before
+    roster = gateways.build_failover_state(Records(), "")
     assert roster is not None and roster.keeps_jobs
-    gateways.note_kept_jobs(False)
-    assert gateways.log.version not in (before, begun)
+    gateways.record_durable_jobs(False)
+    assert gateways.failover_log.version not in (before, begun)
 
 
 def test_a_roster_is_sent_whole_once_and_then_as_changes() -> None:
     """Each change of one upstream sent 35 KB to each of 44 gateways."""
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     records.put_in_force(build_roster().configuration)
     for number in range(3):
         add_upstream(gateways, records, f"u{number}")
-    whole = gateways.build_roster(records, "")
+    whole = gateways.build_failover_state(records, "")
     assert whole is not None and not whole.base
     add_upstream(gateways, records, "u3")
     records.upstreams[UpstreamId("u1")].draining = True
-    gateways.log.note_upstream(UpstreamId("u1"))
+    gateways.failover_log.note_upstream(UpstreamId("u1"))
     del records.upstreams[UpstreamId("u0")]
-    gateways.log.note_upstream(UpstreamId("u0"))
-    update = gateways.build_roster(records, whole.version)
+    gateways.failover_log.note_upstream(UpstreamId("u0"))
+    update = gateways.build_failover_state(records, whole.version)
     assert update is not None
     assert (update.base, update.configuration) == (whole.version, None)
     assert [record.info.id for record in update.upstreams] == ["u3", "u1"]
     assert update.removed == ("u0",)
     merged = merge_roster(whole, update)
-    fresh = gateways.build_roster(records, "")
+    fresh = gateways.build_failover_state(records, "")
     assert merged is not None and fresh is not None
     assert merged.configuration == fresh.configuration
     by_id = {record.info.id: record for record in merged.upstreams}
@@ -97,23 +97,23 @@
 
 
 def test_changes_that_do_not_follow_on_what_is_known_are_left_out() -> None:
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     add_upstream(gateways, records, "u1")
-    whole = gateways.build_roster(records, "")
+    whole = gateways.build_failover_state(records, "")
     add_upstream(gateways, records, "u2")
     assert whole is not None
-    update = gateways.build_roster(records, whole.version)
+    update = gateways.build_failover_state(records, whole.version)
     assert update is not None
     assert merge_roster(None, update) is None
     assert merge_roster(msgspec.structs.replace(whole, version="2.9"), update) is None
 
 
-def collect(gateways: Gateways, records: Records, version: str) -> tuple[Roster, int]:
+def collect(gateways: GatewayRegistry, records: Records, version: str) -> tuple[Roster, int]:
     """Return the roster of a gateway that asks until it has the whole, and how often it asked."""
     known: Roster | None = None
     for asked in range(1, 100):
-        part = gateways.build_roster(records, version)
+        part = gateways.build_failover_state(records, version)
         assert part is not None
         assert bool(part.base) == (asked > 1)
         known = merge_roster(known, part)
@@ -125,16 +125,16 @@
 
 
 def test_a_gateway_that_missed_too_much_or_knows_another_term_gets_the_whole_roster() -> None:
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    known = gateways.log.version
+    known = gateways.failover_log.version
     for number in range(KEPT_CHANGES + 1):
         add_upstream(gateways, records, f"u{number}")
     for version in (known, "2.5", "", "x.y"):
         roster, asked = collect(gateways, records, version)
         assert {each.info.id: each for each in roster.upstreams} == records.upstreams
         assert asked == math.ceil((KEPT_CHANGES + 1) / PART)
-        assert gateways.build_roster(records, roster.version) is None
+        assert gateways.build_failover_state(records, roster.version) is None
 
 
 def test_no_answer_is_too_large_for_the_time_that_a_greeting_is_waited_for() -> None:
@@ -143,16 +143,16 @@
     Their roster of 225 KB took 144 ms on a link of 12.5 Mbit/s, and a greeting is given up after
     100: each gateway asked for it again and again, over new connections, and none ever had it.
     """
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     records.put_in_force(build_roster().configuration)
     for number in range(999):
         add_upstream(gateways, records, f"i-{number:08x}")
     link_bytes_a_second = 12.5e6 / 8
-    most = GREET_TIMEOUT.total_seconds() / 2 * link_bytes_a_second
+    most = KEEPALIVE_TIMEOUT.total_seconds() / 2 * link_bytes_a_second
     version, roster = "", None
     while roster is None or roster.is_partial:
-        part = gateways.build_roster(records, version)
+        part = gateways.build_failover_state(records, version)
         assert part is not None
         assert len(msgspec.json.encode(part)) < most
         roster = merge_roster(roster, part)
@@ -162,16 +162,16 @@
 
 
 def test_many_changes_come_in_parts() -> None:
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     for number in range(3 * PART):
         add_upstream(gateways, records, f"u{number}")
     roster, _ = collect(gateways, records, "")
     for id in list(records.upstreams):
         records.upstreams[id].draining = True
-        gateways.log.note_upstream(id)
+        gateways.failover_log.note_upstream(id)
     for left in (True, True, False):
-        part = gateways.build_roster(records, roster.version)
+        part = gateways.build_failover_state(records, roster.version)
         assert part is not None and len(part.upstreams) == PART and part.is_partial is left
         merged = merge_roster(roster, part)
         assert merged is not None
@@ -182,7 +182,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_gateway_ends_with_what_the_record_says_whatever_changes_meanwhile(seed: int) -> None:
     chance = random.Random(seed)
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     for number in range(4 * PART):
         add_upstream(gateways, records, f"u{number}")
@@ -195,11 +195,11 @@
                 add_upstream(gateways, records, f"v{chance.randrange(1 << 30)}")
             elif fate < 0.6:
                 del records.upstreams[id]
-                gateways.log.note_upstream(id)
+                gateways.failover_log.note_upstream(id)
             else:
                 records.upstreams[id].sequence += 1
-                gateways.log.note_upstream(id)
-        part = gateways.build_roster(records, known.version if known is not None else "")
+                gateways.failover_log.note_upstream(id)
+        part = gateways.build_failover_state(records, known.version if known is not None else "")
         if part is not None and chance.random() < 0.8:
             known = merge_roster(known, part)
     assert known is not None and not known.is_partial
@@ -209,16 +209,19 @@
 def test_a_gateway_stands_in_by_its_last_whole_roster() -> None:
     gateway = build_gateway(build_clock())
     whole = build_roster()
-    gateway.link.use_roster(whole)
+    gateway.link.receive_failover_state(whole)
     part = msgspec.structs.replace(whole, version="9.5>u1", term=9, is_partial=True)
-    gateway.link.use_roster(part)
-    assert gateway.link.rosters.whole is whole
+    gateway.link.receive_failover_state(part)
+    assert gateway.link.failover_store.whole is whole
     rest = msgspec.structs.replace(
         part, version="9.5", base="9.5>u1", is_partial=False, upstreams=()
     )
-    gateway.link.use_roster(rest)
-    assert gateway.link.rosters.whole is not None and gateway.link.rosters.whole.term == 9
-    assert len(gateway.link.rosters.whole.upstreams) == len(whole.upstreams)
+    gateway.link.receive_failover_state(rest)
+    assert (
+        gateway.link.failover_store.whole is not None
+        and gateway.link.failover_store.whole.term == 9
+    )
+    assert len(gateway.link.failover_store.whole.upstreams) == len(whole.upstreams)
 
 
 def test_a_deputy_sends_no_rosters() -> None:
@@ -227,7 +230,7 @@
     async def play() -> Answer:
         gateway, _ = stand_in()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         answer = await gateway.answer_peer(greet("10.0.0.9:7000"))
         gateway.stop()
         return answer
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -19,8 +19,8 @@
 from ..core.ids import UpstreamId
 from ..net.connections import IdleConnections
 from ..runtime import heartbeat_desk
-from ..runtime.decider import LONGEST_GREET_SECONDS
-from ..runtime.gateways import GATEWAY_SILENT, PARTS_A_SECOND, Gateways
+from ..runtime.decider import MAX_KEEPALIVE_SECONDS
+from ..runtime.gateways import GATEWAY_TIMEOUT, MAX_PARTS_PER_SECOND, GatewayRegistry
 from ..runtime.heartbeat_desk import SPREAD_FROM, TRUSTED_FOR, Desks, HeartbeatDesk
 from ..runtime.leading import Leading
 from .gateway_builders import (
@@ -171,29 +171,29 @@
 
 def test_rosters_of_many_gateways_are_sent_at_a_bounded_pace() -> None:
     clock = build_clock()
-    gateways = Gateways(term=3, token=3_000_000, clock=clock)
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
     records = Records()
     for number in range(999):
         add_upstream(gateways, records, f"u{number}")
-    sent = [gateways.build_roster(records, "") for _ in range(3 * PARTS_A_SECOND)]
-    assert sum(part is not None for part in sent) == PARTS_A_SECOND
+    sent = [gateways.build_failover_state(records, "") for _ in range(3 * MAX_PARTS_PER_SECOND)]
+    assert sum(part is not None for part in sent) == MAX_PARTS_PER_SECOND
     assert not gateways.is_current("")
     clock.advance(timedelta(milliseconds=100))
-    sent = [gateways.build_roster(records, "") for _ in range(PARTS_A_SECOND)]
-    assert sum(part is not None for part in sent) == PARTS_A_SECOND // 10
-    version = gateways.log.version
+    sent = [gateways.build_failover_state(records, "") for _ in range(MAX_PARTS_PER_SECOND)]
+    assert sum(part is not None for part in sent) == MAX_PARTS_PER_SECOND // 10
+    version = gateways.failover_log.version
     add_upstream(gateways, records, "new")
-    assert gateways.build_roster(records, version) is not None, "small ones go at once"
+    assert gateways.build_failover_state(records, version) is not None, "small ones go at once"
 
 
 def test_many_gateways_greet_less_often_and_twice_within_their_silence() -> None:
     gateway = build_gateway(build_clock())
     roster = build_roster()
-    usual = gateway.link._find_usual_pause()
+    usual = gateway.link._choose_usual_pause()
     many = tuple(GatewayInfo(address=f"10.0.{each}.1:1") for each in range(300))
-    gateway.link.use_roster(msgspec.structs.replace(roster, gateways=many))
-    assert usual < gateway.link._find_usual_pause() <= LONGEST_GREET_SECONDS
-    assert GATEWAY_SILENT.total_seconds() > 2 * LONGEST_GREET_SECONDS
+    gateway.link.receive_failover_state(msgspec.structs.replace(roster, gateways=many))
+    assert usual < gateway.link._choose_usual_pause() <= MAX_KEEPALIVE_SECONDS
+    assert GATEWAY_TIMEOUT.total_seconds() > 2 * MAX_KEEPALIVE_SECONDS
 
 
 class _Connection:
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -19,8 +19,8 @@
 from ..core.cluster.orders import CallFailure, LookOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
-from ..runtime.deputy import DeputyAuthority
-from ..runtime.gateways import GATEWAY_SILENT
+from ..runtime.deputy import ActingLeaderAuthority
+from ..runtime.gateways import GATEWAY_TIMEOUT
 from ..runtime.leading import Leading, LeadingSettings
 from ..runtime.replicated import ReplicatedRecords
 from .gateway_builders import (
@@ -80,13 +80,13 @@
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     leading = Leading(
-        authority=DeputyAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
+        authority=ActingLeaderAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
         replicated=replicated,
         port=port,
         clock=build_clock(),
         on_failure=fail,
         settings=LeadingSettings(
-            terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+            terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
             keep_ended=timedelta(),
             caller_retry=CALLER_RETRY,
             control_address=None,
@@ -107,14 +107,14 @@
     async def play() -> None:
         gateway, clock = stand_in()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         call = msgspec.structs.replace(submit(), spec=LONG)
         waiting = asyncio.create_task(gateway.call(call, milliseconds(200)))
         for _ in range(30):
             clock.advance(milliseconds(50))
             await gateway.link.replace_leader()
             await asyncio.sleep(0.02)
-        deputy = gateway.deputy
+        deputy = gateway.acting_leader
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
         assert not deputy.leading.dispatch.jobs.is_open(JobId(JOB))
         gateway.stop()
@@ -186,8 +186,10 @@
         clock = leading._clock
 
         def hear(gateway: str) -> None:
-            contact = leading.gateways.make_contact()
-            leading.gateways.take_greeting(msgspec.structs.replace(greet(gateway), contact=contact))
+            contact = leading.gateways.build_contact()
+            leading.gateways.handle_keepalive(
+                msgspec.structs.replace(greet(gateway), contact=contact)
+            )
 
         def send(gateway: str) -> asyncio.Task[Answer]:
             call = Submit(
@@ -198,7 +200,7 @@
                 number=1,
                 may_have_begun=True,
                 may_be_of_deputy=True,
-                contact=leading.gateways.make_contact(),
+                contact=leading.gateways.build_contact(),
             )
             return asyncio.create_task(leading.answer(call))
 
--- a/cottonlug/tests/test_job_lines.py
+++ b/cottonlug/tests/test_job_lines.py
@@ -19,8 +19,8 @@
 from ..net.servers import Listener
 from ..net.transport import HttpReply, TransportError
 from ..runtime import job_line
-from ..runtime.job_line import ANSWERS_PATH, JOBS_PATH, JobLine
-from ..runtime.job_lines import TAKEN_IN_A_TURN, JobLines
+from ..runtime.job_line import ANSWERS_PATH, JOBS_PATH, JobChannel
+from ..runtime.job_lines import MAX_STARTS_PER_TURN, JobChannelServer
 from ..runtime.peer_calls import LINE_CONNECTIONS, PeerCalls
 from .gateway_builders import build_clock, submit
 from .processes import find_base_port
@@ -33,7 +33,7 @@
 class Wire:
     """The way to another host, which loses requests or replies as told."""
 
-    lines: JobLines
+    lines: JobChannelServer
     lost_requests: dict[str, int] = field(default_factory=dict)
     """How many of the next requests of each kind do not arrive."""
     lost_replies: dict[str, int] = field(default_factory=dict)
@@ -85,16 +85,16 @@
         return Answer(outcome=Outcome.DONE, detail=call.path)
 
 
-def build_lines(host: Host, slacks: dict[str, float] | None = None) -> JobLines:
-    return JobLines(
+def build_lines(host: Host, slacks: dict[str, float] | None = None) -> JobChannelServer:
+    return JobChannelServer(
         answer=host.answer,
         clock=build_clock(),
         find_slack=lambda call: (slacks or {}).get(call.path, 1.0),
     )
 
 
-def build_line(wire: Wire) -> JobLine:
-    return JobLine(
+def build_line(wire: Wire) -> JobChannel:
+    return JobChannel(
         own="10.0.0.1:7000",
         open_pool=lambda: wire,  # type: ignore[arg-type, return-value]
         stamp=lambda call: call,
@@ -105,12 +105,12 @@
     return msgspec.structs.replace(submit(), path=f"/q/{number:016x}")
 
 
-async def ask_all(line: JobLine, count: int) -> list[Answer]:
-    asking = (line.ask(build_job(number), PATIENCE) for number in range(count))
+async def ask_all(line: JobChannel, count: int) -> list[Answer]:
+    asking = (line.submit(build_job(number), PATIENCE) for number in range(count))
     return list(await asyncio.gather(*asking))
 
 
-def play(work: Callable[[Host, Wire, JobLine], object], host: Host | None = None) -> Host:
+def play(work: Callable[[Host, Wire, JobChannel], object], host: Host | None = None) -> Host:
     """Have a line and its other end do something."""
     host = host or Host()
 
@@ -125,7 +125,7 @@
 
 
 def test_jobs_are_answered_each_with_its_own_answer() -> None:
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
         answers = await ask_all(line, MANY)
         assert [each.detail for each in answers] == [build_job(n).path for n in range(MANY)]
         assert len(wire.sent) < MANY / 4
@@ -135,7 +135,7 @@
 
 
 def test_a_batch_whose_reply_is_lost_is_carried_out_once() -> None:
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
         wire.lost_replies[JOBS_PATH] = 2
         wire.lost_requests[JOBS_PATH] = 1
         answers = await ask_all(line, 5)
@@ -145,7 +145,7 @@
 
 
 def test_answers_that_are_lost_are_given_again() -> None:
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
         wire.lost_replies[ANSWERS_PATH] = 3
         answers = await ask_all(line, 5)
         assert {each.outcome for each in answers} == {Outcome.DONE}
@@ -156,7 +156,7 @@
 def test_answers_of_a_host_that_began_anew_are_not_taken_for_old_ones() -> None:
     """It counts its answers from the first again, and has forgotten what it was asked before."""
 
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
         await ask_all(line, 20)
         wire.lines = build_lines(host)
         answers = await ask_all(line, 3)
@@ -169,24 +169,24 @@
     """In a trial one of its two tasks had left off, the other had not, and nothing was sent."""
     monkeypatch.setattr(job_line, "IDLE_SECONDS", 0.02)
 
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
         for pause in range(40):
-            assert (await line.ask(build_job(pause), PATIENCE)).outcome is Outcome.DONE
+            assert (await line.submit(build_job(pause), PATIENCE)).outcome is Outcome.DONE
             await asyncio.sleep(0.001 * pause)
 
     assert len(play(work).carried_out) == 40
 
 
 def test_only_what_was_sent_may_have_been_carried_out() -> None:
-    async def work(host: Host, wire: Wire, line: JobLine) -> None:
-        sent = asyncio.create_task(line.ask(build_job(1), PATIENCE))
+    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
+        sent = asyncio.create_task(line.submit(build_job(1), PATIENCE))
         while not host.carried_out:
             await asyncio.sleep(0.001)
         wire.is_closed = True
-        unsent = asyncio.create_task(line.ask(build_job(2), PATIENCE))
-        late = await line.ask(build_job(3), timedelta(milliseconds=20))
+        unsent = asyncio.create_task(line.submit(build_job(2), PATIENCE))
+        late = await line.submit(build_job(3), timedelta(milliseconds=20))
         assert late.outcome is Outcome.UNAVAILABLE
-        line.lose()
+        line.fail_pending()
         assert (await sent).outcome is Outcome.UNKNOWN
         assert (await unsent).outcome is Outcome.UNAVAILABLE
 
@@ -202,14 +202,14 @@
         lines = build_lines(host, slacks)
         line = build_line(Wire(lines=lines))
         asking = [
-            asyncio.create_task(line.ask(build_job(number), PATIENCE)) for number in range(50)
+            asyncio.create_task(line.submit(build_job(number), PATIENCE)) for number in range(50)
         ]
         seen: list[int] = []
         while len(host.carried_out) < 50:
             await asyncio.sleep(0)
             seen.append(len(host.carried_out))
         assert max(after - before for before, after in itertools.pairwise(seen)) <= (
-            TAKEN_IN_A_TURN
+            MAX_STARTS_PER_TURN
         )
         assert host.carried_out == sorted(host.carried_out, reverse=True)
         await asyncio.gather(*asking)
@@ -223,9 +223,9 @@
         raise ValueError("a fault")
 
     async def run() -> Answer:
-        lines = JobLines(answer=fail, clock=build_clock(), find_slack=lambda call: 1.0)
+        lines = JobChannelServer(answer=fail, clock=build_clock(), find_slack=lambda call: 1.0)
         line = build_line(Wire(lines=lines))
-        answer = await line.ask(build_job(1), PATIENCE)
+        answer = await line.submit(build_job(1), PATIENCE)
         line.close()
         return answer
 
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -19,7 +19,7 @@
 from ..core.cluster.rosters import merge_roster
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
-from ..runtime.gateways import Gateways
+from ..runtime.gateways import GatewayRegistry
 from .gateway_builders import build_clock, greet
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_overtaken import build_dispatch
@@ -61,14 +61,14 @@
 
 def test_rosters_tell_of_both_lives_and_of_the_end_of_one() -> None:
     records = build_records()
-    gateways = Gateways(term=3, token=3_000_000, clock=build_clock())
-    gateways.take_greeting(greet(GATEWAY))
-    known = gateways.build_roster(records, "")
+    gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
+    gateways.handle_keepalive(greet(GATEWAY))
+    known = gateways.build_failover_state(records, "")
     assert known is not None
     assert [each.info.id for each in known.upstreams] == [FIRST.id, SECOND.id]
     del records.upstreams[FIRST.id]
-    gateways.log.note_upstream(FIRST.id)
-    received = gateways.build_roster(records, known.version)
+    gateways.failover_log.note_upstream(FIRST.id)
+    received = gateways.build_failover_state(records, known.version)
     assert received is not None
     merged = merge_roster(known, received)
     assert merged is not None
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -13,12 +13,12 @@
 from ..core.cluster.calls import Answer, Call, Greet, Outcome, answer_decoder, call_decoder
 from ..net.asgi import HttpRequest, HttpResponse, build_asgi
 from ..net.servers import Listener
-from ..runtime.job_lines import JobLines
+from ..runtime.job_lines import JobChannelServer
 from ..runtime.peer_calls import CALL_PATH, PeerCalls
 from .gateway_builders import build_clock, greet, stand_in, submit
 from .processes import find_base_port
 
-GREET_TIMEOUT = timedelta(milliseconds=500)
+KEEPALIVE_TIMEOUT = timedelta(milliseconds=500)
 """Much longer than a gateway waits (0.1 s): only one that is stuck takes as long."""
 
 
@@ -47,7 +47,7 @@
             await asyncio.Event().wait()
             raise AssertionError("unreachable")
 
-        lines = JobLines(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
+        lines = JobChannelServer(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
 
         async def answer(request: HttpRequest) -> HttpResponse:
             if lines.handles(request.path):
@@ -65,7 +65,7 @@
             for _ in range(HELD_CALLS)
         ]
         await asyncio.wait_for(all_held.wait(), 5)
-        greeted = await calls.ask(str(address), greet("10.0.0.2:7000"), GREET_TIMEOUT)
+        greeted = await calls.ask(str(address), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
         for task in waiting:
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
@@ -108,7 +108,7 @@
         for client in clients:
             client.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         calls = PeerCalls(urgent_port=urgent.port)
-        greeted = await calls.ask(str(peers), greet("10.0.0.2:7000"), GREET_TIMEOUT)
+        greeted = await calls.ask(str(peers), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
         before_it = taken_in
         for client in clients:
             client.close()
@@ -133,11 +133,11 @@
         assert reply is not None
         answer = answer_decoder.decode(reply.body)
         assert (answer.outcome, answer.is_deputy) == (Outcome.DONE, True)
-        assert gateway.deputy is not None
+        assert gateway.acting_leader is not None
         # It counts on a gateway that has had an answer of its own, and says so.
         again = msgspec.structs.replace(greet("10.0.0.2:7000"), contact=answer.contact)
         assert gateway.answer_at_once(build_request(again)) is not None
-        assert gateway.deputy.leading.gateways.is_heard("10.0.0.2:7000")
+        assert gateway.acting_leader.leading.gateways.is_connected("10.0.0.2:7000")
         assert gateway.answer_at_once(build_request(submit())) is None
         gateway.stop()
 
