--- a/bench/callers.py
+++ b/bench/callers.py
@@ -24,7 +24,7 @@
 from cottonlug.net.connections import parse_address
 from cottonlug.runtime.clocks import SystemClock
 from cottonlug.runtime.gateway import Gateway
-from cottonlug.tests.gateway_builders import IdlePort, fail
+from cottonlug.tests.gateway_builders import IdlePort, raise_error
 
 KINDS = (
     # name, share of the jobs, tasks, milliseconds of a task, bytes of its payload
@@ -52,7 +52,7 @@
         drain_limit=timedelta(seconds=5),
         log=LogSettings(),
     )
-    return Gateway(settings=settings, clock=SystemClock(), port=IdlePort(), on_failure=fail)
+    return Gateway(settings=settings, clock=SystemClock(), port=IdlePort(), on_failure=raise_error)
 
 
 def draw_job(chance: random.Random, number: int) -> Submit:
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -50,7 +50,7 @@
 from cottonlug.runtime.job_lines import JobChannelServer
 from cottonlug.runtime.leading import Leading, LeadingSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
-from cottonlug.tests.gateway_builders import fail
+from cottonlug.tests.gateway_builders import raise_error
 from cottonlug.tests.processes import find_base_port
 from cottonlug.tests.test_cluster_waiting import OwnOffice
 
@@ -123,7 +123,7 @@
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
-            on_failure=fail,
+            on_failure=raise_error,
             settings=LeadingSettings(
                 terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
                 keep_ended=timedelta(seconds=120),
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -15,7 +15,7 @@
 from ..runtime.cluster_metrics import build_control_metrics
 from ..runtime.control_host import ControlHost
 from ..runtime.events import Event, log_event
-from ..runtime.process import Life, run_loop
+from ..runtime.process import Lifecycle, run_loop
 from ..runtime.refused_heartbeats import RefusedHeartbeats
 from .daemons import (
     CONNECTIONS_PER_UPSTREAM,
@@ -43,17 +43,17 @@
 async def _serve_control(config: Path) -> int:
     settings = load_control_settings(config)
     output = begin_logging(settings)
-    life = Life()
+    lifecycle = Lifecycle()
     pools = ConnectionPools(max_connections=CONNECTIONS_PER_UPSTREAM)
     host = ControlHost(
         settings=settings,
         clock=SystemClock(),
         port=WorkerClient(pools=pools),
-        on_failure=life.fail,
+        on_failure=lifecycle.fail,
     )
     refused = RefusedHeartbeats(clock=SystemClock())
-    life.watch_signals(lambda: build_control_dump(host))
-    life.watch_reload(lambda: None)
+    lifecycle.watch_signals(lambda: build_control_dump(host))
+    lifecycle.watch_reload(lambda: None)
     control = listen(
         build_control_handler(host.answer, refused.note),
         settings.listen.control,
@@ -68,8 +68,8 @@
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
     log_event(Event.READY, host=settings.host)
-    await life.wait_stop()
-    if life.failure is not None:
+    await lifecycle.wait_stop()
+    if lifecycle.failure is not None:
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
     await host.hand_over()
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -18,7 +18,7 @@
 from ..runtime.cluster_metrics import build_gateway_metrics
 from ..runtime.events import Event, log_event
 from ..runtime.gateway import Gateway
-from ..runtime.process import Life, run_loop
+from ..runtime.process import Lifecycle, run_loop
 from .daemons import (
     CONNECTIONS_PER_UPSTREAM,
     DRAIN_MARGIN_SECONDS,
@@ -46,16 +46,16 @@
 async def _serve_gateway(config: Path) -> int:
     settings = load_gateway_settings(config)
     output = begin_logging(settings)
-    life = Life()
+    lifecycle = Lifecycle()
     pools = ConnectionPools(max_connections=CONNECTIONS_PER_UPSTREAM)
     gateway = Gateway(
         settings=settings,
         clock=SystemClock(),
         port=WorkerClient(pools=pools),
-        on_failure=life.fail,
+        on_failure=lifecycle.fail,
     )
-    life.watch_signals(lambda: build_gateway_dump(gateway))
-    life.watch_reload(lambda: _reload_seeds(gateway, config))
+    lifecycle.watch_signals(lambda: build_gateway_dump(gateway))
+    lifecycle.watch_reload(lambda: _reload_seeds(gateway, config))
     handler = build_front_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
     callers = Listener(
         app=build_asgi(handler, lambda: gateway.max_body_bytes), address=settings.listen.callers
@@ -71,8 +71,8 @@
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
     log_event(Event.READY, host=settings.host)
-    await life.wait_stop()
-    if life.failure is not None:
+    await lifecycle.wait_stop()
+    if lifecycle.failure is not None:
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
     gateway.begin_stopping()
--- a/cottonlug/commands/serve.py
+++ b/cottonlug/commands/serve.py
@@ -19,7 +19,7 @@
 from ..runtime.events import Event, log_event, set_up_logging
 from ..runtime.metrics import Metrics
 from ..runtime.node import EntryNode
-from ..runtime.process import Life, run_loop
+from ..runtime.process import Lifecycle, run_loop
 from ..upstream.daemon import StandIn
 from .exits import ExitCode
 
@@ -41,15 +41,15 @@
     settings = load_entry_settings(config)
     set_up_logging(settings.log)
     log_event(Event.STARTED, host=settings.host, domain=settings.domain, pid=os.getpid())
-    life = Life()
-    node = EntryNode(settings=settings, clock=SystemClock(), on_failure=life.fail)
-    life.watch_signals(lambda: build_entry_dump(node.host))
+    lifecycle = Lifecycle()
+    node = EntryNode(settings=settings, clock=SystemClock(), on_failure=lifecycle.fail)
+    lifecycle.watch_signals(lambda: build_entry_dump(node.host))
     error = await node.start()
     if error is not None:
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
-    await life.wait_stop()
-    if life.failure is not None:
+    await lifecycle.wait_stop()
+    if lifecycle.failure is not None:
         return ExitCode.BROKEN_INVARIANT
     await node.drain()
     await node.stop()
@@ -61,9 +61,9 @@
     settings = load_upstream_settings(config)
     set_up_logging(settings.log)
     log_event(Event.STARTED, upstream=settings.upstream, domain=settings.domain, pid=os.getpid())
-    life = Life()
+    lifecycle = Lifecycle()
     stand_in = StandIn(settings=settings, incarnation=Incarnation(secrets.token_hex(8)))
-    life.watch_signals(stand_in.build_dump)
+    lifecycle.watch_signals(stand_in.build_dump)
     listener = _build_state_listener(settings, stand_in)
     error = await listener.start() if listener is not None else None
     if error is not None:
@@ -71,7 +71,7 @@
         return ExitCode.UNAVAILABLE
     stand_in.start()
     log_event(Event.READY, upstream=settings.upstream)
-    await life.wait_stop()
+    await lifecycle.wait_stop()
     log_event(Event.DRAINING, upstream=settings.upstream)
     await stand_in.leave(_LEAVE_LIMIT)
     await stand_in.stop()
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -318,7 +318,7 @@
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
-            life.patience.take_answer(now - run.since)
+            life.patience.receive_answer(now - run.since)
         if outcome is StartOutcome.STARTED:
             self._term.counts.started += 1
             life.refusals = 0
--- a/cottonlug/core/cluster/patience.py
+++ b/cottonlug/core/cluster/patience.py
@@ -29,7 +29,7 @@
         self._mean: timedelta | None = None
         self._deviation = timedelta()
 
-    def take_answer(self, taken: timedelta) -> None:
+    def receive_answer(self, taken: timedelta) -> None:
         """Learn how long an answer took."""
         if self._mean is None:
             self._mean, self._deviation = taken, taken / 2
--- a/cottonlug/net/operator_app.py
+++ b/cottonlug/net/operator_app.py
@@ -29,7 +29,7 @@
 ) -> Litestar:
     """Return the application for operators; `rule_handlers` are the calls that change rules."""
     token = host.settings.tokens.operators
-    metrics = Metrics(counters=host.count, gauges=host.gauge)
+    metrics = Metrics(counters=host.get_counters, gauges=host.get_gauges)
     handlers = [
         _build_job_list(host, token),
         *_build_rule_views(host, token),
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -97,7 +97,7 @@
             return _find_lost_call(sent.failure())
         return _find_failure(sent.unwrap())
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         """Ask what runs and what has ended, and renew the lease."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": order.last_seen}
         if order.expires_ms is not None:
--- a/cottonlug/runtime/control.py
+++ b/cottonlug/runtime/control.py
@@ -110,7 +110,7 @@
         # Every voter checked the document before it was accepted.
         log_event(Event.RULES_REFUSED, version=version)
         return
-    rulebook.put_in_force(version, text, document)
+    rulebook.activate(version, text, document)
     log_event(Event.RULES_IN_FORCE, version=version, rules=len(document.rules))
 
 
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -24,11 +24,11 @@
 from .deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE, ActingLeader
 from .events import Event, log_event
 from .gateways import GATEWAY_TIMEOUT
-from .overdue import OVERDUE_AFTER, Overdue
+from .overdue import OVERDUE_AFTER, KeepAliveTracker
 from .peer_calls import PeerCalls
 from .ports import OnFailure, UpstreamPort
-from .roster_keeper import RosterKeeper
-from .confirmations import Vouching
+from .roster_keeper import FailoverStore
+from .vouching import Confirmations
 
 KEEPALIVE_SECONDS = 0.08
 KEEPALIVE_SECONDS_PER_GATEWAY = 0.0004
@@ -87,8 +87,8 @@
         on_failure: OnFailure,
     ) -> None:
         self.own_address = str(settings.listen.peers)
-        self.confirmations = Vouching(own=self.own_address, clock=clock)
-        self._keepalive_tracker = Overdue(clock=clock)
+        self.confirmations = Confirmations(own_address=self.own_address, clock=clock)
+        self._keepalive_tracker = KeepAliveTracker(clock=clock)
         self.hosts: list[str] = [str(seed) for seed in settings.seeds]
         """Addresses of the known control hosts."""
         self.coordinator: str | None = None
@@ -97,7 +97,7 @@
         self.acting_leader: ActingLeader | None = None
         self.acting_leader_term = 0
         """The term of the current or last acting leader."""
-        self.failover_store = RosterKeeper(clock=clock)
+        self.failover_store = FailoverStore(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
         self.record_change: Callable[[float], object] = lambda silence_ms: None
@@ -151,7 +151,7 @@
 
     def receive_failover_state(self, received: Roster) -> None:
         """Store failover state that was received."""
-        if self.failover_store.take(received):
+        if self.failover_store.receive(received):
             self._acting_periods = 0
 
     async def wait_for_change(self, seconds: float) -> None:
@@ -164,8 +164,8 @@
 
     def follow(self, host: str, via: Via) -> None:
         """Send calls to a host from now on; calls pending at another host are retried there."""
-        if via is Via.ACTING_LEADER and self.failover_store.whole is not None:
-            self.acting_leader_term = self.failover_store.whole.term
+        if via is Via.ACTING_LEADER and self.failover_store.current is not None:
+            self.acting_leader_term = self.failover_store.current.term
         if host != self.coordinator or via is not self.via:
             if self._reached_at is not None:
                 silence = self._clock.monotonic() - self._reached_at
@@ -175,7 +175,7 @@
             self.coordinator = host
             self.via = via
             # It has just answered this or another host, so earlier unanswered keep-alives are moot.
-            self._keepalive_tracker.note_answered(host)
+            self._keepalive_tracker.record_answered(host)
             self._notify_change()
             log_event(Event.DECIDER_CHANGED, decider=host, via=via.value)
         self._reached_at = self._clock.monotonic()
@@ -192,17 +192,17 @@
         if self.coordinator == host:
             self.coordinator = None
             self.via = Via.LEADER
-            self.confirmations.end()
+            self.confirmations.clear_contact()
             self._calls.lose(host)
 
     def step_down(self) -> None:
         """Stop acting as leader, if this gateway does."""
         if self.acting_leader is None:
             return
-        deputy, self.acting_leader = self.acting_leader, None
-        if deputy.authority.is_over:
+        acting_leader, self.acting_leader = self.acting_leader, None
+        if acting_leader.authority.is_over:
             self._fenced_off_at = self._clock.monotonic()
-        deputy.stop()
+        acting_leader.stop()
         if self.coordinator == self.own_address:
             self.coordinator = None
             self.via = Via.LEADER
@@ -217,26 +217,26 @@
         """
         known = self.coordinator if self.via is Via.LEADER else None
         self._contacted = {*self.hosts, known or ""}
-        asking = self._start_keepalive(known) if known is not None else None
-        if asking is not None:
-            await asyncio.wait([asking], timeout=OVERDUE_AFTER.total_seconds())
-            if asking.done() and asking.result():
+        pending = self._start_keepalive(known) if known is not None else None
+        if pending is not None:
+            await asyncio.wait([pending], timeout=OVERDUE_AFTER.total_seconds())
+            if pending.done() and pending.result():
                 return
         others = [host for host in self.hosts if host != known]
-        is_late = asking is not None and not asking.done()
+        is_late = pending is not None and not pending.done()
         # A leader that is only late gets no second keep-alive from this gateway.
         forwarding_host = None if is_late or not others else random.choice(others)
         if others and await self._send_keepalives(others, forwarding_host):
             return
-        if asking is not None:
-            await asking
+        if pending is not None:
+            await pending
 
-    def _build_keepalive(self, roster: str = "", *, is_probe: bool = False) -> Greet:
+    def _build_keepalive(self, version: str = "", *, is_probe: bool = False) -> Greet:
         return Greet(
             gateway=self.own_address,
-            life=self.confirmations.life,
+            life=self.confirmations.instance,
             domain=self._settings.domain,
-            roster=roster,
+            roster=version,
             is_probe=is_probe,
         )
 
@@ -261,17 +261,17 @@
         answer = await self._exchange_keepalive(host, is_probe=is_probe)
         if self._handle_keepalive_answer(host, via, answer):
             return True
-        named = answer.leader
-        if via is not Via.LEADER or named is None or named in (host, *self._contacted):
+        leader = answer.leader
+        if via is not Via.LEADER or leader is None or leader in (host, *self._contacted):
             return False
-        self._contacted.add(named)
-        return await self._send_keepalive_to(named, via)
+        self._contacted.add(leader)
+        return await self._send_keepalive_to(leader, via)
 
     async def _exchange_keepalive(self, host: str, *, is_probe: bool = False) -> Answer:
-        greeting = self._build_keepalive(self.failover_store.version, is_probe=is_probe)
-        self._keepalive_tracker.note_asked(host)
-        answer = await self._calls.ask(host, greeting, KEEPALIVE_TIMEOUT)
-        if answer.outcome is Outcome.DONE and self._keepalive_tracker.note_answered(host):
+        keepalive = self._build_keepalive(self.failover_store.version, is_probe=is_probe)
+        self._keepalive_tracker.record_sent(host)
+        answer = await self._calls.ask(host, keepalive, KEEPALIVE_TIMEOUT)
+        if answer.outcome is Outcome.DONE and self._keepalive_tracker.record_answered(host):
             self._notify_change()
         return answer
 
@@ -287,14 +287,14 @@
         if via is Via.RELAY and self.has_direct_leader():
             # A control host has named the leader in the meantime: a relay is not needed.
             return True
-        self.confirmations.take(answer)
+        self.confirmations.record_contact(answer)
         self.follow(host if via is Via.RELAY else answer.leader or host, via)
         self._receive_answered_state(answer)
         return True
 
     def _receive_answered_state(self, answer: Answer) -> None:
         """Store the failover state in a leader's answer, which has none if nothing has changed."""
-        if self.failover_store.take_answer(answer):
+        if self.failover_store.receive_answer(answer):
             self._acting_periods = 0
 
     def has_direct_leader(self) -> bool:
@@ -312,12 +312,12 @@
                 log_event(Event.READINESS_CHANGED, ready=is_ready)
             await asyncio.sleep(self._choose_keepalive_pause(self._clock.monotonic() - began_at))
 
-    def _choose_keepalive_pause(self, taken: timedelta) -> float:
+    def _choose_keepalive_pause(self, elapsed: timedelta) -> float:
         """Return the seconds until the next keep-alive or the next search for the leader."""
         if self.coordinator is not None and self.via is Via.LEADER and not self.is_overdue():
             return self._choose_usual_pause()
         return max(
-            KEEPALIVE_SECONDS_WITHOUT_LEADER - taken.total_seconds(), MIN_KEEPALIVE_PAUSE_SECONDS
+            KEEPALIVE_SECONDS_WITHOUT_LEADER - elapsed.total_seconds(), MIN_KEEPALIVE_PAUSE_SECONDS
         )
 
     def _choose_usual_pause(self) -> float:
@@ -345,10 +345,10 @@
         Return whether the next check is due at once.
         """
         now = self._clock.monotonic()
-        was_held_up = now - self._checked_at > STEP_DOWN_DELAY
+        was_delayed = now - self._checked_at > STEP_DOWN_DELAY
         self._checked_at = now
         if self.acting_leader is not None:
-            if was_held_up or self.acting_leader.authority.is_over:
+            if was_delayed or self.acting_leader.authority.is_over:
                 self.step_down()
                 return False
             self._register_itself(self.acting_leader)
@@ -356,13 +356,13 @@
             return False
         if self.coordinator is not None and self.via is not Via.LEADER:
             return await self._check_gateway(self.coordinator, self.via)
-        if now - self._leader_seen_at < RELAY_AFTER or self.failover_store.whole is None:
+        if now - self._leader_seen_at < RELAY_AFTER or self.failover_store.current is None:
             return False
         self._log_silence(now - self._leader_seen_at)
         if self.coordinator is not None and now - self._leader_seen_at >= CALLS_LOST_AFTER:
             # The leader abandons these calls too, and calls that it never gets have not started.
             self.unfollow(self.coordinator)
-        await self._find_replacement(self.failover_store.whole)
+        await self._find_replacement(self.failover_store.current)
         return False
 
     def _log_silence(self, silence: timedelta) -> None:
@@ -395,7 +395,7 @@
             return self._handle_keepalive_answer(host, via, answer)
         if not answer.is_deputy or answer.outcome is not Outcome.DONE:
             return False
-        self.confirmations.take(answer)
+        self.confirmations.record_contact(answer)
         self._reached_at = self._clock.monotonic()
         return True
 
@@ -403,14 +403,16 @@
         """Return whether the coordinator has not answered for this long."""
         return self._reached_at is None or self._clock.monotonic() - self._reached_at >= span
 
-    async def _find_replacement(self, roster: Roster) -> None:
+    async def _find_replacement(self, failover_state: Roster) -> None:
         """Follow a gateway that reaches a leader or acts as one; otherwise act as leader here."""
-        if all(gateway.address != self.own_address for gateway in roster.gateways):
+        if all(gateway.address != self.own_address for gateway in failover_state.gateways):
             return
-        answers = await self._ask_gateways(choose_asked(roster.gateways, self.own_address), roster)
+        answers = await self._ask_gateways(
+            choose_asked(failover_state.gateways, self.own_address), failover_state
+        )
         if self.has_direct_leader():
             return
-        own_domain = find_own_domain(roster, self.own_address)
+        own_domain = find_own_domain(failover_state, self.own_address)
         for gateway, answer in answers.items():
             if _can_be_followed(answer, own_domain):
                 self._follow_gateway(gateway, answer)
@@ -418,21 +420,23 @@
         if any(answer.leader is not None for answer in answers.values()):
             # One of them is connected to the leader, but the leader's answer was lost: retry.
             return
-        rivals = _list_lower_gateways(roster, self.own_address)
-        is_lowest = not any(rival in answers and answers[rival].hosts for rival in rivals)
-        if self._may_act_as_leader(roster) and is_lowest:
-            await self._act_as_leader_if_lowest(roster, rivals)
-
-    async def _ask_gateways(self, gateways: Iterable[str], roster: Roster) -> dict[str, Answer]:
+        lower_gateways = _list_lower_gateways(failover_state, self.own_address)
+        is_lowest = not any(lower in answers and answers[lower].hosts for lower in lower_gateways)
+        if self._may_act_as_leader(failover_state) and is_lowest:
+            await self._act_as_leader_if_lowest(failover_state, lower_gateways)
+
+    async def _ask_gateways(
+        self, gateways: Iterable[str], failover_state: Roster
+    ) -> dict[str, Answer]:
         """Send keep-alives to several gateways at once and return their answers."""
         asked = list(gateways)
-        greeting = self._build_keepalive(roster.version)
+        keepalive = self._build_keepalive(failover_state.version)
         answers = await asyncio.gather(
-            *(self._calls.ask(gateway, greeting, KEEPALIVE_TIMEOUT) for gateway in asked)
+            *(self._calls.ask(gateway, keepalive, KEEPALIVE_TIMEOUT) for gateway in asked)
         )
         return dict(zip(asked, answers, strict=True))
 
-    def _may_act_as_leader(self, roster: Roster) -> bool:
+    def _may_act_as_leader(self, failover_state: Roster) -> bool:
         now = self._clock.monotonic()
         if (
             self._fenced_off_at is not None
@@ -440,22 +444,26 @@
         ):
             return False
         is_due = now - self._leader_seen_at >= self._get_acting_delay()
-        return is_due and not (roster.keeps_jobs or not roster.takes_calls or self.is_stopping)
+        return is_due and not (
+            failover_state.keeps_jobs or not failover_state.takes_calls or self.is_stopping
+        )
 
-    async def _act_as_leader_if_lowest(self, roster: Roster, rivals: list[str]) -> None:
+    async def _act_as_leader_if_lowest(
+        self, failover_state: Roster, lower_gateways: list[str]
+    ) -> None:
         """Act as leader, unless a gateway with a lower address answers: then that one does."""
-        answers = await self._ask_gateways(rivals, roster)
+        answers = await self._ask_gateways(lower_gateways, failover_state)
         is_replaced = self.has_direct_leader() or self.acting_leader is not None
         if not is_replaced and not any(answer.hosts for answer in answers.values()):
-            self._act_as_leader(roster)
+            self._act_as_leader(failover_state)
 
     def _follow_gateway(self, gateway: str, answer: Answer) -> None:
         if not answer.is_deputy:
-            self.confirmations.take(answer)
+            self.confirmations.record_contact(answer)
             self.follow(gateway, Via.RELAY)
             self._receive_answered_state(answer)
         elif self._clock.monotonic() - self._leader_seen_at >= ACT_AS_LEADER_AFTER_SILENCE:
-            self.confirmations.take(answer)
+            self.confirmations.record_contact(answer)
             self.follow(gateway, Via.ACTING_LEADER)
 
     def _get_acting_delay(self) -> timedelta:
@@ -476,19 +484,19 @@
         )
         return 2 * alive <= len(self.hosts)
 
-    def _act_as_leader(self, roster: Roster) -> None:
+    def _act_as_leader(self, failover_state: Roster) -> None:
         if self.coordinator is not None:
             # Pending calls could still have been answered there; now they are retried here.
             self.unfollow(self.coordinator)
         self._acting_periods += 1
         # Distinct for each gateway, and above the levels that this gateway and those with lower
         # addresses have used before.
-        addresses = [gateway.address for gateway in roster.gateways]
+        addresses = [gateway.address for gateway in failover_state.gateways]
         level = self._acting_periods * LEVELS_PER_ACTING_PERIOD + addresses.index(self.own_address)
         self.acting_leader = ActingLeader(
-            roster=roster,
+            failover_state=failover_state,
             level=level,
-            domain=find_own_domain(roster, self.own_address),
+            domain=find_own_domain(failover_state, self.own_address),
             port=self._port,
             clock=self._clock,
             longest_lease=self._settings.longest_lease,
@@ -499,18 +507,18 @@
         )
         self._register_itself(self.acting_leader)
         self.coordinator = self.own_address
-        self.acting_leader_term = roster.term
+        self.acting_leader_term = failover_state.term
         self.via = Via.ACTING_LEADER
         self._checked_at = self._clock.monotonic()
         self._notify_change()
-        log_event(Event.STANDING_IN, term=roster.term, at_level=level)
+        log_event(Event.STANDING_IN, term=failover_state.term, at_level=level)
 
-    def _register_itself(self, deputy: ActingLeader) -> None:
-        gateways = deputy.leading.gateways
-        greeting = msgspec.structs.replace(
+    def _register_itself(self, acting_leader: ActingLeader) -> None:
+        gateways = acting_leader.leading.gateways
+        keepalive = msgspec.structs.replace(
             self._build_keepalive(), contact=gateways.build_contact()
         )
-        gateways.handle_keepalive(greeting)
+        gateways.handle_keepalive(keepalive)
 
     def _notify_change(self) -> None:
         self._changed.set()
@@ -524,11 +532,11 @@
     return not answer.is_deputy or answer.domain == own_domain
 
 
-def _list_lower_gateways(roster: Roster, own: str) -> list[str]:
+def _list_lower_gateways(failover_state: Roster, own_address: str) -> list[str]:
     """Return the gateways that take precedence over this one as acting leader."""
-    domain = find_own_domain(roster, own)
+    domain = find_own_domain(failover_state, own_address)
     return [
         gateway.address
-        for gateway in roster.gateways
-        if gateway.address < own and domain in (None, gateway.domain)
+        for gateway in failover_state.gateways
+        if gateway.address < own_address and domain in (None, gateway.domain)
     ]
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/deputy.py
@@ -69,7 +69,7 @@
                 self._replicated.listener(command)
         return True
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         """End this authority, since another host has a higher token."""
         self.is_over = True
 
@@ -80,7 +80,7 @@
     def __init__(
         self,
         *,
-        roster: Roster,
+        failover_state: Roster,
         level: int,
         domain: DomainName | None,
         port: UpstreamPort,
@@ -95,11 +95,11 @@
         """The failure domain that it acts as leader for; None for all."""
         replicated = ReplicatedRecords()
         records = replicated.records
-        records.put_in_force(roster.configuration)
-        records.upstreams = {record.info.id: record for record in roster.upstreams}
-        records.suspects = {suspect.task: suspect for suspect in roster.suspects}
-        records.evacuations = Evacuations(roster.evacuations)
-        self.authority = ActingLeaderAuthority(term=roster.term, replicated=replicated)
+        records.put_in_force(failover_state.configuration)
+        records.upstreams = {record.info.id: record for record in failover_state.upstreams}
+        records.suspects = {suspect.task: suspect for suspect in failover_state.suspects}
+        records.evacuations = Evacuations(failover_state.evacuations)
+        self.authority = ActingLeaderAuthority(term=failover_state.term, replicated=replicated)
         self.leading = Leading(
             authority=self.authority,
             replicated=replicated,
@@ -122,5 +122,5 @@
 
     def stop(self) -> None:
         """Stop scheduling."""
-        self.authority.renew()
+        self.authority.start_new_term()
         self.leading.stop()
--- a/cottonlug/runtime/dump.py
+++ b/cottonlug/runtime/dump.py
@@ -92,8 +92,8 @@
         rules_version=host.rulebook.version,
         rules_stale=host.control.is_stale(),
         consensus=_build_consensus_dump(host),
-        gauges=host.gauge(),
-        counters=host.count(),
+        gauges=host.get_gauges(),
+        counters=host.get_counters(),
         sessions=[
             SessionDump(
                 upstream=session.upstream,
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -47,7 +47,7 @@
 MAX_WAIT_SECONDS = 60.0
 NOT_READY_RETRY_AFTER_MS = 1000
 _RequestId = tuple[UpstreamId, int, int]
-_EVENT_OF_NOTICE = {
+_EVENT_BY_NOTICE_KIND = {
     NoticeKind.OPENED: Event.UPSTREAM_OPENED,
     NoticeKind.GONE: Event.UPSTREAM_GONE,
     NoticeKind.LEAVING: Event.UPSTREAM_LEAVING,
@@ -80,16 +80,16 @@
         )
         self._job_waiters: dict[SubmissionId, list[asyncio.Future[None]]] = {}
         self._exchange_waiters: dict[_RequestId, asyncio.Future[ExchangeReply]] = {}
-        self._dispatch_planned = False
+        self._dispatch_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
         self._unfetched: set[SubmissionId] = set()
-        self._failure: Callable[[BaseException], None] | None = None
+        self._on_failure: Callable[[BaseException], None] | None = None
 
     # Lifecycle
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
         """Start the timers; `on_failure` is called when an invariant is broken."""
-        self._failure = on_failure
+        self._on_failure = on_failure
         self._ticker = asyncio.create_task(self._tick_forever())
 
     async def drain(self) -> None:
@@ -102,7 +102,7 @@
             await asyncio.sleep(TICK_SECONDS)
         if self.dispatcher.active_jobs:
             log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_jobs)
-        self.plan_dispatch()
+        self.schedule_dispatch()
         linger = self._clock.monotonic() + self.settings.drain_linger
         while self._unfetched and self._clock.monotonic() < linger:
             await asyncio.sleep(TICK_SECONDS)
@@ -160,7 +160,7 @@
         accepted = self.dispatcher.submit(built.unwrap(), run_time)
         if isinstance(accepted, Success) and not idempotent:
             self._unfetched.add(id)
-        self.plan_dispatch()
+        self.schedule_dispatch()
         return accepted
 
     def get_status(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
@@ -195,7 +195,7 @@
         if isinstance(known, JobAnswer):
             return Success(known)
         status = self.dispatcher.cancel(known, now)
-        self.plan_dispatch()
+        self.schedule_dispatch()
         return Success(status)
 
     async def run_single(self, request: SingleRequest) -> Result[JobAnswer, Refusal]:
@@ -222,32 +222,32 @@
         if refusal is not None:
             return Err(refusal)
         future: asyncio.Future[ExchangeReply] = asyncio.get_running_loop().create_future()
-        self._exchange_waiters[_identify(request)] = future
-        self.plan_dispatch()
+        self._exchange_waiters[_get_request_id(request)] = future
+        self.schedule_dispatch()
         return Success(future)
 
     def close_exchange(self, request: ExchangeRequest) -> None:
         """Handle an upstream's disconnect before its reply."""
-        if self._exchange_waiters.pop(_identify(request), None) is None:
+        if self._exchange_waiters.pop(_get_request_id(request), None) is None:
             return
         now = self._clock.monotonic()
         self.dispatcher.disconnect(request.upstream, request.session, request.seq, now)
 
-    def plan_dispatch(self) -> None:
+    def schedule_dispatch(self) -> None:
         """Schedule a dispatch after all messages that are ready on the event loop."""
-        if self._dispatch_planned:
+        if self._dispatch_scheduled:
             return
-        self._dispatch_planned = True
+        self._dispatch_scheduled = True
         asyncio.get_running_loop().call_soon(self._run_dispatch)
 
     # Operators
 
-    def count(self) -> dict[str, float]:
+    def get_counters(self) -> dict[str, float]:
         """Return all counters by name."""
         counters: dict[str, float] = asdict(self.dispatcher.counters)
         return counters
 
-    def gauge(self) -> dict[str, float]:
+    def get_gauges(self) -> dict[str, float]:
         """Return all gauges by name."""
         dispatcher = self.dispatcher
         return {
@@ -264,7 +264,7 @@
     # Internals
 
     def _run_dispatch(self) -> None:
-        self._dispatch_planned = False
+        self._dispatch_scheduled = False
         try:
             self._dispatch()
         except Exception as error:
@@ -277,12 +277,12 @@
             if future is not None and not future.done():
                 future.set_result(delivery.reply)
         for job in self.dispatcher.take_ended():
-            self._announce_end(job)
+            self._report_job_end(job)
         for notice in self.dispatcher.take_notices():
-            event = _EVENT_OF_NOTICE[notice.kind]
+            event = _EVENT_BY_NOTICE_KIND[notice.kind]
             log_event(event, upstream=notice.upstream, detail=notice.detail)
 
-    def _announce_end(self, job: Job) -> None:
+    def _report_job_end(self, job: Job) -> None:
         if job.state is JobState.FAILED and job.failure is not None:
             reason = job.failure.reason.value
             log_event(Event.JOB_FAILED, id=job.id, reason=reason, detail=job.failure.detail)
@@ -316,8 +316,8 @@
 
     def _report_failure(self, error: Exception) -> None:
         log_event(Event.INVARIANT_BROKEN, error=f"{type(error).__name__}: {error}")
-        if self._failure is not None:
-            self._failure(error)
+        if self._on_failure is not None:
+            self._on_failure(error)
 
 
 def _refuse_not_ready() -> Refusal:
@@ -329,5 +329,5 @@
     )
 
 
-def _identify(request: ExchangeRequest) -> _RequestId:
+def _get_request_id(request: ExchangeRequest) -> _RequestId:
     return (request.upstream, request.session, request.seq)
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -42,18 +42,18 @@
 from .ports import OnFailure, UpstreamPort
 
 RETRY_SECONDS = 0.05
-ABANDON_PATIENCE = timedelta(milliseconds=500)
-LEAST_TIME = timedelta(milliseconds=20)
+ABANDON_TIMEOUT = timedelta(milliseconds=500)
+MIN_TRY_TIME = timedelta(milliseconds=20)
 """A call is not tried again with less time left than this."""
-NOBODY_PATIENCE = timedelta(milliseconds=2_000)
+COORDINATOR_WAIT = timedelta(milliseconds=2_000)
 """How long a call waits for a coordinator before its caller is told to retry later."""
 NO_LEADER = "neither an acting leader nor connected to a leader"
-NO_ANSWER = "the coordinator has not answered lately"
-KEPT_PATIENCE = timedelta(milliseconds=800)
+COORDINATOR_OVERDUE = "the coordinator has not answered lately"
+DURABLE_COORDINATOR_WAIT = timedelta(milliseconds=800)
 """The same for a durable job: an acting leader cannot accept it, and an election takes 0.7 s. If no
 majority of control hosts answers, no leader can be elected, and its caller is told at once."""
 DEFAULT_MAX_BODY_BYTES = 262_144
-_ORDINARY = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
+_EXPECTED_OUTCOMES = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
 
 
 class Gateway:
@@ -79,7 +79,7 @@
         """How often a job was withheld from a coordinator whose answer was overdue."""
         self._clock = clock
         self.calls = PeerCalls(own=str(settings.listen.peers), urgent_port=settings.urgent_port)
-        self._job_lines = JobChannelServer(
+        self._job_channels = JobChannelServer(
             answer=self.answer_peer, clock=clock, find_slack=self._find_slack
         )
         self.link = CoordinatorLink(
@@ -89,7 +89,7 @@
             calls=self.calls,
             on_failure=on_failure,
         )
-        self._number = self.link.confirmations.life
+        self._last_number = self.link.confirmations.instance
         """Number of the last submission; no earlier process at this address has used it."""
         self.calls.stamp = self.link.confirmations.stamp
         self._background: set[asyncio.Task[Answer]] = set()
@@ -145,31 +145,33 @@
     def abandon(self, call: Submit) -> None:
         """Tell the coordinator that a caller has disconnected, without waiting for the answer."""
         abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own_address)
-        task = asyncio.create_task(self._call(abandon, ABANDON_PATIENCE))
+        task = asyncio.create_task(self._call(abandon, ABANDON_TIMEOUT))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def call(self, call: Call, patience: timedelta) -> Answer:
+    async def call(self, call: Call, timeout: timedelta) -> Answer:
         """Have a call carried out, and log it if it was not.
 
-        Returns an answer within `patience`.
+        Returns an answer within `timeout`.
         """
         began_at = self._clock.monotonic()
         if isinstance(call, Submit):
-            self._number += 1
-            call = msgspec.structs.replace(call, gateway=self.link.own_address, number=self._number)
+            self._last_number += 1
+            call = msgspec.structs.replace(
+                call, gateway=self.link.own_address, number=self._last_number
+            )
         try:
-            answer = await self._call(call, patience)
+            answer = await self._call(call, timeout)
         except asyncio.CancelledError:
-            self._note_given_up(call)
+            self._record_abandoned(call)
             raise
         if answer.outcome in (Outcome.UNKNOWN, Outcome.GIVEN_UP):
-            self._note_given_up(call)
+            self._record_abandoned(call)
         if answer.outcome is Outcome.UNKNOWN and isinstance(call, Submit) and call.spec.best_effort:
             # Its caller gets no result of this try, so its runs are useless and can be stopped.
             self.abandon(call)
-        self._count(call, answer, self._clock.monotonic() - began_at, patience)
-        if answer.outcome not in _ORDINARY:
+        self._record_outcome(call, answer, self._clock.monotonic() - began_at, timeout)
+        if answer.outcome not in _EXPECTED_OUTCOMES:
             log_event(
                 Event.CALL_FAILED,
                 call=type(call).__name__,
@@ -180,20 +182,22 @@
             )
         return answer
 
-    def _note_given_up(self, call: Call) -> None:
+    def _record_abandoned(self, call: Call) -> None:
         """Report with keep-alives that this gateway no longer waits for a best-effort job."""
         if isinstance(call, Submit) and call.spec.best_effort:
-            self.link.confirmations.note_given_up(
+            self.link.confirmations.record_abandoned(
                 GivenUp(host=call.host, path=call.path, number=call.number)
             )
 
-    def _count(self, call: Call, answer: Answer, took: timedelta, patience: timedelta) -> None:
+    def _record_outcome(
+        self, call: Call, answer: Answer, took: timedelta, timeout: timedelta
+    ) -> None:
         """Update the metrics for a call that has been answered."""
         self.outcomes[answer.outcome.value] += 1
         self.record_call(took / timedelta(milliseconds=1))
-        if answer.outcome in _ORDINARY:
+        if answer.outcome in _EXPECTED_OUTCOMES:
             return
-        self.held_to_end += took >= patience - LEAST_TIME
+        self.held_to_end += took >= timeout - MIN_TRY_TIME
         queue = self._find_queue(call) if isinstance(call, Submit) else None
         if isinstance(call, Submit) and queue is not None:
             self.record_refusal(took / find_declared_objective(queue, call.spec))
@@ -204,34 +208,37 @@
         found = queues.find(call.host, call.path) if queues is not None else None
         return found[0] if found is not None else None
 
-    async def _call(self, call: Call, patience: timedelta) -> Answer:
+    async def _call(self, call: Call, timeout: timedelta) -> Answer:
         """Retry a call until it has a final answer; every call is safe to send twice."""
         began_at = self._clock.monotonic()
-        give_up_at = began_at + patience
-        nobody_since: timedelta | None = None
+        deadline = began_at + timeout
+        unavailable_since: timedelta | None = None
         is_unknown = False
         while True:
             now = self._clock.monotonic()
-            left = give_up_at - now
-            if left < LEAST_TIME:
+            left = deadline - now
+            if left < MIN_TRY_TIME:
                 break
-            if nobody_since is not None and now - nobody_since > self._find_patience(call):
+            if (
+                unavailable_since is not None
+                and now - unavailable_since > self._get_coordinator_wait(call)
+            ):
                 break
             via = self.link.via
             deputy_term = self.link.acting_leader_term if via is Via.ACTING_LEADER else 0
             if isinstance(call, Submit):
                 waited_ms = to_milliseconds(now - began_at)
                 call = msgspec.structs.replace(call, waited_ms=waited_ms)
-            answer = await self._try(call, left)
+            answer = await self._try_once(call, left)
             is_open = answer.outcome in (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
             if answer.outcome is Outcome.UNKNOWN:
                 is_unknown = True
-                nobody_since = None
+                unavailable_since = None
                 if isinstance(call, Submit):
                     call = _mark_begun(call, deputy_term, via)
                     call = _add_suspects(call, answer)
             elif answer.outcome is Outcome.UNAVAILABLE:
-                nobody_since = now if nobody_since is None else nobody_since
+                unavailable_since = now if unavailable_since is None else unavailable_since
             elif answer.outcome is Outcome.REJECTED and is_unknown:
                 # An earlier try may have run, so the job can no longer be reported as not run.
                 break
@@ -244,11 +251,11 @@
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
         return Answer(outcome=outcome, detail="no coordinator could be reached in time")
 
-    def _find_patience(self, call: Call) -> timedelta:
+    def _get_coordinator_wait(self, call: Call) -> timedelta:
         """Return how long a call waits for a coordinator."""
         if not isinstance(call, Submit) or call.spec.best_effort:
-            return NOBODY_PATIENCE
-        return timedelta() if self.link.is_control_majority_silent() else KEPT_PATIENCE
+            return COORDINATOR_WAIT
+        return timedelta() if self.link.is_control_majority_silent() else DURABLE_COORDINATOR_WAIT
 
     def _is_hopeless(self, call: Submit, waited: timedelta) -> bool:
         """Return whether a job that has waited this long would end too late to be useful."""
@@ -265,19 +272,19 @@
             return 0.0
         return find_last_use(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
-    async def _try(self, call: Call, timeout: timedelta) -> Answer:
+    async def _try_once(self, call: Call, timeout: timedelta) -> Answer:
         if self.acting_leader is not None:
-            return await _ask_itself(self.acting_leader, call, timeout)
+            return await _call_itself(self.acting_leader, call, timeout)
         host = self.link.coordinator
         if host is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no coordinator is known")
         if isinstance(call, Submit) and self.link.is_overdue():
             self.held_back += 1
-            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_ANSWER)
-        sent_call = _to_deputy(call) if self.link.via is Via.ACTING_LEADER else call
+            return Answer(outcome=Outcome.UNAVAILABLE, detail=COORDINATOR_OVERDUE)
+        sent_call = _to_acting_leader(call) if self.link.via is Via.ACTING_LEADER else call
         answer = await self.calls.ask(host, sent_call, timeout)
-        still_decides = answer.detail in (NO_CONFIGURATION, NO_LOG, NOT_IN_TOUCH, NOT_SENT)
-        if answer.outcome is Outcome.UNAVAILABLE and not still_decides:
+        is_still_coordinator = answer.detail in (NO_CONFIGURATION, NO_LOG, NOT_IN_TOUCH, NOT_SENT)
+        if answer.outcome is Outcome.UNAVAILABLE and not is_still_coordinator:
             self.link.unfollow(host)
         return answer
 
@@ -285,22 +292,22 @@
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
         """Receive jobs, and answer keep-alives while acting as leader; None for other requests."""
-        taken = self._job_lines.handle_at_once(request)
-        if taken is not None:
-            return taken
-        deputy = self.acting_leader
-        greeting = decode_greeting(request) if deputy is not None else None
-        if deputy is None or greeting is None:
+        response = self._job_channels.handle_at_once(request)
+        if response is not None:
+            return response
+        acting_leader = self.acting_leader
+        keepalive = decode_greeting(request) if acting_leader is not None else None
+        if acting_leader is None or keepalive is None:
             return None
-        answer = deputy.leading.answer_greeting(greeting)
-        answer = msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
+        answer = acting_leader.leading.answer_greeting(keepalive)
+        answer = msgspec.structs.replace(answer, is_deputy=True, domain=acting_leader.domain)
         return HttpResponse(status=200, body=msgspec.json.encode(answer))
 
     async def handle_peer(self, request: HttpRequest) -> HttpResponse:
         """Answer a request of another gateway, as acting leader or by relaying it to the leader."""
         try:
-            if self._job_lines.handles(request.path):
-                return await self._job_lines.handle(request)
+            if self._job_channels.handles(request.path):
+                return await self._job_channels.handle(request)
             if request.path != CALL_PATH:
                 return HttpResponse(status=404)
             call = call_decoder.decode(request.body)
@@ -311,15 +318,15 @@
 
     async def answer_peer(self, call: Call) -> Answer:
         """Answer a call of another gateway."""
-        deputy = self.acting_leader
-        if deputy is not None:
+        acting_leader = self.acting_leader
+        if acting_leader is not None:
             # It may have stepped down by the time a job has ended: mark its answers all the same.
-            answer = await deputy.leading.answer(call)
-            return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
+            answer = await acting_leader.leading.answer(call)
+            return msgspec.structs.replace(answer, is_deputy=True, domain=acting_leader.domain)
         leader = self.link.coordinator if self.link.has_direct_leader() else None
         if leader is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LEADER, hosts=tuple(self.hosts))
-        answer = await self.calls.ask(leader, call, _find_patience(call))
+        answer = await self.calls.ask(leader, call, _get_relay_timeout(call))
         if isinstance(call, Greet) and answer.outcome is not Outcome.DONE:
             return msgspec.structs.replace(answer, leader=leader, hosts=tuple(self.hosts))
         return answer
@@ -341,7 +348,7 @@
     return msgspec.structs.replace(call, suspects=answer.suspects or call.suspects)
 
 
-def _to_deputy(call: Call) -> Call:
+def _to_acting_leader(call: Call) -> Call:
     """Return a call as sent to an acting leader.
 
     The term of an earlier acting leader is cleared, since the new one has a higher fencing token.
@@ -351,11 +358,11 @@
     return call
 
 
-async def _ask_itself(deputy: ActingLeader, call: Call, timeout: timedelta) -> Answer:
+async def _call_itself(acting_leader: ActingLeader, call: Call, timeout: timedelta) -> Answer:
     """Answer a call of this gateway's own callers while it acts as leader, within a timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
-            return await deputy.leading.answer(_to_itself(call))
+            return await acting_leader.leading.answer(_to_itself(call))
     except TimeoutError:
         return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
@@ -367,10 +374,10 @@
     """
     if isinstance(call, Submit | Abandon):
         call = msgspec.structs.replace(call, gateway="")
-    return _to_deputy(call)
+    return _to_acting_leader(call)
 
 
-def _find_patience(call: Call) -> timedelta:
+def _get_relay_timeout(call: Call) -> timedelta:
     """Return how long the caller of a relayed call still waits."""
     if isinstance(call, Greet):
         return GREETING_PASSED
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -61,18 +61,18 @@
             self._has_durable_jobs = are_open
             self.failover_log.note_other()
 
-    def handle_keepalive(self, greeting: Greet) -> None:
+    def handle_keepalive(self, keepalive: Greet) -> None:
         """Record a gateway and its contact, if that is recent enough."""
-        gateway = greeting.gateway
+        gateway = keepalive.gateway
         if not gateway:
             return
         if gateway not in self._domains:
-            self._domains[gateway] = greeting.domain
+            self._domains[gateway] = keepalive.domain
             self.failover_log.note_other()
-        if self._instances.setdefault(gateway, greeting.life) != greeting.life:
-            self._instances[gateway] = greeting.life
+        if self._instances.setdefault(gateway, keepalive.life) != keepalive.life:
+            self._instances[gateway] = keepalive.life
             self.on_restart(gateway)
-        sent_at = self.find_send_time(gateway, greeting.contact)
+        sent_at = self.find_send_time(gateway, keepalive.contact)
         if sent_at is not None:
             self._record_contact(gateway, sent_at)
 
@@ -125,10 +125,10 @@
         now = self._clock.monotonic()
         if now < self._check_at:
             return False
-        heard = (
+        expiries = (
             at + GATEWAY_TIMEOUT for at in self._sent_at.values() if now - at < GATEWAY_TIMEOUT
         )
-        self._check_at = min(heard, default=NEVER)
+        self._check_at = min(expiries, default=NEVER)
         if now < self._confirmed_until:
             self._check_at = min(self._check_at, now + SUBMISSION_CHECK_INTERVAL)
         return True
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -111,7 +111,7 @@
         item = await self._send(order)
         return None if item.settled.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         """Renew a lease, and return the lists of the heartbeat after that."""
         item = await self._send(order)
         lists = item.settled.result() if item.settled.done() else None
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -85,7 +85,7 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_IN_TOUCH)
         if call.deputy_term >= self._term:
             # The token of the acting leader is higher than ours: a later term is needed first.
-            self._authority.renew()
+            self._authority.start_new_term()
             return Answer(outcome=Outcome.UNKNOWN, detail="an acting leader requires a later term")
         if job in self._records.jobs:
             return Answer(outcome=Outcome.DONE)
@@ -128,14 +128,14 @@
         self._wake()
         return Answer(outcome=Outcome.DONE)
 
-    def abandon_submission(self, gateway: str, given_up: GivenUp) -> bool:
+    def abandon_submission(self, gateway: str, submission: GivenUp) -> bool:
         """Abandon a submission that its gateway no longer waits for; False if already known."""
-        key = (gateway, given_up.number)
+        key = (gateway, submission.number)
         if key in self._abandoned:
             return False
         now = self._clock.monotonic()
         self._abandoned[key] = now
-        found = self._find_queue(given_up.host, given_up.path)
+        found = self._find_queue(submission.host, submission.path)
         if not isinstance(found, Answer):
             self._dispatch.abandon(found[1], gateway, now)
         return True
--- a/cottonlug/runtime/job_line.py
+++ b/cottonlug/runtime/job_line.py
@@ -68,11 +68,11 @@
     def __init__(
         self,
         *,
-        own: str,
+        own_address: str,
         open_pool: Callable[[], ConnectionPool],
         stamp: Callable[[Call], Call],
     ) -> None:
-        self._own = own
+        self._own_address = own_address
         self._channel_id = random.randrange(_MAX_CHANNEL_ID)
         self._open_pool = open_pool
         self._stamp = stamp
@@ -82,10 +82,10 @@
         self._changed = asyncio.Event()
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    async def submit(self, submit: Submit, timeout: timedelta) -> Answer:
+    async def submit(self, job: Submit, timeout: timedelta) -> Answer:
         """Have the other host run a job; `UNAVAILABLE` only if the job was never sent."""
         number = next(self._numbers)
-        item = self._pending[number] = _PendingJob(submit)
+        item = self._pending[number] = _PendingJob(job)
         self._ensure_tasks()
         self._changed.set()
         try:
@@ -140,13 +140,13 @@
             item.is_sent = True
             jobs.append(NumberedJob(number=number, submit=stamped))
         return msgspec.json.encode(
-            JobBatch(caller=self._own, line=self._channel_id, jobs=tuple(jobs))
+            JobBatch(caller=self._own_address, line=self._channel_id, jobs=tuple(jobs))
         )
 
     async def _poll_answers_forever(self) -> None:
         while await self._wait_for_work(lambda: list(self._pending.items())):
             ask = AskAnswers(
-                caller=self._own,
+                caller=self._own_address,
                 line=self._channel_id,
                 count=self._numbering,
                 have=self._received_through,
--- a/cottonlug/runtime/job_lines.py
+++ b/cottonlug/runtime/job_lines.py
@@ -101,15 +101,15 @@
 
     def receive(self, batch: JobBatch) -> None:
         """Queue the jobs of a batch that were not received before."""
-        line = self._get_channel(batch.caller, batch.line)
+        channel = self._get_channel(batch.caller, batch.line)
         now = self._clock.monotonic() / timedelta(seconds=1)
         for job in batch.jobs:
-            if job.number <= line.received_through:
+            if job.number <= channel.received_through:
                 continue
-            line.received_through = job.number
-            line.running_count += 1
+            channel.received_through = job.number
+            channel.running_count += 1
             last_use = now + self._find_slack(job.submit)
-            entry = (last_use, next(self._order), job.number, line, job.submit)
+            entry = (last_use, next(self._order), job.number, channel, job.submit)
             heapq.heappush(self._waiting, entry)
         if self._waiting and not self._is_start_scheduled:
             self._is_start_scheduled = True
@@ -120,31 +120,31 @@
 
         Returns none after `ANSWER_POLL_WAIT`.
         """
-        line = self._get_channel(ask.caller, ask.line)
-        if ask.count == line.numbering:
-            line.answers = [each for each in line.answers if each[0] > ask.have]
-        if not line.answers:
-            line.changed.clear()
+        channel = self._get_channel(ask.caller, ask.line)
+        if ask.count == channel.numbering:
+            channel.answers = [each for each in channel.answers if each[0] > ask.have]
+        if not channel.answers:
+            channel.changed.clear()
             try:
                 async with asyncio.timeout(ANSWER_POLL_WAIT.total_seconds()):
-                    await line.changed.wait()
+                    await channel.changed.wait()
             except TimeoutError:
                 pass
-        answers = tuple(answer for _, answer in line.answers)
-        return AnswerBatch(count=line.numbering, through=line.answer_count, answers=answers)
+        answers = tuple(answer for _, answer in channel.answers)
+        return AnswerBatch(count=channel.numbering, through=channel.answer_count, answers=answers)
 
     def _start_next(self) -> None:
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
         for _ in range(min(MAX_STARTS_PER_TURN, len(self._waiting))):
-            _, _, number, line, submit = heapq.heappop(self._waiting)
-            task = asyncio.create_task(self._carry_out(line, number, submit))
+            _, _, number, channel, submit = heapq.heappop(self._waiting)
+            task = asyncio.create_task(self._carry_out(channel, number, submit))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         self._is_start_scheduled = bool(self._waiting)
         if self._is_start_scheduled:
             asyncio.get_running_loop().call_soon(self._start_next)
 
-    async def _carry_out(self, line: _Channel, number: int, submit: Submit) -> None:
+    async def _carry_out(self, channel: _Channel, number: int, submit: Submit) -> None:
         try:
             answer = await self._answer(submit)
         except Exception as error:
@@ -153,26 +153,26 @@
             log_event(Event.CALL_FAILED, call="Submit", path=submit.path, detail=detail)
             answer = Answer(outcome=Outcome.UNKNOWN, detail=detail)
         finally:
-            line.running_count -= 1
-        line.answer_count += 1
-        line.answers.append((line.answer_count, NumberedAnswer(number=number, answer=answer)))
-        line.changed.set()
+            channel.running_count -= 1
+        channel.answer_count += 1
+        channel.answers.append((channel.answer_count, NumberedAnswer(number=number, answer=answer)))
+        channel.changed.set()
 
     def _get_channel(self, caller: str, number: int) -> _Channel:
         now = self._clock.monotonic()
-        line = self._channels.get((caller, number))
-        if line is None:
+        channel = self._channels.get((caller, number))
+        if channel is None:
             self._drop_idle(now)
             self._numbering += 1
-            line = self._channels[(caller, number)] = _Channel(
+            channel = self._channels[(caller, number)] = _Channel(
                 used_at=now, numbering=self._numbering
             )
-        line.used_at = now
-        return line
+        channel.used_at = now
+        return channel
 
     def _drop_idle(self, now: timedelta) -> None:
         self._channels = {
-            key: line
-            for key, line in self._channels.items()
-            if line.running_count or now - line.used_at < CHANNEL_RETENTION
+            key: channel
+            for key, channel in self._channels.items()
+            if channel.running_count or now - channel.used_at < CHANNEL_RETENTION
         }
--- a/cottonlug/runtime/leading.py
+++ b/cottonlug/runtime/leading.py
@@ -424,7 +424,7 @@
         self._has_waited = False
         if self.dispatch.is_fenced_off and self.gateways.is_any_connected():
             self.dispatch.forgive_fence()
-            self._authority.renew()
+            self._authority.start_new_term()
             return
         if self.gateways.may_have_timed_out():
             self.dispatch.abandon_silent(self.gateways.is_connected, now)
@@ -460,7 +460,7 @@
             failure = await self._port.stop(order, token)
             self.dispatch.take_stop_answer(order, failure, self._clock.monotonic())
         else:
-            reply = await self._port.look(order, token)
+            reply = await self._port.poll(order, token)
             self.dispatch.take_look(order, reply, sent_at, self._clock.monotonic())
         self._wake()
 
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -19,7 +19,7 @@
 from .control import Control, LocalControl
 from .entry import EntryHost
 from .events import Event, log_event
-from .follower import Follower
+from .follower import VoterClient
 from .rulebook import Rulebook
 from .voter import Voter
 
@@ -44,7 +44,7 @@
         """Start all components; return an error message if one failed, else None."""
         settings = self._settings
         if settings.rules is not None:
-            load_first_rules(self.rulebook, settings.rules)
+            load_initial_rules(self.rulebook, settings.rules)
         error = await self.control.start()
         if error is not None:
             return error
@@ -92,7 +92,7 @@
         ]
 
 
-def load_first_rules(rulebook: Rulebook, file: Path) -> None:
+def load_initial_rules(rulebook: Rulebook, file: Path) -> None:
     """Activate the rules of a file; raise `SettingsError` that lists every problem."""
     try:
         text = file.read_text()
@@ -102,7 +102,7 @@
     errors = [problem for problem in loaded.problems if not problem.is_warning]
     if errors or loaded.value is None:
         raise SettingsError("\n".join(f"{file}: {problem}" for problem in errors))
-    rulebook.put_in_force(1, text, loaded.value)
+    rulebook.activate(1, text, loaded.value)
     log_event(Event.RULES_IN_FORCE, version=1, rules=len(loaded.value.rules))
 
 
@@ -116,4 +116,4 @@
         return LocalControl(rulebook=rulebook)
     if settings.host in settings.voters:
         return Voter(settings=settings, clock=clock, rulebook=rulebook, on_failure=on_failure)
-    return Follower(settings=settings, clock=clock, rulebook=rulebook)
+    return VoterClient(settings=settings, clock=clock, rulebook=rulebook)
--- a/cottonlug/runtime/overdue.py
+++ b/cottonlug/runtime/overdue.py
@@ -18,7 +18,7 @@
 hundreds of answers in one iteration of its event loop, or waits for its disk (9 ms per sync)."""
 
 
-class Overdue:
+class KeepAliveTracker:
     """The keep-alives of one gateway that are not answered yet."""
 
     def __init__(self, *, clock: Clock) -> None:
@@ -26,11 +26,11 @@
         self._asked_at: dict[str, timedelta] = {}
         """Time of the first keep-alive to each host since it last answered."""
 
-    def note_asked(self, host: str) -> None:
+    def record_sent(self, host: str) -> None:
         """Record that a keep-alive is sent, unless an earlier one is still unanswered."""
         self._asked_at.setdefault(host, self._clock.monotonic())
 
-    def note_answered(self, host: str) -> bool:
+    def record_answered(self, host: str) -> bool:
         """Record that a host has answered; return whether the answer was overdue."""
         was_overdue = self.is_overdue(host)
         self._asked_at.pop(host, None)
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -100,7 +100,7 @@
         line = self._lines.get(host)
         if line is None:
             line = self._lines[host] = JobChannel(
-                own=self._own,
+                own_address=self._own,
                 open_pool=lambda: self._job_pools.get(address),
                 stamp=lambda call: self.stamp(call),
             )
--- a/cottonlug/runtime/ports.py
+++ b/cottonlug/runtime/ports.py
@@ -28,7 +28,7 @@
         """Send a stop; return why it failed, or None."""
         ...
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         """List the runs and ended runs of an upstream, or return why that failed."""
         ...
 
@@ -49,6 +49,6 @@
         """Append commands to the log; return whether they were accepted."""
         ...
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         """Give up the current term, and begin a later one if possible."""
         ...
--- a/cottonlug/runtime/process.py
+++ b/cottonlug/runtime/process.py
@@ -14,7 +14,7 @@
 from .events import Event, log_event
 
 
-class Life:
+class Lifecycle:
     """Tells the program when to stop; a second signal has no effect."""
 
     def __init__(self) -> None:
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -158,7 +158,7 @@
         self.member.transfer(self._clock.monotonic())
         self._pump()
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         """Campaign for a later term, as a leader whose token an upstream does not take any more."""
         member = self.member
         if member is None or member.role is not Role.LEADER or not self.has_lease():
--- a/cottonlug/runtime/rulebook.py
+++ b/cottonlug/runtime/rulebook.py
@@ -19,7 +19,7 @@
         """Return the first rule that matches, or None."""
         return self._match(question)
 
-    def put_in_force(self, version: int, text: str, document: RulesDocument) -> bool:
+    def activate(self, version: int, text: str, document: RulesDocument) -> bool:
         """Activate a document; False if the active version is at least as new."""
         if version <= self.version:
             return False
--- a/cottonlug/runtime/confirmations.py
+++ b/cottonlug/runtime/vouching.py
@@ -15,62 +15,62 @@
 from ..core.clock import Clock, to_milliseconds
 from ..core.cluster.calls import Answer, Call, Contact, GivenUp, Greet, Submit
 
-GIVEN_UP_TOLD = timedelta(seconds=1)
+ABANDONED_REPORT_PERIOD = timedelta(seconds=1)
 """How long keep-alives report an abandoned submission. A coordinator that gets no keep-alive for a
 third of this time abandons all jobs of the gateway."""
-MOST_GIVEN_UP = 256
+MAX_ABANDONED = 256
 """Abandoned submissions of a gateway within a second: 20 KB of a keep-alive."""
 
 
-class Vouching:
+class Confirmations:
     """The last contact with the coordinator, and the submissions abandoned lately."""
 
-    def __init__(self, *, own: str, clock: Clock) -> None:
-        self.life = int(clock.now().timestamp() * 1000)
+    def __init__(self, *, own_address: str, clock: Clock) -> None:
+        self.instance = int(clock.now().timestamp() * 1000)
         """Identifies this process by its start time in milliseconds: no earlier process at this
         address started in the same millisecond."""
-        self._own = own
+        self._own_address = own_address
         self._clock = clock
         self._contact: Contact | None = None
         """Contact from the last answer of the coordinator; `_contact_at` is when it arrived."""
         self._contact_at = clock.monotonic()
-        self._abandoned: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
+        self._abandoned: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MAX_ABANDONED)
         """Abandoned submissions, with the time when each was abandoned."""
-        self._silent_until = timedelta()
+        self._paused_until = timedelta()
 
-    def take(self, answer: Answer) -> None:
+    def record_contact(self, answer: Answer) -> None:
         """Record the contact in an answer of the coordinator."""
         self._contact = answer.contact
         self._contact_at = self._clock.monotonic()
 
-    def end(self) -> None:
+    def clear_contact(self) -> None:
         """Stop confirming, since calls go to another coordinator."""
         self._contact = None
 
-    def note_given_up(self, given_up: GivenUp) -> None:
+    def record_abandoned(self, submission: GivenUp) -> None:
         """Report a submission as abandoned with the keep-alives of the next second."""
         now = self._clock.monotonic()
-        if len(self._list_given_up()) >= MOST_GIVEN_UP:
+        if len(self._list_abandoned()) >= MAX_ABANDONED:
             # Not all can be reported: confirm nothing until the oldest need not be reported.
-            self._silent_until = now + GIVEN_UP_TOLD
-        self._abandoned.append((now, given_up))
+            self._paused_until = now + ABANDONED_REPORT_PERIOD
+        self._abandoned.append((now, submission))
 
     def stamp(self, call: Call) -> Call:
         """Return a call of this gateway with its current contact; other calls are unchanged."""
-        if not isinstance(call, Greet | Submit) or call.gateway != self._own:
+        if not isinstance(call, Greet | Submit) or call.gateway != self._own_address:
             return call
         if isinstance(call, Greet):
-            call = msgspec.structs.replace(call, given_up=self._list_given_up())
+            call = msgspec.structs.replace(call, given_up=self._list_abandoned())
         return msgspec.structs.replace(call, contact=self._find_contact())
 
     def _find_contact(self) -> Contact | None:
-        if self._contact is None or self._clock.monotonic() < self._silent_until:
+        if self._contact is None or self._clock.monotonic() < self._paused_until:
             return None
         since = self._clock.monotonic() - self._contact_at
         return msgspec.structs.replace(self._contact, since_ms=to_milliseconds(since))
 
-    def _list_given_up(self) -> tuple[GivenUp, ...]:
-        oldest = self._clock.monotonic() - GIVEN_UP_TOLD
+    def _list_abandoned(self) -> tuple[GivenUp, ...]:
+        oldest = self._clock.monotonic() - ABANDONED_REPORT_PERIOD
         while self._abandoned and self._abandoned[0][0] < oldest:
             self._abandoned.popleft()
-        return tuple(given_up for _, given_up in self._abandoned)
+        return tuple(submission for _, submission in self._abandoned)
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -29,7 +29,7 @@
 from ..runtime.gateways import GatewayRegistry
 from .model_upstreams import SERVICE, build_info, build_queue, build_spec
 
-PATIENCE = timedelta(seconds=1)
+CALL_TIMEOUT = timedelta(seconds=1)
 
 
 JOB = "0123456789abcdef"
@@ -48,13 +48,13 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         return None
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         self.tokens.add(token)
         await asyncio.sleep(order.wait.total_seconds())
         return LookReply(clock_ms=1_000, running=(), ended=())
 
 
-def fail(error: BaseException) -> None:
+def raise_error(error: BaseException) -> None:
     raise error
 
 
@@ -76,14 +76,14 @@
         drain_limit=timedelta(seconds=5),
         log=LogSettings(),
     )
-    return Gateway(settings=settings, clock=clock, port=IdlePort(), on_failure=fail)
+    return Gateway(settings=settings, clock=clock, port=IdlePort(), on_failure=raise_error)
 
 
 def build_clock() -> ManualClock:
     return ManualClock(start=datetime(2026, 1, 1, tzinfo=UTC))
 
 
-def build_roster(count: int = 2, keeps_jobs: bool = False) -> Roster:
+def build_failover_state(count: int = 2, keeps_jobs: bool = False) -> Roster:
     configuration = Configuration(
         version=ConfigurationVersion(1),
         queues=(build_queue(),),
@@ -112,11 +112,11 @@
         tried.append(call)
         return answers.pop(0)
 
-    gateway._try = try_once  # type: ignore[method-assign]
+    gateway._try_once = try_once  # type: ignore[method-assign]
     return tried
 
 
-def submit() -> Submit:
+def build_submit() -> Submit:
     return Submit(host="host", path=f"/q/{JOB}", spec=build_spec())
 
 
@@ -136,14 +136,14 @@
         gateway.calls.ask = build_ask(gateway)  # type: ignore[method-assign]
 
 
-def prepare(count: int, clock: ManualClock, **roster: Any) -> list[Gateway]:
+def build_gateways(count: int, clock: ManualClock, **roster: Any) -> list[Gateway]:
     gateways = [build_gateway(clock, number) for number in range(1, count + 1)]
     for gateway in gateways:
-        gateway.link.receive_failover_state(build_roster(count, **roster))
+        gateway.link.receive_failover_state(build_failover_state(count, **roster))
     return gateways
 
 
-def greet(gateway: str, domain: str = "north", roster: str = "") -> Greet:
+def build_keepalive(gateway: str, domain: str = "north", roster: str = "") -> Greet:
     return Greet(gateway=gateway, domain=DomainName(domain), roster=roster)
 
 
@@ -153,10 +153,10 @@
     gateways.failover_log.note_upstream(info.id)
 
 
-def stand_in() -> tuple[Gateway, ManualClock]:
+def build_acting_gateway() -> tuple[Gateway, ManualClock]:
     """Return a gateway that stands in; to be called on a running loop, after which it is asked."""
     clock = build_clock()
-    gateway = prepare(1, clock)[0]
+    gateway = build_gateways(1, clock)[0]
     connect([gateway], lambda asking, host: False)
     clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
     return gateway, clock
@@ -166,7 +166,9 @@
 
 
 def connect_with_leader(
-    gateways: list[Gateway], cut: Callable[[Gateway, str], bool], led: Callable[[Call], Answer]
+    gateways: list[Gateway],
+    cut: Callable[[Gateway, str], bool],
+    answer_leader: Callable[[Call], Answer],
 ) -> None:
     """Let gateways ask one another and a leader, where they are not cut off from it."""
     by_address = {gateway.link.own_address: gateway for gateway in gateways}
@@ -176,7 +178,7 @@
             if cut(asking, host):
                 return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
             if host == LEADER:
-                return led(call)
+                return answer_leader(call)
             return await by_address[host].answer_peer(call)
 
         return ask
@@ -185,7 +187,7 @@
         gateway.calls.ask = build_ask(gateway)  # type: ignore[method-assign]
 
 
-def lead(call: Call) -> Answer:
+def answer_as_leader(call: Call) -> Answer:
     if isinstance(call, Greet):
         return Answer(outcome=Outcome.DONE, leader=LEADER, hosts=(LEADER,))
     return Answer(outcome=Outcome.DONE, detail="led")
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -571,7 +571,7 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         raise AssertionError("there are no jobs")
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         await asyncio.sleep(2 * LINK)
         upstream = self._world.upstreams.get(order.upstream.id)
         if upstream is None:
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -26,7 +26,7 @@
 from ..runtime.deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
 from ..runtime.gateways import GATEWAY_TIMEOUT
 from ..runtime.leading import HELD_UP
-from ..runtime.confirmations import GIVEN_UP_TOLD
+from ..runtime.vouching import ABANDONED_REPORT_PERIOD
 from .model_upstreams import (
     Leader,
     ModelUpstream,
@@ -236,14 +236,14 @@
     def _greet(self, decider: Decider) -> None:
         world, sent_at = self.site.world, self.site.world.now
         contact = self._find_contact(decider)
-        given_up = [call for at, call in self.given_up if sent_at - at < GIVEN_UP_TOLD]
+        given_up = [call for at, call in self.given_up if sent_at - at < ABANDONED_REPORT_PERIOD]
 
         def hear() -> None:
             decider.take_given_up(self.name, given_up)
             decider.hear(self.name, contact)
-            world.at(HOP, take_answer)
+            world.at(HOP, receive_answer)
 
-        def take_answer() -> None:
+        def receive_answer() -> None:
             is_late = world.now - sent_at > KEEPALIVE_TIMEOUT
             if is_late or not self.is_up or not self.site.can_reach(decider.home, self.domain):
                 return
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -69,7 +69,7 @@
 CONTACT_SECONDS = 4.0
 """After a disruption calm counts from then on."""
 ACKNOWLEDGED_WITHIN = 5.0
-MOST_LOST = 2
+MAX_LOST_DISKS = 2
 """Disks that may be lost at the same time, and hosts that may be off for long."""
 CATCH_UP_SECONDS = 6.0
 """A lost disk counts as lost for so long after its host is back."""
@@ -162,13 +162,13 @@
         now = self.world.loop.time()
         lost = {name for name, until in self.lost_disks.items() if until > now}
         lost |= {machine.name for machine in machines}
-        if len(lost) > MOST_LOST:
+        if len(lost) > MAX_LOST_DISKS:
             return False
         for machine in machines:
             self.lost_disks[machine.name] = now + seconds + CATCH_UP_SECONDS
         return True
 
-    def meet(self, machine: Machine) -> None:
+    def send_until_answered(self, machine: Machine) -> None:
         """Send orders, often two of the same version, to a host until it answers."""
         if self.chance.random() < 0.5:
             self.send_configuration(machine)
@@ -181,7 +181,7 @@
         seconds = self.chance.uniform(RESTART_SECONDS, 8.0)
         wipe = self.chance.random() < 0.4 and self.may_lose([machine], seconds)
         self.world.kill(machine, power=power, wipe=wipe)
-        self.meet(machine)
+        self.send_until_answered(machine)
         await self.start_after(machine, seconds)
 
     async def lose_two(self) -> None:
@@ -212,7 +212,7 @@
     async def freeze(self) -> None:
         machine = self.pick()
         self.world.freeze(machine, self.chance.uniform(0.2, 7.0))
-        self.meet(machine)
+        self.send_until_answered(machine)
 
     async def cut(self) -> None:
         how = self.chance.choice(["domain", "one", "half"])
@@ -226,7 +226,7 @@
             group = self.chance.sample(machines, len(machines) // 2)
         self.troubles.append(f"({how}: {[each.name for each in group]})")
         self.world.cut_off(group)
-        self.meet(group[0])
+        self.send_until_answered(group[0])
         await asyncio.sleep(self.chance.uniform(1.0, 7.0))
         self.world.heal()
 
@@ -313,7 +313,7 @@
         at = self.world.loop.time()
         if self.chance.random() < 0.4:
             await asyncio.sleep(CATCH_UP_SECONDS)
-            off = self.chance.sample(list(self.world.machines.values()), MOST_LOST)
+            off = self.chance.sample(list(self.world.machines.values()), MAX_LOST_DISKS)
             self.troubles.append(f"off {[each.name for each in off]}")
             for machine in off:
                 self.world.kill(machine, power=True)
@@ -392,7 +392,7 @@
     return leader
 
 
-async def let_lead(world: World, machines: list[Machine]) -> Machine:
+async def restart_until_leads(world: World, machines: list[Machine]) -> Machine:
     """Restart those that lead until one of these does."""
     while (leader := world.find_leader()) not in machines:
         if leader is not None:
@@ -416,7 +416,7 @@
 
     async def day(world: World, machines: list[Machine]) -> None:
         seeds = machines[:3]
-        leader = await let_lead(world, machines[3:])
+        leader = await restart_until_leads(world, machines[3:])
         lost = next(each for each in machines[3:] if each is not leader)
         world.kill(lost, wipe=True)
         await asyncio.sleep(RESTART_SECONDS)
@@ -452,7 +452,7 @@
     assert member.leader is None
 
 
-async def hold_up(process: Process, seconds: float) -> None:
+async def delay_loop(process: Process, seconds: float) -> None:
     """Make each turn of a process's loop so long."""
     while True:
         process.work(seconds)
@@ -472,7 +472,7 @@
         operator = Operator(world, random.Random(1))
         leader = get_leader(world)
         assert leader.process is not None
-        leader.process.run(hold_up(leader.process, 0.08))
+        leader.process.run(delay_loop(leader.process, 0.08))
         await asyncio.sleep(CONTACT_SECONDS)
         async with asyncio.timeout(ACKNOWLEDGED_WITHIN):
             await operator.configure(1)
@@ -503,7 +503,7 @@
         self.proposed.append(data)
         return True
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         raise AssertionError("nobody has a later term")
 
 
@@ -597,7 +597,7 @@
         leader = get_leader(world)
         assert leader.process is not None
         for port, handler in list(leader.process.handlers.items()):
-            leader.process.handlers[port] = answer_late(handler)
+            leader.process.handlers[port] = delay_answers(handler)
         operator = Operator(world, random.Random(1))
         async with asyncio.timeout(ACKNOWLEDGED_WITHIN):
             await operator.configure(1)
@@ -606,7 +606,7 @@
     play_core(1, day)
 
 
-def answer_late(handler: Handler) -> Handler:
+def delay_answers(handler: Handler) -> Handler:
     async def handle(request: HttpRequest) -> HttpResponse:
         response = await handler(request)
         if request.path != MESSAGES_PATH:
@@ -616,7 +616,7 @@
     return handle
 
 
-PRESSING = 100
+CLIENT_COUNT = 100
 
 
 def test_a_busy_host_takes_in_all_that_have_connected() -> None:
@@ -642,11 +642,11 @@
         listener = Listener(app=app, address=address, takes_all=True)
         assert await listener.start() is None
         target = (address.host, address.port)
-        clients = [socket.create_connection(target) for _ in range(PRESSING)]
+        clients = [socket.create_connection(target) for _ in range(CLIENT_COUNT)]
         for client in clients:
             client.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         turns = 0
-        while len(handled) < PRESSING and turns < 10 * PRESSING:
+        while len(handled) < CLIENT_COUNT and turns < 10 * CLIENT_COUNT:
             turns += 1
             await asyncio.sleep(0)
         for client in clients:
@@ -655,7 +655,7 @@
         return turns
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        assert runner.run(run()) < PRESSING / 4
+        assert runner.run(run()) < CLIENT_COUNT / 4
 
 
 def test_a_leader_that_is_late_is_not_greeted_the_more() -> None:
@@ -678,7 +678,7 @@
         greetings.clear()
         await asyncio.sleep(2.0)
         usual = len(greetings)
-        leader.process.run(hold_up(leader.process, 0.03))
+        leader.process.run(delay_loop(leader.process, 0.03))
         await asyncio.sleep(2.0)
         greetings.clear()
         await asyncio.sleep(2.0)
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -30,19 +30,19 @@
 from ..runtime.gateways import GATEWAY_TIMEOUT, GatewayRegistry
 from ..runtime.leading import Leading, LeadingSettings
 from ..runtime.replicated import ReplicatedRecords
-from ..runtime.confirmations import MOST_GIVEN_UP
+from ..runtime.vouching import MAX_ABANDONED
 from .gateway_builders import (
     JOB,
     LEADER,
-    PATIENCE,
+    CALL_TIMEOUT,
     IdlePort,
     build_clock,
     build_gateway,
-    build_roster,
-    fail,
-    greet,
-    prepare,
-    submit,
+    build_failover_state,
+    raise_error,
+    build_keepalive,
+    build_gateways,
+    build_submit,
 )
 from .model_upstreams import build_info, milliseconds
 
@@ -81,7 +81,7 @@
 def build_leading(clock: ManualClock) -> Leading:
     """Return a leader of one upstream."""
     replicated = ReplicatedRecords()
-    replicated.records.put_in_force(build_roster().configuration)
+    replicated.records.put_in_force(build_failover_state().configuration)
     info = build_info("u1")
     replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     settings = LeadingSettings(
@@ -96,7 +96,7 @@
         port=IdlePort(),
         clock=clock,
         settings=settings,
-        on_failure=fail,
+        on_failure=raise_error,
     )
 
 
@@ -107,7 +107,7 @@
 
 
 def submit_from(gateway: Gateway) -> Submit:
-    return msgspec.structs.replace(submit(), gateway=gateway.link.own_address)
+    return msgspec.structs.replace(build_submit(), gateway=gateway.link.own_address)
 
 
 async def let_run() -> None:
@@ -133,7 +133,7 @@
 
 def prepare_way() -> tuple[Gateway, Way, ManualClock]:
     clock = build_clock()
-    (gateway,) = prepare(1, clock)
+    (gateway,) = build_gateways(1, clock)
     way = Way(gateway=gateway, leading=build_leading(clock))
     gateway.calls.ask = way.ask  # type: ignore[method-assign]
     return gateway, way, clock
@@ -158,7 +158,7 @@
 def test_a_submission_that_was_held_up_begins_nothing() -> None:
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         way.is_cut = True
-        await gateway._try(submit_from(gateway), PATIENCE)
+        await gateway._try_once(submit_from(gateway), CALL_TIMEOUT)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
@@ -176,7 +176,7 @@
 
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         clock.advance(GATEWAY_TIMEOUT - BETWEEN_GREETINGS - milliseconds(10))
-        waiting = asyncio.create_task(gateway._try(submit_from(gateway), PATIENCE))
+        waiting = asyncio.create_task(gateway._try_once(submit_from(gateway), CALL_TIMEOUT))
         await let_run()
         clock.advance(milliseconds(20))
         leading = way.leading
@@ -194,7 +194,9 @@
 
     def hear(gateway: str) -> None:
         contact = gateways.build_contact()
-        gateways.handle_keepalive(msgspec.structs.replace(greet(gateway), contact=contact))
+        gateways.handle_keepalive(
+            msgspec.structs.replace(build_keepalive(gateway), contact=contact)
+        )
 
     assert not gateways.may_have_timed_out()
     hear("a")
@@ -218,7 +220,7 @@
     clock = build_clock()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
     contact = gateways.build_contact()
-    gateways.handle_keepalive(msgspec.structs.replace(greet("a"), contact=contact))
+    gateways.handle_keepalive(msgspec.structs.replace(build_keepalive("a"), contact=contact))
     clock.advance(milliseconds(200))
     assert gateways.find_send_time("b", gateways.build_contact()) is not None
     clock.advance(milliseconds(100))
@@ -230,7 +232,7 @@
 
 async def submit_by(gateway: Gateway, way: Way) -> asyncio.Task[Answer]:
     """Have a caller's job under way at the leader."""
-    waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
+    waiting = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
     await let_run()
     assert way.leading.dispatch.jobs.is_open(JobId(JOB))
     return waiting
@@ -255,7 +257,7 @@
 def test_a_submission_that_comes_after_its_end_was_told_begins_nothing() -> None:
     async def script(gateway: Gateway, way: Way, clock: ManualClock) -> None:
         way.holds_submissions = True
-        waiting = asyncio.create_task(gateway.call(submit(), PATIENCE))
+        waiting = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
         await let_run()
         waiting.cancel()
         await let_run()
@@ -274,7 +276,7 @@
         waiting = await submit_by(gateway, way)
         clock.advance(GATEWAY_TIMEOUT - BETWEEN_GREETINGS - milliseconds(10))
         other = msgspec.structs.replace(submit_from(gateway), path=f"/q/{'f' * 16}")
-        also_waiting = asyncio.create_task(gateway._try(other, PATIENCE))
+        also_waiting = asyncio.create_task(gateway._try_once(other, CALL_TIMEOUT))
         await let_run()
         clock.advance(BETWEEN_GREETINGS + milliseconds(20))
         leading = way.leading
@@ -354,9 +356,9 @@
         waiting = await submit_by(gateway, way)
         waiting.cancel()
         await let_run()
-        for number in range(MOST_GIVEN_UP):
+        for number in range(MAX_ABANDONED):
             other = GivenUp(host="host", path=f"/q/{number:016x}", number=-number - 1)
-            gateway.link.confirmations.note_given_up(other)
+            gateway.link.confirmations.record_abandoned(other)
         until = clock.monotonic() + GATEWAY_TIMEOUT
         while clock.monotonic() < until:
             await gateway.link.send_keepalive()
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -32,15 +32,15 @@
 from .gateway_builders import (
     JOB,
     LEADER,
-    PATIENCE,
+    CALL_TIMEOUT,
     build_clock,
     build_gateway,
-    build_roster,
+    build_failover_state,
     connect,
-    greet,
-    prepare,
-    stand_in,
-    submit,
+    build_keepalive,
+    build_gateways,
+    build_acting_gateway,
+    build_submit,
 )
 from .model_upstreams import build_info, build_spec, milliseconds
 
@@ -48,7 +48,7 @@
 def test_the_lowest_gateway_stands_in_and_the_others_follow() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(3, clock)
+        gateways = build_gateways(3, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
@@ -66,7 +66,7 @@
 def test_nobody_stands_in_before_the_span_or_beside_a_leader_that_another_reaches() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(2, clock)
+        gateways = build_gateways(2, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE - milliseconds(1))
         await gateways[0].link.replace_leader()
@@ -84,7 +84,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(4, clock)
+        gateways = build_gateways(4, clock)
         infos = tuple(
             GatewayInfo(address=gateway.link.own_address, domain=DomainName(domain))
             for gateway, domain in zip(gateways, ("north", "north", "south", "south"), strict=True)
@@ -93,7 +93,9 @@
             UpstreamRecord(info=build_info(f"u{number}", domain="north"))
             for number in range(MOST_FOR_ONE_DEPUTY + 1)
         )
-        roster = msgspec.structs.replace(build_roster(4), gateways=infos, upstreams=upstreams)
+        roster = msgspec.structs.replace(
+            build_failover_state(4), gateways=infos, upstreams=upstreams
+        )
         for gateway in gateways:
             gateway.link.receive_failover_state(roster)
         connect(gateways, lambda asking, host: False)
@@ -117,7 +119,7 @@
 def test_nobody_stands_in_while_jobs_must_be_kept() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(1, clock, keeps_jobs=True)
+        gateways = build_gateways(1, clock, keeps_jobs=True)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
@@ -129,7 +131,7 @@
 def test_tokens_of_deputies_rise_and_stay_below_the_next_leader() -> None:
     async def play() -> list[int]:
         clock = build_clock()
-        gateways = prepare(2, clock)
+        gateways = build_gateways(2, clock)
         connect(gateways, lambda asking, host: True)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         tokens = []
@@ -148,7 +150,7 @@
 def test_a_deputy_that_was_held_up_stands_down() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(1, clock)
+        gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
@@ -165,12 +167,12 @@
 
     async def play() -> None:
         clock = build_clock()
-        (gateway,) = prepare(1, clock)
+        (gateway,) = build_gateways(1, clock)
         connect([gateway], lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
-        gateway.acting_leader.authority.renew()
+        gateway.acting_leader.authority.start_new_term()
         for _ in range(10):
             clock.advance(milliseconds(180))
             await gateway.link.replace_leader()
@@ -188,7 +190,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(1, clock)
+        gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
@@ -207,14 +209,14 @@
 def test_jobs_of_a_silent_gateway_are_given_up_before_it_may_take_them_elsewhere() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(1, clock)
+        gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
         deputy = gateways[0].acting_leader
         assert deputy is not None
         leading = deputy.leading
-        greeted = await leading.answer(greet("10.0.0.9:7000"))
+        greeted = await leading.answer(build_keepalive("10.0.0.9:7000"))
         call = Submit(
             host="host",
             path=f"/q/{JOB}",
@@ -268,7 +270,7 @@
 def test_nobody_stands_in_beside_a_lower_gateway_that_it_does_not_usually_ask() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateways = prepare(6, clock)
+        gateways = build_gateways(6, clock)
         down = {gateway.link.own_address for gateway in gateways[:4]}
         connect(gateways, lambda asking, host: host in down)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
@@ -295,7 +297,7 @@
     """Found by reading: a deputy accepted jobs that must be kept, and knew of none."""
 
     async def play() -> Outcome:
-        gateway, _ = stand_in()
+        gateway, _ = build_acting_gateway()
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
         answer = await gateway.acting_leader.leading.answer(call)
@@ -308,19 +310,19 @@
 def test_the_term_of_a_deputy_is_that_of_the_roster_it_stands_in_with() -> None:
     """A leader took two later terms after one deputy."""
     gateway = build_gateway(build_clock())
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
     async def lose_deputy(call: Call, timeout: timedelta) -> Answer:
         # The next leader's roster comes while the call is under way.
-        gateway.link.receive_failover_state(msgspec.structs.replace(build_roster(), term=6))
+        gateway.link.receive_failover_state(msgspec.structs.replace(build_failover_state(), term=6))
         assert not isinstance(call, Submit) or call.deputy_term in (0, 5)
         if isinstance(call, Submit) and call.may_have_begun:
             return Answer(outcome=Outcome.DONE)
         return Answer(outcome=Outcome.UNKNOWN)
 
-    gateway._try = lose_deputy  # type: ignore[method-assign]
-    assert asyncio.run(gateway.call(submit(), PATIENCE)).outcome is Outcome.DONE
+    gateway._try_once = lose_deputy  # type: ignore[method-assign]
+    assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)).outcome is Outcome.DONE
 
 
 def test_what_a_deputy_cannot_answer_does_not_lose_what_it_has_under_way() -> None:
@@ -332,7 +334,7 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LOG, is_deputy=True)
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
-        await gateway._try(AskState(host="host", path="/q/"), PATIENCE)
+        await gateway._try_once(AskState(host="host", path="/q/"), CALL_TIMEOUT)
         assert gateway.coordinator == "10.0.0.2:7000"
 
     asyncio.run(play())
@@ -343,7 +345,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        (gateway,) = prepare(1, clock)
+        (gateway,) = build_gateways(1, clock)
         answers = Answer(outcome=Outcome.UNAVAILABLE, hosts=(LEADER,))
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
@@ -367,9 +369,9 @@
     """Failed with all control hosts off: the other gateways were answered by a fault (500)."""
 
     async def play() -> None:
-        gateway, _ = stand_in()
+        gateway, _ = build_acting_gateway()
         await gateway.link.replace_leader()
-        answering = asyncio.create_task(gateway.answer_peer(submit()))
+        answering = asyncio.create_task(gateway.answer_peer(build_submit()))
         await asyncio.sleep(0.05)
         gateway.link.step_down()
         answer = await answering
@@ -387,7 +389,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        _, follower = prepare(2, clock)
+        _, follower = build_gateways(2, clock)
         deputy = "10.0.0.1:7000"
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
@@ -409,7 +411,7 @@
 
 def test_a_deputy_that_stands_in_no_more_is_left_at_once() -> None:
     async def play() -> None:
-        _, follower = prepare(2, build_clock())
+        _, follower = build_gateways(2, build_clock())
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             return Answer(outcome=Outcome.UNAVAILABLE, detail="cannot connect")
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -15,7 +15,14 @@
 from ..runtime.control_host import ControlHost
 from ..runtime.decider import RELAY_AFTER, Via
 from ..runtime.events import Event
-from .gateway_builders import LEADER, IdlePort, build_clock, build_gateway, build_roster, fail
+from .gateway_builders import (
+    LEADER,
+    IdlePort,
+    build_clock,
+    build_gateway,
+    build_failover_state,
+    raise_error,
+)
 from .test_cluster_settings import CONTROL, write
 
 Logged = list[tuple[Event, dict[str, object]]]
@@ -36,7 +43,7 @@
         settings=load_control_settings(write(tmp_path, CONTROL)),
         clock=build_clock(),
         port=IdlePort(),
-        on_failure=fail,
+        on_failure=raise_error,
     )
     host.leading = SimpleNamespace(term=3)  # type: ignore[assignment]
     host._had_lease = True
@@ -61,7 +68,7 @@
     async def play() -> None:
         clock = build_clock()
         gateway = build_gateway(clock)
-        gateway.link.receive_failover_state(build_roster(1))
+        gateway.link.receive_failover_state(build_failover_state(1))
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             return Answer(outcome=Outcome.UNKNOWN)
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -18,15 +18,15 @@
 from ..runtime.gateway import NO_LEADER
 from .gateway_builders import (
     LEADER,
-    PATIENCE,
+    CALL_TIMEOUT,
     answer_in_turn,
     build_clock,
     build_gateway,
-    build_roster,
+    build_failover_state,
     connect_with_leader,
-    lead,
-    prepare,
-    submit,
+    answer_as_leader,
+    build_gateways,
+    build_submit,
 )
 from .model_upstreams import milliseconds
 
@@ -36,7 +36,7 @@
     gateway = build_gateway(build_clock())
     answers = [Answer(outcome=Outcome.UNKNOWN), Answer(outcome=Outcome.REJECTED)]
     tried = answer_in_turn(gateway, answers)
-    answer = asyncio.run(gateway.call(submit(), PATIENCE))
+    answer = asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     assert answer.outcome is Outcome.UNKNOWN
     second = tried[1]
     assert isinstance(second, Submit)
@@ -47,16 +47,16 @@
     gateway = build_gateway(build_clock())
     rejected = Answer(outcome=Outcome.REJECTED, retry_after_ms=2_000)
     answer_in_turn(gateway, [rejected])
-    assert asyncio.run(gateway.call(submit(), PATIENCE)) == rejected
+    assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)) == rejected
 
 
 def test_a_try_at_a_deputy_is_told_to_the_next_leader() -> None:
     gateway = build_gateway(build_clock())
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
     answers = [Answer(outcome=Outcome.UNKNOWN), Answer(outcome=Outcome.DONE)]
     tried = answer_in_turn(gateway, answers)
-    asyncio.run(gateway.call(submit(), PATIENCE))
+    asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     second = tried[1]
     assert isinstance(second, Submit)
     assert second.deputy_term == 5
@@ -68,7 +68,7 @@
     async def play() -> list[Call]:
         clock = build_clock()
         gateway = build_gateway(clock)
-        gateway.link.receive_failover_state(build_roster())
+        gateway.link.receive_failover_state(build_failover_state())
         tried: list[Call] = []
 
         async def try_once(call: Call, timeout: timedelta) -> Answer:
@@ -76,8 +76,8 @@
             clock.advance(milliseconds(500))
             return Answer(outcome=Outcome.UNKNOWN)
 
-        gateway._try = try_once  # type: ignore[method-assign]
-        answer = await gateway.call(submit(), timedelta(seconds=10))
+        gateway._try_once = try_once  # type: ignore[method-assign]
+        answer = await gateway.call(build_submit(), timedelta(seconds=10))
         assert answer.outcome is Outcome.UNKNOWN
         await asyncio.sleep(0)
         return tried
@@ -138,7 +138,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        gateway = prepare(1, clock)[0]
+        gateway = build_gateways(1, clock)[0]
         is_lost = False
         sent: list[tuple[str, Call]] = []
 
@@ -157,7 +157,7 @@
         is_lost = True
         greeting = asyncio.create_task(gateway.link.send_keepalive())
         await asyncio.sleep(0)
-        calling = asyncio.create_task(gateway.call(submit(), PATIENCE))
+        calling = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
         await asyncio.sleep(0.02)
         assert not sent
         assert gateway.held_back
@@ -174,13 +174,13 @@
 def test_a_job_goes_to_a_leader_that_was_only_late_as_soon_as_it_answers() -> None:
     async def play() -> None:
         clock = build_clock()
-        gateway = prepare(1, clock)[0]
-        connect_with_leader([gateway], lambda asking, host: False, lead)
+        gateway = build_gateways(1, clock)[0]
+        connect_with_leader([gateway], lambda asking, host: False, answer_as_leader)
         gateway.link.follow(LEADER, Via.LEADER)
-        gateway.link._keepalive_tracker.note_asked(LEADER)
+        gateway.link._keepalive_tracker.record_sent(LEADER)
         clock.advance(milliseconds(50))
         assert gateway.link.is_overdue()
-        calling = asyncio.create_task(gateway.call(submit(), PATIENCE))
+        calling = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
         await asyncio.sleep(0)
         assert not calling.done()
         await gateway.link.send_keepalive()
@@ -195,9 +195,9 @@
 
     async def play() -> None:
         clock = build_clock()
-        cut_off, other = gateways = prepare(2, clock)
+        cut_off, other = gateways = build_gateways(2, clock)
         connect_with_leader(
-            gateways, lambda asking, host: asking is cut_off and host == LEADER, lead
+            gateways, lambda asking, host: asking is cut_off and host == LEADER, answer_as_leader
         )
         await other.link.send_keepalive()
         cut_off.link.follow(LEADER, Via.LEADER)
@@ -206,7 +206,7 @@
         await cut_off.link.send_keepalive()
         await cut_off.link.replace_leader()
         assert (cut_off.coordinator, cut_off.link.via) == (other.link.own_address, Via.RELAY)
-        assert (await cut_off.call(submit(), PATIENCE)).detail == "led"
+        assert (await cut_off.call(build_submit(), CALL_TIMEOUT)).detail == "led"
         clock.advance(timedelta(seconds=1))
         await other.link.send_keepalive()
         await cut_off.link.replace_leader()
@@ -221,8 +221,8 @@
 
     async def play() -> None:
         clock = build_clock()
-        (gateway,) = prepare(1, clock, keeps_jobs=True)
-        connect_with_leader([gateway], lambda asking, host: True, lead)
+        (gateway,) = build_gateways(1, clock, keeps_jobs=True)
+        connect_with_leader([gateway], lambda asking, host: True, answer_as_leader)
         gateway.link.follow(LEADER, Via.LEADER)
         clock.advance(CALLS_LOST_AFTER - milliseconds(1))
         await gateway.link.replace_leader()
@@ -230,7 +230,9 @@
         clock.advance(milliseconds(1))
         await gateway.link.replace_leader()
         assert gateway.coordinator is None
-        assert (await gateway._try(submit(), PATIENCE)).outcome is Outcome.UNAVAILABLE
+        assert (
+            await gateway._try_once(build_submit(), CALL_TIMEOUT)
+        ).outcome is Outcome.UNAVAILABLE
 
     asyncio.run(play())
 
@@ -238,10 +240,12 @@
 def test_a_gateway_goes_back_to_the_leader_once_it_reaches_it() -> None:
     async def play() -> None:
         clock = build_clock()
-        cut_off, other = gateways = prepare(2, clock)
+        cut_off, other = gateways = build_gateways(2, clock)
         is_cut = [True]
         connect_with_leader(
-            gateways, lambda asking, host: is_cut[0] and asking is cut_off and host == LEADER, lead
+            gateways,
+            lambda asking, host: is_cut[0] and asking is cut_off and host == LEADER,
+            answer_as_leader,
         )
         await other.link.send_keepalive()
         clock.advance(RELAY_AFTER - milliseconds(1))
@@ -262,9 +266,9 @@
 def test_a_gateway_that_lost_the_leader_itself_is_left() -> None:
     async def play() -> None:
         clock = build_clock()
-        cut_off, other = gateways = prepare(2, clock)
+        cut_off, other = gateways = build_gateways(2, clock)
         connect_with_leader(
-            gateways, lambda asking, host: asking is cut_off and host == LEADER, lead
+            gateways, lambda asking, host: asking is cut_off and host == LEADER, answer_as_leader
         )
         clock.advance(RELAY_AFTER)
         await other.link.send_keepalive()
@@ -283,7 +287,7 @@
 
     async def play() -> None:
         clock = build_clock()
-        (gateway,) = prepare(1, clock)
+        (gateway,) = build_gateways(1, clock)
         other = "10.0.0.9:7000"
         answers = Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
@@ -305,7 +309,7 @@
 @pytest.mark.parametrize("via", [Via.ACTING_LEADER, Via.RELAY])
 def test_a_gateway_that_neither_stands_in_nor_passes_on_any_more_is_left_at_once(via: Via) -> None:
     async def play() -> None:
-        (gateway,) = prepare(1, build_clock())
+        (gateway,) = build_gateways(1, build_clock())
         other = "10.0.0.9:7000"
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -23,14 +23,14 @@
 )
 
 DOMAINS = [DomainName(f"d{number}") for number in range(5)]
-EACH = 8
+UPSTREAMS_PER_DOMAIN = 8
 """Upstreams of a domain, with room for two tasks each."""
 
 
 def build_leader(seed: int, run_ms: int = 200) -> Leader:
     infos = [
         build_info(f"u{number + 1}", domain=DOMAINS[number % len(DOMAINS)])
-        for number in range(len(DOMAINS) * EACH)
+        for number in range(len(DOMAINS) * UPSTREAMS_PER_DOMAIN)
     ]
     return lead_site(infos, seed=seed, run_ms=run_ms)
 
@@ -64,7 +64,7 @@
     submit(leader, 2, DOMAINS[3], tasks=20)
     leader.world.run_until(leader.world.now + milliseconds(50))
     counted = count_domains(leader)
-    assert (counted[DOMAINS[3]], counted[DOMAINS[0]]) == (2 * EACH, 4)
+    assert (counted[DOMAINS[3]], counted[DOMAINS[0]]) == (2 * UPSTREAMS_PER_DOMAIN, 4)
     assert sum(counted.values()) == 24
 
 
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -19,14 +19,14 @@
 from ..runtime.gateways import GatewayRegistry
 from ..runtime.log_output import LogOutput
 from .gateway_builders import (
-    PATIENCE,
+    CALL_TIMEOUT,
     answer_in_turn,
     build_clock,
     build_gateway,
-    build_roster,
-    greet,
-    stand_in,
-    submit,
+    build_failover_state,
+    build_keepalive,
+    build_acting_gateway,
+    build_submit,
 )
 from .model_upstreams import Leader, build_queue, build_spec, milliseconds
 from .test_cluster_dispatch import build_world, start_leader
@@ -46,12 +46,12 @@
 def test_a_refusal_is_measured_by_the_objective_of_its_job() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     shares: list[float] = []
     gateway.record_refusal = shares.append
     answer_in_turn(gateway, [Answer(outcome=Outcome.REJECTED), Answer(outcome=Outcome.DONE)])
-    asyncio.run(gateway.call(submit(), PATIENCE))
-    asyncio.run(gateway.call(submit(), PATIENCE))
+    asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
+    asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     assert shares == [0.0]
     assert gateway.held_to_end == 0
 
@@ -59,7 +59,7 @@
 def test_an_answer_held_until_its_caller_gives_up_is_counted() -> None:
     gateway = build_gateway(build_clock())
     answer_in_turn(gateway, [])
-    answer = asyncio.run(gateway.call(submit(), milliseconds(10)))
+    answer = asyncio.run(gateway.call(build_submit(), milliseconds(10)))
     assert answer.outcome is Outcome.UNAVAILABLE
     assert gateway.held_to_end == 1
 
@@ -120,10 +120,14 @@
     contact = gateways.build_contact()
     clock.advance(milliseconds(84))
     prompt = msgspec.structs.replace(contact, since_ms=80)
-    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
+    gateways.handle_keepalive(
+        msgspec.structs.replace(build_keepalive("10.0.0.2:7000"), contact=prompt)
+    )
     assert not capture
     clock.advance(milliseconds(400))
-    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=prompt))
+    gateways.handle_keepalive(
+        msgspec.structs.replace(build_keepalive("10.0.0.2:7000"), contact=prompt)
+    )
     assert ages == [4.0, 404.0]
     assert capture == [(Event.GREETING_LATE, {"gateway": "10.0.0.2:7000", "age_ms": 404})]
 
@@ -133,7 +137,9 @@
     ages: list[float] = []
     gateways.record_age = ages.append
     other = Contact(token=2_000_000, answered_ms=0)
-    gateways.handle_keepalive(msgspec.structs.replace(greet("10.0.0.2:7000"), contact=other))
+    gateways.handle_keepalive(
+        msgspec.structs.replace(build_keepalive("10.0.0.2:7000"), contact=other)
+    )
     assert not ages
 
 
@@ -141,7 +147,7 @@
     capture: list[tuple[Event, dict[str, object]]],
 ) -> None:
     async def play() -> None:
-        gateway, clock = stand_in()
+        gateway, clock = build_acting_gateway()
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
         leading = gateway.acting_leader.leading
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -14,7 +14,7 @@
 from ..core.cluster.open_jobs import find_longest_wait
 from ..core.cluster.records import Records
 from ..core.cluster.tempo import LONGEST_INTERVAL, Tempo
-from .gateway_builders import JOB, build_clock, build_gateway, build_roster, submit
+from .gateway_builders import JOB, build_clock, build_gateway, build_failover_state, build_submit
 from .model_upstreams import build_queue, build_spec, milliseconds
 from .test_cluster_dispatch import build_world, start_leader
 from .test_cluster_policy import build_batch
@@ -133,7 +133,7 @@
         clock.advance(step)  # type: ignore[attr-defined]
         return Answer(outcome=Outcome.UNAVAILABLE)
 
-    gateway._try = try_once  # type: ignore[attr-defined]
+    gateway._try_once = try_once  # type: ignore[attr-defined]
     return tried
 
 
@@ -141,9 +141,9 @@
     """Callers were held to their deadlines, 144 of 4,286."""
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     tried = answer_unavailable(gateway, clock, milliseconds(100))
-    answer = asyncio.run(gateway.call(submit(), timedelta(seconds=10)))
+    answer = asyncio.run(gateway.call(build_submit(), timedelta(seconds=10)))
     assert answer.outcome is Outcome.UNAVAILABLE
     # The objective is 156 ms; begun after 468 - 60 ms the job would be of no use.
     assert len(tried) == 5
@@ -154,7 +154,7 @@
 def test_a_job_that_is_of_use_for_long_is_tried_for_long() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     tried = answer_unavailable(gateway, clock, milliseconds(100))
     call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(run_ms=5_000))
     asyncio.run(gateway.call(call, timedelta(seconds=1)))
@@ -168,7 +168,7 @@
     """Failed on a site of kept jobs: callers were held for 2 s while all control hosts were off."""
     clock = build_clock()
     gateway = build_gateway(clock)
-    gateway.link.receive_failover_state(build_roster())
+    gateway.link.receive_failover_state(build_failover_state())
     monkeypatch.setattr(
         gateway.link, "is_control_majority_silent", lambda: is_control_majority_silent
     )
--- a/cottonlug/tests/test_cluster_patience.py
+++ b/cottonlug/tests/test_cluster_patience.py
@@ -14,7 +14,7 @@
 def learn(*times_ms: float) -> Patience:
     patience = Patience()
     for each in times_ms:
-        patience.take_answer(milliseconds(each))
+        patience.receive_answer(milliseconds(each))
     return patience
 
 
--- a/cottonlug/tests/test_cluster_rosters.py
+++ b/cottonlug/tests/test_cluster_rosters.py
@@ -27,26 +27,26 @@
     add_upstream,
     build_clock,
     build_gateway,
-    build_roster,
-    greet,
-    stand_in,
+    build_failover_state,
+    build_keepalive,
+    build_acting_gateway,
 )
 
 
 def test_a_roster_holds_what_a_deputy_decides_by_and_no_more() -> None:
     clock = build_clock()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
-    gateways.handle_keepalive(greet("10.0.0.2:7000"))
-    gateways.handle_keepalive(greet("10.0.0.1:7000"))
+    gateways.handle_keepalive(build_keepalive("10.0.0.2:7000"))
+    gateways.handle_keepalive(build_keepalive("10.0.0.1:7000"))
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.put_in_force(build_failover_state().configuration)
     roster = gateways.build_failover_state(records, "")
     assert roster is not None
     assert [each.address for each in roster.gateways] == ["10.0.0.1:7000", "10.0.0.2:7000"]
     assert roster.configuration is not None
     assert roster.configuration.document == ""
     assert roster.configuration.queues
-    gateways.handle_keepalive(greet("10.0.0.2:7000"))
+    gateways.handle_keepalive(build_keepalive("10.0.0.2:7000"))
     assert gateways.build_failover_state(records, roster.version) is None
     gateways.failover_log.note_other()
     assert gateways.build_failover_state(records, roster.version) is not None
@@ -72,7 +72,7 @@
     """Each change of one upstream sent 35 KB to each of 44 gateways."""
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.put_in_force(build_failover_state().configuration)
     for number in range(3):
         add_upstream(gateways, records, f"u{number}")
     whole = gateways.build_failover_state(records, "")
@@ -145,7 +145,7 @@
     """
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
-    records.put_in_force(build_roster().configuration)
+    records.put_in_force(build_failover_state().configuration)
     for number in range(999):
         add_upstream(gateways, records, f"i-{number:08x}")
     link_bytes_a_second = 12.5e6 / 8
@@ -208,30 +208,30 @@
 
 def test_a_gateway_stands_in_by_its_last_whole_roster() -> None:
     gateway = build_gateway(build_clock())
-    whole = build_roster()
+    whole = build_failover_state()
     gateway.link.receive_failover_state(whole)
     part = msgspec.structs.replace(whole, version="9.5>u1", term=9, is_partial=True)
     gateway.link.receive_failover_state(part)
-    assert gateway.link.failover_store.whole is whole
+    assert gateway.link.failover_store.current is whole
     rest = msgspec.structs.replace(
         part, version="9.5", base="9.5>u1", is_partial=False, upstreams=()
     )
     gateway.link.receive_failover_state(rest)
     assert (
-        gateway.link.failover_store.whole is not None
-        and gateway.link.failover_store.whole.term == 9
+        gateway.link.failover_store.current is not None
+        and gateway.link.failover_store.current.term == 9
     )
-    assert len(gateway.link.failover_store.whole.upstreams) == len(whole.upstreams)
+    assert len(gateway.link.failover_store.current.upstreams) == len(whole.upstreams)
 
 
 def test_a_deputy_sends_no_rosters() -> None:
     """Found by reading: it sent the whole one with each answer to a greeting."""
 
     async def play() -> Answer:
-        gateway, _ = stand_in()
+        gateway, _ = build_acting_gateway()
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
-        answer = await gateway.answer_peer(greet("10.0.0.9:7000"))
+        answer = await gateway.answer_peer(build_keepalive("10.0.0.9:7000"))
         gateway.stop()
         return answer
 
--- a/cottonlug/tests/test_cluster_site.py
+++ b/cottonlug/tests/test_cluster_site.py
@@ -63,7 +63,7 @@
     site.world.at(milliseconds(chance.uniform(100, 1_500)), site.stops_lost_at.clear)
 
 
-def hold_up(site: Site, chance: random.Random) -> None:
+def delay_coordinator(site: Site, chance: random.Random) -> None:
     """Have a host that decides get on for 25 ms between times in which it does nothing."""
     deciders = [each for each in (site.leader, *site.deputies.values()) if each is not None]
     held = chance.choice(deciders) if deciders else None
@@ -107,4 +107,4 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_campaign_of_hosts_that_are_held_up(seed: int) -> None:
-    play(seed, (cut_domain, *[hold_up] * 5), late_share=0.0)
+    play(seed, (cut_domain, *[delay_coordinator] * 5), late_share=0.0)
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -28,7 +28,7 @@
     add_upstream,
     build_clock,
     build_gateway,
-    build_roster,
+    build_failover_state,
 )
 from .model_upstreams import build_info
 from .test_cluster_waiting import lead
@@ -38,7 +38,7 @@
 
 def build_desk(upstreams: int = SPREAD_FROM) -> tuple[HeartbeatDesk, Records, ManualClock]:
     clock, records = build_clock(), Records()
-    records.put_in_force(build_roster().configuration)
+    records.put_in_force(build_failover_state().configuration)
     for number in range(upstreams):
         info = build_info(f"u{number}")
         records.upstreams[info.id] = UpstreamRecord(info=info, sequence=5)
@@ -188,7 +188,7 @@
 
 def test_many_gateways_greet_less_often_and_twice_within_their_silence() -> None:
     gateway = build_gateway(build_clock())
-    roster = build_roster()
+    roster = build_failover_state()
     usual = gateway.link._choose_usual_pause()
     many = tuple(GatewayInfo(address=f"10.0.{each}.1:1") for each in range(300))
     gateway.link.receive_failover_state(msgspec.structs.replace(roster, gateways=many))
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -27,11 +27,11 @@
     JOB,
     IdlePort,
     build_clock,
-    build_roster,
-    fail,
-    greet,
-    stand_in,
-    submit,
+    build_failover_state,
+    raise_error,
+    build_keepalive,
+    build_acting_gateway,
+    build_submit,
 )
 from .model_upstreams import ModelUpstream, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_contact import CALLER_RETRY, let_run
@@ -51,7 +51,7 @@
     def propose(self, data: str) -> bool:
         return True
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         return None
 
 
@@ -63,11 +63,11 @@
         self.looks = 0
         self._answers = answers
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: LookOrder, token: int) -> LookReply | CallFailure:
         self.looks += 1
         if not self._answers:
             await asyncio.sleep(3_600)
-        return await super().look(order, token)
+        return await super().poll(order, token)
 
 
 def lead(
@@ -75,7 +75,7 @@
 ) -> tuple[Leading, ReplicatedRecords]:
     """Lead two upstreams; with `commits` the log carries out at once what is proposed."""
     replicated = ReplicatedRecords()
-    replicated.records.put_in_force(build_roster().configuration)
+    replicated.records.put_in_force(build_failover_state().configuration)
     for name in ("u1", "u2"):
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
@@ -84,7 +84,7 @@
         replicated=replicated,
         port=port,
         clock=build_clock(),
-        on_failure=fail,
+        on_failure=raise_error,
         settings=LeadingSettings(
             terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
             keep_ended=timedelta(),
@@ -105,10 +105,10 @@
     """
 
     async def play() -> None:
-        gateway, clock = stand_in()
+        gateway, clock = build_acting_gateway()
         await gateway.link.replace_leader()
         assert gateway.acting_leader is not None
-        call = msgspec.structs.replace(submit(), spec=LONG)
+        call = msgspec.structs.replace(build_submit(), spec=LONG)
         waiting = asyncio.create_task(gateway.call(call, milliseconds(200)))
         for _ in range(30):
             clock.advance(milliseconds(50))
@@ -188,7 +188,7 @@
         def hear(gateway: str) -> None:
             contact = leading.gateways.build_contact()
             leading.gateways.handle_keepalive(
-                msgspec.structs.replace(greet(gateway), contact=contact)
+                msgspec.structs.replace(build_keepalive(gateway), contact=contact)
             )
 
         def send(gateway: str) -> asyncio.Task[Answer]:
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -19,7 +19,7 @@
 from ..net.connections import ConnectionPools
 from ..runtime.control_host import ControlHost
 from ..runtime.replica import Replica
-from .gateway_builders import IdlePort, build_clock, fail
+from .gateway_builders import IdlePort, build_clock, raise_error
 from .model_upstreams import build_info
 
 LEADER = "10.0.1.2:7000"
@@ -42,7 +42,9 @@
         orders=orders,
         log=LogSettings(),
     )
-    host = ControlHost(settings=settings, clock=build_clock(), port=IdlePort(), on_failure=fail)
+    host = ControlHost(
+        settings=settings, clock=build_clock(), port=IdlePort(), on_failure=raise_error
+    )
     host.replicated.records.apply(AddUpstream(info=INFO))
     return host
 
--- a/cottonlug/tests/test_entry.py
+++ b/cottonlug/tests/test_entry.py
@@ -38,7 +38,7 @@
     host.dispatcher.tick(clock.monotonic())
     document = read_rules(REJECTING).value
     assert document is not None
-    rulebook.put_in_force(1, REJECTING, document)
+    rulebook.activate(1, REJECTING, document)
     return host.submit(job).failure()
 
 
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -175,7 +175,7 @@
         await asyncio.sleep(1.0)
         assert await send_order(world, machines[4], "POST", "d1") == 200
         await asyncio.sleep(0.3)
-        roster = gateway.link.failover_store.whole
+        roster = gateway.link.failover_store.current
         assert roster is not None
         assert [each.domain for each in roster.evacuations if each.is_evacuated] == ["d1"]
 
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -39,7 +39,7 @@
     build_spec,
     milliseconds,
 )
-from .test_cluster_homes import DOMAINS, EACH, build_leader, count_domains, submit
+from .test_cluster_homes import DOMAINS, UPSTREAMS_PER_DOMAIN, build_leader, count_domains, submit
 from .test_cluster_waiting import lead
 
 HOME = DOMAINS[1]
@@ -106,11 +106,11 @@
     world = leader.world
     before = [submit(leader, number, HOME, tasks=4) for number in range(4)]
     world.run_until(world.now + milliseconds(50))
-    assert count_domains(leader)[HOME] == EACH * 2
+    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2
     commit(leader, HOME)
     after = [submit(leader, 100 + number, HOME, tasks=4) for number in range(4)]
     world.run_until(world.now + milliseconds(100))
-    assert count_domains(leader)[HOME] == EACH * 2, "what ran there goes on"
+    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2, "what ran there goes on"
     world.run_until(world.now + milliseconds(150))
     assert count_domains(leader)[HOME] == 0
     world.run_until(world.now + milliseconds(2_000))
@@ -144,7 +144,7 @@
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 0, "others have room"
-    elsewhere = (len(DOMAINS) - 1) * EACH * 2
+    elsewhere = (len(DOMAINS) - 1) * UPSTREAMS_PER_DOMAIN * 2
     submit(leader, 2, HOME, tasks=elsewhere)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4, "nobody waits while there is room"
@@ -166,11 +166,11 @@
     cold = next(each for each in leader.upstreams.values() if each.info.domain == HOME)
     heartbeat = msgspec.structs.replace(cold.make_heartbeat(), sequence=9, cold_left_ms=400)
     leader.dispatch.take_heartbeat(heartbeat, leader.world.now)
-    submit(leader, 1, HOME, tasks=EACH * 2)
+    submit(leader, 1, HOME, tasks=UPSTREAMS_PER_DOMAIN * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert cold.info.id not in leader.world.running.values()
     leader.world.run_until(leader.world.now + milliseconds(400))
-    submit(leader, 2, HOME, tasks=EACH * 2)
+    submit(leader, 2, HOME, tasks=UPSTREAMS_PER_DOMAIN * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert cold.info.id in leader.world.running.values()
 
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -181,7 +181,7 @@
 
 def test_a_look_renews_the_lease_and_returns_the_lists_of_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
-        looking = asyncio.create_task(exchange.port.look(build_look(last_seen=5), TOKEN))
+        looking = asyncio.create_task(exchange.port.poll(build_look(last_seen=5), TOKEN))
         stopping = asyncio.create_task(
             exchange.port.stop(StopOrder(upstream=INFO, task=REF, run=RUN), TOKEN)
         )
@@ -203,7 +203,7 @@
 
 def test_a_look_at_a_silent_upstream_fails() -> None:
     async def scenario(exchange: Exchange) -> None:
-        looking = asyncio.create_task(exchange.port.look(build_look(), TOKEN))
+        looking = asyncio.create_task(exchange.port.poll(build_look(), TOKEN))
         await settle()
         exchange.clock.advance(QUEUED_AT_MOST + milliseconds(1))
         assert await looking is CallFailure.NO_ANSWER
--- a/cottonlug/tests/test_job_lines.py
+++ b/cottonlug/tests/test_job_lines.py
@@ -22,10 +22,10 @@
 from ..runtime.job_line import ANSWERS_PATH, JOBS_PATH, JobChannel
 from ..runtime.job_lines import MAX_STARTS_PER_TURN, JobChannelServer
 from ..runtime.peer_calls import LINE_CONNECTIONS, PeerCalls
-from .gateway_builders import build_clock, submit
+from .gateway_builders import build_clock, build_submit
 from .processes import find_base_port
 
-PATIENCE = timedelta(seconds=5)
+CALL_TIMEOUT = timedelta(seconds=5)
 MANY = 120
 
 
@@ -33,7 +33,7 @@
 class Wire:
     """The way to another host, which loses requests or replies as told."""
 
-    lines: JobChannelServer
+    server: JobChannelServer
     lost_requests: dict[str, int] = field(default_factory=dict)
     """How many of the next requests of each kind do not arrive."""
     lost_replies: dict[str, int] = field(default_factory=dict)
@@ -58,7 +58,7 @@
         if self._is_lost(self.lost_requests, path):
             return Err(TransportError(message="no reply in time", unsent=False))
         request = HttpRequest(method=method, path=path, headers={}, body=whole)
-        reply = self.lines.handle_at_once(request) or await self.lines.handle(request)
+        reply = self.server.handle_at_once(request) or await self.server.handle(request)
         if self._is_lost(self.lost_replies, path):
             return Err(TransportError(message="no reply in time", unsent=False))
         return Success(HttpReply(status=reply.status, body=reply.body))
@@ -75,17 +75,17 @@
     """A host that carries jobs out, and notes which."""
 
     carried_out: list[str] = field(default_factory=list)
-    holds: asyncio.Event | None = None
+    gate: asyncio.Event | None = None
 
     async def answer(self, call: Call) -> Answer:
         assert isinstance(call, Submit)
         self.carried_out.append(call.path)
-        if self.holds is not None:
-            await self.holds.wait()
+        if self.gate is not None:
+            await self.gate.wait()
         return Answer(outcome=Outcome.DONE, detail=call.path)
 
 
-def build_lines(host: Host, slacks: dict[str, float] | None = None) -> JobChannelServer:
+def build_server(host: Host, slacks: dict[str, float] | None = None) -> JobChannelServer:
     return JobChannelServer(
         answer=host.answer,
         clock=build_clock(),
@@ -93,20 +93,20 @@
     )
 
 
-def build_line(wire: Wire) -> JobChannel:
+def build_channel(wire: Wire) -> JobChannel:
     return JobChannel(
-        own="10.0.0.1:7000",
+        own_address="10.0.0.1:7000",
         open_pool=lambda: wire,  # type: ignore[arg-type, return-value]
         stamp=lambda call: call,
     )
 
 
 def build_job(number: int) -> Submit:
-    return msgspec.structs.replace(submit(), path=f"/q/{number:016x}")
+    return msgspec.structs.replace(build_submit(), path=f"/q/{number:016x}")
 
 
-async def ask_all(line: JobChannel, count: int) -> list[Answer]:
-    asking = (line.submit(build_job(number), PATIENCE) for number in range(count))
+async def submit_all(channel: JobChannel, count: int) -> list[Answer]:
+    asking = (channel.submit(build_job(number), CALL_TIMEOUT) for number in range(count))
     return list(await asyncio.gather(*asking))
 
 
@@ -115,18 +115,18 @@
     host = host or Host()
 
     async def run() -> None:
-        wire = Wire(lines=build_lines(host))
-        line = build_line(wire)
-        await work(host, wire, line)  # type: ignore[misc]
-        line.close()
+        wire = Wire(server=build_server(host))
+        channel = build_channel(wire)
+        await work(host, wire, channel)  # type: ignore[misc]
+        channel.close()
 
     asyncio.run(asyncio.wait_for(run(), 30))
     return host
 
 
 def test_jobs_are_answered_each_with_its_own_answer() -> None:
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
-        answers = await ask_all(line, MANY)
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
+        answers = await submit_all(channel, MANY)
         assert [each.detail for each in answers] == [build_job(n).path for n in range(MANY)]
         assert len(wire.sent) < MANY / 4
 
@@ -135,19 +135,19 @@
 
 
 def test_a_batch_whose_reply_is_lost_is_carried_out_once() -> None:
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         wire.lost_replies[JOBS_PATH] = 2
         wire.lost_requests[JOBS_PATH] = 1
-        answers = await ask_all(line, 5)
+        answers = await submit_all(channel, 5)
         assert {each.outcome for each in answers} == {Outcome.DONE}
 
     assert len(play(work).carried_out) == 5
 
 
 def test_answers_that_are_lost_are_given_again() -> None:
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         wire.lost_replies[ANSWERS_PATH] = 3
-        answers = await ask_all(line, 5)
+        answers = await submit_all(channel, 5)
         assert {each.outcome for each in answers} == {Outcome.DONE}
 
     assert len(play(work).carried_out) == 5
@@ -156,10 +156,10 @@
 def test_answers_of_a_host_that_began_anew_are_not_taken_for_old_ones() -> None:
     """It counts its answers from the first again, and has forgotten what it was asked before."""
 
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
-        await ask_all(line, 20)
-        wire.lines = build_lines(host)
-        answers = await ask_all(line, 3)
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
+        await submit_all(channel, 20)
+        wire.server = build_server(host)
+        answers = await submit_all(channel, 3)
         assert {each.outcome for each in answers} == {Outcome.DONE}
 
     assert len(play(work).carried_out) == 23
@@ -169,28 +169,28 @@
     """In a trial one of its two tasks had left off, the other had not, and nothing was sent."""
     monkeypatch.setattr(job_line, "IDLE_SECONDS", 0.02)
 
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         for pause in range(40):
-            assert (await line.submit(build_job(pause), PATIENCE)).outcome is Outcome.DONE
+            assert (await channel.submit(build_job(pause), CALL_TIMEOUT)).outcome is Outcome.DONE
             await asyncio.sleep(0.001 * pause)
 
     assert len(play(work).carried_out) == 40
 
 
 def test_only_what_was_sent_may_have_been_carried_out() -> None:
-    async def work(host: Host, wire: Wire, line: JobChannel) -> None:
-        sent = asyncio.create_task(line.submit(build_job(1), PATIENCE))
+    async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
+        sent = asyncio.create_task(channel.submit(build_job(1), CALL_TIMEOUT))
         while not host.carried_out:
             await asyncio.sleep(0.001)
         wire.is_closed = True
-        unsent = asyncio.create_task(line.submit(build_job(2), PATIENCE))
-        late = await line.submit(build_job(3), timedelta(milliseconds=20))
+        unsent = asyncio.create_task(channel.submit(build_job(2), CALL_TIMEOUT))
+        late = await channel.submit(build_job(3), timedelta(milliseconds=20))
         assert late.outcome is Outcome.UNAVAILABLE
-        line.fail_pending()
+        channel.fail_pending()
         assert (await sent).outcome is Outcome.UNKNOWN
         assert (await unsent).outcome is Outcome.UNAVAILABLE
 
-    play(work, Host(holds=asyncio.Event()))
+    play(work, Host(gate=asyncio.Event()))
 
 
 def test_those_that_can_wait_the_least_are_taken_in_first_and_some_in_a_turn() -> None:
@@ -199,10 +199,11 @@
     async def run() -> None:
         host = Host()
         slacks = {build_job(number).path: float(MANY - number) for number in range(MANY)}
-        lines = build_lines(host, slacks)
-        line = build_line(Wire(lines=lines))
+        server = build_server(host, slacks)
+        channel = build_channel(Wire(server=server))
         asking = [
-            asyncio.create_task(line.submit(build_job(number), PATIENCE)) for number in range(50)
+            asyncio.create_task(channel.submit(build_job(number), CALL_TIMEOUT))
+            for number in range(50)
         ]
         seen: list[int] = []
         while len(host.carried_out) < 50:
@@ -213,7 +214,7 @@
         )
         assert host.carried_out == sorted(host.carried_out, reverse=True)
         await asyncio.gather(*asking)
-        line.close()
+        channel.close()
 
     asyncio.run(asyncio.wait_for(run(), 30))
 
@@ -223,10 +224,10 @@
         raise ValueError("a fault")
 
     async def run() -> Answer:
-        lines = JobChannelServer(answer=fail, clock=build_clock(), find_slack=lambda call: 1.0)
-        line = build_line(Wire(lines=lines))
-        answer = await line.submit(build_job(1), PATIENCE)
-        line.close()
+        server = JobChannelServer(answer=fail, clock=build_clock(), find_slack=lambda call: 1.0)
+        channel = build_channel(Wire(server=server))
+        answer = await channel.submit(build_job(1), CALL_TIMEOUT)
+        channel.close()
         return answer
 
     answer = asyncio.run(asyncio.wait_for(run(), 30))
@@ -238,20 +239,20 @@
     """Failed before: each job that waited for its end held one, up to 32 of each gateway."""
 
     async def run() -> int:
-        host = Host(holds=asyncio.Event())
-        lines = build_lines(host)
+        host = Host(gate=asyncio.Event())
+        server = build_server(host)
         opened = 0
 
         async def handle(request: HttpRequest) -> HttpResponse:
-            return await lines.handle(request)
+            return await server.handle(request)
 
-        app = build_asgi(handle, lambda: 1_000_000, lines.handle_at_once)
+        app = build_asgi(handle, lambda: 1_000_000, server.handle_at_once)
         address = Address("127.0.0.1", find_base_port() + 5)
         listener = Listener(app=app, address=address)
         assert await listener.start() is None
         calls = PeerCalls()
         asking = [
-            asyncio.create_task(calls.ask(str(address), build_job(number), PATIENCE))
+            asyncio.create_task(calls.ask(str(address), build_job(number), CALL_TIMEOUT))
             for number in range(MANY)
         ]
         while len(host.carried_out) < MANY:
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -20,7 +20,7 @@
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from ..runtime.gateways import GatewayRegistry
-from .gateway_builders import build_clock, greet
+from .gateway_builders import build_clock, build_keepalive
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_overtaken import build_dispatch
 from .test_cluster_spread import beat, build_desk, tell
@@ -62,7 +62,7 @@
 def test_rosters_tell_of_both_lives_and_of_the_end_of_one() -> None:
     records = build_records()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
-    gateways.handle_keepalive(greet(GATEWAY))
+    gateways.handle_keepalive(build_keepalive(GATEWAY))
     known = gateways.build_failover_state(records, "")
     assert known is not None
     assert [each.info.id for each in known.upstreams] == [FIRST.id, SECOND.id]
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -15,7 +15,7 @@
 from ..net.servers import Listener
 from ..runtime.job_lines import JobChannelServer
 from ..runtime.peer_calls import CALL_PATH, PeerCalls
-from .gateway_builders import build_clock, greet, stand_in, submit
+from .gateway_builders import build_clock, build_keepalive, build_acting_gateway, build_submit
 from .processes import find_base_port
 
 KEEPALIVE_TIMEOUT = timedelta(milliseconds=500)
@@ -61,11 +61,11 @@
         assert await listener.start() is None
         calls = PeerCalls()
         waiting = [
-            asyncio.create_task(calls.ask(str(address), submit(), timedelta(seconds=10)))
+            asyncio.create_task(calls.ask(str(address), build_submit(), timedelta(seconds=10)))
             for _ in range(HELD_CALLS)
         ]
         await asyncio.wait_for(all_held.wait(), 5)
-        greeted = await calls.ask(str(address), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
+        greeted = await calls.ask(str(address), build_keepalive("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
         for task in waiting:
             task.cancel()
         await asyncio.gather(*waiting, return_exceptions=True)
@@ -108,7 +108,7 @@
         for client in clients:
             client.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         calls = PeerCalls(urgent_port=urgent.port)
-        greeted = await calls.ask(str(peers), greet("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
+        greeted = await calls.ask(str(peers), build_keepalive("10.0.0.2:7000"), KEEPALIVE_TIMEOUT)
         before_it = taken_in
         for client in clients:
             client.close()
@@ -125,8 +125,8 @@
 
 def test_a_deputy_answers_greetings_at_once_and_nothing_else() -> None:
     async def play() -> None:
-        gateway, _ = stand_in()
-        request = build_request(greet("10.0.0.2:7000"))
+        gateway, _ = build_acting_gateway()
+        request = build_request(build_keepalive("10.0.0.2:7000"))
         assert gateway.answer_at_once(request) is None
         await gateway.link.replace_leader()
         reply = gateway.answer_at_once(request)
@@ -135,10 +135,10 @@
         assert (answer.outcome, answer.is_deputy) == (Outcome.DONE, True)
         assert gateway.acting_leader is not None
         # It counts on a gateway that has had an answer of its own, and says so.
-        again = msgspec.structs.replace(greet("10.0.0.2:7000"), contact=answer.contact)
+        again = msgspec.structs.replace(build_keepalive("10.0.0.2:7000"), contact=answer.contact)
         assert gateway.answer_at_once(build_request(again)) is not None
         assert gateway.acting_leader.leading.gateways.is_connected("10.0.0.2:7000")
-        assert gateway.answer_at_once(build_request(submit())) is None
+        assert gateway.answer_at_once(build_request(build_submit())) is None
         gateway.stop()
 
     asyncio.run(play())
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -323,15 +323,15 @@
         b'"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}'
     )
     client = FixedClient(Success(HttpReply(status=200, body=body)))
-    reply = asyncio.run(client.look(LOOK, 7))
+    reply = asyncio.run(client.poll(LOOK, 7))
     assert isinstance(reply, LookReply)
     assert (reply.running[0].task, reply.running[0].percent) == (REF, 41)
     assert (reply.ended[0].number, reply.ended[0].how) == (58, EndKind.DONE)
     assert client.bodies[0]["wait_ms"] == 1_000
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
-    assert asyncio.run(fenced.look(LOOK, 7)) is CallFailure.FENCED
+    assert asyncio.run(fenced.poll(LOOK, 7)) is CallFailure.FENCED
     gone = FixedClient(Success(HttpReply(status=421, body=b"")))
-    assert asyncio.run(gone.look(LOOK, 7)) is CallFailure.LIFE_ENDED
+    assert asyncio.run(gone.poll(LOOK, 7)) is CallFailure.LIFE_ENDED
 
 
 def test_templates_name_only_settings_that_exist() -> None:
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -103,13 +103,13 @@
     """Failed before: both answer under the id that the header names."""
     info = msgspec.structs.replace(build_info("u1"), id=name_life("u1", BORN))
     order = LOOK.__class__(upstream=info, last_seen=0, expires_ms=None, wait=LOOK.wait)
-    same = asyncio.run(FixedClient(answer_lists(BORN)).look(order, 7))
+    same = asyncio.run(FixedClient(answer_lists(BORN)).poll(order, 7))
     assert isinstance(same, LookReply)
-    other = asyncio.run(FixedClient(answer_lists(BORN + 1)).look(order, 7))
+    other = asyncio.run(FixedClient(answer_lists(BORN + 1)).poll(order, 7))
     assert other is CallFailure.LIFE_ENDED
 
 
 # Guards against TWICE on an upgrade: what the log knows by its id alone was taken to have ended.
 def test_a_list_that_tells_a_start_does_not_end_a_life_of_which_none_is_known() -> None:
-    reply = asyncio.run(FixedClient(answer_lists(BORN)).look(LOOK, 7))
+    reply = asyncio.run(FixedClient(answer_lists(BORN)).poll(LOOK, 7))
     assert reply is CallFailure.REFUSED
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -403,7 +403,7 @@
             return self.client.start(order, self.token)
         if isinstance(order, StopOrder):
             return self.client.stop(order, self.token)
-        return self.client.look(order, self.token)
+        return self.client.poll(order, self.token)
 
     def _take(self, order: Order, value: Any, sent_at: timedelta) -> None:
         now = self.world.now
