--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Gateways without a network, for tests of what they answer and who stands in."""
+"""Builders of gateways without a network, for tests of their answers and of acting leaders."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class IdlePort:
-    """Upstreams that take every start and never end a run."""
+    """Upstreams that accept every start and never end a run."""
 
     def __init__(self) -> None:
         self.tokens: set[int] = set()
@@ -105,7 +105,7 @@
 
 
 def answer_in_turn(gateway: Gateway, answers: list[Answer]) -> list[Call]:
-    """Have a gateway's tries answered from a list; return what was tried."""
+    """Answer a gateway's tries from a list, in order; return the list of calls tried."""
     tried: list[Call] = []
 
     async def try_once(call: Call, timeout: timedelta) -> Answer:
@@ -121,7 +121,7 @@
 
 
 def connect(gateways: list[Gateway], cut: Callable[[Gateway, str], bool]) -> None:
-    """Let gateways ask one another; control hosts do not answer."""
+    """Connect gateways with one another, unless `cut`; control hosts do not answer."""
     by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
@@ -154,7 +154,11 @@
 
 
 def build_acting_gateway() -> tuple[Gateway, ManualClock]:
-    """Return a gateway that stands in; to be called on a running loop, after which it is asked."""
+    """Return a gateway that is due to act as leader, and its clock.
+
+    Must be called while an event loop is running. The gateway acts as leader after its next
+    `replace_leader`.
+    """
     clock = build_clock()
     gateway = build_gateways(1, clock)[0]
     connect([gateway], lambda asking, host: False)
@@ -170,7 +174,7 @@
     cut: Callable[[Gateway, str], bool],
     answer_leader: Callable[[Call], Answer],
 ) -> None:
-    """Let gateways ask one another and a leader, where they are not cut off from it."""
+    """Connect gateways with one another and a leader, unless `cut`."""
     by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
--- a/cottonlug/tests/processes.py
+++ b/cottonlug/tests/processes.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The processes of one run."""
+    """The processes of one deployment on this machine."""
 
     folder: Path
     deployment: Deployment
@@ -57,7 +57,7 @@
 
 
 def start_fleet(deployment: Deployment, folder: Path) -> Fleet:
-    """Write a deployment's settings and start every process of it."""
+    """Write the settings of a deployment and start all its processes."""
     write_deployment(deployment, folder)
     fleet = Fleet(folder, deployment, plan_hosts(deployment))
     try:
@@ -75,14 +75,14 @@
 
 
 def count_links(fleet: Fleet) -> int:
-    """Return how many sessions there will be: each upstream links to its domain's hosts."""
+    """Return the expected number of sessions: each upstream links to the hosts of its domain."""
     deployment = fleet.deployment
     per_domain = -(-deployment.upstreams // len(deployment.domains))
     return sum(deployment.hosts[at // per_domain] for at in range(deployment.upstreams))
 
 
 def count_sessions(fleet: Fleet) -> int:
-    """Return how many sessions all entry hosts have."""
+    """Return the number of sessions at all entry hosts."""
     dumps = [call(fleet, host.name, "GET", "/v1/dump", kind="operators") for host in fleet.hosts]
     return sum(int(dump.json()["gauges"]["upstreams"]) for dump in dumps)
 
@@ -136,9 +136,10 @@
 
 
 def find_base_port() -> int:
-    """Return a base whose ports are free, below the range that outgoing connections use.
+    """Return a base port above which the needed ports are free.
 
-    Test runs at the same time have lanes of their own (see the Makefile).
+    It is below the range that outgoing connections use. Test runs that run at the same time use
+    separate lanes of ports (see the Makefile).
     """
     first = 20_000 + int(os.environ.get("COTTONLUG_TEST_LANE", "0")) * PORTS_PER_LANE
     for base in range(first, first + PORTS_PER_LANE, 1_000):
@@ -158,10 +159,10 @@
 
 
 def wait_until(is_true: Callable[[], bool]) -> None:
-    """Wait for something to become true; fail where it does not for very long."""
+    """Wait until a condition is true; fail after `WAIT_LIMIT_SECONDS`."""
     deadline = time.monotonic() + WAIT_LIMIT_SECONDS
     while not is_true():
-        assert time.monotonic() < deadline, "what was waited for did not happen"
+        assert time.monotonic() < deadline, "the condition did not become true in time"
         time.sleep(0.05)
 
 
@@ -175,7 +176,7 @@
     kind: str = "callers",
     token: str | None = None,
 ) -> httpx.Response:
-    """Send one call to an entry host's listener of that kind."""
+    """Send one request to the listener of this kind at an entry host."""
     plan = next(each for each in fleet.hosts if each.name == host)
     address = fleet.get_address(plan, kind)
     headers = {"Authorization": f"Bearer {token or fleet.get_token(kind)}"}
@@ -184,7 +185,7 @@
 
 
 def read_upstream_dump(fleet: Fleet, number: int) -> UpstreamDump:
-    """Return the state of a stand-in upstream."""
+    """Return the state of a simulated upstream."""
     port = fleet.deployment.base_port + 500 + number
     headers = {"Authorization": f"Bearer {fleet.get_token('operators')}"}
     url = f"http://127.0.0.1:{port}/v1/dump"
@@ -193,7 +194,7 @@
 
 
 def count_starts(fleet: Fleet, id: str) -> int:
-    """Return how often the upstreams started tasks of a submission; duplicates fail at once."""
+    """Return how many tasks of a submission the upstreams started; fails on duplicate starts."""
     total = 0
     for number in range(1, fleet.deployment.upstreams + 1):
         if fleet.processes[f"w{number:02d}"].poll() is not None:
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -1,7 +1,7 @@
-"""Orders of operators and leaving upstreams are acknowledged within a bound of calm.
+"""Orders of operators and leaving upstreams are acknowledged within a time limit after failures.
 
-The real control hosts, eight of them with seven that vote, in simulated time: days with kills, lost
-disks, cuts, frozen hosts and restarts, each followed by calm.
+Runs the real control hosts in simulated time: eight hosts, seven of them voters, in days with
+kills, lost disks, network cuts, frozen hosts and restarts, each followed by a calm period.
 """
 
 from __future__ import annotations
@@ -67,12 +67,12 @@
 DOMAINS = 4
 TROUBLE_SECONDS = 12.0
 CONTACT_SECONDS = 4.0
-"""After a disruption calm counts from then on."""
+"""Time that hosts get to reconnect after a failure; the calm period counts from its end."""
 ACKNOWLEDGED_WITHIN = 5.0
 MAX_LOST_DISKS = 2
-"""Disks that may be lost at the same time, and hosts that may be off for long."""
+"""Disks that may be lost at the same time, and hosts that may be down for long."""
 CATCH_UP_SECONDS = 6.0
-"""A lost disk counts as lost for so long after its host is back."""
+"""A lost disk still counts as lost for this long after its host is back."""
 
 
 def build_core(world: World) -> list[Machine]:
@@ -90,7 +90,7 @@
 
 
 class Day:
-    """One day of chance: troubles, the orders sent meanwhile, and those sent in the calm after."""
+    """One random day: failures, orders sent meanwhile, and orders sent in the calm after them."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -102,7 +102,7 @@
         self.orders: dict[str, asyncio.Task[float]] = {}
         self.leaving: set[UpstreamId] = set()
         self.lost_disks: dict[str, float] = {}
-        """Hosts whose disks were lost, and until when they count as lost."""
+        """Hosts whose disks were lost, and until when these count as lost."""
 
     def begin(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         task = asyncio.get_running_loop().create_task(work)
@@ -139,7 +139,7 @@
             else:
                 self.send_leaving()
 
-    # Troubles
+    # Failures
 
     def pick(self) -> Machine:
         leader = self.world.find_leader()
@@ -149,7 +149,7 @@
         return self.chance.choice(running)
 
     def seeds(self) -> list[Machine]:
-        """Return what the settings of a host that starts now name."""
+        """Return the seeds in the settings of a host that starts now."""
         return self.chance.sample(list(self.world.machines.values()), 3)
 
     async def start_after(self, machine: Machine, seconds: float) -> None:
@@ -158,7 +158,7 @@
             self.world.start(machine, self.seeds())
 
     def may_lose(self, machines: list[Machine], seconds: float) -> bool:
-        """Whether these disks may be lost now, and count them as lost if so."""
+        """Return whether these disks may be lost now, and count them as lost if so."""
         now = self.world.loop.time()
         lost = {name for name, until in self.lost_disks.items() if until > now}
         lost |= {machine.name for machine in machines}
@@ -169,7 +169,7 @@
         return True
 
     def send_until_answered(self, machine: Machine) -> None:
-        """Send orders, often two of the same version, to a host until it answers."""
+        """Send orders, often two with the same version, to a host until it answers."""
         if self.chance.random() < 0.5:
             self.send_configuration(machine)
             self.version -= self.chance.random() < 0.5
@@ -252,7 +252,7 @@
         self.world.silence_connections()
 
     async def fence(self) -> None:
-        """A gateway has stood in where a part of the upstreams was out of the leader's reach."""
+        """Fence the leader off, as if a gateway had acted as leader for a part of the upstreams."""
         leader = self.world.find_leader()
         control = leader.process.control if leader is not None and leader.process else None
         if control is None or control.leading is None:
@@ -336,7 +336,7 @@
         return problems + [f"failed: {error!r}" for error in self.world.failures]
 
     def find_outsiders(self) -> list[str]:
-        """Return the hosts that run and are not among the members that the leader knows."""
+        """Return the running hosts that are not among the members that the leader knows."""
         leader = self.world.find_leader()
         control = leader.process.control if leader is not None and leader.process else None
         member = control.replica.member if control is not None else None
@@ -364,12 +364,12 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_orders_are_acknowledged_in_the_calm_after_any_troubles(seed: int) -> None:
+def test_orders_are_acknowledged_in_the_calm_after_any_failures(seed: int) -> None:
     day = play_day(seed)
     assert not day.find_problems(), day.troubles
 
 
-# Faults, each by the shortest way to it.
+# Regression tests, each with the shortest sequence of events that leads to the fault.
 
 
 def play_core(seed: int, day: Callable[[World, list[Machine]], Coroutine[Any, Any, None]]) -> None:
@@ -393,7 +393,7 @@
 
 
 async def restart_until_leads(world: World, machines: list[Machine]) -> Machine:
-    """Restart those that lead until one of these does."""
+    """Restart each leader until one of the given machines leads; return that one."""
     while (leader := world.find_leader()) not in machines:
         if leader is not None:
             world.kill(leader)
@@ -404,14 +404,15 @@
     return leader
 
 
-def test_a_host_that_lost_its_disk_is_taken_in_again_though_no_seed_leads() -> None:
-    """Two hosts back with empty disks were no members for the rest of the day.
+def test_host_that_lost_its_disk_rejoins_though_no_seed_leads() -> None:
+    """Two hosts that came back with empty disks were not members for the rest of the day.
 
-    Five of eight hosts voted then, and the two passed orders to a leader that was long lost. A
-    leader addresses hosts: what it sends to the member of the lost disk reaches the new one, which
-    takes it for its leader, and asks to be taken in only while it knows none. So it was taken in
-    only if the leader was among its seeds, or by luck in the first quarter of a second. Not being
-    a voter it has no time-out that would end its belief. Proved by the members in the leader's log.
+    Only five of eight hosts voted then, and the two forwarded orders to a leader that was long
+    lost. A leader addresses hosts, so its messages to the member with the lost disk reach the new
+    member. The new member regards the sender as its leader, and it asks to join only while it knows
+    no leader. So it joined only if the leader was among its seeds, or by luck in the first quarter
+    of a second. As it is not a voter, it had no timeout after which it would forget the leader. The
+    members in the leader's log show this fault.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -433,10 +434,10 @@
     play_core(1, day)
 
 
-def test_one_that_does_not_vote_forgets_a_leader_that_it_does_not_hear() -> None:
-    """The same belief alone: a member without a vote held its last leader for good.
+def test_member_without_a_vote_forgets_a_leader_after_a_timeout() -> None:
+    """The cause of the fault above: a member without a vote never forgot its last leader.
 
-    It passed orders to it, and did not ask to be taken in, since only voters have a time-out.
+    It forwarded orders to it and did not ask to join, since only voters had a timeout.
     """
     snapshot = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(OTHER,)), data="")
     stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
@@ -453,19 +454,19 @@
 
 
 async def delay_loop(process: Process, seconds: float) -> None:
-    """Make each turn of a process's loop so long."""
+    """Make each iteration of a process's event loop take this long."""
     while True:
         process.work(seconds)
         await asyncio.sleep(0)
 
 
-def test_a_leader_that_is_always_late_takes_orders() -> None:
-    """A leader whose loop takes 80 ms a turn leads for good, and answers every order with no.
+def test_leader_that_is_always_late_accepts_orders() -> None:
+    """A leader with event loop iterations of 80 ms kept leading, but refused every order.
 
-    It keeps its office by answers that arrive within 350 ms, and its heartbeats hold all others
-    back; but its lease counts 280 ms from when it sent, and a round trip takes several turns. So it
-    has none, and without one nothing is taken, not even what the log alone decides. Seen in the
-    model only: the term stays, and the lease is missing at each look.
+    It stays leader by answers that arrive within 350 ms, and its heartbeats prevent an election.
+    But its lease lasts 280 ms from sending, and a round trip takes several iterations. So it has no
+    lease, and without one it accepted no order, not even those that need only the log. Occurred in
+    the model only: the term stays the same, and the lease is missing at each check.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -481,7 +482,7 @@
 
 
 class LateClock(ManualClock):
-    """A clock that has moved on by much whenever it is read."""
+    """A clock that advances by 200 ms whenever it is read."""
 
     def monotonic(self) -> timedelta:
         self.advance(timedelta(milliseconds=200))
@@ -489,7 +490,7 @@
 
 
 class FixedAuthority:
-    """The right to decide, kept for good."""
+    """An authority to schedule that never ends."""
 
     term = 1
 
@@ -504,14 +505,14 @@
         return True
 
     def start_new_term(self) -> None:
-        raise AssertionError("nobody has a later term")
+        raise AssertionError("no other host has a later term")
 
 
-def test_a_leader_whose_every_turn_is_late_decides_all_the_same() -> None:
-    """A leader whose every turn takes over 150 ms decides nothing, and proposes nothing.
+def test_leader_whose_every_iteration_is_late_still_schedules() -> None:
+    """A leader with event loop iterations of over 150 ms scheduled and proposed nothing.
 
-    Held up for so long it decides in its next turn, once it has taken in what has arrived; but that
-    one is late as well. Found by reading.
+    After such a delay it schedules in the next iteration, once it has handled the messages that
+    have arrived; but the next iteration was late as well.
     """
 
     async def run() -> None:
@@ -541,12 +542,13 @@
     asyncio.run(run())
 
 
-def test_an_order_is_passed_on_though_the_open_connections_are_silent() -> None:
-    """A host that passes an order on waits 3 s for a connection that has gone silent.
+def test_order_is_forwarded_though_the_open_connections_are_silent() -> None:
+    """A host that forwards an order waits 3 s for an answer on a connection that is silent.
 
-    Operators wait 1 s, and each try uses up one such connection. With one or more at each of seven
-    hosts, four tries in turn find no other. Found by reading. Where the connections of the log are
-    silent as well, the leader changes, and nobody has old connections to the new one.
+    Operators wait 1 s, and each of their tries uses up one such connection. With one or more of
+    them at each of seven hosts, four tries in a row find no working connection. If the connections
+    of the log are silent as well, the leader changes, and no host has old connections to the new
+    one.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -564,11 +566,11 @@
     play_core(1, day)
 
 
-def test_a_leader_that_stops_hands_over_to_one_that_stays() -> None:
-    """A leader that was told to stop handed over to another that was.
+def test_stopping_leader_hands_over_to_a_host_that_is_not_stopping() -> None:
+    """A leader that was stopping handed over to another host that was stopping.
 
-    That one led the log and decided nothing until its process had ended, 1.5 s and more later. The
-    first voter in the list was asked, once. Found by reading.
+    That host led the log and scheduled nothing until its process had ended, 1.5 s and more later:
+    only the first voter in the list was asked, and only once.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -585,12 +587,12 @@
     play_core(1, day)
 
 
-def test_what_is_in_force_is_acknowledged_though_the_leader_answers_late() -> None:
-    """Orders were in force and had no acknowledgement for over 5 s, in calm.
+def test_active_configuration_is_acknowledged_though_the_leader_answers_late() -> None:
+    """Orders were active but not acknowledged for over 5 s, in a calm period.
 
-    A leader with too much to do answers calls later than anybody waits for, while its log goes on.
-    Whichever host was asked waited for that answer, though its own log had the order long since.
-    Proved by the times at which configurations came into force in the leader's log.
+    An overloaded leader answers calls later than any caller waits, while its log still advances.
+    Each host that an operator called waited for that answer, although its own log had the order
+    long before. The times at which configurations became active in the leader's log show this.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -619,15 +621,15 @@
 CLIENT_COUNT = 100
 
 
-def test_a_busy_host_takes_in_all_that_have_connected() -> None:
-    """Callers pressed for 15 s, and orders went without an acknowledgement though the log went on.
+def test_busy_host_accepts_all_pending_connections() -> None:
+    """Under 15 s of heavy load, orders were not acknowledged although the log still advanced.
 
-    uvloop's server takes in one connection a turn of its loop. While turns are long, more come than
-    that; what waits longer than its caller does is given up, and its caller connects anew. The host
-    then answers those that have gone, oldest first, and never comes to those that wait. Proved by
-    counts at the leader: 800 connections of its own where those that waited for it were 5,000.
-    Operators and upstreams are so few that all are taken in; with gateways, too, a leader that was
-    behind fell further (measured on the same press).
+    uvloop's server accepts one connection per iteration of its loop. While iterations are long,
+    more connections than that arrive. A caller whose connection waits too long disconnects and
+    connects again. The host then answers callers that have gone, oldest first, and never reaches
+    those that still wait: a leader had accepted 800 connections while 5,000 waited for it.
+    Operators and upstreams are so few that all their connections are accepted. For gateways this is
+    not done: under the same load it made a leader that was behind fall even further behind.
     """
 
     async def run() -> int:
@@ -658,12 +660,13 @@
         assert runner.run(run()) < CLIENT_COUNT / 4
 
 
-def test_a_leader_that_is_late_is_not_greeted_the_more() -> None:
-    """Beside a leader that was late, gateways greeted seven followers as well.
+def test_late_leader_gets_no_more_keepalives() -> None:
+    """When the leader was late, gateways sent keep-alives to the seven followers as well.
 
-    Each passed that on to the leader: 1,200 greetings a second, and up to 3,500, on top of 500. A
-    greeting is given up after 100 ms, which takes a turn of 30 ms five times. The leader was alive
-    and had its lease, but got the more to do the later it was, and never caught up.
+    Each follower forwarded them to the leader: 1,200 to 3,500 a second in addition to the usual
+    500. A keep-alive times out after 100 ms, and a leader with loop iterations of 30 ms needs five
+    of them to answer. The leader was alive and had its lease, but the later it was the more work it
+    got, so it never caught up.
     """
 
     async def day(world: World, machines: list[Machine]) -> None:
@@ -689,7 +692,7 @@
 
 
 def count_greetings(process: Process) -> list[str]:
-    """Have a process note each greeting that it begins to answer."""
+    """Record each keep-alive that a process begins to answer."""
     greetings: list[str] = []
     handler = process.handlers[PEER_PORT]
 
@@ -702,11 +705,11 @@
     return greetings
 
 
-def test_a_join_of_long_ago_does_not_push_out_the_present_member_of_its_host() -> None:
-    """A new leader took the members of lost disks in again, which it had once been asked to do.
+def test_old_join_request_does_not_replace_the_current_member_of_its_host() -> None:
+    """A new leader added members with lost disks again, as old join requests had asked.
 
-    Requests to join are remembered for good, by each host that got them; that of the present disk
-    went to others. A host that only learns lost its place so, and went on as if it had it.
+    Each host remembers all join requests that it got, while the request for the current disk went
+    to other hosts. So a learner was removed from the members, and continued as if it were one.
     """
     leader = build_leader(A, B, C)
     for voter in (B, C):
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -1,4 +1,4 @@
-"""Who stands in for want of a leader, when, and with which right."""
+"""Which gateway acts as leader while none can be reached, when, and with which authority."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 from .model_upstreams import build_info, build_spec, milliseconds
 
 
-def test_the_lowest_gateway_stands_in_and_the_others_follow() -> None:
+def test_gateway_with_the_lowest_address_acts_as_leader_and_the_others_follow() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(3, clock)
@@ -63,7 +63,7 @@
     asyncio.run(play())
 
 
-def test_nobody_stands_in_before_the_span_or_beside_a_leader_that_another_reaches() -> None:
+def test_no_gateway_acts_as_leader_too_early_or_while_another_reaches_the_leader() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(2, clock)
@@ -79,8 +79,8 @@
     asyncio.run(play())
 
 
-def test_with_many_upstreams_each_domain_has_a_deputy_of_its_own() -> None:
-    """One small host decided for 176 upstreams, too slowly."""
+def test_each_domain_has_its_own_acting_leader_with_many_upstreams() -> None:
+    """One gateway, a small host, was too slow as the acting leader of 176 upstreams."""
 
     async def play() -> None:
         clock = build_clock()
@@ -116,7 +116,7 @@
     asyncio.run(play())
 
 
-def test_nobody_stands_in_while_jobs_must_be_kept() -> None:
+def test_no_gateway_acts_as_leader_while_durable_jobs_are_open() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(1, clock, keeps_jobs=True)
@@ -128,7 +128,7 @@
     asyncio.run(play())
 
 
-def test_tokens_of_deputies_rise_and_stay_below_the_next_leader() -> None:
+def test_tokens_of_acting_leaders_increase_and_stay_below_that_of_the_next_leader() -> None:
     async def play() -> list[int]:
         clock = build_clock()
         gateways = build_gateways(2, clock)
@@ -147,7 +147,7 @@
     assert tokens[0] > 5_000_000 and tokens[-1] < 6_000_000
 
 
-def test_a_deputy_that_was_held_up_stands_down() -> None:
+def test_delayed_acting_leader_steps_down() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(1, clock)
@@ -162,8 +162,11 @@
     asyncio.run(play())
 
 
-def test_a_deputy_that_was_fenced_off_does_not_stand_in_again_at_once() -> None:
-    """Seen beside an overloaded leader: one stood in 26 times in 8 s, with the same old roster."""
+def test_fenced_off_acting_leader_does_not_act_again_at_once() -> None:
+    """Beside an overloaded leader, a gateway acted as leader 26 times in 8 s.
+
+    Each time it had the same outdated failover state.
+    """
 
     async def play() -> None:
         clock = build_clock()
@@ -185,8 +188,11 @@
     asyncio.run(play())
 
 
-def test_a_leader_asks_for_a_later_term_after_a_deputy() -> None:
-    """A deputy's token is above the leader's of the same term: it must not go on under its own."""
+def test_leader_requests_a_later_term_after_an_acting_leader() -> None:
+    """An acting leader's token is above that of the leader of the same term.
+
+    So this leader must not continue with its own token.
+    """
 
     async def play() -> None:
         clock = build_clock()
@@ -196,7 +202,7 @@
         await gateways[0].link.replace_leader()
         deputy = gateways[0].acting_leader
         assert deputy is not None
-        # The deputy plays the leader here: it has the same term as the deputy before it.
+        # The acting leader represents a leader here: it has the same term as the one before it.
         call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), deputy_term=5)
         answer = await deputy.leading.answer(call)
         assert answer.outcome is Outcome.UNKNOWN
@@ -206,7 +212,7 @@
     asyncio.run(play())
 
 
-def test_jobs_of_a_silent_gateway_are_given_up_before_it_may_take_them_elsewhere() -> None:
+def test_jobs_of_a_silent_gateway_are_abandoned_before_it_may_move_them() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(1, clock)
@@ -238,21 +244,23 @@
 
 
 @pytest.mark.parametrize("longest_ms", [300, 1_000, 5_000])
-def test_leases_have_ended_before_a_lost_caller_can_come_again(longest_ms: float) -> None:
-    """For 1.1 s each job of a cut-off domain waited for 0.24 s."""
+def test_leases_have_expired_before_a_caller_that_lost_its_gateway_retries(
+    longest_ms: float,
+) -> None:
+    """Otherwise, for 1.1 s, each job of a domain that was cut off waited for 0.24 s."""
     longest, retry = milliseconds(longest_ms), timedelta(milliseconds=1_300)
     terms = choose_terms(longest, retry, GATEWAY_TIMEOUT)
     assert terms.lapse_after + GATEWAY_TIMEOUT <= retry
     assert terms.longest <= longest
 
 
-def test_leases_are_never_too_short_to_outlast_a_change_of_leader() -> None:
+def test_leases_are_long_enough_to_outlast_a_change_of_leader() -> None:
     terms = choose_terms(timedelta(seconds=1), milliseconds(200), GATEWAY_TIMEOUT)
     assert terms.longest == LEAST_LEASE
 
 
-def test_a_gateway_without_a_leader_asks_few_of_many_others() -> None:
-    """44 gateways asked one another, and 105 stood in."""
+def test_gateway_without_a_leader_contacts_only_a_few_of_many_others() -> None:
+    """Contacting all others was too much: 44 gateways did, and they acted as leader 105 times."""
     gateways = [
         GatewayInfo(address=f"10.{domain}.0.{number:02}:7000", domain=DomainName(str(domain)))
         for domain in range(1, 5)
@@ -267,7 +275,7 @@
     ]  # fmt: skip
 
 
-def test_nobody_stands_in_beside_a_lower_gateway_that_it_does_not_usually_ask() -> None:
+def test_lower_gateway_that_is_not_usually_contacted_still_takes_precedence() -> None:
     async def play() -> None:
         clock = build_clock()
         gateways = build_gateways(6, clock)
@@ -293,8 +301,8 @@
         AskConfiguration(),
     ],
 )
-def test_a_deputy_answers_nothing_that_needs_the_log(call: Call) -> None:
-    """Found by reading: a deputy accepted jobs that must be kept, and knew of none."""
+def test_acting_leader_refuses_calls_that_need_the_log(call: Call) -> None:
+    """An acting leader accepted durable jobs, and answered that it knew of none."""
 
     async def play() -> Outcome:
         gateway, _ = build_acting_gateway()
@@ -307,14 +315,14 @@
     assert asyncio.run(play()) is Outcome.UNAVAILABLE
 
 
-def test_the_term_of_a_deputy_is_that_of_the_roster_it_stands_in_with() -> None:
-    """A leader took two later terms after one deputy."""
+def test_term_of_an_acting_leader_is_that_of_its_failover_state() -> None:
+    """Otherwise the next leader started two later terms after one acting leader."""
     gateway = build_gateway(build_clock())
     gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
     async def lose_deputy(call: Call, timeout: timedelta) -> Answer:
-        # The next leader's roster comes while the call is under way.
+        # The failover state of the next leader arrives while the call is pending.
         gateway.link.receive_failover_state(msgspec.structs.replace(build_failover_state(), term=6))
         assert not isinstance(call, Submit) or call.deputy_term in (0, 5)
         if isinstance(call, Submit) and call.may_have_begun:
@@ -325,7 +333,7 @@
     assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)).outcome is Outcome.DONE
 
 
-def test_what_a_deputy_cannot_answer_does_not_lose_what_it_has_under_way() -> None:
+def test_refused_call_does_not_abandon_the_pending_calls_at_an_acting_leader() -> None:
     async def play() -> None:
         gateway = build_gateway(build_clock())
         gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
@@ -340,8 +348,8 @@
     asyncio.run(play())
 
 
-def test_nobody_stands_in_while_an_election_may_come_about() -> None:
-    """Control hosts that answer without a leader are electing one; silent ones cannot."""
+def test_no_gateway_acts_as_leader_while_an_election_is_possible() -> None:
+    """Control hosts that answer but have no leader are electing one; silent ones cannot."""
 
     async def play() -> None:
         clock = build_clock()
@@ -365,8 +373,8 @@
     asyncio.run(play())
 
 
-def test_a_deputy_that_stands_down_answers_what_it_has_under_way() -> None:
-    """Failed with all control hosts off: the other gateways were answered by a fault (500)."""
+def test_acting_leader_that_steps_down_answers_its_pending_calls() -> None:
+    """With all control hosts down, the other gateways got an internal error (status 500)."""
 
     async def play() -> None:
         gateway, _ = build_acting_gateway()
@@ -381,10 +389,10 @@
     asyncio.run(play())
 
 
-def test_a_deputy_that_is_busy_is_not_left_for_one_greeting_without_answer() -> None:
-    """Failed with all control hosts off: a small host had 150 jobs at once and was left by all.
+def test_busy_acting_leader_is_not_unfollowed_for_one_unanswered_keepalive() -> None:
+    """With all control hosts down, a small host got 150 jobs at once and all unfollowed it.
 
-    Their jobs came again, another gateway stood in beside it, and the two fenced each other off.
+    Their jobs were sent again, a second gateway acted as leader, and the two fenced each other off.
     """
 
     async def play() -> None:
@@ -398,7 +406,7 @@
 
         follower.calls.ask = ask  # type: ignore[method-assign]
         follower.link.follow(deputy, Via.ACTING_LEADER)
-        # Greeted again at once, so that it hears its followers before it gives their jobs up.
+        # The next keep-alive is due at once, so that it arrives before the jobs are abandoned.
         assert await follower.link.replace_leader()
         assert follower.coordinator == deputy
         await follower.link.replace_leader()
@@ -409,7 +417,7 @@
     asyncio.run(play())
 
 
-def test_a_deputy_that_stands_in_no_more_is_left_at_once() -> None:
+def test_gateway_that_no_longer_acts_as_leader_is_unfollowed_at_once() -> None:
     async def play() -> None:
         _, follower = build_gateways(2, build_clock())
 
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -1,4 +1,4 @@
-"""What a gateway answers when those who decide change."""
+"""Gateways while the coordinator changes: answers to callers, keep-alives, relays."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 from .model_upstreams import milliseconds
 
 
-def test_rejected_after_an_unknown_try_is_not_said_to_have_not_run() -> None:
-    """429 for a job that an earlier leader had run (REFUSED)."""
+def test_rejection_after_an_unknown_try_is_not_reported_as_not_run() -> None:
+    """A caller got status 429 for a job that an earlier leader had run."""
     gateway = build_gateway(build_clock())
     answers = [Answer(outcome=Outcome.UNKNOWN), Answer(outcome=Outcome.REJECTED)]
     tried = answer_in_turn(gateway, answers)
@@ -43,14 +43,14 @@
     assert second.may_have_begun
 
 
-def test_rejected_at_the_first_try_is_passed_on() -> None:
+def test_rejection_of_the_first_try_is_returned_to_the_caller() -> None:
     gateway = build_gateway(build_clock())
     rejected = Answer(outcome=Outcome.REJECTED, retry_after_ms=2_000)
     answer_in_turn(gateway, [rejected])
     assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)) == rejected
 
 
-def test_a_try_at_a_deputy_is_told_to_the_next_leader() -> None:
+def test_next_leader_learns_of_a_try_at_an_acting_leader() -> None:
     gateway = build_gateway(build_clock())
     gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
@@ -62,8 +62,8 @@
     assert second.deputy_term == 5
 
 
-def test_a_job_answered_as_unknown_is_not_left_behind() -> None:
-    """Nobody waits for it any more, so its runs are stopped."""
+def test_job_answered_as_unknown_is_abandoned() -> None:
+    """Its caller gets no result of this try, so its runs must be stopped."""
 
     async def play() -> list[Call]:
         clock = build_clock()
@@ -86,8 +86,8 @@
     assert [type(call) for call in tried] == [Submit, Abandon]
 
 
-def test_a_lost_leader_is_not_waited_for_where_another_host_knows_the_next() -> None:
-    """A wiped leader was greeted for a second beside its successor."""
+def test_lost_leader_is_dropped_when_another_host_names_its_successor() -> None:
+    """A leader that had lost its disk got keep-alives for a second while its successor led."""
 
     async def play() -> None:
         gateway = build_gateway(build_clock())
@@ -106,8 +106,8 @@
     asyncio.run(play())
 
 
-def test_the_next_leader_is_found_while_the_lost_one_owes_an_answer() -> None:
-    """Failed before: nobody else was asked for 100 ms, with each greeting of a lost leader."""
+def test_next_leader_is_found_while_an_answer_of_the_lost_one_is_outstanding() -> None:
+    """Each keep-alive to a lost leader delayed the search for the next one by 100 ms."""
 
     async def play() -> None:
         gateway = build_gateway(build_clock())
@@ -129,11 +129,11 @@
     asyncio.run(asyncio.wait_for(play(), 30))
 
 
-def test_a_job_is_not_sent_to_a_leader_that_owes_an_answer_but_to_the_next_as_not_begun() -> None:
-    """Failed before: what came in the 0.35 s before a lost leader was left might have begun there.
+def test_job_is_withheld_from_an_overdue_leader_and_sent_to_the_next_as_not_started() -> None:
+    """Jobs sent in the 0.35 s before a lost leader was unfollowed might have started there.
 
-    So it waited until all upstreams were seen, and 425 callers of a day (1.1 %) could not be told
-    that their jobs had reached no upstream.
+    So they waited until all upstreams were polled, and 425 callers in a day (1.1 %) could not be
+    told that their jobs had reached no upstream.
     """
 
     async def play() -> None:
@@ -171,7 +171,7 @@
     asyncio.run(play())
 
 
-def test_a_job_goes_to_a_leader_that_was_only_late_as_soon_as_it_answers() -> None:
+def test_withheld_job_is_sent_as_soon_as_an_overdue_leader_answers() -> None:
     async def play() -> None:
         clock = build_clock()
         gateway = build_gateways(1, clock)[0]
@@ -190,8 +190,8 @@
     asyncio.run(play())
 
 
-def test_a_gateway_cut_off_from_the_control_hosts_is_served_through_another() -> None:
-    """Its callers got nothing for as long as the cut."""
+def test_gateway_cut_off_from_the_control_hosts_is_served_through_a_relay() -> None:
+    """Without a relay its callers were not served for as long as the cut lasted."""
 
     async def play() -> None:
         clock = build_clock()
@@ -216,8 +216,8 @@
     asyncio.run(play())
 
 
-def test_nothing_more_is_sent_to_a_leader_that_is_silent() -> None:
-    """Failed on a site of kept jobs: all went to a dead leader, so none could be refused."""
+def test_calls_are_not_sent_to_a_silent_leader() -> None:
+    """All durable jobs were sent to a dead leader, so none could be refused as not run."""
 
     async def play() -> None:
         clock = build_clock()
@@ -237,7 +237,7 @@
     asyncio.run(play())
 
 
-def test_a_gateway_goes_back_to_the_leader_once_it_reaches_it() -> None:
+def test_gateway_returns_from_a_relay_to_the_leader_once_it_reaches_it() -> None:
     async def play() -> None:
         clock = build_clock()
         cut_off, other = gateways = build_gateways(2, clock)
@@ -263,7 +263,7 @@
     asyncio.run(play())
 
 
-def test_a_gateway_that_lost_the_leader_itself_is_left() -> None:
+def test_relay_that_has_lost_the_leader_itself_is_unfollowed() -> None:
     async def play() -> None:
         clock = build_clock()
         cut_off, other = gateways = build_gateways(2, clock)
@@ -282,8 +282,8 @@
 
 
 @pytest.mark.parametrize("via", [Via.ACTING_LEADER, Via.RELAY])
-def test_a_gateway_that_answers_late_is_not_left_at_once(via: Via) -> None:
-    """One late answer of a busy deputy sent it every call of its gateways again."""
+def test_gateway_that_answers_late_is_not_unfollowed_at_once(via: Via) -> None:
+    """After one late answer of a busy acting leader, its gateways sent it all their calls again."""
 
     async def play() -> None:
         clock = build_clock()
@@ -307,7 +307,7 @@
 
 
 @pytest.mark.parametrize("via", [Via.ACTING_LEADER, Via.RELAY])
-def test_a_gateway_that_neither_stands_in_nor_passes_on_any_more_is_left_at_once(via: Via) -> None:
+def test_gateway_that_stopped_acting_as_leader_or_relay_is_unfollowed_at_once(via: Via) -> None:
     async def play() -> None:
         (gateway,) = build_gateways(1, build_clock())
         other = "10.0.0.9:7000"
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -1,7 +1,7 @@
-"""Tasks run in the failure domain of their job's gateway, as long as there is room.
+"""Tasks run in the failure domain of their job's gateway, as long as it has free capacity.
 
-Failure pattern: a domain is cut off for seconds, as on most days with trouble. Of the jobs under
-way elsewhere none must wait for the leases of the upstreams behind the cut.
+Failure pattern: a domain is cut off for seconds, as on most days with failures. No pending job of
+another domain must wait for the leases of the upstreams that are cut off.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 DOMAINS = [DomainName(f"d{number}") for number in range(5)]
 UPSTREAMS_PER_DOMAIN = 8
-"""Upstreams of a domain, with room for two tasks each."""
+"""Each of the upstreams has capacity for two tasks."""
 
 
 def build_leader(seed: int, run_ms: int = 200) -> Leader:
@@ -46,7 +46,7 @@
 
 
 def count_domains(leader: Leader) -> Counter[str]:
-    """Return how many tasks run in each domain."""
+    """Return the number of running tasks in each domain."""
     world, upstreams = leader.world, leader.upstreams
     return Counter(upstreams[UpstreamId(id)].info.domain for id in world.running.values())
 
@@ -58,7 +58,7 @@
     assert count_domains(leader) == {DOMAINS[3]: 8}
 
 
-def test_what_finds_no_room_at_home_goes_where_the_most_is_left() -> None:
+def test_tasks_beyond_the_home_capacity_go_where_most_capacity_is_free() -> None:
     leader = build_leader(2)
     submit(leader, 1, DOMAINS[0], tasks=4)
     submit(leader, 2, DOMAINS[3], tasks=20)
@@ -68,15 +68,15 @@
     assert sum(counted.values()) == 24
 
 
-def test_a_job_without_a_known_home_stays_where_its_first_task_runs() -> None:
+def test_job_without_a_known_home_stays_in_the_domain_of_its_first_task() -> None:
     leader = build_leader(3)
     submit(leader, 1, None, tasks=8)
     leader.world.run_until(leader.world.now + milliseconds(50))
     assert len(count_domains(leader)) == 1
 
 
-def test_a_cut_of_one_domain_stops_no_job_of_the_others() -> None:
-    """Failed before: of jobs of four tasks three in five had one behind the cut of one of five."""
+def test_cut_off_domain_delays_no_job_of_the_others() -> None:
+    """When tasks were spread, a cut of one of five domains hit three in five jobs of four tasks."""
     leader = build_leader(4)
     world = leader.world
     jobs: dict[JobId, DomainName] = {}
--- a/cottonlug/tests/test_cluster_site.py
+++ b/cottonlug/tests/test_cluster_site.py
@@ -1,7 +1,7 @@
-"""A seeded campaign on the model of a site, which stops the test at two runs of a task.
+"""Seeded random faults on the model of a site, which fails the test if a task runs twice at once.
 
-Cuts of a domain, leaders in turn, killed gateways, stops that are lost and orders that come late;
-and hosts that decide but are held up, so that what they hear is old by then.
+The faults are cuts of a domain, changes of leader, killed gateways, lost stops and late orders, and
+coordinators whose process is delayed, so that the messages they handle are outdated.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
 
 
 def delay_coordinator(site: Site, chance: random.Random) -> None:
-    """Have a host that decides get on for 25 ms between times in which it does nothing."""
+    """Delay a coordinator repeatedly, with 25 ms between two delays."""
     deciders = [each for each in (site.leader, *site.deputies.values()) if each is not None]
     held = chance.choice(deciders) if deciders else None
     span = milliseconds(chance.choice((120, 250, 600)))
@@ -101,10 +101,10 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_campaign_of_leaders_and_deputies(seed: int) -> None:
+def test_no_task_runs_twice_at_once_while_the_coordinator_changes(seed: int) -> None:
     play(seed, TROUBLES, late_share=0.02)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_campaign_of_hosts_that_are_held_up(seed: int) -> None:
+def test_no_task_runs_twice_at_once_while_coordinators_are_delayed(seed: int) -> None:
     play(seed, (cut_domain, *[delay_coordinator] * 5), late_share=0.0)
--- a/cottonlug/tests/test_entry.py
+++ b/cottonlug/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry host without its listeners: what it says of submissions whose record is gone."""
+"""An entry host without its listeners: answers about submissions whose record has expired."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return host.submit(job).failure()
 
 
-def test_rule_does_not_call_a_forgotten_submission_not_run() -> None:
+def test_rule_does_not_report_an_expired_submission_as_not_run() -> None:
     refusal = asyncio.run(resend_after_a_rejecting_rule())
     assert refusal.code is RefusalCode.EXPIRED_ID
     assert refusal.outcome is RunOutcome.UNKNOWN
--- a/cottonlug/tests/test_job_lines.py
+++ b/cottonlug/tests/test_job_lines.py
@@ -1,4 +1,4 @@
-"""Jobs sent in batches over few connections: what is lost on the way, and who is taken in first."""
+"""Job channels, which send jobs in batches over few connections: lost messages, order of starts."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Wire:
-    """The way to another host, which loses requests or replies as told."""
+    """A connection to another host, which loses a set number of requests or replies."""
 
     server: JobChannelServer
     lost_requests: dict[str, int] = field(default_factory=dict)
-    """How many of the next requests of each kind do not arrive."""
+    """How many of the next requests are lost, by path."""
     lost_replies: dict[str, int] = field(default_factory=dict)
     is_closed: bool = False
-    """Whether nothing is sent at all, for want of a connection."""
+    """Whether no connection can be opened, so that nothing is sent."""
     sent: list[str] = field(default_factory=list)
 
     async def call(
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Host:
-    """A host that carries jobs out, and notes which."""
+    """A host that runs jobs and records which."""
 
     carried_out: list[str] = field(default_factory=list)
     gate: asyncio.Event | None = None
@@ -111,7 +111,7 @@
 
 
 def play(work: Callable[[Host, Wire, JobChannel], object], host: Host | None = None) -> Host:
-    """Have a line and its other end do something."""
+    """Run a coroutine with both ends of a job channel."""
     host = host or Host()
 
     async def run() -> None:
@@ -124,7 +124,7 @@
     return host
 
 
-def test_jobs_are_answered_each_with_its_own_answer() -> None:
+def test_each_job_gets_its_own_answer() -> None:
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         answers = await submit_all(channel, MANY)
         assert [each.detail for each in answers] == [build_job(n).path for n in range(MANY)]
@@ -134,7 +134,7 @@
     assert sorted(host.carried_out) == sorted(build_job(number).path for number in range(MANY))
 
 
-def test_a_batch_whose_reply_is_lost_is_carried_out_once() -> None:
+def test_batch_whose_reply_is_lost_is_run_once() -> None:
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         wire.lost_replies[JOBS_PATH] = 2
         wire.lost_requests[JOBS_PATH] = 1
@@ -144,7 +144,7 @@
     assert len(play(work).carried_out) == 5
 
 
-def test_answers_that_are_lost_are_given_again() -> None:
+def test_lost_answers_are_sent_again() -> None:
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         wire.lost_replies[ANSWERS_PATH] = 3
         answers = await submit_all(channel, 5)
@@ -153,8 +153,8 @@
     assert len(play(work).carried_out) == 5
 
 
-def test_answers_of_a_host_that_began_anew_are_not_taken_for_old_ones() -> None:
-    """It counts its answers from the first again, and has forgotten what it was asked before."""
+def test_answers_of_a_restarted_host_are_not_mistaken_for_old_ones() -> None:
+    """It numbers its answers from one again, and has lost the state of earlier polls."""
 
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         await submit_all(channel, 20)
@@ -165,8 +165,8 @@
     assert len(play(work).carried_out) == 23
 
 
-def test_a_line_that_was_idle_for_any_time_is_used_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In a trial one of its two tasks had left off, the other had not, and nothing was sent."""
+def test_channel_is_usable_after_any_idle_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """One of its two tasks had ended while idle and the other had not, so nothing was sent."""
     monkeypatch.setattr(job_line, "IDLE_SECONDS", 0.02)
 
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
@@ -177,7 +177,7 @@
     assert len(play(work).carried_out) == 40
 
 
-def test_only_what_was_sent_may_have_been_carried_out() -> None:
+def test_only_jobs_that_were_sent_may_have_been_run() -> None:
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         sent = asyncio.create_task(channel.submit(build_job(1), CALL_TIMEOUT))
         while not host.carried_out:
@@ -193,8 +193,8 @@
     play(work, Host(gate=asyncio.Event()))
 
 
-def test_those_that_can_wait_the_least_are_taken_in_first_and_some_in_a_turn() -> None:
-    """Load: all that has waited comes at once; greetings must be answered between turns."""
+def test_jobs_with_the_least_slack_start_first_and_only_some_per_loop_iteration() -> None:
+    """Load: all waiting jobs arrive at once, and keep-alives must be answered meanwhile."""
 
     async def run() -> None:
         host = Host()
@@ -219,7 +219,7 @@
     asyncio.run(asyncio.wait_for(run(), 30))
 
 
-def test_a_job_that_cannot_be_carried_out_is_answered_all_the_same() -> None:
+def test_job_whose_handler_raises_is_answered() -> None:
     async def fail(call: Call) -> Answer:
         raise ValueError("a fault")
 
@@ -235,8 +235,8 @@
     assert "a fault" in answer.detail
 
 
-def test_many_jobs_take_few_connections() -> None:
-    """Failed before: each job that waited for its end held one, up to 32 of each gateway."""
+def test_many_jobs_use_few_connections() -> None:
+    """Each waiting job used to occupy a connection, up to 32 per gateway."""
 
     async def run() -> int:
         host = Host(gate=asyncio.Event())
--- a/cottonlug/tests/test_processes.py
+++ b/cottonlug/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Promises tested on real processes, by bringing the failure about; starts are counted upstream."""
+"""Guarantees tested on real processes by causing the failure; upstreams count the starts."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     return bool(read_upstream_dump(fleet, number).running)
 
 
-def test_resends_through_any_host_start_nothing_twice(fleet: Fleet) -> None:
+def test_resubmission_through_any_host_starts_no_task_twice(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
     body = build_body(id, 60, 20)
     hosts = ["e1", "e2", "e3"] * 4
@@ -110,7 +110,7 @@
     assert count_starts(fleet, id) == 1
 
 
-def test_bad_input_gets_a_typed_error_and_changes_nothing(fleet: Fleet) -> None:
+def test_invalid_input_gets_an_error_code_and_changes_nothing(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
     good = json.loads(build_body(id, 2, 0))
     cases: list[tuple[bytes, int, str]] = [
@@ -173,7 +173,7 @@
     assert count_starts(fleet, id) == 40
 
 
-def test_leaving_upstream_finishes_and_gives_back_what_it_holds(fleet: Fleet) -> None:
+def test_leaving_upstream_finishes_its_runs_and_returns_unstarted_tasks(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
     assert call(fleet, "e1", "POST", "/v1/jobs", build_body(id, 60, 200)).status_code == 202
     wait_until(lambda: is_running_any(fleet, 1))
@@ -184,7 +184,7 @@
     assert_whole(wait_answer(fleet, "e1", id), 60)
 
 
-def test_killed_upstream_fails_its_jobs_as_unknown_and_nothing_runs_again(fleet: Fleet) -> None:
+def test_killed_upstream_fails_its_jobs_as_unknown_and_no_task_runs_again(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
     assert call(fleet, "e1", "POST", "/v1/jobs", build_body(id, 16, 3_000)).status_code == 202
     wait_until(lambda: is_running_any(fleet, 1) and is_running_any(fleet, 2))
@@ -198,7 +198,7 @@
     assert count_starts(fleet, id) <= started_before
 
 
-def test_stopped_upstream_never_starts_late_what_was_called_unknown(fleet: Fleet) -> None:
+def test_suspended_upstream_never_starts_tasks_that_were_reported_unknown(fleet: Fleet) -> None:
     process = fleet.processes["w01"]
     other = fleet.processes["w02"]
     process.send_signal(signal.SIGSTOP)
@@ -216,7 +216,7 @@
     assert count_starts(fleet, id) <= len(answer["failure"]["may_have_run"])
 
 
-def test_killed_home_is_unknown_then_lost_and_never_runs_again(fleet: Fleet) -> None:
+def test_job_of_a_killed_home_is_unknown_then_lost_and_never_runs_again(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
     body = build_body(id, 30, 300)
     assert call(fleet, "e2", "POST", "/v1/jobs", body).status_code == 202
@@ -241,9 +241,9 @@
     assert count_starts(fleet, id) == started
 
 
-def test_cancelled_job_has_one_end_for_all_who_ask(fleet: Fleet) -> None:
+def test_cancelled_job_has_the_same_answer_for_all_callers(fleet: Fleet) -> None:
     id = mint(fleet, "e1")
-    # Longer than a busy machine takes to look: the tasks must still run when they are cancelled.
+    # Longer than a busy machine takes to check: the tasks must still run when they are cancelled.
     body = build_body(id, 40, 30_000)
     assert call(fleet, "e1", "POST", "/v1/jobs", body).status_code == 202
     wait_until(lambda: is_running_any(fleet, 1))
@@ -259,7 +259,7 @@
     wait_until(lambda: not is_running_any(fleet, 1))
 
 
-def test_command_line_walks_the_whole_path(fleet: Fleet) -> None:
+def test_command_line_covers_a_job_from_submission_to_dump(fleet: Fleet) -> None:
     host = next(plan for plan in fleet.hosts if plan.name == "e2")
 
     def run(*arguments: str, kind: str = "callers") -> subprocess.CompletedProcess[str]:
@@ -288,7 +288,7 @@
     wait_until(lambda: '"generation"' in log.read_text())
 
 
-def test_broken_settings_are_all_reported_at_once(fleet: Fleet) -> None:
+def test_invalid_settings_are_all_reported_at_once(fleet: Fleet) -> None:
     file = fleet.folder / "e1.yaml"
     text = file.read_text().replace("domain: town-hall-basement", "domian: x", 1)
     file.write_text(text.replace("callers: 127.0.0.1:", "callers: localhost:", 1))
