--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -136,15 +136,15 @@
         gateway.calls.ask = build_ask(gateway)  # type: ignore[method-assign]
 
 
-def build_gateways(count: int, clock: ManualClock, **roster: Any) -> list[Gateway]:
+def build_gateways(count: int, clock: ManualClock, **changes: Any) -> list[Gateway]:
     gateways = [build_gateway(clock, number) for number in range(1, count + 1)]
     for gateway in gateways:
-        gateway.link.receive_failover_state(build_failover_state(count, **roster))
+        gateway.link.receive_failover_state(build_failover_state(count, **changes))
     return gateways
 
 
-def build_keepalive(gateway: str, domain: str = "north", roster: str = "") -> Greet:
-    return Greet(gateway=gateway, domain=DomainName(domain), roster=roster)
+def build_keepalive(gateway: str, domain: str = "north", version: str = "") -> Greet:
+    return Greet(gateway=gateway, domain=DomainName(domain), roster=version)
 
 
 def add_upstream(gateways: GatewayRegistry, records: Records, name: str) -> None:
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -65,7 +65,7 @@
 
 HOSTS = 8
 DOMAINS = 4
-TROUBLE_SECONDS = 12.0
+FAULT_SECONDS = 12.0
 CONTACT_SECONDS = 4.0
 """Time that hosts get to reconnect after a failure; the calm period counts from its end."""
 ACKNOWLEDGED_WITHIN = 5.0
@@ -96,7 +96,7 @@
         self.world = world
         self.chance = random.Random(seed)
         self.operator = Operator(world, random.Random(seed + 1))
-        self.troubles: list[str] = []
+        self.faults: list[str] = []
         self.tasks: set[asyncio.Task[Any]] = set()
         self.version = 0
         self.orders: dict[str, asyncio.Task[float]] = {}
@@ -141,7 +141,7 @@
 
     # Failures
 
-    def pick(self) -> Machine:
+    def pick_machine(self) -> Machine:
         leader = self.world.find_leader()
         running = [each for each in self.world.machines.values() if each.process is not None]
         if leader is not None and self.chance.random() < 0.4:
@@ -176,7 +176,7 @@
             self.send_configuration(machine)
 
     async def kill(self) -> None:
-        machine = self.pick()
+        machine = self.pick_machine()
         power = self.chance.random() < 0.5
         seconds = self.chance.uniform(RESTART_SECONDS, 8.0)
         wipe = self.chance.random() < 0.4 and self.may_lose([machine], seconds)
@@ -210,7 +210,7 @@
                 self.world.start(machine, self.seeds())
 
     async def freeze(self) -> None:
-        machine = self.pick()
+        machine = self.pick_machine()
         self.world.freeze(machine, self.chance.uniform(0.2, 7.0))
         self.send_until_answered(machine)
 
@@ -218,13 +218,13 @@
         how = self.chance.choice(["domain", "one", "half"])
         machines = list(self.world.machines.values())
         if how == "domain":
-            domain = self.pick().domain
+            domain = self.pick_machine().domain
             group = [each for each in machines if each.domain == domain]
         elif how == "one":
-            group = [self.pick()]
+            group = [self.pick_machine()]
         else:
             group = self.chance.sample(machines, len(machines) // 2)
-        self.troubles.append(f"({how}: {[each.name for each in group]})")
+        self.faults.append(f"({how}: {[each.name for each in group]})")
         self.world.cut_off(group)
         self.send_until_answered(group[0])
         await asyncio.sleep(self.chance.uniform(1.0, 7.0))
@@ -237,7 +237,7 @@
             await asyncio.sleep(0.5)
 
     async def replace(self) -> None:
-        machine = self.pick()
+        machine = self.pick_machine()
         if not self.may_lose([machine], 1.0):
             return
         self.lost_disks[f"{machine.name}n"] = self.lost_disks.pop(machine.name)
@@ -262,13 +262,13 @@
                 upstream.token = max(upstream.token, control.leading.token + 1_003)
 
     async def starve(self) -> None:
-        machine = self.pick()
+        machine = self.pick_machine()
         for _ in range(20):
             if machine.process is not None:
                 machine.process.work(self.chance.uniform(0.1, 0.9))
             await asyncio.sleep(0.3)
 
-    async def make_trouble(self) -> None:
+    async def inject_faults(self) -> None:
         kinds = (
             self.kill,
             self.lose_two,
@@ -284,7 +284,7 @@
         )
         for _ in range(self.chance.randint(1, 4)):
             kind = self.chance.choice(kinds)
-            self.troubles.append(f"{self.world.loop.time():.2f} {kind.__name__}")
+            self.faults.append(f"{self.world.loop.time():.2f} {kind.__name__}")
             self.begin(kind())
             await asyncio.sleep(self.chance.uniform(0.2, 5.0))
 
@@ -293,16 +293,16 @@
     async def play(self) -> None:
         build_core(self.world)
         for number in range(2):
-            greeting = greet_forever(self.world, f"10.8.0.{number}:90", "d0", self.chance)
-            self.begin(greeting)
+            keepalive = greet_forever(self.world, f"10.8.0.{number}:90", "d0", self.chance)
+            self.begin(keepalive)
         for upstream in self.world.upstreams.values():
             self.begin(self.beat_forever(upstream))
         self.send_configuration()
         await asyncio.sleep(6.0)
         ordering = self.begin(self.order_forever())
-        troubling = self.begin(self.make_trouble())
-        await asyncio.sleep(TROUBLE_SECONDS)
-        await troubling
+        fault_task = self.begin(self.inject_faults())
+        await asyncio.sleep(FAULT_SECONDS)
+        await fault_task
         for task in list(self.tasks):
             if not task.done() and "Day." in str(task.get_coro()) and "_forever" not in str(task):
                 await task
@@ -314,11 +314,11 @@
         if self.chance.random() < 0.4:
             await asyncio.sleep(CATCH_UP_SECONDS)
             off = self.chance.sample(list(self.world.machines.values()), MAX_LOST_DISKS)
-            self.troubles.append(f"off {[each.name for each in off]}")
+            self.faults.append(f"off {[each.name for each in off]}")
             for machine in off:
                 self.world.kill(machine, power=True)
             at = self.world.loop.time()
-        self.troubles.append(f"{at:.2f} calm")
+        self.faults.append(f"{at:.2f} calm")
         await asyncio.sleep(CONTACT_SECONDS)
         ordering.cancel()
         for _ in range(3):
@@ -332,10 +332,10 @@
             f"{name} not acknowledged" for name, task in self.orders.items() if not task.done()
         ]
         problems += [f"refused: {refusal}" for refusal in self.operator.refusals]
-        problems += [f"{name} is no member" for name in self.find_outsiders()]
+        problems += [f"{name} is no member" for name in self.find_non_members()]
         return problems + [f"failed: {error!r}" for error in self.world.failures]
 
-    def find_outsiders(self) -> list[str]:
+    def find_non_members(self) -> list[str]:
         """Return the running hosts that are not among the members that the leader knows."""
         leader = self.world.find_leader()
         control = leader.process.control if leader is not None and leader.process else None
@@ -343,13 +343,13 @@
         if member is None:
             return []
         known = (*member.members.voters, *member.members.learners)
-        outsiders = []
+        non_members = []
         for machine in self.world.machines.values():
             own = machine.process.control if machine.process is not None else None
             id = own.replica.member.id if own is not None and own.replica.member else None
             if id is not None and id not in known:
-                outsiders.append(machine.name)
-        return outsiders
+                non_members.append(machine.name)
+        return non_members
 
 
 def play_day(seed: int) -> Day:
@@ -366,7 +366,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_orders_are_acknowledged_in_the_calm_after_any_failures(seed: int) -> None:
     day = play_day(seed)
-    assert not day.find_problems(), day.troubles
+    assert not day.find_problems(), day.faults
 
 
 # Regression tests, each with the shortest sequence of events that leads to the fault.
@@ -676,33 +676,33 @@
             world.start_gateway(name, f"d{domain}", ip, machines[:3])
         leader = get_leader(world)
         assert leader.process is not None
-        greetings = count_greetings(leader.process)
+        keepalives = count_keepalives(leader.process)
         await asyncio.sleep(2.0)
-        greetings.clear()
+        keepalives.clear()
         await asyncio.sleep(2.0)
-        usual = len(greetings)
+        usual = len(keepalives)
         leader.process.run(delay_loop(leader.process, 0.03))
         await asyncio.sleep(2.0)
-        greetings.clear()
+        keepalives.clear()
         await asyncio.sleep(2.0)
         assert get_control(leader).leading is not None
-        assert len(greetings) <= 1.5 * usual
+        assert len(keepalives) <= 1.5 * usual
 
     play_core(1, day)
 
 
-def count_greetings(process: Process) -> list[str]:
+def count_keepalives(process: Process) -> list[str]:
     """Record each keep-alive that a process begins to answer."""
-    greetings: list[str] = []
+    keepalives: list[str] = []
     handler = process.handlers[PEER_PORT]
 
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path == CALL_PATH and b"greet" in request.body:
-            greetings.append(request.path)
+            keepalives.append(request.path)
         return await handler(request)
 
     process.handlers[PEER_PORT] = handle
-    return greetings
+    return keepalives
 
 
 def test_old_join_request_does_not_replace_the_current_member_of_its_host() -> None:
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_deputy.py
@@ -93,11 +93,11 @@
             UpstreamRecord(info=build_info(f"u{number}", domain="north"))
             for number in range(MOST_FOR_ONE_DEPUTY + 1)
         )
-        roster = msgspec.structs.replace(
+        failover_state = msgspec.structs.replace(
             build_failover_state(4), gateways=infos, upstreams=upstreams
         )
         for gateway in gateways:
-            gateway.link.receive_failover_state(roster)
+            gateway.link.receive_failover_state(failover_state)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
@@ -200,13 +200,13 @@
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        deputy = gateways[0].acting_leader
-        assert deputy is not None
+        acting_leader = gateways[0].acting_leader
+        assert acting_leader is not None
         # The acting leader represents a leader here: it has the same term as the one before it.
         call = Submit(host="host", path=f"/q/{JOB}", spec=build_spec(), deputy_term=5)
-        answer = await deputy.leading.answer(call)
+        answer = await acting_leader.leading.answer(call)
         assert answer.outcome is Outcome.UNKNOWN
-        assert deputy.authority.is_over
+        assert acting_leader.authority.is_over
         gateways[0].stop()
 
     asyncio.run(play())
@@ -219,16 +219,16 @@
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateways[0].link.replace_leader()
-        deputy = gateways[0].acting_leader
-        assert deputy is not None
-        leading = deputy.leading
-        greeted = await leading.answer(build_keepalive("10.0.0.9:7000"))
+        acting_leader = gateways[0].acting_leader
+        assert acting_leader is not None
+        leading = acting_leader.leading
+        answer = await leading.answer(build_keepalive("10.0.0.9:7000"))
         call = Submit(
             host="host",
             path=f"/q/{JOB}",
             spec=build_spec(),
             gateway="10.0.0.9:7000",
-            contact=greeted.contact,
+            contact=answer.contact,
         )
         waiting = asyncio.create_task(leading.answer(call))
         await asyncio.sleep(0)
@@ -321,7 +321,7 @@
     gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
-    async def lose_deputy(call: Call, timeout: timedelta) -> Answer:
+    async def lose_acting_leader(call: Call, timeout: timedelta) -> Answer:
         # The failover state of the next leader arrives while the call is pending.
         gateway.link.receive_failover_state(msgspec.structs.replace(build_failover_state(), term=6))
         assert not isinstance(call, Submit) or call.deputy_term in (0, 5)
@@ -329,7 +329,7 @@
             return Answer(outcome=Outcome.DONE)
         return Answer(outcome=Outcome.UNKNOWN)
 
-    gateway._try_once = lose_deputy  # type: ignore[method-assign]
+    gateway._try_once = lose_acting_leader  # type: ignore[method-assign]
     assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)).outcome is Outcome.DONE
 
 
@@ -398,17 +398,17 @@
     async def play() -> None:
         clock = build_clock()
         _, follower = build_gateways(2, clock)
-        deputy = "10.0.0.1:7000"
+        acting_leader = "10.0.0.1:7000"
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             clock.advance(timeout)
             return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
         follower.calls.ask = ask  # type: ignore[method-assign]
-        follower.link.follow(deputy, Via.ACTING_LEADER)
+        follower.link.follow(acting_leader, Via.ACTING_LEADER)
         # The next keep-alive is due at once, so that it arrives before the jobs are abandoned.
         assert await follower.link.replace_leader()
-        assert follower.coordinator == deputy
+        assert follower.coordinator == acting_leader
         await follower.link.replace_leader()
         clock.advance(CALLS_LOST_AFTER)
         await follower.link.replace_leader()
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -155,7 +155,7 @@
         gateway.calls.ask = ask  # type: ignore[method-assign]
         await gateway.link.send_keepalive()
         is_lost = True
-        greeting = asyncio.create_task(gateway.link.send_keepalive())
+        keepalive = asyncio.create_task(gateway.link.send_keepalive())
         await asyncio.sleep(0)
         calling = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
         await asyncio.sleep(0.02)
@@ -166,7 +166,7 @@
         ((host, call),) = sent
         assert host == "10.0.1.2:7000"
         assert isinstance(call, Submit) and not call.may_have_begun
-        greeting.cancel()
+        keepalive.cancel()
 
     asyncio.run(play())
 
--- a/cottonlug/tests/test_cluster_site.py
+++ b/cottonlug/tests/test_cluster_site.py
@@ -15,7 +15,7 @@
 from .model_upstreams import milliseconds
 
 LENGTH_MS = 12_000
-Trouble = Callable[[Site, random.Random], None]
+Fault = Callable[[Site, random.Random], None]
 
 
 def change_leader(site: Site, chance: random.Random, lasts_ms: float = 0.0) -> None:
@@ -65,23 +65,23 @@
 
 def delay_coordinator(site: Site, chance: random.Random) -> None:
     """Delay a coordinator repeatedly, with 25 ms between two delays."""
-    deciders = [each for each in (site.leader, *site.deputies.values()) if each is not None]
-    held = chance.choice(deciders) if deciders else None
+    coordinators = [each for each in (site.leader, *site.deputies.values()) if each is not None]
+    delayed = chance.choice(coordinators) if coordinators else None
     span = milliseconds(chance.choice((120, 250, 600)))
 
-    def hold() -> None:
-        if held is not None:
-            held.busy_until = site.world.now + span
+    def delay() -> None:
+        if delayed is not None:
+            delayed.busy_until = site.world.now + span
 
     for number in range(chance.choice((1, 3, 6))):
-        site.world.at((span + milliseconds(25)) * number, hold)
+        site.world.at((span + milliseconds(25)) * number, delay)
 
 
 DOMAINS = (NORTH, SOUTH, EAST)
-TROUBLES: tuple[Trouble, ...] = (cut_domain, change_leader, kill_gateway, lose_stops)
+FAULTS: tuple[Fault, ...] = (cut_domain, change_leader, kill_gateway, lose_stops)
 
 
-def play(seed: int, troubles: tuple[Trouble, ...], late_share: float) -> None:
+def play(seed: int, faults: tuple[Fault, ...], late_share: float) -> None:
     site = build_site(seed, upstreams_each=3, late_share=late_share)
     chance = random.Random(seed)
     for upstream in site.upstreams.values():
@@ -95,14 +95,14 @@
                 number += 1
                 run_ms = chance.choice((900, 2_500))
                 site.submit(f"{number:016x}", gateway, run_ms, tasks=chance.choice((1, 2)))
-        if chance.random() < 0.06 * len(troubles):
-            chance.choice(troubles)(site, chance)
+        if chance.random() < 0.06 * len(faults):
+            chance.choice(faults)(site, chance)
     assert site.world.starts > 30
 
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_task_runs_twice_at_once_while_the_coordinator_changes(seed: int) -> None:
-    play(seed, TROUBLES, late_share=0.02)
+    play(seed, FAULTS, late_share=0.02)
 
 
 @pytest.mark.parametrize("seed", range(12))
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -133,7 +133,7 @@
 @pytest.mark.parametrize("seed", range(2))
 def test_what_was_acknowledged_last_holds_through_any_troubles(seed: int) -> None:
     day = play_day(seed)
-    assert not day.find_problems(), day.troubles
+    assert not day.find_problems(), day.faults
     assert sum(operator.orders for operator in day.operators) > 3
 
 
