--- a/cottonlug/runtime/follower.py
+++ b/cottonlug/runtime/follower.py
@@ -21,7 +21,7 @@
 STALE_AFTER = timedelta(seconds=4)
 """Longer than two polls take."""
 _RETRY_SECONDS = 0.25
-_POLL_MARGIN_SECONDS = 1.0
+_TIMEOUT_MARGIN_SECONDS = 1.0
 
 
 class VoterClient:
@@ -34,8 +34,8 @@
         self._watch = Watch()
         self._polled_at: timedelta | None = None
         self._voter_is_stale = False
-        poll_seconds = POLL_MS / 1000 + _POLL_MARGIN_SECONDS
-        change_seconds = CHANGE_TIMEOUT.total_seconds() + _POLL_MARGIN_SECONDS
+        poll_seconds = POLL_MS / 1000 + _TIMEOUT_MARGIN_SECONDS
+        change_seconds = CHANGE_TIMEOUT.total_seconds() + _TIMEOUT_MARGIN_SECONDS
         self._poll_clients = _build_clients(settings, poll_seconds)
         self._change_clients = _build_clients(settings, change_seconds)
         self._task: asyncio.Task[None] | None = None
