--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/decider.py
@@ -210,7 +210,7 @@
     # Keep-alives
 
     async def send_keepalive(self) -> None:
-        """Send a keep-alive to the known leader, or to all control hosts at once if it is late.
+        """Send a keep-alive to the leader; if it is unknown or late, to all control hosts at once.
 
         Only one control host forwards the keep-alive to the leader: if each of them did, an
         overloaded leader that already answers late would get even more work.
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -164,7 +164,7 @@
         return accepted
 
     def get_status(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Return the status of a job, or its answer if that alone is kept."""
+        """Return the status of a job, or its answer if only that is still stored."""
         found = self.dispatcher.store.find(id, self._clock.monotonic())
         return found.map(lambda known: build_status(known) if isinstance(known, Job) else known)
 
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -183,7 +183,10 @@
         return answer
 
     def _record_abandoned(self, call: Call) -> None:
-        """Report with keep-alives that this gateway no longer waits for a best-effort job."""
+        """Report that this gateway no longer waits for a best-effort job.
+
+        Keep-alives repeat the report until the coordinator is sure to have received it.
+        """
         if isinstance(call, Submit) and call.spec.best_effort:
             self.link.confirmations.record_abandoned(
                 GivenUp(host=call.host, path=call.path, number=call.number)
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -77,7 +77,9 @@
             self._record_contact(gateway, sent_at)
 
     def find_send_time(self, gateway: str, contact: Contact | None) -> timedelta | None:
-        """Return the earliest time at which a message was sent; None if it is too old to count.
+        """Return the earliest time at which a message was sent, or None if it does not count.
+
+        A message does not count if it is too old or has a contact of another coordinator.
 
         The timeout counts from sending, never from arrival: a gateway moves its jobs to another
         coordinator depending on when it was last answered, and a message that was delayed in the
@@ -95,7 +97,10 @@
         return sent_at
 
     def _record_contact(self, gateway: str, sent_at: timedelta) -> None:
-        """Record contact with a gateway; after a timeout, abandon what it had submitted before."""
+        """Record contact with a gateway; call `on_silence` if it had timed out.
+
+        A gateway has moved the jobs that it submitted before a timeout to another coordinator.
+        """
         known = self._sent_at.get(gateway)
         if known is not None and not self.is_connected(gateway):
             self.on_silence(gateway)
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -1,4 +1,4 @@
-"""Orders of operators and leaving upstreams are acknowledged within a time limit after failures.
+"""Orders of operators and leaving upstreams are acknowledged within a time limit after faults.
 
 Runs the real control hosts in simulated time: eight hosts, seven of them voters, in days with
 kills, lost disks, network cuts, frozen hosts and restarts, each followed by a calm period.
@@ -67,7 +67,7 @@
 DOMAINS = 4
 FAULT_SECONDS = 12.0
 CONTACT_SECONDS = 4.0
-"""Time that hosts get to reconnect after a failure; the calm period counts from its end."""
+"""Time that hosts get to reconnect after the last fault; the calm period counts from its end."""
 ACKNOWLEDGED_WITHIN = 5.0
 MAX_LOST_DISKS = 2
 """Disks that may be lost at the same time, and hosts that may be down for long."""
@@ -90,7 +90,7 @@
 
 
 class Day:
-    """One random day: failures, orders sent meanwhile, and orders sent in the calm after them."""
+    """One random day: faults, orders sent meanwhile, and orders sent in the calm after them."""
 
     def __init__(self, world: World, seed: int) -> None:
         self.world = world
@@ -139,7 +139,7 @@
             else:
                 self.send_leaving()
 
-    # Failures
+    # Faults
 
     def pick_machine(self) -> Machine:
         leader = self.world.find_leader()
@@ -364,7 +364,7 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_orders_are_acknowledged_in_the_calm_after_any_failures(seed: int) -> None:
+def test_orders_are_acknowledged_in_the_calm_after_any_faults(seed: int) -> None:
     day = play_day(seed)
     assert not day.find_problems(), day.faults
 
