--- a/cottonlug/core/__init__.py
+++ b/cottonlug/core/__init__.py
@@ -1,1 +1,1 @@
-"""The embeddable core: state machines without input or output."""
+"""The embeddable core: state machines that perform no I/O."""
--- a/cottonlug/core/clock.py
+++ b/cottonlug/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that the core never reads the time by itself."""
+"""Clock interface: the core is given the time and never reads the system clock itself."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     """Source of time for one process."""
 
     def now(self) -> datetime:
-        """Return the wall-clock time with its zone; it may jump."""
+        """Return the wall-clock time with its time zone; it may jump."""
         ...
 
     def monotonic(self) -> timedelta:
-        """Return the time since some fixed moment; it never goes back."""
+        """Return the time since an arbitrary fixed moment; it never goes backwards."""
         ...
 
 
 class ManualClock:
-    """A clock that moves only when told to, for tests and embedding programs."""
+    """A clock that advances only through `advance`, for tests and embedding programs."""
 
     def __init__(self, *, start: datetime) -> None:
         self._start = start
@@ -39,10 +39,10 @@
 
 
 def milliseconds(count: float) -> timedelta:
-    """Return a span of that many milliseconds."""
+    """Return a duration of `count` milliseconds."""
     return timedelta(milliseconds=count)
 
 
 def to_milliseconds(span: timedelta) -> int:
-    """Return a span as whole milliseconds, rounded down."""
+    """Return a duration in whole milliseconds, rounded down."""
     return span // timedelta(milliseconds=1)
--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -1,8 +1,9 @@
-"""The replicated configuration: one rules document with a version, changed by compare-and-set.
+"""The replicated configuration: one versioned rules document, changed by compare-and-set.
 
-Commands are applied in log order at every voter, so all reach the same state. A change names the
-version that it starts from; of two with the same number exactly one is accepted. The decision on a
-request id is remembered, so that an operator who lost the answer gets the first one again.
+Every voter applies commands in log order, so all reach the same state. A change names the version
+that it is based on; of two changes based on the same version exactly one is accepted. The decision
+for each request id is stored, so that an operator who lost the answer can repeat the request and
+gets the original decision.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from .messages import Message
 
 MAX_REMEMBERED = 20_000
-"""More than the changes of a day at the size to design for."""
+"""Number of stored decisions: more than a day of changes at the size to design for."""
 
 
 class Decision(Enum):
-    """What became of a change."""
+    """Whether a change was accepted and, if not, why."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -27,7 +28,7 @@
 
 
 class ChangeCommand(Message):
-    """Replace the document, if its version is still `base_version`."""
+    """Replace the document if its version is still `base_version`."""
 
     request_id: str
     base_version: int
@@ -36,7 +37,11 @@
 
 
 class ChangeOutcome(Message, omit_defaults=False):
-    """The decision; `version` is the one in force after it, `winner` the request that made it."""
+    """Decision on a change.
+
+    `version` is the active version after the decision; `winner`, where set, is the request id of
+    the change that made that version.
+    """
 
     request_id: str
     decision: Decision
@@ -46,7 +51,7 @@
 
 
 class ConfigurationState(Message):
-    """The whole replicated state; it is also what a snapshot holds."""
+    """The whole replicated state; a snapshot holds exactly this."""
 
     version: int = 0
     text: str = ""
@@ -55,13 +60,13 @@
 
 
 Validate = Callable[[str], str | None]
-"""Return what is wrong with a document, or None."""
+"""Returns what is wrong with a document, or None if it is valid."""
 
 
 def apply_change(
     state: ConfigurationState, command: ChangeCommand, validate: Validate
 ) -> ChangeOutcome:
-    """Decide on a change and return the outcome, the first one for a request id seen before."""
+    """Decide on a change and return the outcome; a known request id gets its original outcome."""
     known = state.outcomes.get(command.request_id)
     if known is not None:
         return known
@@ -82,7 +87,7 @@
 
 
 def decode_state(data: str) -> ConfigurationState:
-    """Return the state that a snapshot holds; the empty text is the first state."""
+    """Return the state that a snapshot holds; empty text stands for the initial state."""
     if not data:
         return ConfigurationState()
     return msgspec.json.decode(data, type=ConfigurationState)
@@ -105,7 +110,7 @@
             decision=Decision.CONFLICT,
             version=state.version,
             winner=state.winner,
-            detail=f"version {state.version} is in force, the change starts from "
+            detail=f"version {state.version} is active, the change is based on "
             f"{command.base_version}",
         )
     problem = validate(command.text)
--- a/cottonlug/core/consensus/log.py
+++ b/cottonlug/core/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one member: a snapshot and the entries after it."""
+"""The log of one member: a snapshot and the entries that follow it."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Log:
-    """Entries by index; indexes up to the snapshot's are gone."""
+    """Entries by index; entries up to the snapshot's index have been discarded."""
 
     def __init__(self, *, snapshot: Snapshot, entries: Sequence[Entry]) -> None:
         self.snapshot = snapshot
         self._entries = list(entries)
         for offset, entry in enumerate(self._entries):
-            require(entry.index == snapshot.index + 1 + offset, "a log has no gaps")
+            require(entry.index == snapshot.index + 1 + offset, "a log must not have gaps")
 
     @property
     def last_index(self) -> Index:
@@ -28,7 +28,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def find_term(self, index: Index) -> Term | None:
-        """Return the term at an index, or None where it is gone or not there yet."""
+        """Return the term at an index, or None if it is discarded or after the last entry."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if not self.snapshot.index < index <= self.last_index:
@@ -36,41 +36,41 @@
         return self._get(index).term
 
     def read(self, first: Index, limit: int) -> tuple[Entry, ...]:
-        """Return up to `limit` entries from an index on."""
-        require(first > self.snapshot.index, "entries up to the snapshot are gone")
+        """Return up to `limit` entries, starting at index `first`."""
+        require(first > self.snapshot.index, "entries up to the snapshot cannot be read")
         start = first - self.snapshot.index - 1
         return tuple(self._entries[start : start + limit])
 
     def append(self, entry: Entry) -> None:
         """Add the next entry."""
-        require(entry.index == self.last_index + 1, "entries are appended in order")
+        require(entry.index == self.last_index + 1, "entries must be appended in order")
         self._entries.append(entry)
 
     def truncate(self, first: Index) -> None:
-        """Drop the entry at an index and all after it."""
-        require(first > self.snapshot.index, "a snapshot is not truncated")
+        """Drop the entry at index `first` and all after it."""
+        require(first > self.snapshot.index, "a snapshot must not be truncated")
         del self._entries[first - self.snapshot.index - 1 :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Put a snapshot of this log in place of the entries that it covers."""
-        require(self.find_term(snapshot.index) == snapshot.term, "a snapshot is of this log")
+        """Replace the entries that a snapshot of this log covers by the snapshot."""
+        require(self.find_term(snapshot.index) == snapshot.term, "a snapshot must be of this log")
         del self._entries[: snapshot.index - self.snapshot.index]
         self.snapshot = snapshot
 
     def replace(self, snapshot: Snapshot) -> None:
-        """Put a leader's snapshot in place of the whole log."""
+        """Replace the whole log by a leader's snapshot."""
         self.snapshot = snapshot
         self._entries = []
 
     def find_members(self) -> Members:
-        """Return the newest set of members in the log; it counts from when it is appended."""
+        """Return the newest set of members in the log; a set is effective once it is appended."""
         for entry in reversed(self._entries):
             if entry.members is not None:
                 return entry.members
         return self.snapshot.members
 
     def find_members_at(self, index: Index) -> Members:
-        """Return the set of members that counted when an entry was appended."""
+        """Return the set of members that is effective as of the entry at an index."""
         members = self.snapshot.members
         for entry in self.read(Index(self.snapshot.index + 1), index - self.snapshot.index):
             if entry.members is not None:
@@ -85,7 +85,7 @@
         return self.snapshot.index
 
     def find_first_of_term(self, index: Index) -> Index:
-        """Return the first index of the run of one term that holds this index."""
+        """Return the first index of the sequence of same-term entries that contains this index."""
         term = self.find_term(index)
         first = index
         while first - 1 > self.snapshot.index and self.find_term(Index(first - 1)) == term:
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -1,9 +1,9 @@
 """One member of the replicated log: elections, replication, commitment and change of members.
 
 The algorithm is Raft (Ongaro and Ousterhout, 2014) with pre-vote, a quorum check by the leader, one
-change of members at a time, learners and leadership transfer. A member id stands for one life of a
-disk: a host that lost its disk comes back under a new id and votes only once it was added again, so
-that it cannot forget a vote or an entry that others count on.
+change of members at a time, learners and leadership transfer. A member id identifies one disk and
+its content: a host that lost its disk comes back under a new id and votes only once that id has
+been added, so that it cannot forget a vote or an entry that other members rely on.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotLeader:
-    """A proposal came to a member that cannot take it; `leader` may."""
+    """A proposal reached a member that cannot accept it; `leader`, if known, may be able to."""
 
     leader: MemberId | None
     reason: str
 
 
 class Member:
-    """State of one member."""
+    """The state machine of one member."""
 
     def __init__(
         self,
@@ -81,16 +81,16 @@
         self._progress: dict[MemberId, Progress] = {}
         self._heard_leader_at: timedelta | None = None
         self._first_votes = 0
-        """How often it has asked for votes before any leader was heard."""
+        """Number of elections started before any leader was heard."""
         self._heartbeat_due = now
         self._output = Output()
         self._delivered = self.commit
         self._set_election_time(timing.first_election)
 
-    # What the program round it calls
+    # Calls of the embedding program
 
     def tick(self, now: timedelta) -> None:
-        """Act on everything whose time has come."""
+        """Run the timers: start an election, send heartbeats or check the quorum, as due."""
         self._now = now
         if self.role is Role.LEADER:
             self._tick_leader()
@@ -98,11 +98,11 @@
             if self.id in self.members.voters:
                 self._campaign(pre=True)
             else:
-                # One that does not vote has to look for whoever leads now.
+                # A member without a vote cannot start an election; it has to find the new leader.
                 self.leader = None
 
     def receive(self, message: Message, now: timedelta) -> None:
-        """Take in a message from another member."""
+        """Process a message from another member."""
         self._now = now
         if self._is_from_the_past(message):
             self._answer_the_past(message)
@@ -122,7 +122,7 @@
             self._campaign(pre=False, transfer=True)
 
     def propose(self, data: str, now: timedelta) -> Result[tuple[Term, Index], NotLeader]:
-        """Append a command; it counts once it comes back committed at this term and index."""
+        """Append a command; it is accepted once it is committed at the returned term and index."""
         self._now = now
         if self.role is not Role.LEADER:
             return Err(NotLeader(leader=self.leader, reason="not the leader"))
@@ -131,7 +131,7 @@
         return Success((entry.term, entry.index))
 
     def change_members(self, members: Members, now: timedelta) -> Result[Index, NotLeader]:
-        """Append a new set of members that differs by one voter at most."""
+        """Append a new set of members, which may differ by at most one voter."""
         self._now = now
         refusal = self._check_change(members)
         if refusal is not None:
@@ -142,9 +142,9 @@
         return Success(entry.index)
 
     def transfer(self, now: timedelta) -> MemberId | None:
-        """Ask a voter that has everything to take over; None where none has.
+        """Ask a voter with the complete log to take over; return it, or None if there is none.
 
-        Which one is left to chance: if it cannot lead, another is asked the next time.
+        The voter is chosen at random: if it cannot lead, the next call is likely to ask another.
         """
         self._now = now
         if self.role is not Role.LEADER:
@@ -161,8 +161,8 @@
         return heir
 
     def compact(self, data: str, index: Index) -> None:
-        """Replace all entries up to a delivered one by a snapshot of the state after it."""
-        require(index <= self._delivered, "only delivered entries are compacted")
+        """Replace all entries up to index `index` by a snapshot of the state after it."""
+        require(index <= self._delivered, "only delivered entries may be compacted")
         term = self.log.find_term(index)
         if term is None or index <= self.log.snapshot.index:
             return
@@ -172,7 +172,7 @@
         self._output.snapshot = snapshot
 
     def take_output(self) -> Output:
-        """Return what is to be saved, sent and applied, in this order."""
+        """Return what must be saved, sent and applied, in this order, since the previous call."""
         output = self._output
         self._output = Output()
         first = Index(self._delivered + 1)
@@ -182,22 +182,22 @@
         return output
 
     def find_silent(self, now: timedelta, span: timedelta) -> list[MemberId]:
-        """Return the other members not heard for a span; for the leader only."""
+        """Return the other members not heard for at least `span`; meaningful on the leader only."""
         return [
             member for member, progress in self._progress.items() if now - progress.heard_at >= span
         ]
 
     def note_saved(self) -> None:
-        """Count this member for all that it has, which is now on its disk.
+        """Record that this member's whole log is on its disk, so that it counts for commitment.
 
-        For a program with `saves_late`, which as a leader sends entries before it saves them.
+        For programs with `saves_after_sending`: on a leader they send entries before saving them.
         """
         self._saved = self.log.last_index
         if self.role is Role.LEADER and self._advance_commit():
             self._replicate_all()
 
     def matched(self, member: MemberId) -> Index:
-        """Return how far another member's log is known to agree; for the leader only."""
+        """Return up to which index another member's log is known to match; on the leader only."""
         progress = self._progress.get(member)
         return progress.matched if progress is not None else Index(0)
 
@@ -239,10 +239,11 @@
         self._election_due = self._now + span * (1.0 + self._chance())
 
     def _find_vote_span(self) -> timedelta:
-        """Return how long to wait, at the least, for the votes that are asked for now.
+        """Return the minimum wait for the votes of the election that starts now.
 
-        Where all have started together nobody has a leader to lose: a vote that nobody won is soon
-        repeated, and then less and less soon, since votes may be slow to come.
+        While no leader has been heard since the start, as after a restart of all members, no leader
+        can be disturbed: an election without a winner is repeated soon, and then at growing
+        intervals up to the election timeout, since votes may be slow to arrive.
         """
         if self._heard_leader_at is not None:
             return self._timing.election
@@ -251,7 +252,7 @@
         return min(span, self._timing.election)
 
     def _has_leader(self) -> bool:
-        """Whether a leader was heard so lately that no election can be due."""
+        """Whether a leader was heard so recently that no election can be due."""
         if self.role is Role.LEADER:
             return True
         if self._heard_leader_at is None:
@@ -329,11 +330,11 @@
     # Leading
 
     def _become_leader(self) -> None:
-        require(self.id in self.members.voters, "only a voter leads")
+        require(self.id in self.members.voters, "only a voter may lead")
         self.role = Role.LEADER
         self.leader = self.id
         self._progress = {}
-        # Every vote and entry before this moment was saved before it was answered for.
+        # As a follower, this member saved every vote and entry before it acknowledged it.
         self._saved = self.log.last_index
         self._append_new(EntryKind.EMPTY, "", None)
         self._set_members()
@@ -348,7 +349,7 @@
             self._replicate_all()
 
     def _check_quorum(self) -> None:
-        """Step down unless a majority was heard within the last election timeout."""
+        """Step down unless a majority of voters was heard within the last election timeout."""
         heard = {
             member
             for member, progress in self._progress.items()
@@ -385,7 +386,7 @@
             return
         everybody = (*self.members.voters, *self.members.learners)
         others = [member for member in everybody if member != self.id]
-        # In the order of the lists, so that a run with the same chance is the same run.
+        # In list order, so that a run with the same random numbers is reproducible.
         for member in others:
             if member in self._progress:
                 continue
@@ -409,7 +410,7 @@
             self._send(member, request)
             return
         entries = self.log.read(progress.next_index, MAX_ENTRIES_PER_MESSAGE)
-        # A lost message shows by the next one, which the follower then refuses with a hint.
+        # If this message is lost, the follower refuses the next one with a hint where to resume.
         progress.next_index = Index(progress.next_index + len(entries))
         self._send(
             member,
@@ -432,7 +433,7 @@
             if progress.record_refusal(reply.matched, self._now, self._timing.heartbeat * 2):
                 self._replicate(reply.sender)
             return
-        require(reply.matched <= self.log.last_index, "a follower has only what the leader has")
+        require(reply.matched <= self.log.last_index, "a follower cannot match past the last index")
         progress.record_match(reply.matched)
         if self._advance_commit():
             self._replicate_all()
@@ -440,7 +441,7 @@
             self._replicate(reply.sender)
 
     def _advance_commit(self) -> bool:
-        """Commit what a majority of voters has, if its last entry is of this term."""
+        """Commit what a majority of voters has if its last entry is of the current term."""
         matched = {member: progress.matched for member, progress in self._progress.items()}
         matched[self.id] = self._saved if self._saves_late else self.log.last_index
         index = find_quorum_index(self.members.voters, matched)
@@ -472,7 +473,7 @@
         if self.log.find_term(entry.index) == entry.term:
             return
         if entry.index <= self.log.last_index:
-            require(entry.index > self.commit, "a committed entry never changes")
+            require(entry.index > self.commit, "a committed entry must not change")
             self.log.truncate(entry.index)
             self._output.truncate(entry.index)
         self.log.append(entry)
@@ -483,7 +484,7 @@
         self._follow(request.sender)
         snapshot = request.snapshot
         if self.log.find_term(snapshot.index) == snapshot.term:
-            # A late snapshot: what follows it here was acknowledged already and must stay.
+            # A delayed snapshot: entries after it may have been acknowledged and must be kept.
             self.commit = max(self.commit, snapshot.index)
         elif snapshot.index > self.commit:
             self.log.replace(snapshot)
@@ -497,12 +498,12 @@
         self._send_append_reply(request.sender, accepted=True, matched=self.commit)
 
     def _follow(self, leader: MemberId) -> None:
-        require(self.role is not Role.LEADER, "a term has one leader")
+        require(self.role is not Role.LEADER, "a term must not have two leaders")
         self._heard_leader_at = self._now
         self._become_follower(self.term, leader)
 
     def _find_hint(self, previous: Index) -> Index:
-        """Return the last index that may agree, skipping a whole run of one term."""
+        """Return the last index that may match, skipping all entries of the conflicting term."""
         if previous > self.log.last_index:
             return self.log.last_index
         first = self.log.find_first_of_term(previous)
@@ -517,7 +518,7 @@
 
 
 def _skip_to(request: AppendRequest, snapshot: Snapshot) -> AppendRequest:
-    """Return the part of a request after the snapshot, which agrees as far as it goes."""
+    """Return the part of a request after the snapshot; up to the snapshot the logs match."""
     return AppendRequest(
         term=request.term,
         sender=request.sender,
--- a/cottonlug/core/consensus/progress.py
+++ b/cottonlug/core/consensus/progress.py
@@ -1,4 +1,4 @@
-"""How far the others are, as a leader knows it, and what a majority of the voters is."""
+"""Replication progress of the other members as known to a leader, and quorum arithmetic."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """One other member: what to send next, what it has, and when it was heard."""
+    """Progress of one other member: the next index to send, the matched index, when last heard."""
 
     next_index: Index
     matched: Index
@@ -20,15 +20,15 @@
     _refused_at: timedelta = timedelta()
 
     def record_match(self, matched: Index) -> None:
-        """Note that the member's log agrees up to an index."""
+        """Record that the member's log matches up to an index."""
         self.matched = max(self.matched, matched)
         self.next_index = max(self.next_index, Index(self.matched + 1))
 
     def record_refusal(self, hint: Index, now: timedelta, repeated_within: timedelta) -> bool:
-        """Go back to where the member's log may agree, never before where it does.
+        """Resume after `hint`, the last index that may match, but never before the matched index.
 
-        False where that was done a moment ago: each message that was under way is refused with the
-        same hint, and what is missing was sent at the first refusal.
+        False if a refusal with the same hint came within `repeated_within`: each message in flight
+        is refused with that hint, and the missing entries were sent at the first refusal.
         """
         if hint == self._refused_with and now - self._refused_at < repeated_within:
             return False
@@ -40,12 +40,12 @@
 
 
 def is_quorum(voters: Collection[MemberId], members: Collection[MemberId]) -> bool:
-    """Whether these members hold a majority of the votes."""
+    """Whether these members include a majority of the voters."""
     count = sum(1 for voter in voters if voter in members)
     return 2 * count > len(voters)
 
 
 def find_quorum_index(voters: Collection[MemberId], matched: Mapping[MemberId, Index]) -> Index:
-    """Return the highest index that a majority of the voters has."""
+    """Return the highest index that a majority of the voters has reached."""
     indexes = sorted(matched.get(voter, Index(0)) for voter in voters)
     return indexes[(len(indexes) - 1) // 2]
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -1,4 +1,4 @@
-"""Bringing a host with a new disk back as a new member, one safe step at a time."""
+"""Replaces the member of a host that has a new disk, one safe change of members at a time."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from .types import MemberId, Members
 
 USUAL_VOTERS = 3
-"""With more voters than this, one that is lost is removed without a successor."""
+"""With more voters than this, a lost voter is removed without a replacement."""
 MOST_VOTERS = 7
-"""More would only make a majority slower: seven bear the loss of three."""
+"""Seven voters tolerate the loss of three; more would only make a majority slower."""
 
 
 def find_most_voters(members: Members, lost: Collection[MemberId]) -> int:
-    """Return how many should vote: an odd number, so that no split leaves two equal halves."""
+    """Return how many members should vote: an odd number, so that no split is into equal halves."""
     present = [member for member in (*members.voters, *members.learners) if member not in lost]
     odd = len(present) - (len(present) + 1) % 2
     return min(max(odd, USUAL_VOTERS), MOST_VOTERS)
@@ -26,12 +26,12 @@
     lost: Collection[MemberId] = (),
     most_voters: int | None = None,
 ) -> Members | None:
-    """Return the next set of members, or None where nothing is to be done.
+    """Return the next set of members, or None if no change is needed.
 
-    `current` gives, for each host that should vote, the member id of its present disk. A host whose
-    id is not known to the log first learns; once it has everything that is committed, the id of its
-    old disk is removed, and then the new id is given its vote. A new host takes the place of a
-    voter that is lost, if there is one; else it only learns once `most_voters` vote.
+    `current` maps each host that should vote to the member id of its present disk. A host whose id
+    is not in the log is first added as a learner. Once it has everything that is committed, the id
+    of its old disk is removed, and then the new id becomes a voter. A new host replaces a lost
+    voter, if there is one; otherwise it stays a learner while there are `max_voters` voters.
     """
     members = leader.members
     for host, member in current.items():
@@ -55,7 +55,7 @@
 
 
 def plan_removal(leader: Member, lost: Collection[MemberId]) -> Members | None:
-    """Return the members without one that is lost, where there are more voters than usual."""
+    """Return the members without one lost voter, or None unless voters exceed the usual number."""
     members = leader.members
     if len(members.voters) <= USUAL_VOTERS:
         return None
@@ -67,5 +67,5 @@
 
 
 def get_host(member: MemberId) -> str:
-    """Return the host part of a member id, which is `<host>/<life of its disk>`."""
+    """Return the host part of a member id, which is `<host>/<id of its disk>`."""
     return member.partition("/")[0]
--- a/cottonlug/core/consensus/timing.py
+++ b/cottonlug/core/consensus/timing.py
@@ -1,4 +1,4 @@
-"""Spans of time and chance that a member works with."""
+"""Timing parameters and the source of randomness of a member."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from datetime import timedelta
 
 Chance = Callable[[], float]
-"""Return a number from 0 up to 1; passed in, so that runs can be repeated."""
+"""Returns a random number in [0, 1); injected to make runs repeatable."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timing:
-    """Spans between events; the election timeout is drawn between one and two times `election`."""
+    """Intervals and timeouts; an election timeout is random, from one to two times `election`."""
 
     heartbeat: timedelta = timedelta(milliseconds=500)
     election: timedelta = timedelta(milliseconds=1_500)
     first_election: timedelta = timedelta(milliseconds=1_500)
-    """The same for the first time after a start: after all were down nobody leads, and where
-    somebody does the others refuse the pre-vote."""
+    """The election timeout for the first election after a start. It may be shorter: after all
+    members were down there is no leader, and if there is one the others refuse the pre-vote."""
     pre_vote_retry: timedelta = timedelta(milliseconds=1_500)
-    """Between two pre-votes; they disturb nobody."""
+    """Base interval between two pre-votes, which do not disturb a leader."""
--- a/cottonlug/core/consensus/types.py
+++ b/cottonlug/core/consensus/types.py
@@ -1,4 +1,4 @@
-"""Types of the replicated log: entries, what is saved, and messages between members."""
+"""Types of the replicated log: entries, saved state, and messages between members."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """What a member does at the moment."""
+    """The current role of a member."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -22,7 +22,7 @@
 
 
 class EntryKind(Enum):
-    """What an entry holds: nothing, a command, or a new set of members."""
+    """Content of an entry: nothing, a command, or a new set of members."""
 
     EMPTY = "empty"
     COMMAND = "command"
@@ -30,22 +30,22 @@
 
 
 class Record(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """Base of everything that is saved or sent."""
+    """Base of all records that are saved or sent."""
 
 
 class Members(Record, frozen=True):
-    """Who votes, and who only receives the log."""
+    """The voters, and the learners, which only receive the log."""
 
     voters: tuple[MemberId, ...]
     learners: tuple[MemberId, ...] = ()
 
     def has(self, member: MemberId) -> bool:
-        """Whether a member votes or learns."""
+        """Whether a member is a voter or a learner."""
         return member in self.voters or member in self.learners
 
 
 class Entry(Record, frozen=True):
-    """One place in the log; `data` belongs to the program that embeds it."""
+    """One log entry; `data` is opaque and belongs to the embedding program."""
 
     term: Term
     index: Index
@@ -55,7 +55,7 @@
 
 
 class Snapshot(Record, frozen=True):
-    """The state after the entry `index`, in place of all entries up to it."""
+    """The state after the entry at `index`; replaces all entries up to it."""
 
     index: Index
     term: Term
@@ -64,14 +64,14 @@
 
 
 class HardState(Record, frozen=True):
-    """What a member must remember of elections."""
+    """The election state that a member must save: its term and its vote in that term."""
 
     term: Term
     voted_for: MemberId | None = None
 
 
 class Stored(Record, frozen=True):
-    """Everything that a member had saved when it last stopped."""
+    """Everything that a member has saved, from which it restarts."""
 
     hard_state: HardState
     snapshot: Snapshot
@@ -80,7 +80,7 @@
 
 
 class VoteRequest(Record, frozen=True, tag="vote_request"):
-    """Ask for a vote; with `pre` only whether there would be one."""
+    """Request a vote; with `pre`, only ask whether the vote would be granted."""
 
     term: Term
     sender: MemberId
@@ -91,7 +91,7 @@
 
 
 class VoteReply(Record, frozen=True, tag="vote_reply"):
-    """Answer to a vote request."""
+    """Reply to a vote request."""
 
     term: Term
     sender: MemberId
@@ -100,7 +100,7 @@
 
 
 class AppendRequest(Record, frozen=True, tag="append_request"):
-    """Entries from the leader; without any it is a heartbeat."""
+    """Entries from the leader; a heartbeat if there are none."""
 
     term: Term
     sender: MemberId
@@ -111,7 +111,7 @@
 
 
 class AppendReply(Record, frozen=True, tag="append_reply"):
-    """How far the log agrees (`matched`), or from where to try again."""
+    """If `accepted`, `matched` is the last matching index; otherwise, the one to resume after."""
 
     term: Term
     sender: MemberId
@@ -120,7 +120,7 @@
 
 
 class SnapshotRequest(Record, frozen=True, tag="snapshot_request"):
-    """The whole state, for a member that is too far behind."""
+    """The whole state, for a member that needs entries which the leader has discarded."""
 
     term: Term
     sender: MemberId
@@ -128,7 +128,7 @@
 
 
 class TransferRequest(Record, frozen=True, tag="transfer_request"):
-    """The leader asks a member to take over at once."""
+    """The leader asks a member to start an election at once and take over."""
 
     term: Term
     sender: MemberId
@@ -138,16 +138,16 @@
 
 
 class Envelope(Record, frozen=True):
-    """A message and the member that it is for."""
+    """A message and the member that it is addressed to."""
 
     to: MemberId
     message: Message
 
 
 class Output(msgspec.Struct, kw_only=True):
-    """What the program round a member must do, in the order of the fields.
+    """What the embedding program must do, in the order of the fields.
 
-    With `restore` the snapshot came from the leader: it replaces the whole log and the state.
+    With `restore` the snapshot came from the leader and replaces the whole log and the state.
     """
 
     hard_state: HardState | None = None
@@ -159,13 +159,13 @@
     committed: list[Entry] = []
 
     def truncate(self, first: Index) -> None:
-        """Void the entry at an index and all after it, saved ones and new ones."""
+        """Discard the entry at index `first` and all after it, both saved and new ones."""
         self.truncate_from = min(self.truncate_from or first, first)
         self.entries = [entry for entry in self.entries if entry.index < first]
 
     @property
     def must_save(self) -> bool:
-        """Whether anything has to be synced before messages go out."""
+        """Whether anything must be saved and synced before messages are sent."""
         return bool(
             self.hard_state is not None
             or self.snapshot is not None
--- a/cottonlug/core/control_messages.py
+++ b/cottonlug/core/control_messages.py
@@ -8,7 +8,7 @@
 
 
 class Hello(Message, omit_defaults=False):
-    """What a voter says of itself: the id of its disk, and whether it ever took part."""
+    """What a voter reports about itself: its disk's member id and whether it ever took part."""
 
     host: HostId
     member: types.MemberId
@@ -19,14 +19,14 @@
 
 
 class ConsensusBatch(Message):
-    """Consensus messages from one member to another; the answers come back in the same way."""
+    """Consensus messages from one member to another; the replies come back as a batch, too."""
 
     sender: types.MemberId
     messages: list[types.Message]
 
 
 class ConfigurationView(Message, omit_defaults=False):
-    """The configuration in force at a voter; stale where it may have missed newer ones."""
+    """The active configuration at a voter; `is_stale` if it may have missed newer versions."""
 
     version: int
     text: str
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -1,7 +1,8 @@
-"""The dispatcher of one entry host: jobs on one side, upstream sessions on the other.
+"""The dispatcher of one entry host: connects callers' jobs with upstream sessions.
 
-It does no input or output. The program round it passes in messages and the time, calls `dispatch`
-after a round of them, delivers the replies it gets back and asks `take_ended` which jobs ended.
+It performs no I/O. The embedding program passes in messages and the time, calls `dispatch` after
+each batch of messages, delivers the replies that it returns and calls `pop_ended_jobs` to learn
+which jobs ended.
 """
 
 from __future__ import annotations
@@ -44,11 +45,11 @@
 OVERLOAD_RETRY_AFTER_MS = 500
 DEFAULT_POLICY = Policy()
 SWEEP_INTERVAL = timedelta(milliseconds=250)
-"""How often all sessions are looked at for leases and parked requests that are due."""
+"""Interval of the scan of all sessions for expired leases and parked requests that are due."""
 
 
 class Dispatcher:
-    """State of one entry host's dispatching."""
+    """Accepts jobs, places their tasks on upstreams and records the results."""
 
     def __init__(
         self,
@@ -74,13 +75,13 @@
 
     @property
     def sessions(self) -> dict[UpstreamId, Session]:
-        """The sessions of all upstreams that are here."""
+        """The sessions of all connected upstreams."""
         return self.table.by_upstream
 
-    # Callers' side
+    # Calls of callers
 
     def submit(self, job: Job, run_time: timedelta | None) -> Result[JobStatus, Refusal]:
-        """Accept a job, or attach to the one that has its id already."""
+        """Accept a job, or attach to the existing job with the same id."""
         known = self.store.jobs.get(job.id)
         if known is not None:
             return self.attach(known, job.digest)
@@ -97,7 +98,7 @@
         return Success(build_status(job))
 
     def attach(self, known: Job, digest: bytes) -> Result[JobStatus, Refusal]:
-        """Answer a resend with the job that has its id, if the content is the same."""
+        """Answer a resend with the status of the known job if the content digests are equal."""
         if known.digest != digest:
             self.counters.refused += 1
             message = f"submission id {known.id} was used for other content"
@@ -106,36 +107,36 @@
         return Success(build_status(known))
 
     def cancel(self, job: Job, now: timedelta) -> JobStatus:
-        """End an active job as cancelled; an ended one keeps its end."""
+        """End an active job as cancelled; a job that has ended keeps its final state."""
         if not job.ended:
             self._fail(job, FailureReason.CANCELLED, "cancelled by request", now)
         return build_status(job)
 
     def take_ended(self) -> list[Job]:
-        """Return the jobs that ended since the last call."""
+        """Return the jobs that ended since the previous call."""
         ended = self._ended
         self._ended = []
         return ended
 
     def take_notices(self) -> list[Notice]:
-        """Return what happened to upstreams since the last call."""
+        """Return the notices about upstreams since the previous call."""
         notices = self.table.notices
         self.table.notices = []
         return notices
 
     @property
     def active_jobs(self) -> int:
-        """How many jobs have no final state yet."""
+        """Number of jobs without a final state."""
         return len(self._active)
 
     def get_probation_limit(self, upstream: UpstreamId) -> int | None:
-        """Return how many starts an upstream on probation may have, or None where it is not."""
+        """Return an upstream's limit of concurrent starts, or None if it is not on probation."""
         return self.table.guard.get_limit(upstream, self.table.now)
 
-    # Upstreams' side
+    # Calls of upstreams
 
     def exchange(self, request: ExchangeRequest, now: timedelta) -> Refusal | None:
-        """Take in one upstream's message; `dispatch` answers it."""
+        """Process one upstream's message; `dispatch` returns the reply."""
         self.table.now = now
         self.counters.exchanges += 1
         opened = self.table.open(request, now)
@@ -160,22 +161,22 @@
         return None
 
     def disconnect(self, upstream: UpstreamId, number: int, seq: int, now: timedelta) -> None:
-        """Note that the connection of an open request is gone; no new starts until it is back."""
+        """Handle a lost connection of an open request: no new starts until the upstream is back."""
         self.table.disconnect(upstream, number, seq, now)
 
     def dispatch(self, now: timedelta) -> list[Delivery]:
-        """Start what can be started and return every reply that is due."""
+        """Place the tasks that can start now and return every reply that is due."""
         self.table.now = now
         starts = self._place_tasks()
         queue = QueueState(
             backlog=self.queued_tasks, drained=self.draining and self.queued_tasks == 0
         )
         deliveries = self.table.take_replies(starts, queue)
-        require(not starts, "every start goes out in a reply")
+        require(not starts, "every placed task must be part of a reply")
         return deliveries
 
     def tick(self, now: timedelta) -> None:
-        """Act on everything whose time has come."""
+        """End overdue jobs, expire records and, every `SCAN_INTERVAL`, scan all sessions."""
         self.table.now = now
         self._end_overdue_jobs(now)
         self.store.expire(now)
@@ -200,7 +201,7 @@
         if self.queued_tasks + len(job.payloads) > self._limits.max_queued_tasks:
             return Refusal(
                 code=RefusalCode.OVERLOADED,
-                message=f"{self.queued_tasks} tasks are queued already",
+                message=f"the queue is full: {self.queued_tasks} tasks are queued",
                 outcome=RunOutcome.NOT_RUN,
                 retry_after_ms=OVERLOAD_RETRY_AFTER_MS,
             )
@@ -216,7 +217,7 @@
         self._finish(job)
 
     def _finish(self, job: Job) -> None:
-        require(job.ended, "only an ended job is finished")
+        require(job.ended, "only a job with a final state can be finished")
         self._active.pop(job.id)
         if job.spec.idempotent:
             self.store.forget(job)
@@ -285,7 +286,7 @@
             self._end_task(job, key, TaskState.UNKNOWN, detail, now)
 
     def _find_waiting(self, key: TaskKey) -> Job | None:
-        """Return the active job that still waits for this attempt."""
+        """Return the active job that still waits for this attempt, or None."""
         job = self._active.get(key.submission)
         return job if job is not None and is_current(job, key) else None
 
@@ -308,7 +309,7 @@
                 self._end_task(job, key, TaskState.UNKNOWN, detail, now)
 
     def _stop_unwanted(self, session: Session, request: ExchangeRequest) -> None:
-        """Stop whatever the upstream holds that this host no longer waits for."""
+        """Stop the held tasks whose result this host no longer waits for."""
         for name in request.held:
             key = TaskKey(name.submission, name.index, name.attempt)
             if self._find_waiting(key) is None or key not in session.outstanding:
--- a/cottonlug/core/estimates.py
+++ b/cottonlug/core/estimates.py
@@ -1,4 +1,4 @@
-"""Learned run times by team and kind, robust against wrong declarations."""
+"""Run times learned per team and kind, robust against wrongly declared run times."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 DEFAULT_RUN_TIME = timedelta(milliseconds=300)
 _STEP = 0.1
-"""Share by which one observation moves the median estimate."""
+"""Smallest relative step by which one observation moves the median estimate."""
 _TRUSTED_AFTER = 8
-"""Observations after which a declared run time no longer counts."""
+"""Number of observations from which the estimate replaces a declared run time."""
 
 
 class RunTimes:
-    """Median run time of each (team, kind), followed by small multiplicative steps."""
+    """Median run time of each (team, kind), tracked in small multiplicative steps."""
 
     def __init__(self) -> None:
         self._medians: dict[tuple[TeamName, KindName], float] = {}
         self._counts: dict[tuple[TeamName, KindName], int] = {}
 
     def observe(self, team: TeamName, kind: KindName, ran: timedelta) -> None:
-        """Move the median a step towards one observed run time."""
+        """Move the median one step towards an observed run time."""
         key = (team, kind)
         seconds = max(ran.total_seconds(), 1e-6)
         count = self._counts.get(key, 0)
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -1,9 +1,9 @@
 """The upstream's side of the exchange protocol: links to entry hosts, credit and held tasks.
 
-An upstream keeps one link to each entry host of its failure domain and splits its slots among them
-as credit. It alone decides what runs, so no two hosts can race for a slot. Any transport error ends
-the link's session: replies to it are refused from then on, and the next session reports what is
-held.
+An upstream keeps one link to each entry host of its failure domain and divides its slots among
+them as credit. It alone decides what runs, so no two hosts can compete for the same slot. Any
+transport error ends the link's session: later replies to that session are ignored, and the next
+session reports which tasks are held.
 """
 
 from __future__ import annotations
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Delays:
-    """How long results wait for company, and how many starts are taken ahead.
+    """How long results are delayed to be sent together, and how many starts are prefetched.
 
-    `coalesce` counts while half of the slots run. `hold` counts while the host has no backlog and
-    the same submission still runs here: its answer cannot be whole before that anyway.
+    `coalesce` is the delay while at least half of the slots are running. `hold` is the delay while
+    the host has no backlog and every pending result is a success of a submission with more tasks
+    held here: the submission's answer cannot be complete before those end.
     """
 
     prefetch: int = 2
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What became of an assignment."""
+    """The result of one assignment, to be reported to its host."""
 
     key: TaskKey
     result: TaskResult
@@ -93,12 +94,12 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests of this session wait for their reply."""
+        """Number of this session's requests that wait for a reply."""
         return len(self.unacknowledged)
 
 
 class Executor:
-    """State of one upstream: what it holds, what runs, and its links."""
+    """State of one upstream: its waiting and running tasks, and its links."""
 
     def __init__(
         self,
@@ -121,7 +122,7 @@
         self._delays = delays
 
     def begin_session(self, link: Link) -> None:
-        """Give up the link's session; the next request opens a new one and reports what is held."""
+        """Abandon the link's session; the next request opens a new one and reports held tasks."""
         link.session += 1
         link.next_seq = 1
         link.announced = False
@@ -132,7 +133,7 @@
         link.unacknowledged = {}
 
     def get_credit(self, link: Link) -> int:
-        """Return this link's share of the slots, by which hosts have a backlog."""
+        """Return this link's share of the slots; hosts with a backlog get most of them."""
         if self.leaving or link.draining:
             return 0
         slots = self.announcement.slots
@@ -146,7 +147,7 @@
         return max(1, _share(max(slots - idle, 1), wanting, link)) + self._delays.prefetch
 
     def find_due(self, link: Link) -> timedelta | None:
-        """Return when the link's next request should go out, or None for not yet known."""
+        """Return when to send the link's next request, or None if nothing calls for one yet."""
         if link.open_requests == 0:
             return timedelta()
         if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_news(link):
@@ -156,14 +157,14 @@
         return link.pending_since + self._get_delay(link)
 
     def has_news(self, link: Link) -> bool:
-        """Whether a request should go out beside one that is already open."""
+        """Whether there is something to send although a request is already open."""
         if link.pending or self.get_credit(link) > link.told_credit:
             return True
         return self.leaving and (not link.told_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
-        """Return the link's next request; its results count as delivered once it is answered."""
-        require(link.open_requests < MAX_OPEN_REQUESTS, "a link has a bounded number of requests")
+        """Return the link's next request; its results are acknowledged by the reply to it."""
+        require(link.open_requests < MAX_OPEN_REQUESTS, "too many open requests on one link")
         results = link.pending
         link.pending = []
         link.unacknowledged[link.next_seq] = results
@@ -190,7 +191,7 @@
         return request
 
     def take_reply(self, link: Link, session: int, reply: ExchangeReply, now: timedelta) -> None:
-        """Act on a reply, unless its session was given up meanwhile."""
+        """Process a reply, unless its session has been abandoned since."""
         if session != link.session or reply.seq not in link.unacknowledged:
             return
         del link.unacknowledged[reply.seq]
@@ -201,7 +202,7 @@
         for group in reply.starts:
             for start in group.tasks:
                 key = TaskKey(group.submission, start.index, start.attempt)
-                require(key not in self.running, "a start must not come twice")
+                require(key not in self.running, "a running task must not be started again")
                 assignment = Assignment(
                     key=key,
                     host=link.host,
@@ -218,7 +219,7 @@
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
     def start_next(self) -> Assignment | None:
-        """Take the next waiting task into a free slot."""
+        """Move the first waiting task by rank to a free slot; None if there is no task or slot."""
         if not self.waiting or len(self.running) >= self.announcement.slots:
             return None
         key = min(self.waiting, key=lambda waiting: self.waiting[waiting].rank_ms)
@@ -229,7 +230,7 @@
     def finish(
         self, key: TaskKey, status: ResultStatus, value: Raw, ran_us: int, now: timedelta
     ) -> HostId:
-        """Record a running task's end and return the host that is to be told."""
+        """Record the end of a running task and return the host that its result goes to."""
         assignment = self.running.pop(key)
         link = self.links[assignment.host]
         if not link.pending:
@@ -238,7 +239,7 @@
         return assignment.host
 
     def leave(self) -> None:
-        """Take no new work from now on and give back what has not started."""
+        """Stop accepting work and return the tasks that have not started."""
         self.leaving = True
         self.return_waiting()
 
@@ -264,7 +265,7 @@
         return timedelta()
 
     def _may_hold(self, item: Result) -> bool:
-        """Whether the answer has to wait for more from here, and this result is no bad news."""
+        """Whether this is a success and the submission has more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
         return self._held[item.key.submission] > 0
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -1,8 +1,8 @@
-"""Guards against upstreams that fail every task they start.
+"""Probation for upstreams that fail every task they start.
 
-An upstream whose last results are all failures goes on probation: it gets one start after a pause,
-which doubles with every further failure; successes bring it back in steps. At most a set share of
-upstreams is on probation at once, so that a bad job cannot set all of them aside.
+An upstream whose latest results are all failures is put on probation: it gets one start after a
+pause, which doubles with each further failure, and successes raise its limit in steps. The share
+of upstreams on probation at once is bounded, so that one bad job cannot exclude all of them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 FIRST_PAUSE = timedelta(seconds=2)
 LONGEST_PAUSE = timedelta(seconds=60)
 FULL_RETURN = 8
-"""Starts at once from which an upstream is off probation."""
+"""Limit of concurrent starts at which probation ends."""
 MAX_PROBATION_SHARE = 0.34
 
 
@@ -29,13 +29,13 @@
 
 
 class FailureGuard:
-    """Consecutive failures of each upstream and the starts it may have at once."""
+    """Tracks consecutive failures of each upstream and limits its concurrent starts."""
 
     def __init__(self) -> None:
         self._records: dict[UpstreamId, _Record] = {}
 
     def record_success(self, upstream: UpstreamId) -> None:
-        """Note a success; on probation it doubles the limit, up to none at all."""
+        """Record a success; on probation it doubles the limit until the limit is lifted."""
         record = self._records.get(upstream)
         if record is None:
             return
@@ -48,7 +48,7 @@
             record.pause = FIRST_PAUSE
 
     def record_failure(self, upstream: UpstreamId, now: timedelta) -> bool:
-        """Note a failure; True where it puts the upstream on probation."""
+        """Record a failure; True if it puts the upstream on probation."""
         record = self._records.setdefault(upstream, _Record())
         record.failures += 1
         if record.limit is not None:
@@ -60,7 +60,7 @@
         return True
 
     def get_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
-        """Return how many starts the upstream may have at once, or None for no limit."""
+        """Return how many concurrent starts the upstream may have, or None for no limit."""
         record = self._records.get(upstream)
         if record is None or record.limit is None:
             return None
@@ -72,11 +72,11 @@
         return record is not None and record.limit is not None
 
     def add(self, upstream: UpstreamId) -> None:
-        """Count an upstream as present."""
+        """Count an upstream as connected."""
         self._records.setdefault(upstream, _Record())
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Forget an upstream that is gone."""
+        """Drop the record of an upstream that has disconnected."""
         self._records.pop(upstream, None)
 
     def _pause(self, record: _Record, now: timedelta) -> None:
--- a/cottonlug/core/ids.py
+++ b/cottonlug/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, and the submission id that names its own home.
+"""Identifier types, and submission ids that contain the address of their home.
 
 A submission id is ``<domain>.<host>.<generation>.<minted>.<random>``: the failure domain and entry
 host that hold its record, the generation of that record store, the second at which it was minted
@@ -29,7 +29,7 @@
 )
 
 RandomHex = Callable[[int], str]
-"""Return that many random bytes as hexadecimal digits; passed in, so that runs can be repeated."""
+"""Returns that many random bytes as hexadecimal digits; injected to make runs repeatable."""
 
 
 class TaskKey(NamedTuple):
@@ -64,7 +64,7 @@
 
 
 def parse_id(text: str) -> ParsedId | None:
-    """Return the parts of a submission id, or None where the text is not one."""
+    """Return the parts of a submission id, or None if the text is not a valid id."""
     match = _ID_PATTERN.fullmatch(text)
     if match is None:
         return None
--- a/cottonlug/core/intake.py
+++ b/cottonlug/core/intake.py
@@ -1,4 +1,4 @@
-"""From a caller's message to a checked job: bounds, rules and digest."""
+"""Turns a caller's message into a checked job: bounds, the rule's decisions and a digest."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 def check_submit(request: SubmitRequest, max_payload_bytes: int) -> Refusal | None:
-    """Return what is wrong with a job, or None."""
+    """Return why a job request is invalid, or None if it is valid."""
     if not request.tasks:
-        return _refuse("a job has at least one task", "$.tasks")
+        return _refuse("a job needs at least one task", "$.tasks")
     if len(request.tasks) > MAX_TASKS_PER_JOB:
         count = len(request.tasks)
         return _refuse(f"{count} tasks; a job has at most {MAX_TASKS_PER_JOB}", "$.tasks")
@@ -53,7 +53,7 @@
         return _refuse(f"at most {MAX_LABELS} labels", "$.labels")
     needs = request.needs
     if needs.processors < 0 or needs.memory_mb < 0 or needs.accelerators < 0:
-        return _refuse("needs are not negative", "$.needs")
+        return _refuse("needs must not be negative", "$.needs")
     return None
 
 
@@ -76,7 +76,7 @@
 def build_question(
     request: SubmitRequest, domain: DomainName, idempotent: bool, time_of_day: time
 ) -> Question:
-    """Return what the rules are asked about a job."""
+    """Return the attributes of a job that the rules are matched against."""
     return Question(
         team=request.team,
         kind=request.kind,
@@ -97,7 +97,7 @@
     idempotent: bool,
     now: timedelta,
 ) -> Result[Job, Refusal]:
-    """Return the job as the rule decides it, or the rule's rejection."""
+    """Return the job with the rule's settings applied, or the rule's rejection."""
     if rule is not None and rule.then.reject is not None:
         return Err(
             Refusal(
@@ -118,7 +118,7 @@
         idempotent=idempotent,
         max_attempts=(rule.then.max_attempts if rule else None) or DEFAULT_ATTEMPTS,
     )
-    # Copies: a Raw is a view that would keep the whole body in memory.
+    # Copy each payload: a Raw is a view that would keep the whole request body in memory.
     payloads = [payload.copy() for payload in request.tasks]
     job = Job(
         id=id,
@@ -132,7 +132,7 @@
 
 
 def compute_digest(request: SubmitRequest) -> bytes:
-    """Return a digest of what a resend must repeat: team, kind and payloads."""
+    """Return a digest of the content that a resend must repeat: team, kind and payloads."""
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (request.team.encode(), request.kind.encode(), *map(bytes, request.tasks)):
         digest.update(len(part).to_bytes(8, "big"))
--- a/cottonlug/core/invariants.py
+++ b/cottonlug/core/invariants.py
@@ -1,4 +1,4 @@
-"""Checks of what must always hold, made inside the program as it runs."""
+"""Run-time checks of the program's own invariants."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 
 
 def require(condition: bool, message: str) -> None:
-    """Stop with `BrokenInvariantError` unless the condition holds."""
+    """Raise `BrokenInvariantError` unless the condition holds."""
     if not condition:
         raise BrokenInvariantError(message)
--- a/cottonlug/core/jobs.py
+++ b/cottonlug/core/jobs.py
@@ -1,7 +1,8 @@
-"""One job: its tasks, their states and how it ends.
+"""One job: its tasks, their states and its final state.
 
 A task moves QUEUED -> SENT -> SUCCEEDED, FAILED or UNKNOWN. It returns from SENT to QUEUED only on
-proof that it did not start. An idempotent request may also be tried again after other ends.
+proof that it did not start; a task of an idempotent request may also be retried after it failed
+or its outcome became unknown.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobSpec:
-    """What was asked for, after the rules were applied."""
+    """What the caller requested, with the rules applied."""
 
     team: TeamName
     kind: KindName
@@ -67,12 +68,12 @@
 
     @property
     def ended(self) -> bool:
-        """Whether the job has its final state."""
+        """Whether the job has reached its final state."""
         return self.state is not JobState.ACTIVE
 
 
 def send_next_task(job: Job) -> TaskKey:
-    """Take the next queued task as sent and return its key."""
+    """Mark the next queued task as sent and return its key."""
     require(not job.ended, "a task of an ended job must not be sent")
     index = job.queued.popleft()
     require(job.states[index] is TaskState.QUEUED, "only a queued task may be sent")
@@ -88,7 +89,7 @@
 
 
 def is_current(job: Job, key: TaskKey) -> bool:
-    """Whether a result for this attempt still counts."""
+    """Whether this is the latest attempt at a sent task of an active job, so its result counts."""
     in_range = 0 <= key.task < len(job.states)
     return (
         in_range
@@ -99,13 +100,13 @@
 
 
 def record_success(job: Job, key: TaskKey, value: Raw, now: timedelta) -> None:
-    """Keep a task's result; the last one completes the job."""
+    """Store a task's result; the last one completes the job."""
     _leave_sent(job, key, TaskState.SUCCEEDED)
     job.results[key.task] = value
     job.payloads[key.task] = _FORGOTTEN
     job.succeeded += 1
     if job.succeeded == len(job.payloads):
-        require(all(result is not None for result in job.results), "a complete answer is whole")
+        require(all(result is not None for result in job.results), "a complete job has all results")
         job.state = JobState.COMPLETE
         job.ended_at = now
 
@@ -117,8 +118,8 @@
 
 
 def record_end(job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta) -> None:
-    """Fail the job because a task failed or its outcome is not known."""
-    require(state in (TaskState.FAILED, TaskState.UNKNOWN), "a task ends badly in two ways")
+    """Fail the job because a task failed or its outcome is unknown."""
+    require(state in (TaskState.FAILED, TaskState.UNKNOWN), "a task failure is failed or unknown")
     _leave_sent(job, key, state)
     if state is TaskState.FAILED:
         reason = FailureReason.TASK_FAILED
@@ -137,8 +138,8 @@
 def fail_job(
     job: Job, reason: FailureReason, detail: str, now: timedelta, task: int | None = None
 ) -> None:
-    """End the job as failed, naming every task that may have run."""
-    require(not job.ended, "a job ends once")
+    """End the job as failed and list every task that may have run."""
+    require(not job.ended, "a job must not end twice")
     may_have_run = [
         index
         for index, state in enumerate(job.states)
@@ -153,7 +154,7 @@
 
 
 def build_status(job: Job) -> JobStatus:
-    """Return how far the job has come."""
+    """Return the job's state and task counts."""
     return JobStatus(
         id=job.id,
         state=job.state,
@@ -165,12 +166,12 @@
 
 
 def build_answer(job: Job) -> JobAnswer:
-    """Return the whole answer of an ended job."""
+    """Return the complete answer of an ended job."""
     require(job.ended, "only an ended job has an answer")
     if job.state is JobState.FAILED:
         return JobAnswer(id=job.id, state=job.state, failure=job.failure)
     results = [result for result in job.results if result is not None]
-    require(len(results) == len(job.states), "a complete answer holds every result")
+    require(len(results) == len(job.states), "a complete answer must hold every result")
     return JobAnswer(id=job.id, state=job.state, results=results)
 
 
--- a/cottonlug/core/limits.py
+++ b/cottonlug/core/limits.py
@@ -1,4 +1,4 @@
-"""Limits of one dispatcher."""
+"""Capacity and time limits of one dispatcher."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """Spans of time as such, counts in tasks."""
+    """Limits of one dispatcher; counts are in tasks.
+
+    `busy_lease` and `busy_park` apply to sessions with outstanding starts, `idle_lease` and
+    `idle_park` to others; a park time is how long a request may wait for its reply.
+    A lost connection shortens the lease to `suspect_grace`. A job of which no task was sent fails
+    after `unrunnable_grace` if none of the connected upstreams could ever run one of its tasks.
+    """
 
     max_queued_tasks: int = 200_000
     idle_lease: timedelta = timedelta(seconds=45)
--- a/cottonlug/core/messages.py
+++ b/cottonlug/core/messages.py
@@ -1,6 +1,6 @@
 """Typed messages between callers, entry hosts and upstreams.
 
-Times are whole milliseconds. Payloads and results stay as the JSON bytes that came in.
+Times are whole milliseconds. Payloads and results are passed through as the received JSON bytes.
 Unknown fields are errors, so that a misspelt field is never silently ignored.
 """
 
@@ -22,7 +22,7 @@
 
 
 class Needs(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What one task takes up at an upstream; memory in megabytes."""
+    """The resources that one task needs at an upstream; memory in megabytes."""
 
     processors: float = 0.0
     memory_mb: int = 0
@@ -30,7 +30,7 @@
 
 
 class SubmitRequest(Message):
-    """A job: one payload for each task, and what is known about them."""
+    """A job: one payload for each task, and attributes that apply to all of them."""
 
     team: TeamName
     kind: KindName
@@ -61,20 +61,20 @@
 
 
 class MintRequest(Message):
-    """Ask for submission ids."""
+    """Request new submission ids."""
 
     count: int = 1
 
 
 class MintReply(Message):
-    """Fresh submission ids; `lifetime_ms` is how long each may be used."""
+    """New submission ids; `lifetime_ms` is how long each may be used to start a job."""
 
     ids: list[SubmissionId]
     lifetime_ms: int
 
 
 class JobStatus(Message, omit_defaults=False, tag_field="type", tag="status"):
-    """How far a job has come."""
+    """A job's state and task counts."""
 
     id: SubmissionId
     state: JobState
@@ -85,7 +85,10 @@
 
 
 class Failure(Message):
-    """Why a job failed; every task not in `may_have_run` truly did not run."""
+    """Why a job failed; every task not in `may_have_run` is guaranteed not to have run.
+
+    With `all_may_have_run` no task is guaranteed not to have run.
+    """
 
     reason: FailureReason
     detail: str
@@ -95,7 +98,7 @@
 
 
 class JobAnswer(Message, tag_field="type", tag="answer"):
-    """The whole answer: every result in task order, or the failure; never both."""
+    """The complete answer: every result in task order, or the failure; never both."""
 
     id: SubmissionId
     state: JobState
@@ -104,11 +107,11 @@
 
 
 JobView = JobStatus | JobAnswer
-"""What a question about a job gets: how far it has come, or its whole answer."""
+"""Reply to a query about a job: its status, or its complete answer."""
 
 
 class Refusal(Message):
-    """A typed error. `outcome` says whether the work may have run; NOT_RUN is always the truth."""
+    """A typed error; `outcome` says whether the work may have run, and NOT_RUN is a guarantee."""
 
     code: RefusalCode
     message: str
@@ -118,7 +121,7 @@
 
 
 class Announcement(Message):
-    """What an upstream offers; sent when a session opens."""
+    """The slots and resources that an upstream offers; sent when a session opens."""
 
     slots: int
     labels: dict[str, str] = {}
@@ -129,7 +132,7 @@
 
 
 class TaskStart(msgspec.Struct, array_like=True):
-    """One task to start: its place in the job, the attempt, and its payload."""
+    """One task to start: its index in the job, the attempt number and the payload."""
 
     index: int
     attempt: int
@@ -139,7 +142,7 @@
 class StartGroup(Message):
     """Tasks of one submission to start together.
 
-    `rank_ms` orders groups that wait for a slot, the lowest first; it is relative to the sending.
+    `rank_ms` orders groups that wait for a slot, lowest first, relative to the time of sending.
     """
 
     submission: SubmissionId
@@ -150,7 +153,7 @@
 
 
 class TaskResult(msgspec.Struct, array_like=True):
-    """What became of one start; `ran_us` is its run time in microseconds."""
+    """The result of one start; `ran_us` is its run time in microseconds."""
 
     index: int
     attempt: int
@@ -160,14 +163,14 @@
 
 
 class ResultGroup(Message):
-    """Results of tasks of one submission."""
+    """Results of one submission's tasks."""
 
     submission: SubmissionId
     results: list[TaskResult]
 
 
 class TaskName(msgspec.Struct, array_like=True):
-    """One attempt, as named on the wire."""
+    """One attempt at a task, as identified on the wire."""
 
     submission: SubmissionId
     index: int
@@ -175,10 +178,11 @@
 
 
 class ExchangeRequest(Message):
-    """An upstream's message to an entry host: lease renewal, credit, results and leave in one.
+    """An upstream's message to an entry host: renews the lease and carries credit and results.
 
-    `credit` is how many unfinished starts of this session the upstream takes in all.
-    A new session number says that no reply to an older one will ever be acted on.
+    `credit` is the total number of unfinished starts that the upstream accepts in this session. A
+    new session number means that the upstream ignores all replies to older sessions. `leaving`
+    says that the upstream takes no new work, `closing` that it holds no task of this host any more.
     """
 
     upstream: UpstreamId
@@ -194,7 +198,7 @@
 
 
 class ExchangeReply(Message):
-    """An entry host's reply: starts, stops and its wish for more credit."""
+    """An entry host's reply: starts, stops, and its backlog, by which upstreams divide credit."""
 
     seq: int
     lease_ms: int
@@ -205,7 +209,7 @@
 
 
 class Health(Enum):
-    """Answers of the health and readiness pages."""
+    """Answers of the health and readiness endpoints."""
 
     OK = "ok"
     DRAINING = "draining"
@@ -213,6 +217,6 @@
 
 
 class HealthReply(Message, omit_defaults=False):
-    """Whether the process lives, or is ready for new work."""
+    """Whether the process is alive or, for the readiness endpoint, accepts new work."""
 
     status: Health
--- a/cottonlug/core/notices.py
+++ b/cottonlug/core/notices.py
@@ -1,4 +1,4 @@
-"""What the dispatcher tells the program round it: counters, and notices worth a log line."""
+"""What the dispatcher reports to the embedding program: counters, and notices to be logged."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """What the dispatcher has counted since it began."""
+    """Counts since the dispatcher was created."""
 
     jobs_accepted: int = 0
     jobs_attached: int = 0
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -1,7 +1,7 @@
-"""Which upstream the next task goes to: the first that it fits, in the order of the policy.
+"""Chooses the upstream for a task: the first one that it fits, in the order of the policy.
 
-Ready sessions are kept in a heap whose entries are dropped when they are out of date, so that a
-start costs the logarithm of the number of sessions, not the number.
+Ready sessions are kept in a heap. Outdated entries are dropped only when they reach the top, so
+that a start costs O(log n) for n sessions rather than O(n).
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A task placed on a session, to go out in its next reply."""
+    """A task placed on a session, to be sent in the session's next reply."""
 
     job: Job
     key: TaskKey
 
 
 class _Entry(NamedTuple):
-    """Compared as a tuple, which is much faster than a dataclass; versions are unique."""
+    """Heap entry; tuples compare much faster than dataclasses, and versions are unique."""
 
     rank: float
     version: int
@@ -42,7 +42,10 @@
 
 
 class ReadySessions:
-    """Sessions that may take a start; `get_room` tells how many more one takes now."""
+    """Heap of sessions that can take a start.
+
+    `get_free_capacity` returns how many more starts a session can take now.
+    """
 
     def __init__(self, *, order: PlacementOrder, get_room: Callable[[Session], int]) -> None:
         self._rank = _RANKS[order]
@@ -51,13 +54,13 @@
         self._versions = count(1)
 
     def update(self, session: Session) -> None:
-        """Note that a session changed; entries made before are out of date."""
+        """Add a new entry for a session that changed; its earlier entries become outdated."""
         session.version = next(self._versions)
         if self._get_room(session) > 0:
             heapq.heappush(self._heap, _Entry(self._rank(session), session.version, session))
 
     def choose(self, spec: JobSpec) -> Session | None:
-        """Return the first session that a task of the job fits, or None."""
+        """Return the first session where a task of the job fits, or None."""
         passed: list[_Entry] = []
         chosen: Session | None = None
         while self._heap and chosen is None:
@@ -74,7 +77,7 @@
         return chosen
 
     def is_empty(self) -> bool:
-        """Whether no session takes a start now."""
+        """Whether no session can take a start now."""
         while self._heap:
             entry = self._heap[0]
             if entry.version == entry.session.version and self._get_room(entry.session) > 0:
--- a/cottonlug/core/policy.py
+++ b/cottonlug/core/policy.py
@@ -1,4 +1,4 @@
-"""The switches of the dispatch policy, so that the worth of each mechanism can be measured."""
+"""Options of the dispatch policy, so that the benefit of each mechanism can be measured."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PlacementOrder(Enum):
-    """Which of the upstreams with room comes first."""
+    """Which of the upstreams with free capacity is chosen first."""
 
     LEAST_LOADED = "least_loaded"
     FULLEST = "fullest"
@@ -18,8 +18,9 @@
 class Policy:
     """How jobs are ordered and tasks placed.
 
-    `work_factor` is how many seconds of arrival time a second of expected work counts for: 0 is
-    first in, first out. Without `fair_teams` all teams share one queue.
+    `work_factor` is by how many seconds of arrival time one second of expected work sets a job
+    back: 0 is first in, first out. Without `fair_teams` all teams share one queue. Without `guards`
+    upstreams that fail every task are not limited.
     """
 
     placement: PlacementOrder = PlacementOrder.LEAST_LOADED
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -1,9 +1,9 @@
-"""Queues of jobs: priority first, then weighted fair between teams, then short work first.
+"""Job queue: ordered by priority, then weighted fairness between teams, then short work first.
 
 Fairness is start-time fair queueing: each team has a virtual time that grows by the work it was
-given divided by its weight, and the team that is furthest behind is served next. Within a team the
-order is by arrival plus a multiple of the job's expected work, which ages by itself: a long job
-waits behind later short ones only for that fixed time.
+given divided by its weight, and the team with the lowest virtual time is served next. Within a
+team, jobs are ordered by arrival time plus a multiple of their expected work. This gives built-in
+ageing: a long job waits behind later short ones only for that fixed time.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """A job and how many of its tasks may start before it is the next one's turn."""
+    """A job, and how many of its tasks may start before the next job is offered."""
 
     job: Job
     tasks: int
@@ -43,7 +43,7 @@
 
 
 class JobQueue:
-    """All jobs of one entry host that have queued tasks."""
+    """Orders the jobs of one entry host that have queued tasks."""
 
     def __init__(self, *, work_factor: float, fair_teams: bool) -> None:
         self._work_factor = work_factor
@@ -55,14 +55,14 @@
         self._order = count()
 
     def set_weight(self, team: TeamName, weight: float) -> None:
-        """Set a team's share against the others; 1 is usual."""
+        """Set a team's weight relative to other teams; the default is 1."""
         self._weights[team] = weight
         for teams in self._classes.values():
             if team in teams:
                 teams[team].weight = weight
 
     def push(self, job: Job, expected_work: timedelta) -> None:
-        """Add a job with queued tasks, unless it is here already."""
+        """Add a job with queued tasks, unless it is in the queue already."""
         if job.id in self._present:
             return
         self._present.add(job.id)
@@ -82,10 +82,10 @@
         heapq.heappush(team.entries, _Entry(rank, next(self._order), job))
 
     def iterate(self) -> Generator[Turn]:
-        """Yield whose turn it is, again and again, until nothing is queued.
+        """Yield the next job to start tasks of, until no job is left.
 
-        The caller takes tasks between two steps and reports them with `charge`; a job that the
-        caller passes over is offered again only on the next call.
+        Between two steps the caller starts tasks and reports them with `charge`. A job of which the
+        caller starts none is offered again only on the next call.
         """
         for priority in sorted(self._classes):
             passed: list[tuple[_TeamQueue, _Entry]] = []
@@ -96,7 +96,7 @@
                     heapq.heappush(team.entries, entry)
 
     def charge(self, job: Job, work: timedelta) -> None:
-        """Count work that was started against the job's team."""
+        """Add started work to the virtual time of the job's team."""
         team = self._classes[job.spec.priority][self._get_team(job)]
         team.virtual_time += work.total_seconds() / team.weight
 
--- a/cottonlug/core/retries.py
+++ b/cottonlug/core/retries.py
@@ -1,10 +1,10 @@
-"""The retry budget: retries may only be a share of first attempts."""
+"""Retry budget: limits retries to a share of first attempts."""
 
 from __future__ import annotations
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and retries empty."""
+    """A token bucket: each first attempt adds `ratio` tokens, each retry takes one."""
 
     def __init__(self, *, ratio: float, burst: float) -> None:
         self._ratio = ratio
@@ -12,11 +12,11 @@
         self._tokens = burst
 
     def record_first_attempt(self) -> None:
-        """Earn a share of one retry."""
+        """Add `ratio` tokens, up to the size of the bucket."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Spend one retry; False where the budget is empty."""
+        """Take one token for a retry; False if less than one is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/cottonlug/core/rules.py
+++ b/cottonlug/core/rules.py
@@ -1,7 +1,8 @@
-"""The operators' ordered when-then rules: the first that matches decides.
+"""The operators' ordered when-then rules; the first rule that matches a job applies.
 
-A rule that leaves a `when` field out matches any value of it. A `then` field that is left out keeps
-the default. `compile_rules` turns a document into one function, `explain` tells why a rule was met.
+A `when` field that is left out matches any value; a `then` field that is left out keeps the
+default. `compile_rules` turns a document into one matching function; `explain` reports why each
+rule did or did not match.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class When:
-    """What a rule matches; None and the empty set stand for any value."""
+    """Conditions of a rule; None and an empty set match any value."""
 
     teams: frozenset[TeamName] = frozenset()
     kinds: frozenset[KindName] = frozenset()
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Then:
-    """What a rule decides."""
+    """Settings that a rule gives to the jobs it matches."""
 
     reject: str | None = None
     pool: dict[str, str] = field(default_factory=dict)
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Rule:
-    """One rule; its name is unique in the document."""
+    """One rule; names are unique within a document."""
 
     name: str
     when: When = When()
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Question:
-    """What the rules are asked about one job; `size` is its number of tasks."""
+    """The attributes of a job that rules are matched against; `size` is its number of tasks."""
 
     team: TeamName
     kind: KindName
@@ -67,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Why one rule did or did not match; `mismatch` names the first field that did not."""
+    """Result of matching one rule; `mismatch` is the first field that did not match, if any."""
 
     rule: str
     mismatch: str | None
@@ -88,7 +89,8 @@
 def compile_rules(rules: list[Rule]) -> Matcher:
     """Return a function that finds the first matching rule.
 
-    Rules are indexed by team, so that a question tries only those that name its team or none.
+    Rules are indexed by team, so that a job is checked only against rules that name its team or
+    no team at all.
     """
     any_team: list[tuple[int, Rule, list[Check]]] = []
     by_team: dict[TeamName, list[tuple[int, Rule, list[Check]]]] = {}
@@ -114,7 +116,7 @@
 
 
 def explain(rules: list[Rule], question: Question) -> list[Explanation]:
-    """Return, for each rule up to the first that matches, why it did not or that it did."""
+    """Return an explanation of each rule, up to and including the first that matches."""
     explanations: list[Explanation] = []
     for rule in rules:
         mismatch = find_mismatch(rule.when, question)
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -1,7 +1,7 @@
 """All upstream sessions of one entry host: leases, parked requests, credit and replies.
 
-It knows nothing of jobs. Where a session ends, it returns the starts that are to be queued again
-because they provably did not happen, and those whose outcome is not known any more.
+It does not change jobs. When a session ends, it returns the starts that provably did not happen
+and must be queued again, and the starts whose outcome is unknown.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from .states import RefusalCode, SessionState
 
 PRIORITY_RANK_MS = 86_400_000
-"""More than any difference of rank within one priority: deadlines are a day at most."""
+"""Exceeds any difference of rank within one priority: deadlines are a day (86,400 s) at most."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A reply for the request of that upstream, session and number."""
+    """A reply to the open request of this upstream and session with the reply's `seq`."""
 
     upstream: UpstreamId
     session: SessionNumber
@@ -46,7 +46,10 @@
 
 @dataclass(slots=True)
 class Opened:
-    """The session that a request belongs to, and what became of the starts of the one before."""
+    """The session of a request, and the starts of the session that it replaced, if any.
+
+    `unstarted` provably did not start; the outcome of `lost` is unknown.
+    """
 
     session: Session
     unstarted: list[TaskKey] = field(default_factory=list)
@@ -55,14 +58,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueState:
-    """What replies tell of the queue: its length, and whether nothing more will come."""
+    """What replies report about the queue: its length, and whether it is drained for good."""
 
     backlog: int
     drained: bool
 
 
 class SessionTable:
-    """State of all sessions by upstream."""
+    """The sessions of all connected upstreams, and the replies that are due to them."""
 
     def __init__(self, *, limits: Limits, policy: Policy, counters: Counters) -> None:
         self.by_upstream: dict[UpstreamId, Session] = {}
@@ -78,7 +81,7 @@
         self._ordinals = count()
 
     def open(self, request: ExchangeRequest, now: timedelta) -> Opened | Refusal:
-        """Return the session of a request, a new one if it announces itself."""
+        """Return the session of a request; a request with an announcement may open a new one."""
         session = self.by_upstream.get(request.upstream)
         same_incarnation = session is not None and session.incarnation == request.incarnation
         if session is not None and same_incarnation and session.number == request.session:
@@ -107,7 +110,7 @@
         return opened
 
     def renew(self, session: Session, request: ExchangeRequest, now: timedelta) -> None:
-        """Renew a session's lease and note what the request says of the upstream."""
+        """Renew a session's lease and update its state from the request."""
         if session.state is not SessionState.CLOSED:
             self._note_state(session, request)
         session.expires_at = now + self._get_lease(session)
@@ -115,7 +118,7 @@
         self.touch(session.upstream)
 
     def close(self, session: Session, why: str) -> list[TaskKey]:
-        """End a session and return the starts whose outcome is not known."""
+        """End a session and return the starts whose outcome is unknown."""
         session.state = SessionState.CLOSED
         self.notices.append(Notice(NoticeKind.GONE, session.upstream, why))
         self.by_upstream.pop(session.upstream, None)
@@ -127,7 +130,7 @@
         return lost
 
     def disconnect(self, upstream: UpstreamId, number: int, seq: int, now: timedelta) -> None:
-        """Note that the connection of an open request is gone; no new starts until it is back."""
+        """Handle a lost connection of an open request: no new starts until the upstream is back."""
         session = self.by_upstream.get(upstream)
         if session is None or session.number != number or seq not in session.open_requests:
             return
@@ -137,7 +140,7 @@
         session.expires_at = min(session.expires_at, now + self._limits.suspect_grace)
 
     def sweep(self, now: timedelta) -> list[Session]:
-        """Look for parked requests that are due; return the sessions whose lease ran out."""
+        """Mark sessions with parked requests for a reply; return those whose lease has expired."""
         expired: list[Session] = []
         for session in self.by_upstream.values():
             if now > session.expires_at:
@@ -149,17 +152,17 @@
         return expired
 
     def touch(self, upstream: UpstreamId) -> None:
-        """Note that a reply to this upstream may be due."""
+        """Record that a reply to this upstream may be due."""
         self._touched[upstream] = None
 
     def add_start(self, session: Session, placement: Placement) -> None:
-        """Count a start against a session."""
+        """Charge a start to a session."""
         sessions.add_outstanding(session, placement.key, placement.job.spec.needs)
         self.ready.update(session)
         self.touch(session.upstream)
 
     def stop_task(self, upstream: UpstreamId, key: TaskKey) -> None:
-        """Tell an upstream to stop a task that it was sent."""
+        """Add a stop for a task that was sent to an upstream to its next reply."""
         session = self.by_upstream.get(upstream)
         if session is not None and key in session.outstanding:
             session.stops.append(TaskName(key.submission, key.task, key.attempt))
@@ -168,7 +171,7 @@
     def take_replies(
         self, starts: dict[UpstreamId, list[Placement]], queue: QueueState
     ) -> list[Delivery]:
-        """Return every reply that is due; starts are taken out of the mapping."""
+        """Return every reply that is due; their starts are removed from the mapping."""
         deliveries = self._farewells
         self._farewells = []
         touched = [name for name in self._touched if name in self.by_upstream]
@@ -232,7 +235,7 @@
         if not due:
             return None
         reply = self._make_reply(session, placed, queue)
-        # With no request left open the upstream should be heard again at once.
+        # With no open request left the upstream has to send the next one at once: short lease.
         lease = self._get_lease(session) if session.open_requests else limits.busy_lease
         session.expires_at = self.now + lease
         return reply
@@ -274,7 +277,7 @@
 
 
 def _compute_rank(job: Job, now: timedelta) -> int:
-    """Return the job's place in the queue, its priority first, in milliseconds from now."""
+    """Return the job's queue rank in milliseconds from now, ordered by priority first."""
     return int((job.rank - now.total_seconds()) * 1000) + job.spec.priority * PRIORITY_RANK_MS
 
 
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -1,9 +1,9 @@
 """The entry host's side of one upstream's session.
 
-The upstream dials and numbers its sessions and requests; the host answers each request once. All
-starts that were sent in a session stay outstanding until a result, a newer session of the same
-incarnation that neither holds nor reports them (proof that they did not start), or the end of the
-lease (their outcome is then unknown).
+The upstream connects and numbers its sessions and requests; the host answers each request once. A
+start that was sent in a session stays outstanding until one of these: its result arrives; a newer
+session of the same incarnation neither holds nor reports it (proof that it did not start); or the
+lease ends (its outcome is then unknown).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Session:
-    """State of one upstream at one entry host."""
+    """State of one upstream's session at one entry host."""
 
     upstream: UpstreamId
     incarnation: Incarnation
@@ -41,19 +41,19 @@
 
     @property
     def free(self) -> int:
-        """How many more starts this session takes now."""
+        """Number of further starts that this session can take now."""
         if self.state is not SessionState.ACTIVE or not self.open_requests:
             return 0
         return self.credit - len(self.outstanding)
 
     @property
     def load(self) -> float:
-        """Outstanding starts against credit, for choosing the least loaded."""
+        """Ratio of outstanding starts to credit, by which the least loaded session is chosen."""
         return len(self.outstanding) / self.credit if self.credit else float("inf")
 
 
 def could_ever_fit(announcement: Announcement, spec: JobSpec) -> bool:
-    """Whether an empty upstream of this kind could run a task of the job."""
+    """Whether an idle upstream with this announcement could run a task of the job."""
     needs = spec.needs
     has_labels = all(announcement.labels.get(name) == value for name, value in spec.pool.items())
     return (
@@ -65,7 +65,7 @@
 
 
 def fits_now(session: Session, spec: JobSpec) -> bool:
-    """Whether one more task of the job fits beside what is outstanding."""
+    """Whether one more task of the job fits next to the outstanding starts."""
     announcement = session.announcement
     needs = spec.needs
     return (
@@ -78,7 +78,7 @@
 
 
 def add_outstanding(session: Session, key: TaskKey, needs: Needs) -> None:
-    """Count a start against the session."""
+    """Add a start to the session and reserve its resources."""
     session.outstanding[key] = needs
     session.used_processors += needs.processors
     session.used_memory_mb += needs.memory_mb
@@ -86,7 +86,7 @@
 
 
 def remove_outstanding(session: Session, key: TaskKey) -> bool:
-    """Give back what a start took; False where it was not outstanding here."""
+    """Release the resources of a start; False if it was not outstanding in this session."""
     needs = session.outstanding.pop(key, None)
     if needs is None:
         return False
--- a/cottonlug/core/states.py
+++ b/cottonlug/core/states.py
@@ -6,7 +6,7 @@
 
 
 class TaskState(Enum):
-    """Where one task of a job stands."""
+    """State of one task of a job."""
 
     QUEUED = "queued"
     SENT = "sent"
@@ -16,7 +16,7 @@
 
 
 class JobState(Enum):
-    """Where a job stands; the last two are final."""
+    """State of a job; COMPLETE and FAILED are final."""
 
     ACTIVE = "active"
     COMPLETE = "complete"
@@ -24,7 +24,7 @@
 
 
 class FailureReason(Enum):
-    """Why a job ended as failed."""
+    """Why a job failed."""
 
     TASK_FAILED = "task_failed"
     TASK_UNKNOWN = "task_unknown"
@@ -36,7 +36,7 @@
 
 
 class ResultStatus(Enum):
-    """What an upstream says became of one start."""
+    """Outcome of one start as reported by the upstream."""
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -66,14 +66,14 @@
 
 
 class RunOutcome(Enum):
-    """What a refusal says about the work itself."""
+    """What a refusal says about whether the work has run."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class SessionState(Enum):
-    """Where an upstream's session stands at an entry host."""
+    """State of an upstream's session at an entry host."""
 
     ACTIVE = "active"
     SUSPECT = "suspect"
--- a/cottonlug/core/submissions.py
+++ b/cottonlug/core/submissions.py
@@ -1,9 +1,9 @@
-"""The records of one home: which submission ids were accepted here and what became of them.
+"""Submission records of one home: the accepted submission ids and their jobs.
 
 An id may start a job only while it is younger than `id_lifetime`. The answer is kept for
-`retention` after the end, and a tombstone until the id is too old to be used. So a resend either
-meets a record or is refused; it never starts a second job. Ages are counted on the monotonic clock
-of one generation; a store that lost its records begins a new generation.
+`retention` after the job's end, and a tombstone until the id is too old to be used. A resend
+therefore either finds a record or is refused; it never starts a second job. Ages are measured on
+the monotonic clock of one generation; a store that lost its records begins a new generation.
 """
 
 from __future__ import annotations
@@ -29,11 +29,11 @@
 from .states import FailureReason, JobState, RefusalCode, RunOutcome
 
 CLOCK_ROUNDING = timedelta(seconds=1)
-"""An id holds whole seconds, so its age may seem up to this much too small."""
+"""An id holds whole seconds, so its computed age may be off by up to this much."""
 
 
 class SubmissionStore:
-    """Accepted jobs of one generation, by submission id."""
+    """The accepted jobs of one generation, by submission id."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._tombstones: dict[SubmissionId, timedelta] = {}
 
     def mint(self, now: timedelta) -> SubmissionId:
-        """Return a fresh id of this home."""
+        """Return a new id of this home."""
         return mint_id(
             domain=self.domain,
             host=self.host,
@@ -82,7 +82,7 @@
         return Err(_refuse_unknown(id))
 
     def check_new(self, id: SubmissionId, now: timedelta) -> Refusal | None:
-        """Return why an id without a record may not start a job, or None where it may."""
+        """Return why an id without a record must not start a job, or None if it may."""
         parsed = parse_id(id)
         if parsed is None or not self._is_home_of(parsed):
             return _refuse_unknown(id)
@@ -98,15 +98,15 @@
         self.jobs[job.id] = job
 
     def note_ended(self, job: Job) -> None:
-        """Start a job's retention."""
+        """Start the retention period of an ended job."""
         self._ended.append(job)
 
     def forget(self, job: Job) -> None:
-        """Drop an ended job that nobody can ask for again."""
+        """Drop an ended job that no caller can query any more."""
         del self.jobs[job.id]
 
     def expire(self, now: timedelta) -> None:
-        """Replace ended jobs past their retention by tombstones, and drop unusable ids."""
+        """Replace ended jobs past their retention by tombstones, and drop expired tombstones."""
         while self._ended and now > (self._ended[0].ended_at or now) + self._retention:
             job = self._ended.popleft()
             del self.jobs[job.id]
@@ -134,7 +134,7 @@
 def _refuse_unknown(id: SubmissionId) -> Refusal:
     return Refusal(
         code=RefusalCode.UNKNOWN_ID,
-        message=f"submission id {id!r} was not minted here; ask POST /v1/ids for one",
+        message=f"submission id {id!r} was not minted here; request one with POST /v1/ids",
     )
 
 
