--- a/cottonlug/exceptions.py
+++ b/cottonlug/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions for broken invariants and unusable settings; all other outcomes are values."""
+"""Exceptions for broken invariants and invalid settings; all other errors are return values."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BrokenInvariantError(CottonlugError):
-    """The program reached a state that its design excludes; the process must stop."""
+    """The program reached a state that its design rules out; the process must stop."""
 
 
 class SettingsError(CottonlugError):
--- a/cottonlug/lean.py
+++ b/cottonlug/lean.py
@@ -1,7 +1,8 @@
-"""Imported first, this module keeps libraries from loading parts that cottonlug never uses.
+"""Keeps libraries from importing optional modules that cottonlug never uses, to save memory.
 
-Litestar loads pydantic where it is installed (9 MB), httpx and typer load rich (3 MB).
-Only the command line imports this module, so programs that embed the core are not touched.
+Litestar imports pydantic if it is installed (9 MB); httpx and typer import rich (3 MB). This module
+has to be imported first. Only the entry points of the command line and of the daemons import it, so
+programs that embed the core are not affected.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 def leave_out_unused() -> None:
-    """Make imports of the unused modules fail as if they were not installed."""
+    """Make imports of the unused modules fail, as if they were not installed."""
     for name in UNUSED_MODULES:
         if name not in sys.modules:
             sys.modules[name] = None  # type: ignore[assignment]
--- a/cottonlug/storage/__init__.py
+++ b/cottonlug/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files under the data folder."""
+"""Storage in the data folder."""
--- a/cottonlug/storage/files.py
+++ b/cottonlug/storage/files.py
@@ -1,4 +1,4 @@
-"""Files of the data folder, as an interface that tests can replace by one that loses bytes."""
+"""Access to the data folder, behind an interface that tests replace by one that loses data."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
     """Access to one folder; every call may raise OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's content, or None where there is no such file."""
+        """Return a file's content, or None if there is no such file."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file and sync it."""
+        """Append to a file and sync it."""
         ...
 
     def sync(self, name: str) -> None:
-        """Make what a file holds, and its name, outlast a loss of power."""
+        """Make a file's content and its name survive a power failure."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size in bytes and sync it."""
         ...
 
     def replace(self, name: str, data: bytes) -> None:
-        """Replace a file whole: after a crash either the old or the new content is there."""
+        """Replace a file atomically: after a crash it has either the old or the new content."""
         ...
 
 
 class FolderFiles:
-    """Files in a folder of this machine."""
+    """Files in a local folder."""
 
     def __init__(self, *, folder: Path) -> None:
         self._folder = folder
@@ -42,14 +42,14 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's content, or None where there is no such file."""
+        """Return a file's content, or None if there is no such file."""
         try:
             return (self._folder / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at the end of a file and sync it."""
+        """Append to a file and sync it."""
         file = self._open.get(name)
         if file is None:
             file = os.open(self._folder / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
@@ -59,7 +59,7 @@
         os.fsync(file)
 
     def sync(self, name: str) -> None:
-        """Make what a file holds, and its name, outlast a loss of power."""
+        """Make a file's content and its name survive a power failure."""
         file = os.open(self._folder / name, os.O_WRONLY)
         try:
             os.fsync(file)
@@ -68,7 +68,7 @@
         self._sync_folder()
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to a size and sync it."""
+        """Truncate a file to a size in bytes and sync it."""
         file = os.open(self._folder / name, os.O_WRONLY)
         try:
             os.ftruncate(file, size)
@@ -77,10 +77,10 @@
             os.close(file)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Replace a file whole: after a crash either the old or the new content is there."""
+        """Replace a file atomically: after a crash it has either the old or the new content."""
         self._close(name)
         temporary = self._folder / f"{name}.new"
-        # After a loss of power it may be a second name of the file that is to be replaced.
+        # After a power failure this name may be a second link to the file that is to be replaced.
         with contextlib.suppress(FileNotFoundError):
             os.unlink(temporary)
         file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
@@ -93,7 +93,7 @@
         self._sync_folder()
 
     def close(self) -> None:
-        """Close all files."""
+        """Close all open files."""
         for name in list(self._open):
             self._close(name)
 
@@ -111,6 +111,6 @@
 
 
 def _write(file: int, data: bytes) -> None:
-    """Write all in one call: of two unsynced ones the second may last without the first."""
+    """Write all in one call: of two unsynced writes the second may persist without the first."""
     if os.write(file, data) < len(data):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -1,9 +1,10 @@
 """The journal of one consensus member: an append-only file of checksummed records.
 
 A record is its payload's length, the CRC-32 of that length and the CRC-32 of the payload (4 bytes
-each, big endian), then the payload in JSON. A tail that is too short, or that ends in zeros, was
-torn by a crash before it was synced, so nobody counted on it: it is cut. Anything else that does
-not check is damage: the journal refuses to open, since cutting it could lose an accepted change.
+each, big endian), then the payload in JSON. A tail that is too short, or that ends in zeros, is a
+write that a crash cut short before it was synced, so nothing relied on it: it is cut off. Any other
+checksum or decoding error is damage: the journal refuses to open, since cutting off the rest could
+lose an accepted change.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 _NO_INDEX = Index(0)
 _NO_HARD_STATE = HardState(term=Term(0))
 EMPTY_SNAPSHOT = Snapshot(index=_NO_INDEX, term=Term(0), members=Members(voters=()), data="")
-"""What a new disk holds: no state and no members."""
+"""Snapshot of a new disk: no state and no members."""
 
 
 class IdentityRecord(Record, frozen=True, tag="identity"):
@@ -46,13 +47,13 @@
 
 
 class HardStateRecord(Record, frozen=True, tag="hard_state"):
-    """Term and vote."""
+    """The current term and vote."""
 
     hard_state: HardState
 
 
 class SnapshotRecord(Record, frozen=True, tag="snapshot"):
-    """A snapshot; entries up to its index are gone."""
+    """A snapshot; it replaces all entries up to its index."""
 
     snapshot: Snapshot
 
@@ -64,13 +65,13 @@
 
 
 class TruncateRecord(Record, frozen=True, tag="truncate"):
-    """The entry at `first` and all after it are void."""
+    """The entry at `first` and all after it are discarded."""
 
     first: Index
 
 
 class AppliedRecord(Record, frozen=True, tag="applied"):
-    """Everything up to `index` is in force here and must be again after a restart."""
+    """Everything up to `index` has been applied here and must be applied again after a restart."""
 
     index: Index
 
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StorageError:
-    """The data folder cannot be used; `damaged` where its content does not check."""
+    """The data folder cannot be used; `damaged` if its content is corrupt."""
 
     message: str
     damaged: bool
@@ -117,7 +118,7 @@
 
 
 class Journal:
-    """What one member has saved; after a failed write it takes no more."""
+    """What one member has saved; after a failed write it accepts no further records."""
 
     def __init__(self, *, files: Files, member: MemberId, content: _Content, cut: int) -> None:
         self.member = member
@@ -139,12 +140,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether this disk has never taken part."""
+        """Whether this disk has never taken part in the consensus."""
         content = self._content
         return content.hard_state.term == 0 and content.snapshot.index == 0 and not content.entries
 
     def save(self, output: Output) -> Result[None, StorageError]:
-        """Save and sync what a member put out; nothing of it may be sent before."""
+        """Save and sync a member's output; its messages must not be sent before this returns."""
         records: list[JournalRecord] = []
         if output.hard_state is not None:
             records.append(HardStateRecord(hard_state=output.hard_state))
@@ -156,7 +157,7 @@
         return self._append(records) if records else Success(None)
 
     def save_applied(self, index: Index) -> Result[None, StorageError]:
-        """Save and sync how far the log is in force here."""
+        """Save and sync the index up to which the log has been applied here."""
         return self._append([AppliedRecord(index=index)])
 
     def _append(self, records: list[JournalRecord]) -> Result[None, StorageError]:
@@ -174,7 +175,7 @@
     def _rewrite(
         self, snapshot: Snapshot, restore: bool, records: list[JournalRecord]
     ) -> Result[None, StorageError]:
-        """Replace the file by the snapshot and what follows it."""
+        """Replace the file by the snapshot and the records that follow it."""
         if self._failed is not None:
             return Err(self._failed)
         content = self._content
@@ -197,20 +198,20 @@
         return Success(None)
 
     def _fail(self, error: OSError) -> Result[None, StorageError]:
-        # What reached the disk is not known any more, so nothing may be added to it.
+        # It is unknown how much of the write reached the disk, so nothing may be appended to it.
         message = f"cannot write the journal: {error.strerror or error}"
         self._failed = StorageError(message=message, damaged=False)
         return Err(self._failed)
 
 
 def open_journal(files: Files, new_member: MemberId) -> Result[Journal, StorageError]:
-    """Open a journal, cutting a torn tail, or begin one under the new member id."""
+    """Open a journal and cut off a torn tail, or create one with the new member id."""
     try:
         data = files.read(JOURNAL)
         if not data:
             files.replace(JOURNAL, _frame(IdentityRecord(member=new_member)))
             return Success(Journal(files=files, member=new_member, content=_Content(), cut=0))
-        # An earlier process may have ended between a write and its sync.
+        # An earlier process may have been killed between a write and its sync.
         files.sync(JOURNAL)
         replayed = _replay(data)
         if isinstance(replayed, Err):
@@ -251,7 +252,7 @@
 
 
 def _read_payload(data: bytes, at: int) -> bytes | None:
-    """Return the payload of the record at a place, or None where it does not check."""
+    """Return the payload of the record at an offset, or None if its checksums do not match."""
     length = _read_length(data, at)
     if length is None:
         return None
@@ -264,7 +265,7 @@
 
 
 def _read_length(data: bytes, at: int) -> int | None:
-    """Return the length that a record's header gives, or None where the header does not check."""
+    """Return the payload length in a record's header, or None if the header is not valid."""
     if at + _HEADER.size > len(data):
         return None
     length, length_check, _ = _HEADER.unpack_from(data, at)
@@ -274,14 +275,14 @@
 
 
 def _is_torn(data: bytes, at: int) -> bool:
-    """Whether the rest can only be a write that a crash cut short."""
+    """Whether the rest of the file can only be a write that a crash cut short."""
     rest = len(data) - at
     if rest < _HEADER.size:
         return True
     length = _read_length(data, at)
     if length is not None and rest < _HEADER.size + length:
         return True
-    # A payload is JSON and never ends with a zero byte; a write cut short leaves zeros behind it.
+    # A payload is JSON and never ends with a zero byte; a write cut short can leave trailing zeros.
     return data.endswith(b"\0")
 
 
