--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -33,7 +33,7 @@
     TaskResult,
     TaskStart,
 )
-from cottonlug.core.rules import Question, Rule, When, compile_rules, find_mismatch
+from cottonlug.core.rules import RuleInput, Rule, When, compile_rules, find_mismatch
 from cottonlug.core.states import ResultStatus
 from cottonlug.net.clients import HttpClient
 from cottonlug.net.codec import encode
@@ -134,7 +134,7 @@
 
 def measure_rules() -> dict[str, dict[str, float]]:
     """Return microseconds for one match, compiled and naive, by number of rules."""
-    question = Question(
+    rule_input = RuleInput(
         team=TeamName("team-72"),
         kind=KindName("k"),
         domain=DomainName("d"),
@@ -155,10 +155,10 @@
         ]
         match = compile_rules(rules)
         costs[str(count)] = {
-            "compiled_us": time_call(lambda match=match: match(question)),
+            "compiled_us": time_call(lambda match=match: match(rule_input)),
             "naive_us": time_call(
                 lambda rules=rules: next(
-                    (rule for rule in rules if find_mismatch(rule.when, question) is None), None
+                    (rule for rule in rules if find_mismatch(rule.when, rule_input) is None), None
                 )
             ),
         }
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -191,7 +191,7 @@
             ) -> None:
                 if executor.upstream in self.dead:
                     return
-                executor.take_reply(link, delivery.session, delivery.reply, self.now)  # type: ignore[attr-defined]
+                executor.handle_reply(link, delivery.session, delivery.reply, self.now)  # type: ignore[attr-defined]
                 self.start_tasks(executor)
                 self.stop_tasks(executor)
                 self.consider(executor, link)
@@ -202,7 +202,7 @@
         """Send a request if one is due, after waiting for company where that is the policy."""
         if executor.upstream in self.dead:
             return
-        due = executor.find_due(link)
+        due = executor.find_next_request_time(link)
         if due is None:
             return
         if due > self.now:
@@ -245,8 +245,8 @@
         return run_time, ResultStatus.SUCCEEDED
 
     def stop_tasks(self, executor: Executor) -> None:
-        while executor.to_stop:
-            self.finish(executor, executor.to_stop.popleft(), ResultStatus.STOPPED)
+        while executor.pending_stops:
+            self.finish(executor, executor.pending_stops.popleft(), ResultStatus.STOPPED)
 
     def finish(self, executor: Executor, key: TaskKey, status: ResultStatus) -> None:
         if executor.upstream in self.dead or key not in executor.running:
--- a/cottonlug/__main__.py
+++ b/cottonlug/__main__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from . import lean
+from . import unused_imports
 from .cli import main
 
-lean.leave_out_unused()
+unused_imports.block_unused_imports()
 
 __all__ = ["main"]
 
--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -15,7 +15,7 @@
 
 from .messages import Message
 
-MAX_REMEMBERED = 20_000
+MAX_REMEMBERED_OUTCOMES = 20_000
 """Number of stored decisions: more than a day of changes at the size to design for."""
 
 
@@ -76,7 +76,7 @@
         state.text = command.text
         state.winner = command.request_id
     state.outcomes[command.request_id] = outcome
-    while len(state.outcomes) > MAX_REMEMBERED:
+    while len(state.outcomes) > MAX_REMEMBERED_OUTCOMES:
         del state.outcomes[next(iter(state.outcomes))]
     return outcome
 
--- a/cottonlug/core/consensus/log.py
+++ b/cottonlug/core/consensus/log.py
@@ -57,7 +57,7 @@
         del self._entries[: snapshot.index - self.snapshot.index]
         self.snapshot = snapshot
 
-    def replace(self, snapshot: Snapshot) -> None:
+    def install_snapshot(self, snapshot: Snapshot) -> None:
         """Replace the whole log by a leader's snapshot."""
         self.snapshot = snapshot
         self._entries = []
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -17,7 +17,7 @@
 from ..invariants import require
 from .log import Log
 from .progress import Progress, find_quorum_index, is_quorum
-from .timing import Chance, Timing
+from .timing import RandomFloat, Timing
 from .types import (
     AppendReply,
     AppendRequest,
@@ -33,7 +33,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    Stored,
+    StoredState,
     Term,
     TransferRequest,
     VoteReply,
@@ -58,15 +58,15 @@
         self,
         *,
         id: MemberId,
-        stored: Stored,
+        stored: StoredState,
         timing: Timing,
-        chance: Chance,
+        random_float: RandomFloat,
         now: timedelta,
-        saves_late: bool = False,
+        saves_after_sending: bool = False,
     ) -> None:
         self.id = id
-        self._saves_late = saves_late
-        self._saved = Index(0)
+        self._saves_after_sending = saves_after_sending
+        self._saved_index = Index(0)
         self.role = Role.FOLLOWER
         self.term = stored.hard_state.term
         self.leader: MemberId | None = None
@@ -75,17 +75,17 @@
         self.members = self.log.find_members()
         self._voted_for = stored.hard_state.voted_for
         self._timing = timing
-        self._chance = chance
+        self._random_float = random_float
         self._now = now
         self._votes: set[MemberId] = set()
         self._progress: dict[MemberId, Progress] = {}
         self._heard_leader_at: timedelta | None = None
-        self._first_votes = 0
+        self._votes_without_leader = 0
         """Number of elections started before any leader was heard."""
         self._heartbeat_due = now
         self._output = Output()
-        self._delivered = self.commit
-        self._set_election_time(timing.first_election)
+        self._delivered_index = self.commit
+        self._reset_election_timer(timing.first_election)
 
     # Calls of the embedding program
 
@@ -104,20 +104,20 @@
     def receive(self, message: Message, now: timedelta) -> None:
         """Process a message from another member."""
         self._now = now
-        if self._is_from_the_past(message):
-            self._answer_the_past(message)
+        if self._is_from_older_term(message):
+            self._answer_older_term(message)
             return
-        self._follow_newer_term(message)
+        self._adopt_newer_term(message)
         if isinstance(message, VoteRequest):
-            self._answer_vote(message)
+            self._handle_vote_request(message)
         elif isinstance(message, VoteReply):
-            self._count_vote(message)
+            self._handle_vote_reply(message)
         elif isinstance(message, AppendRequest):
-            self._take_append(message)
+            self._handle_append_request(message)
         elif isinstance(message, AppendReply):
-            self._take_append_reply(message)
+            self._handle_append_reply(message)
         elif isinstance(message, SnapshotRequest):
-            self._take_snapshot(message)
+            self._handle_snapshot_request(message)
         else:
             self._campaign(pre=False, transfer=True)
 
@@ -126,22 +126,22 @@
         self._now = now
         if self.role is not Role.LEADER:
             return Err(NotLeader(leader=self.leader, reason="not the leader"))
-        entry = self._append_new(EntryKind.COMMAND, data, None)
+        entry = self._append_own_entry(EntryKind.COMMAND, data, None)
         self._replicate_all()
         return Success((entry.term, entry.index))
 
     def change_members(self, members: Members, now: timedelta) -> Result[Index, NotLeader]:
         """Append a new set of members, which may differ by at most one voter."""
         self._now = now
-        refusal = self._check_change(members)
+        refusal = self._check_member_change(members)
         if refusal is not None:
             return Err(NotLeader(leader=self.leader, reason=refusal))
-        entry = self._append_new(EntryKind.MEMBERS, "", members)
-        self._set_members()
+        entry = self._append_own_entry(EntryKind.MEMBERS, "", members)
+        self._update_members()
         self._replicate_all()
         return Success(entry.index)
 
-    def transfer(self, now: timedelta) -> MemberId | None:
+    def transfer_leadership(self, now: timedelta) -> MemberId | None:
         """Ask a voter with the complete log to take over; return it, or None if there is none.
 
         The voter is chosen at random: if it cannot lead, the next call is likely to ask another.
@@ -149,20 +149,20 @@
         self._now = now
         if self.role is not Role.LEADER:
             return None
-        heirs = [
+        candidates = [
             voter
             for voter in self.members.voters
-            if voter in self._progress and self.matched(voter) == self.log.last_index
+            if voter in self._progress and self.get_matched_index(voter) == self.log.last_index
         ]
-        if not heirs:
+        if not candidates:
             return None
-        heir = heirs[int(self._chance() * len(heirs))]
-        self._send(heir, TransferRequest(term=self.term, sender=self.id))
-        return heir
+        successor = candidates[int(self._random_float() * len(candidates))]
+        self._send(successor, TransferRequest(term=self.term, sender=self.id))
+        return successor
 
     def compact(self, data: str, index: Index) -> None:
         """Replace all entries up to index `index` by a snapshot of the state after it."""
-        require(index <= self._delivered, "only delivered entries may be compacted")
+        require(index <= self._delivered_index, "only delivered entries may be compacted")
         term = self.log.find_term(index)
         if term is None or index <= self.log.snapshot.index:
             return
@@ -171,48 +171,48 @@
         self.log.compact(snapshot)
         self._output.snapshot = snapshot
 
-    def take_output(self) -> Output:
+    def pop_output(self) -> Output:
         """Return what must be saved, sent and applied, in this order, since the previous call."""
         output = self._output
         self._output = Output()
-        first = Index(self._delivered + 1)
+        first = Index(self._delivered_index + 1)
         if self.commit >= first and first > self.log.snapshot.index:
-            output.committed = list(self.log.read(first, self.commit - self._delivered))
-        self._delivered = self.commit
+            output.committed = list(self.log.read(first, self.commit - self._delivered_index))
+        self._delivered_index = self.commit
         return output
 
-    def find_silent(self, now: timedelta, span: timedelta) -> list[MemberId]:
+    def find_silent_members(self, now: timedelta, span: timedelta) -> list[MemberId]:
         """Return the other members not heard for at least `span`; meaningful on the leader only."""
         return [
             member for member, progress in self._progress.items() if now - progress.heard_at >= span
         ]
 
-    def note_saved(self) -> None:
+    def record_saved(self) -> None:
         """Record that this member's whole log is on its disk, so that it counts for commitment.
 
         For programs with `saves_after_sending`: on a leader they send entries before saving them.
         """
-        self._saved = self.log.last_index
+        self._saved_index = self.log.last_index
         if self.role is Role.LEADER and self._advance_commit():
             self._replicate_all()
 
-    def matched(self, member: MemberId) -> Index:
+    def get_matched_index(self, member: MemberId) -> Index:
         """Return up to which index another member's log is known to match; on the leader only."""
         progress = self._progress.get(member)
         return progress.matched if progress is not None else Index(0)
 
     # Terms
 
-    def _is_from_the_past(self, message: Message) -> bool:
+    def _is_from_older_term(self, message: Message) -> bool:
         return message.term < self.term
 
-    def _answer_the_past(self, message: Message) -> None:
+    def _answer_older_term(self, message: Message) -> None:
         if isinstance(message, VoteRequest):
             self._send_vote(message, granted=False)
         elif isinstance(message, AppendRequest | SnapshotRequest):
             self._send_append_reply(message.sender, accepted=False, matched=Index(0))
 
-    def _follow_newer_term(self, message: Message) -> None:
+    def _adopt_newer_term(self, message: Message) -> None:
         if message.term <= self.term:
             return
         if isinstance(message, VoteRequest):
@@ -229,16 +229,16 @@
             self._save_hard_state()
         self.role = Role.FOLLOWER
         self.leader = leader
-        self._set_election_time()
+        self._reset_election_timer()
 
     def _save_hard_state(self) -> None:
         self._output.hard_state = HardState(term=self.term, voted_for=self._voted_for)
 
-    def _set_election_time(self, span: timedelta | None = None) -> None:
+    def _reset_election_timer(self, span: timedelta | None = None) -> None:
         span = span if span is not None else self._timing.election
-        self._election_due = self._now + span * (1.0 + self._chance())
+        self._election_due = self._now + span * (1.0 + self._random_float())
 
-    def _find_vote_span(self) -> timedelta:
+    def _compute_vote_timeout(self) -> timedelta:
         """Return the minimum wait for the votes of the election that starts now.
 
         While no leader has been heard since the start, as after a restart of all members, no leader
@@ -247,8 +247,8 @@
         """
         if self._heard_leader_at is not None:
             return self._timing.election
-        self._first_votes += 1
-        span: timedelta = self._timing.first_election * 2**self._first_votes
+        self._votes_without_leader += 1
+        span: timedelta = self._timing.first_election * 2**self._votes_without_leader
         return min(span, self._timing.election)
 
     def _has_leader(self) -> bool:
@@ -266,7 +266,9 @@
             return
         self._votes = {self.id}
         self.leader = None
-        self._set_election_time(self._timing.pre_vote_retry if pre else self._find_vote_span())
+        self._reset_election_timer(
+            self._timing.pre_vote_retry if pre else self._compute_vote_timeout()
+        )
         if pre:
             self.role = Role.PRE_CANDIDATE
         else:
@@ -288,7 +290,7 @@
                 self._send(voter, request)
         self._check_votes()
 
-    def _answer_vote(self, request: VoteRequest) -> None:
+    def _handle_vote_request(self, request: VoteRequest) -> None:
         ours = (self.log.last_term, self.log.last_index)
         is_current = (request.last_term, request.last_index) >= ours
         if request.pre:
@@ -302,7 +304,7 @@
         if granted and self._voted_for is None:
             self._voted_for = request.sender
             self._save_hard_state()
-            self._set_election_time()
+            self._reset_election_timer()
         self._send_vote(request, granted=granted)
 
     def _send_vote(self, request: VoteRequest, *, granted: bool) -> None:
@@ -310,7 +312,7 @@
         reply = VoteReply(term=term, sender=self.id, granted=granted, pre=request.pre)
         self._send(request.sender, reply)
 
-    def _count_vote(self, reply: VoteReply) -> None:
+    def _handle_vote_reply(self, reply: VoteReply) -> None:
         expected = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
         asked_term = self.term + 1 if reply.pre else self.term
         if self.role is not expected or not reply.granted or reply.term != asked_term:
@@ -335,9 +337,9 @@
         self.leader = self.id
         self._progress = {}
         # As a follower, this member saved every vote and entry before it acknowledged it.
-        self._saved = self.log.last_index
-        self._append_new(EntryKind.EMPTY, "", None)
-        self._set_members()
+        self._saved_index = self.log.last_index
+        self._append_own_entry(EntryKind.EMPTY, "", None)
+        self._update_members()
         self._replicate_all()
 
     def _tick_leader(self) -> None:
@@ -360,7 +362,7 @@
             return
         self._election_due = self._now + self._timing.election
 
-    def _append_new(self, kind: EntryKind, data: str, members: Members | None) -> Entry:
+    def _append_own_entry(self, kind: EntryKind, data: str, members: Members | None) -> Entry:
         index = Index(self.log.last_index + 1)
         entry = Entry(term=self.term, index=index, kind=kind, data=data, members=members)
         self.log.append(entry)
@@ -368,7 +370,7 @@
         self._advance_commit()
         return entry
 
-    def _check_change(self, members: Members) -> str | None:
+    def _check_member_change(self, members: Members) -> str | None:
         if self.role is not Role.LEADER:
             return "not the leader"
         if self.log.find_term(self.commit) != self.term:
@@ -380,7 +382,7 @@
             return "one voter is added or removed at a time"
         return None
 
-    def _set_members(self) -> None:
+    def _update_members(self) -> None:
         self.members = self.log.find_members()
         if self.role is not Role.LEADER:
             return
@@ -424,7 +426,7 @@
             ),
         )
 
-    def _take_append_reply(self, reply: AppendReply) -> None:
+    def _handle_append_reply(self, reply: AppendReply) -> None:
         progress = self._progress.get(reply.sender)
         if self.role is not Role.LEADER or progress is None:
             return
@@ -443,7 +445,7 @@
     def _advance_commit(self) -> bool:
         """Commit what a majority of voters has if its last entry is of the current term."""
         matched = {member: progress.matched for member, progress in self._progress.items()}
-        matched[self.id] = self._saved if self._saves_late else self.log.last_index
+        matched[self.id] = self._saved_index if self._saves_after_sending else self.log.last_index
         index = find_quorum_index(self.members.voters, matched)
         if index <= self.commit or self.log.find_term(index) != self.term:
             return False
@@ -454,22 +456,22 @@
 
     # Following
 
-    def _take_append(self, request: AppendRequest) -> None:
-        self._follow(request.sender)
+    def _handle_append_request(self, request: AppendRequest) -> None:
+        self._follow_leader(request.sender)
         if request.previous_index < self.log.snapshot.index:
-            request = _skip_to(request, self.log.snapshot)
+            request = _drop_compacted_entries(request, self.log.snapshot)
         if self.log.find_term(request.previous_index) != request.previous_term:
             self._send_append_reply(
                 request.sender, accepted=False, matched=self._find_hint(request.previous_index)
             )
             return
         for entry in request.entries:
-            self._take_entry(entry)
+            self._store_entry(entry)
         matched = Index(request.previous_index + len(request.entries))
         self.commit = max(self.commit, min(request.commit, matched))
         self._send_append_reply(request.sender, accepted=True, matched=matched)
 
-    def _take_entry(self, entry: Entry) -> None:
+    def _store_entry(self, entry: Entry) -> None:
         if self.log.find_term(entry.index) == entry.term:
             return
         if entry.index <= self.log.last_index:
@@ -480,16 +482,16 @@
         self._output.entries.append(entry)
         self.members = self.log.find_members()
 
-    def _take_snapshot(self, request: SnapshotRequest) -> None:
-        self._follow(request.sender)
+    def _handle_snapshot_request(self, request: SnapshotRequest) -> None:
+        self._follow_leader(request.sender)
         snapshot = request.snapshot
         if self.log.find_term(snapshot.index) == snapshot.term:
             # A delayed snapshot: entries after it may have been acknowledged and must be kept.
             self.commit = max(self.commit, snapshot.index)
         elif snapshot.index > self.commit:
-            self.log.replace(snapshot)
+            self.log.install_snapshot(snapshot)
             self.commit = snapshot.index
-            self._delivered = snapshot.index
+            self._delivered_index = snapshot.index
             self.members = snapshot.members
             self._output.snapshot = snapshot
             self._output.restore = True
@@ -497,7 +499,7 @@
             self._output.truncate_from = None
         self._send_append_reply(request.sender, accepted=True, matched=self.commit)
 
-    def _follow(self, leader: MemberId) -> None:
+    def _follow_leader(self, leader: MemberId) -> None:
         require(self.role is not Role.LEADER, "a term must not have two leaders")
         self._heard_leader_at = self._now
         self._become_follower(self.term, leader)
@@ -517,7 +519,7 @@
         self._output.messages.append(Envelope(to=to, message=message))
 
 
-def _skip_to(request: AppendRequest, snapshot: Snapshot) -> AppendRequest:
+def _drop_compacted_entries(request: AppendRequest, snapshot: Snapshot) -> AppendRequest:
     """Return the part of a request after the snapshot; up to the snapshot the logs match."""
     return AppendRequest(
         term=request.term,
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -7,24 +7,24 @@
 from .member import Member
 from .types import MemberId, Members
 
-USUAL_VOTERS = 3
+DEFAULT_VOTERS = 3
 """With more voters than this, a lost voter is removed without a replacement."""
-MOST_VOTERS = 7
+MAX_VOTERS = 7
 """Seven voters tolerate the loss of three; more would only make a majority slower."""
 
 
-def find_most_voters(members: Members, lost: Collection[MemberId]) -> int:
+def compute_max_voters(members: Members, lost: Collection[MemberId]) -> int:
     """Return how many members should vote: an odd number, so that no split is into equal halves."""
     present = [member for member in (*members.voters, *members.learners) if member not in lost]
     odd = len(present) - (len(present) + 1) % 2
-    return min(max(odd, USUAL_VOTERS), MOST_VOTERS)
+    return min(max(odd, DEFAULT_VOTERS), MAX_VOTERS)
 
 
 def plan_change(
     leader: Member,
     current: Mapping[str, MemberId],
     lost: Collection[MemberId] = (),
-    most_voters: int | None = None,
+    max_voters: int | None = None,
 ) -> Members | None:
     """Return the next set of members, or None if no change is needed.
 
@@ -40,14 +40,14 @@
         if member not in members.learners:
             others = tuple(each for each in members.learners if get_host(each) != host)
             return Members(voters=members.voters, learners=(*others, member))
-        if leader.matched(member) < leader.commit:
+        if leader.get_matched_index(member) < leader.commit:
             continue
         old = [voter for voter in members.voters if get_host(voter) == host]
         old = old or [voter for voter in members.voters if voter in lost][:1]
         if old:
             voters = tuple(voter for voter in members.voters if voter not in old)
             return Members(voters=voters, learners=members.learners)
-        if most_voters is not None and len(members.voters) >= most_voters:
+        if max_voters is not None and len(members.voters) >= max_voters:
             continue
         learners = tuple(learner for learner in members.learners if learner != member)
         return Members(voters=(*members.voters, member), learners=learners)
@@ -57,7 +57,7 @@
 def plan_removal(leader: Member, lost: Collection[MemberId]) -> Members | None:
     """Return the members without one lost voter, or None unless voters exceed the usual number."""
     members = leader.members
-    if len(members.voters) <= USUAL_VOTERS:
+    if len(members.voters) <= DEFAULT_VOTERS:
         return None
     gone = next((voter for voter in members.voters if voter in lost), None)
     if gone is None:
--- a/cottonlug/core/consensus/timing.py
+++ b/cottonlug/core/consensus/timing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-Chance = Callable[[], float]
+RandomFloat = Callable[[], float]
 """Returns a random number in [0, 1); injected to make runs repeatable."""
 
 
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -16,15 +16,15 @@
 from returns.result import Result, Success
 
 from . import sessions
-from .estimates import RunTimes
+from .estimates import RunTimeEstimates
 from .ids import SubmissionId, TaskKey, UpstreamId
 from .invariants import require
 from .jobs import (
     Job,
     build_status,
     fail_job,
-    is_current,
-    record_end,
+    is_current_attempt,
+    record_task_failure,
     record_not_started,
     record_success,
     retry_task,
@@ -44,7 +44,7 @@
 
 OVERLOAD_RETRY_AFTER_MS = 500
 DEFAULT_POLICY = Policy()
-SWEEP_INTERVAL = timedelta(milliseconds=250)
+SCAN_INTERVAL = timedelta(milliseconds=250)
 """Interval of the scan of all sessions for expired leases and parked requests that are due."""
 
 
@@ -61,22 +61,22 @@
     ) -> None:
         self.store = store
         self.counters = Counters()
-        self.table = SessionTable(limits=limits, policy=policy, counters=self.counters)
+        self.session_table = SessionTable(limits=limits, policy=policy, counters=self.counters)
         self.queue = JobQueue(work_factor=policy.work_factor, fair_teams=policy.fair_teams)
         self.draining = False
         self.queued_tasks = 0
         self._limits = limits
         self._retry_budget = retry_budget
-        self._run_times = RunTimes()
+        self._run_times = RunTimeEstimates()
         self._deadlines: list[tuple[timedelta, SubmissionId]] = []
         self._ended: list[Job] = []
-        self._next_sweep = timedelta()
+        self._next_scan_at = timedelta()
         self._active: dict[SubmissionId, Job] = {}
 
     @property
     def sessions(self) -> dict[UpstreamId, Session]:
         """The sessions of all connected upstreams."""
-        return self.table.by_upstream
+        return self.session_table.by_upstream
 
     # Calls of callers
 
@@ -85,7 +85,7 @@
         known = self.store.jobs.get(job.id)
         if known is not None:
             return self.attach(known, job.digest)
-        refusal = self.store.check_new(job.id, job.accepted_at) or self._check_admission(job)
+        refusal = self.store.check_new_id(job.id, job.accepted_at) or self._check_admission(job)
         if refusal is not None:
             self.counters.refused += 1
             return Err(refusal)
@@ -109,84 +109,86 @@
     def cancel(self, job: Job, now: timedelta) -> JobStatus:
         """End an active job as cancelled; a job that has ended keeps its final state."""
         if not job.ended:
-            self._fail(job, FailureReason.CANCELLED, "cancelled by request", now)
+            self._fail_job(job, FailureReason.CANCELLED, "cancelled by request", now)
         return build_status(job)
 
-    def take_ended(self) -> list[Job]:
+    def pop_ended_jobs(self) -> list[Job]:
         """Return the jobs that ended since the previous call."""
         ended = self._ended
         self._ended = []
         return ended
 
-    def take_notices(self) -> list[Notice]:
+    def pop_notices(self) -> list[Notice]:
         """Return the notices about upstreams since the previous call."""
-        notices = self.table.notices
-        self.table.notices = []
+        notices = self.session_table.notices
+        self.session_table.notices = []
         return notices
 
     @property
-    def active_jobs(self) -> int:
+    def active_job_count(self) -> int:
         """Number of jobs without a final state."""
         return len(self._active)
 
     def get_probation_limit(self, upstream: UpstreamId) -> int | None:
         """Return an upstream's limit of concurrent starts, or None if it is not on probation."""
-        return self.table.guard.get_limit(upstream, self.table.now)
+        return self.session_table.guard.get_start_limit(upstream, self.session_table.now)
 
     # Calls of upstreams
 
     def exchange(self, request: ExchangeRequest, now: timedelta) -> Refusal | None:
         """Process one upstream's message; `dispatch` returns the reply."""
-        self.table.now = now
+        self.session_table.now = now
         self.counters.exchanges += 1
-        opened = self.table.open(request, now)
+        opened = self.session_table.open_session(request, now)
         if isinstance(opened, Refusal):
             return opened
         session = opened.session
         for key in opened.unstarted:
             self._return_unstarted(key)
-        self._lose_tasks(opened.lost, session.upstream, "the upstream restarted", now)
-        self._stop_unwanted(session, request)
+        self._end_tasks_as_unknown(opened.lost, session.upstream, "the upstream restarted", now)
+        self._stop_unwanted_tasks(session, request)
         session.last_heard = now
         session.credit = request.credit
         session.open_requests.append(request.seq)
         for group in request.results:
             for result in group.results:
                 key = TaskKey(group.submission, result.index, result.attempt)
-                self._take_result(session, key, result, now)
+                self._handle_result(session, key, result, now)
         if request.closing:
-            lost = self.table.close(session, "the upstream left")
-            self._lose_tasks(lost, session.upstream, "the upstream left", now)
-        self.table.renew(session, request, now)
+            lost = self.session_table.close_session(session, "the upstream left")
+            self._end_tasks_as_unknown(lost, session.upstream, "the upstream left", now)
+        self.session_table.renew_lease(session, request, now)
         return None
 
-    def disconnect(self, upstream: UpstreamId, number: int, seq: int, now: timedelta) -> None:
+    def handle_disconnect(
+        self, upstream: UpstreamId, number: int, seq: int, now: timedelta
+    ) -> None:
         """Handle a lost connection of an open request: no new starts until the upstream is back."""
-        self.table.disconnect(upstream, number, seq, now)
+        self.session_table.handle_disconnect(upstream, number, seq, now)
 
     def dispatch(self, now: timedelta) -> list[Delivery]:
         """Place the tasks that can start now and return every reply that is due."""
-        self.table.now = now
+        self.session_table.now = now
         starts = self._place_tasks()
         queue = QueueState(
             backlog=self.queued_tasks, drained=self.draining and self.queued_tasks == 0
         )
-        deliveries = self.table.take_replies(starts, queue)
+        deliveries = self.session_table.build_due_replies(starts, queue)
         require(not starts, "every placed task must be part of a reply")
         return deliveries
 
     def tick(self, now: timedelta) -> None:
         """End overdue jobs, expire records and, every `SCAN_INTERVAL`, scan all sessions."""
-        self.table.now = now
+        self.session_table.now = now
         self._end_overdue_jobs(now)
         self.store.expire(now)
-        if now < self._next_sweep:
+        if now < self._next_scan_at:
             return
-        self._next_sweep = now + SWEEP_INTERVAL
+        self._next_scan_at = now + SCAN_INTERVAL
         self._fail_unrunnable_jobs(now)
-        for session in self.table.sweep(now):
-            lost = self.table.close(session, "the upstream's lease ran out")
-            self._lose_tasks(lost, session.upstream, "the upstream's lease ran out", now)
+        for session in self.session_table.scan_sessions(now):
+            lost = self.session_table.close_session(session, "the upstream's lease ran out")
+            self._end_tasks_as_unknown(lost, session.upstream, "the upstream's lease ran out", now)
 
     # Jobs
 
@@ -208,21 +210,21 @@
         return None
 
     def _enqueue(self, job: Job, run_time: timedelta | None = None) -> None:
-        expected = self._run_times.expect(job.spec.team, job.spec.kind, run_time)
+        expected = self._run_times.estimate(job.spec.team, job.spec.kind, run_time)
         self.queue.push(job, expected * len(job.queued))
 
-    def _fail(self, job: Job, reason: FailureReason, detail: str, now: timedelta) -> None:
+    def _fail_job(self, job: Job, reason: FailureReason, detail: str, now: timedelta) -> None:
         self.queued_tasks -= len(job.queued)
         fail_job(job, reason, detail, now)
-        self._finish(job)
+        self._finish_job(job)
 
-    def _finish(self, job: Job) -> None:
+    def _finish_job(self, job: Job) -> None:
         require(job.ended, "only a job with a final state can be finished")
         self._active.pop(job.id)
         if job.spec.idempotent:
             self.store.forget(job)
         else:
-            self.store.note_ended(job)
+            self.store.start_retention(job)
         self._ended.append(job)
         if job.failure is None:
             self.counters.jobs_complete += 1
@@ -232,7 +234,7 @@
 
     def _stop_outstanding(self, job: Job) -> None:
         for task, upstream in job.sent_to.items():
-            self.table.stop_task(upstream, TaskKey(job.id, task, job.attempts[task]))
+            self.session_table.stop_task(upstream, TaskKey(job.id, task, job.attempts[task]))
         job.sent_to.clear()
 
     def _end_overdue_jobs(self, now: timedelta) -> None:
@@ -240,7 +242,7 @@
             _, id = heapq.heappop(self._deadlines)
             job = self._active.get(id)
             if job is not None:
-                self._fail(job, FailureReason.DEADLINE, "the deadline passed", now)
+                self._fail_job(job, FailureReason.DEADLINE, "the deadline passed", now)
 
     def _fail_unrunnable_jobs(self, now: timedelta) -> None:
         announcements = [session.announcement for session in self.sessions.values()]
@@ -251,11 +253,11 @@
                 continue
             if not any(sessions.could_ever_fit(offer, job.spec) for offer in announcements):
                 detail = "no upstream has what a task of this job needs"
-                self._fail(job, FailureReason.NEVER_RUNNABLE, detail, now)
+                self._fail_job(job, FailureReason.NEVER_RUNNABLE, detail, now)
 
     # Results
 
-    def _take_result(
+    def _handle_result(
         self, session: Session, key: TaskKey, result: TaskResult, now: timedelta
     ) -> None:
         if not sessions.remove_outstanding(session, key):
@@ -264,34 +266,34 @@
         self.counters.results += 1
         job = self._active.get(key.submission)
         if result.status is ResultStatus.SUCCEEDED:
-            self.table.guard.record_success(session.upstream)
-        if job is None or not is_current(job, key):
+            self.session_table.guard.record_success(session.upstream)
+        if job is None or not is_current_attempt(job, key):
             return
         if result.status is ResultStatus.SUCCEEDED:
             ran = timedelta(microseconds=result.ran_us)
             self._run_times.observe(job.spec.team, job.spec.kind, ran)
             record_success(job, key, result.value, now)
             if job.ended:
-                self._finish(job)
+                self._finish_job(job)
         elif result.status is ResultStatus.NOT_STARTED:
             self._return_unstarted(key)
         elif result.status is ResultStatus.FAILED:
-            if self.table.guard.record_failure(session.upstream, now):
+            if self.session_table.guard.record_failure(session.upstream, now):
                 self.counters.probations += 1
-                self.table.notices.append(Notice(NoticeKind.PROBATION, session.upstream))
+                self.session_table.notices.append(Notice(NoticeKind.PROBATION, session.upstream))
             detail = f"the task failed at {session.upstream}: {_describe(result.value)}"
             self._end_task(job, key, TaskState.FAILED, detail, now)
         else:
             detail = f"the task was stopped at {session.upstream}"
             self._end_task(job, key, TaskState.UNKNOWN, detail, now)
 
-    def _find_waiting(self, key: TaskKey) -> Job | None:
+    def _find_job_awaiting(self, key: TaskKey) -> Job | None:
         """Return the active job that still waits for this attempt, or None."""
         job = self._active.get(key.submission)
-        return job if job is not None and is_current(job, key) else None
+        return job if job is not None and is_current_attempt(job, key) else None
 
     def _return_unstarted(self, key: TaskKey) -> None:
-        job = self._find_waiting(key)
+        job = self._find_job_awaiting(key)
         if job is None:
             return
         record_not_started(job, key)
@@ -299,20 +301,20 @@
         self.queued_tasks += 1
         self._enqueue(job)
 
-    def _lose_tasks(
+    def _end_tasks_as_unknown(
         self, keys: list[TaskKey], upstream: UpstreamId, why: str, now: timedelta
     ) -> None:
         for key in keys:
-            job = self._find_waiting(key)
+            job = self._find_job_awaiting(key)
             if job is not None:
                 detail = f"{why} ({upstream}) while the task may have been running"
                 self._end_task(job, key, TaskState.UNKNOWN, detail, now)
 
-    def _stop_unwanted(self, session: Session, request: ExchangeRequest) -> None:
+    def _stop_unwanted_tasks(self, session: Session, request: ExchangeRequest) -> None:
         """Stop the held tasks whose result this host no longer waits for."""
         for name in request.held:
             key = TaskKey(name.submission, name.index, name.attempt)
-            if self._find_waiting(key) is None or key not in session.outstanding:
+            if self._find_job_awaiting(key) is None or key not in session.outstanding:
                 session.stops.append(name)
 
     def _end_task(
@@ -321,34 +323,34 @@
         if state is TaskState.UNKNOWN:
             self.counters.unknown_tasks += 1
         may_retry = job.spec.idempotent and key.attempt < job.spec.max_attempts
-        if may_retry and self._retry_budget.take():
+        if may_retry and self._retry_budget.try_spend():
             retry_task(job, key)
             self.counters.retries += 1
             self.queued_tasks += 1
             self._enqueue(job)
             return
         self.queued_tasks -= len(job.queued)
-        record_end(job, key, state, detail, now)
-        self._finish(job)
+        record_task_failure(job, key, state, detail, now)
+        self._finish_job(job)
 
     # Starts
 
     def _place_tasks(self) -> dict[UpstreamId, list[Placement]]:
         starts: dict[UpstreamId, list[Placement]] = {}
-        if self.queued_tasks == 0 or self.table.ready.is_empty():
+        if self.queued_tasks == 0 or self.session_table.ready.is_empty():
             return starts
-        with closing(self.queue.iterate()) as turns:
+        with closing(self.queue.iterate_turns()) as turns:
             for turn in turns:
                 self._place_job(turn, starts)
-                if self.table.ready.is_empty():
+                if self.session_table.ready.is_empty():
                     break
         return starts
 
     def _place_job(self, turn: Turn, starts: dict[UpstreamId, list[Placement]]) -> None:
         job = turn.job
-        expected = self._run_times.expect(job.spec.team, job.spec.kind)
+        expected = self._run_times.estimate(job.spec.team, job.spec.kind)
         for _ in range(turn.tasks):
-            session = self.table.ready.choose(job.spec)
+            session = self.session_table.ready.choose_session(job.spec)
             if session is None:
                 return
             key = send_next_task(job)
@@ -356,7 +358,7 @@
                 self._retry_budget.record_first_attempt()
             job.sent_to[key.task] = session.upstream
             placement = Placement(job, key)
-            self.table.add_start(session, placement)
+            self.session_table.add_start(session, placement)
             starts.setdefault(session.upstream, []).append(placement)
             self.queue.charge(job, expected)
             self.queued_tasks -= 1
--- a/cottonlug/core/estimates.py
+++ b/cottonlug/core/estimates.py
@@ -7,13 +7,13 @@
 from .ids import KindName, TeamName
 
 DEFAULT_RUN_TIME = timedelta(milliseconds=300)
-_STEP = 0.1
+_MIN_STEP_RATIO = 0.1
 """Smallest relative step by which one observation moves the median estimate."""
-_TRUSTED_AFTER = 8
+_MIN_OBSERVATIONS = 8
 """Number of observations from which the estimate replaces a declared run time."""
 
 
-class RunTimes:
+class RunTimeEstimates:
     """Median run time of each (team, kind), tracked in small multiplicative steps."""
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         seconds = max(ran.total_seconds(), 1e-6)
         count = self._counts.get(key, 0)
         median = self._medians.get(key, seconds)
-        step = max(_STEP, 1.0 / (count + 1))
+        step = max(_MIN_STEP_RATIO, 1.0 / (count + 1))
         factor = 1.0 + step
         if seconds > median:
             median = min(median * factor, seconds)
@@ -35,11 +35,11 @@
         self._medians[key] = median
         self._counts[key] = count + 1
 
-    def expect(
+    def estimate(
         self, team: TeamName, kind: KindName, declared: timedelta | None = None
     ) -> timedelta:
         """Return the expected run time of one task."""
         key = (team, kind)
-        if self._counts.get(key, 0) >= _TRUSTED_AFTER:
+        if self._counts.get(key, 0) >= _MIN_OBSERVATIONS:
             return timedelta(seconds=self._medians[key])
         return declared or DEFAULT_RUN_TIME
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -37,7 +37,7 @@
 from .states import ResultStatus
 
 MAX_OPEN_REQUESTS = 2
-NULL = Raw(b"null")
+NULL_VALUE = Raw(b"null")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class AssignmentResult:
     """The result of one assignment, to be reported to its host."""
 
     key: TaskKey
@@ -84,13 +84,13 @@
     announced: bool = False
     backlog: int = 0
     draining: bool = False
-    told_credit: int = -1
-    told_leaving: bool = False
+    reported_credit: int = -1
+    reported_leaving: bool = False
     closing_seq: int | None = None
     closed: bool = False
-    pending: list[Result] = field(default_factory=list)
+    pending: list[AssignmentResult] = field(default_factory=list)
     pending_since: timedelta = timedelta()
-    unacknowledged: dict[int, list[Result]] = field(default_factory=dict)
+    unacknowledged: dict[int, list[AssignmentResult]] = field(default_factory=dict)
 
     @property
     def open_requests(self) -> int:
@@ -116,7 +116,7 @@
         self.leaving = False
         self.running: dict[TaskKey, Assignment] = {}
         self.waiting: dict[TaskKey, Assignment] = {}
-        self.to_stop: deque[TaskKey] = deque()
+        self.pending_stops: deque[TaskKey] = deque()
         self._held: Counter[SubmissionId] = Counter()
         self._incarnation = incarnation
         self._delays = delays
@@ -126,7 +126,7 @@
         link.session += 1
         link.next_seq = 1
         link.announced = False
-        link.told_leaving = False
+        link.reported_leaving = False
         link.closing_seq = None
         for results in link.unacknowledged.values():
             link.pending.extend(results)
@@ -140,27 +140,27 @@
         open_links = [other for other in self.links.values() if not other.draining]
         wanting = [other for other in open_links if other.backlog > 0]
         if not wanting:
-            return _share(slots, open_links, link)
+            return _compute_share(slots, open_links, link)
         idle = len(open_links) - len(wanting)
         if link.backlog == 0:
             return 1
-        return max(1, _share(max(slots - idle, 1), wanting, link)) + self._delays.prefetch
+        return max(1, _compute_share(max(slots - idle, 1), wanting, link)) + self._delays.prefetch
 
-    def find_due(self, link: Link) -> timedelta | None:
+    def find_next_request_time(self, link: Link) -> timedelta | None:
         """Return when to send the link's next request, or None if nothing calls for one yet."""
         if link.open_requests == 0:
             return timedelta()
-        if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_news(link):
+        if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_updates(link):
             return None
         if not link.pending or self.leaving:
             return timedelta()
         return link.pending_since + self._get_delay(link)
 
-    def has_news(self, link: Link) -> bool:
+    def has_updates(self, link: Link) -> bool:
         """Whether there is something to send although a request is already open."""
-        if link.pending or self.get_credit(link) > link.told_credit:
+        if link.pending or self.get_credit(link) > link.reported_credit:
             return True
-        return self.leaving and (not link.told_leaving or self._may_close(link))
+        return self.leaving and (not link.reported_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
         """Return the link's next request; its results are acknowledged by the reply to it."""
@@ -168,9 +168,9 @@
         results = link.pending
         link.pending = []
         link.unacknowledged[link.next_seq] = results
-        link.told_credit = self.get_credit(link)
+        link.reported_credit = self.get_credit(link)
         is_first = not link.announced
-        link.told_leaving = self.leaving
+        link.reported_leaving = self.leaving
         closing = self.leaving and not self._holds_any(link)
         if closing:
             link.closing_seq = link.next_seq
@@ -179,7 +179,7 @@
             incarnation=self._incarnation,
             session=SessionNumber(link.session),
             seq=link.next_seq,
-            credit=link.told_credit,
+            credit=link.reported_credit,
             announce=self.announcement if is_first else None,
             held=self._list_held(link) if is_first else [],
             results=_group_results(results),
@@ -190,7 +190,7 @@
         link.next_seq += 1
         return request
 
-    def take_reply(self, link: Link, session: int, reply: ExchangeReply, now: timedelta) -> None:
+    def handle_reply(self, link: Link, session: int, reply: ExchangeReply, now: timedelta) -> None:
         """Process a reply, unless its session has been abandoned since."""
         if session != link.session or reply.seq not in link.unacknowledged:
             return
@@ -214,7 +214,7 @@
                 self.waiting[key] = assignment
                 self._held[key.submission] += 1
         if self.leaving:
-            self.return_waiting()
+            self.return_waiting_tasks()
         for name in reply.stops:
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
@@ -241,13 +241,13 @@
     def leave(self) -> None:
         """Stop accepting work and return the tasks that have not started."""
         self.leaving = True
-        self.return_waiting()
+        self.return_waiting_tasks()
 
-    def return_waiting(self) -> None:
+    def return_waiting_tasks(self) -> None:
         """Report every waiting task as not started."""
         for assignment in list(self.waiting.values()):
             del self.waiting[assignment.key]
-            self._report(assignment, ResultStatus.NOT_STARTED, NULL, 0)
+            self._report(assignment, ResultStatus.NOT_STARTED, NULL_VALUE, 0)
 
     def is_done(self) -> bool:
         """Whether a leaving upstream holds nothing and has nothing left to report."""
@@ -264,7 +264,7 @@
             return self._delays.coalesce
         return timedelta()
 
-    def _may_hold(self, item: Result) -> bool:
+    def _may_hold(self, item: AssignmentResult) -> bool:
         """Whether this is a success and the submission has more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
@@ -273,9 +273,9 @@
     def _stop(self, key: TaskKey) -> None:
         waiting = self.waiting.pop(key, None)
         if waiting is not None:
-            self._report(waiting, ResultStatus.NOT_STARTED, NULL, 0)
+            self._report(waiting, ResultStatus.NOT_STARTED, NULL_VALUE, 0)
         elif key in self.running:
-            self.to_stop.append(key)
+            self.pending_stops.append(key)
 
     def _report(self, assignment: Assignment, status: ResultStatus, value: Raw, us: int) -> None:
         key = assignment.key
@@ -283,7 +283,7 @@
         if not self._held[key.submission]:
             del self._held[key.submission]
         result = TaskResult(key.task, key.attempt, status, value, us)
-        self.links[assignment.host].pending.append(Result(key, result))
+        self.links[assignment.host].pending.append(AssignmentResult(key, result))
 
     def _list_held(self, link: Link) -> list[TaskName]:
         held = [*self.waiting.values(), *self.running.values()]
@@ -297,13 +297,13 @@
         return any(item.host == link.host for item in held)
 
 
-def _share(slots: int, links: list[Link], link: Link) -> int:
+def _compute_share(slots: int, links: list[Link], link: Link) -> int:
     position = next((at for at, other in enumerate(links) if other is link), 0)
     share, rest = divmod(slots, len(links))
     return max(1, share + (1 if position < rest else 0))
 
 
-def _group_results(results: list[Result]) -> list[ResultGroup]:
+def _group_results(results: list[AssignmentResult]) -> list[ResultGroup]:
     groups: dict[str, ResultGroup] = {}
     for item in results:
         id = item.key.submission
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -15,7 +15,7 @@
 FAILURES_TO_PROBATION = 2
 FIRST_PAUSE = timedelta(seconds=2)
 LONGEST_PAUSE = timedelta(seconds=60)
-FULL_RETURN = 8
+PROBATION_EXIT_LIMIT = 8
 """Limit of concurrent starts at which probation ends."""
 MAX_PROBATION_SHARE = 0.34
 
@@ -43,7 +43,7 @@
         if record.limit is None:
             return
         record.limit *= 2
-        if record.limit >= FULL_RETURN:
+        if record.limit >= PROBATION_EXIT_LIMIT:
             record.limit = None
             record.pause = FIRST_PAUSE
 
@@ -54,19 +54,19 @@
         if record.limit is not None:
             self._pause(record, now)
             return False
-        if record.failures < FAILURES_TO_PROBATION or self._is_share_used_up():
+        if record.failures < FAILURES_TO_PROBATION or self._is_probation_share_reached():
             return False
         self._pause(record, now)
         return True
 
-    def get_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
+    def get_start_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
         """Return how many concurrent starts the upstream may have, or None for no limit."""
         record = self._records.get(upstream)
         if record is None or record.limit is None:
             return None
         return record.limit if now >= record.paused_until else 0
 
-    def is_limited(self, upstream: UpstreamId) -> bool:
+    def is_on_probation(self, upstream: UpstreamId) -> bool:
         """Whether the upstream is on probation."""
         record = self._records.get(upstream)
         return record is not None and record.limit is not None
@@ -84,6 +84,6 @@
         record.paused_until = now + record.pause
         record.pause = min(2 * record.pause, LONGEST_PAUSE)
 
-    def _is_share_used_up(self) -> bool:
+    def _is_probation_share_reached(self) -> bool:
         limited = sum(1 for record in self._records.values() if record.limit is not None)
         return limited + 1 > max(1.0, MAX_PROBATION_SHARE * len(self._records))
--- a/cottonlug/core/intake.py
+++ b/cottonlug/core/intake.py
@@ -12,7 +12,7 @@
 from .ids import DomainName, SubmissionId, TeamName
 from .jobs import Job, JobSpec
 from .messages import MAX_TASKS_PER_JOB, Refusal, SingleRequest, SubmitRequest
-from .rules import Question, Rule
+from .rules import RuleInput, Rule
 from .states import RefusalCode, RunOutcome
 
 MAX_DEADLINE_MS = 24 * 3_600_000
@@ -57,7 +57,7 @@
     return None
 
 
-def build_submit(request: SingleRequest) -> SubmitRequest:
+def build_submit_request(request: SingleRequest) -> SubmitRequest:
     """Return a single request as a job of one task."""
     return SubmitRequest(
         id=request.id,
@@ -73,11 +73,11 @@
     )
 
 
-def build_question(
+def build_rule_input(
     request: SubmitRequest, domain: DomainName, idempotent: bool, time_of_day: time
-) -> Question:
+) -> RuleInput:
     """Return the attributes of a job that the rules are matched against."""
-    return Question(
+    return RuleInput(
         team=request.team,
         kind=request.kind,
         domain=domain,
--- a/cottonlug/core/jobs.py
+++ b/cottonlug/core/jobs.py
@@ -18,7 +18,7 @@
 from .messages import Failure, JobAnswer, JobStatus, Needs
 from .states import FailureReason, JobState, TaskState
 
-_FORGOTTEN = Raw(b"null")
+_DISCARDED = Raw(b"null")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -88,7 +88,7 @@
     return TaskKey(job.id, index, job.attempts[index])
 
 
-def is_current(job: Job, key: TaskKey) -> bool:
+def is_current_attempt(job: Job, key: TaskKey) -> bool:
     """Whether this is the latest attempt at a sent task of an active job, so its result counts."""
     in_range = 0 <= key.task < len(job.states)
     return (
@@ -101,9 +101,9 @@
 
 def record_success(job: Job, key: TaskKey, value: Raw, now: timedelta) -> None:
     """Store a task's result; the last one completes the job."""
-    _leave_sent(job, key, TaskState.SUCCEEDED)
+    _end_attempt(job, key, TaskState.SUCCEEDED)
     job.results[key.task] = value
-    job.payloads[key.task] = _FORGOTTEN
+    job.payloads[key.task] = _DISCARDED
     job.succeeded += 1
     if job.succeeded == len(job.payloads):
         require(all(result is not None for result in job.results), "a complete job has all results")
@@ -113,14 +113,16 @@
 
 def record_not_started(job: Job, key: TaskKey) -> None:
     """Queue a task again after proof that this attempt did not start."""
-    _leave_sent(job, key, TaskState.QUEUED)
+    _end_attempt(job, key, TaskState.QUEUED)
     job.queued.appendleft(key.task)
 
 
-def record_end(job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta) -> None:
+def record_task_failure(
+    job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta
+) -> None:
     """Fail the job because a task failed or its outcome is unknown."""
     require(state in (TaskState.FAILED, TaskState.UNKNOWN), "a task failure is failed or unknown")
-    _leave_sent(job, key, state)
+    _end_attempt(job, key, state)
     if state is TaskState.FAILED:
         reason = FailureReason.TASK_FAILED
     else:
@@ -131,7 +133,7 @@
 def retry_task(job: Job, key: TaskKey) -> None:
     """Queue a task of an idempotent request again, although it may have run."""
     require(job.spec.idempotent, "only an idempotent request may run again")
-    _leave_sent(job, key, TaskState.QUEUED)
+    _end_attempt(job, key, TaskState.QUEUED)
     job.queued.append(key.task)
 
 
@@ -175,8 +177,8 @@
     return JobAnswer(id=job.id, state=job.state, results=results)
 
 
-def _leave_sent(job: Job, key: TaskKey, state: TaskState) -> None:
-    require(is_current(job, key), "only the current attempt of a sent task can end")
+def _end_attempt(job: Job, key: TaskKey, state: TaskState) -> None:
+    require(is_current_attempt(job, key), "only the current attempt of a sent task can end")
     job.states[key.task] = state
     job.sent_to.pop(key.task, None)
     job.sent -= 1
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -36,7 +36,7 @@
 
 _RANKS: dict[PlacementOrder, Callable[[Session], float]] = {
     PlacementOrder.LEAST_LOADED: lambda session: session.load,
-    PlacementOrder.FULLEST: lambda session: session.free,
+    PlacementOrder.FULLEST: lambda session: session.free_capacity,
     PlacementOrder.FIRST: lambda session: session.ordinal,
 }
 
@@ -47,26 +47,28 @@
     `get_free_capacity` returns how many more starts a session can take now.
     """
 
-    def __init__(self, *, order: PlacementOrder, get_room: Callable[[Session], int]) -> None:
+    def __init__(
+        self, *, order: PlacementOrder, get_free_capacity: Callable[[Session], int]
+    ) -> None:
         self._rank = _RANKS[order]
-        self._get_room = get_room
+        self._get_free_capacity = get_free_capacity
         self._heap: list[_Entry] = []
         self._versions = count(1)
 
     def update(self, session: Session) -> None:
         """Add a new entry for a session that changed; its earlier entries become outdated."""
         session.version = next(self._versions)
-        if self._get_room(session) > 0:
+        if self._get_free_capacity(session) > 0:
             heapq.heappush(self._heap, _Entry(self._rank(session), session.version, session))
 
-    def choose(self, spec: JobSpec) -> Session | None:
+    def choose_session(self, spec: JobSpec) -> Session | None:
         """Return the first session where a task of the job fits, or None."""
         passed: list[_Entry] = []
         chosen: Session | None = None
         while self._heap and chosen is None:
             entry = self._heap[0]
             session = entry.session
-            if entry.version != session.version or self._get_room(session) <= 0:
+            if entry.version != session.version or self._get_free_capacity(session) <= 0:
                 heapq.heappop(self._heap)
             elif fits_now(session, spec):
                 chosen = session
@@ -80,7 +82,10 @@
         """Whether no session can take a start now."""
         while self._heap:
             entry = self._heap[0]
-            if entry.version == entry.session.version and self._get_room(entry.session) > 0:
+            if (
+                entry.version == entry.session.version
+                and self._get_free_capacity(entry.session) > 0
+            ):
                 return False
             heapq.heappop(self._heap)
         return True
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -18,7 +18,7 @@
 from .ids import SubmissionId, TeamName
 from .jobs import Job
 
-_EVERYBODY = TeamName("")
+_SHARED_TEAM = TeamName("")
 
 
 class _Entry(NamedTuple):
@@ -51,7 +51,7 @@
         self._classes: dict[int, dict[TeamName, _TeamQueue]] = {}
         self._weights: dict[TeamName, float] = {}
         self._virtual_now: dict[int, float] = {}
-        self._present: set[SubmissionId] = set()
+        self._queued_ids: set[SubmissionId] = set()
         self._order = count()
 
     def set_weight(self, team: TeamName, weight: float) -> None:
@@ -63,9 +63,9 @@
 
     def push(self, job: Job, expected_work: timedelta) -> None:
         """Add a job with queued tasks, unless it is in the queue already."""
-        if job.id in self._present:
+        if job.id in self._queued_ids:
             return
-        self._present.add(job.id)
+        self._queued_ids.add(job.id)
         teams = self._classes.setdefault(job.spec.priority, {})
         floor = self._virtual_now.get(job.spec.priority, 0.0)
         name = self._get_team(job)
@@ -81,7 +81,7 @@
         job.rank = rank
         heapq.heappush(team.entries, _Entry(rank, next(self._order), job))
 
-    def iterate(self) -> Generator[Turn]:
+    def iterate_turns(self) -> Generator[Turn]:
         """Yield the next job to start tasks of, until no job is left.
 
         Between two steps the caller starts tasks and reports them with `charge`. A job of which the
@@ -101,7 +101,7 @@
         team.virtual_time += work.total_seconds() / team.weight
 
     def _get_team(self, job: Job) -> TeamName:
-        return job.spec.team if self._fair_teams else _EVERYBODY
+        return job.spec.team if self._fair_teams else _SHARED_TEAM
 
     def _iterate_class(
         self, priority: int, passed: list[tuple[_TeamQueue, _Entry]]
@@ -116,7 +116,7 @@
             job = entry.job
             if job.ended or not job.queued:
                 heapq.heappop(team.entries)
-                self._present.discard(job.id)
+                self._queued_ids.discard(job.id)
                 continue
             self._virtual_now[priority] = team.virtual_time
             before = len(job.queued)
--- a/cottonlug/core/retries.py
+++ b/cottonlug/core/retries.py
@@ -15,7 +15,7 @@
         """Add `ratio` tokens, up to the size of the bucket."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one token for a retry; False if less than one is left."""
         if self._tokens < 1.0:
             return False
--- a/cottonlug/core/rules.py
+++ b/cottonlug/core/rules.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Question:
+class RuleInput:
     """The attributes of a job that rules are matched against; `size` is its number of tasks."""
 
     team: TeamName
@@ -74,14 +74,14 @@
     mismatch: str | None
 
 
-Check = Callable[[Question], bool]
-Matcher = Callable[[Question], Rule | None]
+Check = Callable[[RuleInput], bool]
+Matcher = Callable[[RuleInput], Rule | None]
 
 
-def find_mismatch(when: When, question: Question) -> str | None:
+def find_mismatch(when: When, rule_input: RuleInput) -> str | None:
     """Return the name of the first field that does not match, or None."""
     for name, check in _list_checks(when):
-        if not check(question):
+        if not check(rule_input):
             return name
     return None
 
@@ -106,20 +106,20 @@
         for team, entries in by_team.items()
     }
 
-    def match(question: Question) -> Rule | None:
-        for _, rule, checks in merged.get(question.team, any_team):
-            if all(check(question) for check in checks):
+    def match(rule_input: RuleInput) -> Rule | None:
+        for _, rule, checks in merged.get(rule_input.team, any_team):
+            if all(check(rule_input) for check in checks):
                 return rule
         return None
 
     return match
 
 
-def explain(rules: list[Rule], question: Question) -> list[Explanation]:
+def explain(rules: list[Rule], rule_input: RuleInput) -> list[Explanation]:
     """Return an explanation of each rule, up to and including the first that matches."""
     explanations: list[Explanation] = []
     for rule in rules:
-        mismatch = find_mismatch(rule.when, question)
+        mismatch = find_mismatch(rule.when, rule_input)
         explanations.append(Explanation(rule.name, mismatch))
         if mismatch is None:
             break
@@ -129,28 +129,41 @@
 def _list_checks(when: When) -> list[tuple[str, Check]]:
     checks: list[tuple[str, Check]] = []
     if when.teams:
-        checks.append(("team", lambda asked: asked.team in when.teams))
+        checks.append(("team", lambda rule_input: rule_input.team in when.teams))
     if when.kinds:
-        checks.append(("kind", lambda asked: asked.kind in when.kinds))
+        checks.append(("kind", lambda rule_input: rule_input.kind in when.kinds))
     if when.domains:
-        checks.append(("domain", lambda asked: asked.domain in when.domains))
+        checks.append(("domain", lambda rule_input: rule_input.domain in when.domains))
     if when.labels:
-        checks.append(("labels", lambda asked: when.labels.items() <= asked.labels.items()))
+        checks.append(
+            ("labels", lambda rule_input: when.labels.items() <= rule_input.labels.items())
+        )
     if when.min_size is not None or when.max_size is not None:
-        checks.append(("size", _build_range(when.min_size, when.max_size, lambda a: a.size)))
+        checks.append(
+            (
+                "size",
+                _build_range_check(
+                    when.min_size, when.max_size, lambda rule_input: rule_input.size
+                ),
+            )
+        )
     if when.min_priority is not None or when.max_priority is not None:
         low, high = when.min_priority, when.max_priority
-        checks.append(("priority", _build_range(low, high, lambda asked: asked.priority)))
+        checks.append(
+            ("priority", _build_range_check(low, high, lambda rule_input: rule_input.priority))
+        )
     if when.idempotent is not None:
-        checks.append(("idempotent", lambda asked: asked.idempotent is when.idempotent))
+        checks.append(("idempotent", lambda rule_input: rule_input.idempotent is when.idempotent))
     if when.after is not None or when.before is not None:
         checks.append(("time", _build_time_check(when.after, when.before)))
     return checks
 
 
-def _build_range(low: int | None, high: int | None, read: Callable[[Question], int]) -> Check:
-    def check(asked: Question) -> bool:
-        value = read(asked)
+def _build_range_check(
+    low: int | None, high: int | None, read: Callable[[RuleInput], int]
+) -> Check:
+    def check(rule_input: RuleInput) -> bool:
+        value = read(rule_input)
         return (low is None or value >= low) and (high is None or value <= high)
 
     return check
@@ -160,9 +173,9 @@
     start = after or time.min
     end = before or time.max
 
-    def check(asked: Question) -> bool:
+    def check(rule_input: RuleInput) -> bool:
         if start <= end:
-            return start <= asked.time_of_day < end
-        return asked.time_of_day >= start or asked.time_of_day < end
+            return start <= rule_input.time_of_day < end
+        return rule_input.time_of_day >= start or rule_input.time_of_day < end
 
     return check
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Opened:
+class OpenedSession:
     """The session of a request, and the starts of the session that it replaced, if any.
 
     `unstarted` provably did not start; the outcome of `lost` is unknown.
@@ -70,24 +70,26 @@
     def __init__(self, *, limits: Limits, policy: Policy, counters: Counters) -> None:
         self.by_upstream: dict[UpstreamId, Session] = {}
         self.guard = FailureGuard()
-        self.ready = ReadySessions(order=policy.placement, get_room=self._get_room)
+        self.ready = ReadySessions(
+            order=policy.placement, get_free_capacity=self._get_free_capacity
+        )
         self.notices: list[Notice] = []
         self.now = timedelta()
         self._limits = limits
         self._policy = policy
         self._counters = counters
-        self._farewells: list[Delivery] = []
-        self._touched: dict[UpstreamId, None] = {}
+        self._final_replies: list[Delivery] = []
+        self._maybe_due: dict[UpstreamId, None] = {}
         self._ordinals = count()
 
-    def open(self, request: ExchangeRequest, now: timedelta) -> Opened | Refusal:
+    def open_session(self, request: ExchangeRequest, now: timedelta) -> OpenedSession | Refusal:
         """Return the session of a request; a request with an announcement may open a new one."""
         session = self.by_upstream.get(request.upstream)
         same_incarnation = session is not None and session.incarnation == request.incarnation
         if session is not None and same_incarnation and session.number == request.session:
             if request.seq in session.open_requests:
                 return _refuse_stale(request)
-            return Opened(session)
+            return OpenedSession(session)
         if session is not None and same_incarnation and request.session < session.number:
             return _refuse_stale(request)
         if request.announce is None:
@@ -101,35 +103,37 @@
             expires_at=now,
             ordinal=next(self._ordinals),
         )
-        opened = Opened(fresh)
+        opened = OpenedSession(fresh)
         if session is not None:
-            self._replace(session, opened, request)
+            self._replace_session(session, opened, request)
         self.by_upstream[request.upstream] = fresh
         self.guard.add(request.upstream)
         self.notices.append(Notice(NoticeKind.OPENED, request.upstream))
         return opened
 
-    def renew(self, session: Session, request: ExchangeRequest, now: timedelta) -> None:
+    def renew_lease(self, session: Session, request: ExchangeRequest, now: timedelta) -> None:
         """Renew a session's lease and update its state from the request."""
         if session.state is not SessionState.CLOSED:
-            self._note_state(session, request)
+            self._update_state(session, request)
         session.expires_at = now + self._get_lease(session)
         self.ready.update(session)
-        self.touch(session.upstream)
+        self.mark_reply_due(session.upstream)
 
-    def close(self, session: Session, why: str) -> list[TaskKey]:
+    def close_session(self, session: Session, why: str) -> list[TaskKey]:
         """End a session and return the starts whose outcome is unknown."""
         session.state = SessionState.CLOSED
         self.notices.append(Notice(NoticeKind.GONE, session.upstream, why))
         self.by_upstream.pop(session.upstream, None)
         self.guard.remove(session.upstream)
-        self._answer_all(session)
+        self._answer_open_requests(session)
         lost = list(session.outstanding)
         for key in lost:
             sessions.remove_outstanding(session, key)
         return lost
 
-    def disconnect(self, upstream: UpstreamId, number: int, seq: int, now: timedelta) -> None:
+    def handle_disconnect(
+        self, upstream: UpstreamId, number: int, seq: int, now: timedelta
+    ) -> None:
         """Handle a lost connection of an open request: no new starts until the upstream is back."""
         session = self.by_upstream.get(upstream)
         if session is None or session.number != number or seq not in session.open_requests:
@@ -139,65 +143,67 @@
             session.state = SessionState.SUSPECT
         session.expires_at = min(session.expires_at, now + self._limits.suspect_grace)
 
-    def sweep(self, now: timedelta) -> list[Session]:
+    def scan_sessions(self, now: timedelta) -> list[Session]:
         """Mark sessions with parked requests for a reply; return those whose lease has expired."""
         expired: list[Session] = []
         for session in self.by_upstream.values():
             if now > session.expires_at:
                 expired.append(session)
             elif session.open_requests:
-                self.touch(session.upstream)
-                if self.guard.is_limited(session.upstream):
+                self.mark_reply_due(session.upstream)
+                if self.guard.is_on_probation(session.upstream):
                     self.ready.update(session)
         return expired
 
-    def touch(self, upstream: UpstreamId) -> None:
+    def mark_reply_due(self, upstream: UpstreamId) -> None:
         """Record that a reply to this upstream may be due."""
-        self._touched[upstream] = None
+        self._maybe_due[upstream] = None
 
     def add_start(self, session: Session, placement: Placement) -> None:
         """Charge a start to a session."""
         sessions.add_outstanding(session, placement.key, placement.job.spec.needs)
         self.ready.update(session)
-        self.touch(session.upstream)
+        self.mark_reply_due(session.upstream)
 
     def stop_task(self, upstream: UpstreamId, key: TaskKey) -> None:
         """Add a stop for a task that was sent to an upstream to its next reply."""
         session = self.by_upstream.get(upstream)
         if session is not None and key in session.outstanding:
             session.stops.append(TaskName(key.submission, key.task, key.attempt))
-            self.touch(upstream)
+            self.mark_reply_due(upstream)
 
-    def take_replies(
+    def build_due_replies(
         self, starts: dict[UpstreamId, list[Placement]], queue: QueueState
     ) -> list[Delivery]:
         """Return every reply that is due; their starts are removed from the mapping."""
-        deliveries = self._farewells
-        self._farewells = []
-        touched = [name for name in self._touched if name in self.by_upstream]
-        self._touched = {}
+        deliveries = self._final_replies
+        self._final_replies = []
+        touched = [name for name in self._maybe_due if name in self.by_upstream]
+        self._maybe_due = {}
         for name in touched:
             session = self.by_upstream[name]
             while session.open_requests:
-                reply = self._build_reply(session, starts.pop(name, []), queue)
+                reply = self._build_reply_if_due(session, starts.pop(name, []), queue)
                 if reply is None:
                     break
                 deliveries.append(Delivery(name, session.number, reply))
         return deliveries
 
-    def _note_state(self, session: Session, request: ExchangeRequest) -> None:
+    def _update_state(self, session: Session, request: ExchangeRequest) -> None:
         if not request.leaving:
             session.state = SessionState.ACTIVE
         elif session.state is not SessionState.LEAVING:
             session.state = SessionState.LEAVING
             self.notices.append(Notice(NoticeKind.LEAVING, session.upstream))
 
-    def _replace(self, old: Session, opened: Opened, request: ExchangeRequest) -> None:
+    def _replace_session(
+        self, old: Session, opened: OpenedSession, request: ExchangeRequest
+    ) -> None:
         fresh = opened.session
         if old.incarnation != fresh.incarnation:
-            opened.lost = self.close(old, "the upstream restarted")
+            opened.lost = self.close_session(old, "the upstream restarted")
             return
-        self._answer_all(old)
+        self._answer_open_requests(old)
         reported = {TaskKey(name.submission, name.index, name.attempt) for name in request.held}
         for group in request.results:
             for result in group.results:
@@ -209,21 +215,23 @@
             else:
                 opened.unstarted.append(key)
 
-    def _answer_all(self, session: Session) -> None:
+    def _answer_open_requests(self, session: Session) -> None:
         while session.open_requests:
-            reply = self._make_reply(session, [], QueueState(backlog=0, drained=False))
-            self._farewells.append(Delivery(session.upstream, session.number, reply))
+            reply = self._build_reply(session, [], QueueState(backlog=0, drained=False))
+            self._final_replies.append(Delivery(session.upstream, session.number, reply))
 
     def _get_lease(self, session: Session) -> timedelta:
         return self._limits.busy_lease if session.outstanding else self._limits.idle_lease
 
-    def _get_room(self, session: Session) -> int:
-        limit = self.guard.get_limit(session.upstream, self.now) if self._policy.guards else None
+    def _get_free_capacity(self, session: Session) -> int:
+        limit = (
+            self.guard.get_start_limit(session.upstream, self.now) if self._policy.guards else None
+        )
         if limit is None:
-            return session.free
-        return min(session.free, limit - len(session.outstanding))
+            return session.free_capacity
+        return min(session.free_capacity, limit - len(session.outstanding))
 
-    def _build_reply(
+    def _build_reply_if_due(
         self, session: Session, placed: list[Placement], queue: QueueState
     ) -> ExchangeReply | None:
         limits = self._limits
@@ -234,13 +242,13 @@
         due = placed or session.stops or parked_too_long or is_spare or leaves or queue.drained
         if not due:
             return None
-        reply = self._make_reply(session, placed, queue)
+        reply = self._build_reply(session, placed, queue)
         # With no open request left the upstream has to send the next one at once: short lease.
         lease = self._get_lease(session) if session.open_requests else limits.busy_lease
         session.expires_at = self.now + lease
         return reply
 
-    def _make_reply(
+    def _build_reply(
         self, session: Session, placed: list[Placement], queue: QueueState
     ) -> ExchangeReply:
         if not placed and not session.stops:
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -40,7 +40,7 @@
     used_accelerators: int = 0
 
     @property
-    def free(self) -> int:
+    def free_capacity(self) -> int:
         """Number of further starts that this session can take now."""
         if self.state is not SessionState.ACTIVE or not self.open_requests:
             return 0
@@ -69,7 +69,7 @@
     announcement = session.announcement
     needs = spec.needs
     return (
-        session.free > 0
+        session.free_capacity > 0
         and could_ever_fit(announcement, spec)
         and session.used_processors + needs.processors <= announcement.processors
         and session.used_memory_mb + needs.memory_mb <= announcement.memory_mb
--- a/cottonlug/core/submissions.py
+++ b/cottonlug/core/submissions.py
@@ -67,7 +67,7 @@
             random_hex=self._random_hex,
         )
 
-    def find(self, id: SubmissionId, now: timedelta) -> Result[Job | JobAnswer, Refusal]:
+    def find_submission(self, id: SubmissionId, now: timedelta) -> Result[Job | JobAnswer, Refusal]:
         """Return the job of an id, or the answer `record_lost` for an older generation's id."""
         job = self.jobs.get(id)
         if job is not None:
@@ -81,7 +81,7 @@
             return Err(_refuse_expired(id))
         return Err(_refuse_unknown(id))
 
-    def check_new(self, id: SubmissionId, now: timedelta) -> Refusal | None:
+    def check_new_id(self, id: SubmissionId, now: timedelta) -> Refusal | None:
         """Return why an id without a record must not start a job, or None if it may."""
         parsed = parse_id(id)
         if parsed is None or not self._is_home_of(parsed):
@@ -97,7 +97,7 @@
         """Record an accepted job."""
         self.jobs[job.id] = job
 
-    def note_ended(self, job: Job) -> None:
+    def start_retention(self, job: Job) -> None:
         """Start the retention period of an ended job."""
         self._ended.append(job)
 
--- a/cottonlug/daemon.py
+++ b/cottonlug/daemon.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from . import lean
+from . import unused_imports
 from .exceptions import BrokenInvariantError, SettingsError
 
 USAGE = "usage: python -m cottonlug.daemon control|gateway --config FILE"
@@ -28,7 +28,7 @@
 
 
 def _serve(name: str, config: Path) -> int:
-    lean.leave_out_unused()
+    unused_imports.block_unused_imports()
     # What is loaded stays for the life of the process: to search it for garbage, while it is loaded
     # and at each full collection later, finds nothing.
     gc.disable()
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -45,7 +45,7 @@
 
 def explain_rules(listed: list[rules.Rule], asked: ExplainRequest) -> ExplainReply:
     """Return which rule a job meets and why the earlier ones did not match."""
-    question = rules.Question(
+    rule_input = rules.RuleInput(
         team=asked.team,
         kind=asked.kind,
         domain=asked.domain,
@@ -55,7 +55,7 @@
         idempotent=asked.idempotent,
         time_of_day=asked.time_of_day,
     )
-    tried = rules.explain(listed, question)
+    tried = rules.explain(listed, rule_input)
     matched = next((each.rule for each in tried if each.mismatch is None), None)
     return ExplainReply(
         matched=matched,
--- a/cottonlug/runtime/dump.py
+++ b/cottonlug/runtime/dump.py
@@ -133,7 +133,7 @@
             host=link.host,
             session=link.session,
             open_requests=link.open_requests,
-            credit=link.told_credit,
+            credit=link.reported_credit,
             backlog=link.backlog,
             draining=link.draining,
         )
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -17,8 +17,8 @@
 from ..core.ids import Generation, SubmissionId, UpstreamId
 from ..core.intake import (
     build_job,
-    build_question,
-    build_submit,
+    build_rule_input,
+    build_submit_request,
     check_submit,
     compute_digest,
 )
@@ -95,13 +95,13 @@
     async def drain(self) -> None:
         """Take no new work, finish what was accepted and let callers fetch their answers."""
         self.dispatcher.draining = True
-        log_event(Event.DRAINING, host=self.settings.host, jobs=self.dispatcher.active_jobs)
+        log_event(Event.DRAINING, host=self.settings.host, jobs=self.dispatcher.active_job_count)
         now = self._clock.monotonic()
         limit = now + self.settings.drain_limit
-        while self.dispatcher.active_jobs and self._clock.monotonic() < limit:
+        while self.dispatcher.active_job_count and self._clock.monotonic() < limit:
             await asyncio.sleep(TICK_SECONDS)
-        if self.dispatcher.active_jobs:
-            log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_jobs)
+        if self.dispatcher.active_job_count:
+            log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_job_count)
         self.plan_dispatch()
         linger = self._clock.monotonic() + self.settings.drain_linger
         while self._unfetched and self._clock.monotonic() < linger:
@@ -131,22 +131,22 @@
         now = self._clock.monotonic()
         store = self.dispatcher.store
         id = request.id or store.mint(now)
-        found = store.find(id, now) if request.id else None
+        found = store.find_submission(id, now) if request.id else None
         if isinstance(found, Success):
             known = found.unwrap()
             if isinstance(known, JobAnswer):
                 return Success(known)
             return self.dispatcher.attach(known, compute_digest(request))
         # Before any check that may say `not_run`: an id without a record here may have run.
-        refusal = store.check_new(id, now)
+        refusal = store.check_new_id(id, now)
         refusal = refusal or check_submit(request, self.settings.bodies.max_payload_kb * 1024)
         if refusal is None and not self.control.is_ready():
             refusal = _refuse_not_ready()
         if refusal is not None:
             return Err(refusal)
         time_of_day = self._clock.now().time()
-        question = build_question(request, self.settings.domain, idempotent, time_of_day)
-        rule = self.rulebook.match(question)
+        rule_input = build_rule_input(request, self.settings.domain, idempotent, time_of_day)
+        rule = self.rulebook.match(rule_input)
         built = build_job(id=id, request=request, rule=rule, idempotent=idempotent, now=now)
         if isinstance(built, Err):
             log_event(Event.SUBMISSION_REFUSED, team=request.team, rule=rule.name if rule else "")
@@ -162,14 +162,14 @@
 
     def get_status(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
         """Return how far a job has come."""
-        found = self.dispatcher.store.find(id, self._clock.monotonic())
+        found = self.dispatcher.store.find_submission(id, self._clock.monotonic())
         return found.map(lambda known: build_status(known) if isinstance(known, Job) else known)
 
     async def wait_answer(
         self, id: SubmissionId, wait_seconds: float
     ) -> Result[JobStatus | JobAnswer, Refusal]:
         """Return the whole answer, or the status once the wait is over."""
-        found = self.dispatcher.store.find(id, self._clock.monotonic())
+        found = self.dispatcher.store.find_submission(id, self._clock.monotonic())
         if isinstance(found, Err):
             return Err(found.failure())
         known = found.unwrap()
@@ -185,7 +185,7 @@
     def cancel(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
         """Cancel a job; the answer is the same for all who ask."""
         now = self._clock.monotonic()
-        found = self.dispatcher.store.find(id, now)
+        found = self.dispatcher.store.find_submission(id, now)
         if isinstance(found, Err):
             return Err(found.failure())
         known = found.unwrap()
@@ -197,7 +197,7 @@
 
     async def run_single(self, request: SingleRequest) -> Result[JobAnswer, Refusal]:
         """Run one task and return its answer, which comes at its deadline at the latest."""
-        submitted = self.submit(build_submit(request), request.idempotent)
+        submitted = self.submit(build_submit_request(request), request.idempotent)
         if isinstance(submitted, Err):
             return Err(submitted.failure())
         status = submitted.unwrap()
@@ -228,7 +228,7 @@
         if self._exchange_waiters.pop(_identify(request), None) is None:
             return
         now = self._clock.monotonic()
-        self.dispatcher.disconnect(request.upstream, request.session, request.seq, now)
+        self.dispatcher.handle_disconnect(request.upstream, request.session, request.seq, now)
 
     def plan_dispatch(self) -> None:
         """Dispatch once all messages that wait on the loop have been taken in."""
@@ -248,7 +248,7 @@
         """Return the current sizes."""
         dispatcher = self.dispatcher
         return {
-            "active_jobs": dispatcher.active_jobs,
+            "active_jobs": dispatcher.active_job_count,
             "kept_jobs": len(dispatcher.store.jobs),
             "queued_tasks": dispatcher.queued_tasks,
             "upstreams": len(dispatcher.sessions),
@@ -273,9 +273,9 @@
             future = self._exchange_waiters.pop(request_id, None)
             if future is not None and not future.done():
                 future.set_result(delivery.reply)
-        for job in self.dispatcher.take_ended():
+        for job in self.dispatcher.pop_ended_jobs():
             self._announce_end(job)
-        for notice in self.dispatcher.take_notices():
+        for notice in self.dispatcher.pop_notices():
             event = _EVENT_OF_NOTICE[notice.kind]
             log_event(event, upstream=notice.upstream, detail=notice.detail)
 
@@ -301,7 +301,7 @@
                 self.dispatcher.tick(self._clock.monotonic())
                 self._dispatch()
                 self._forget_unfetched()
-                is_busy = self.dispatcher.active_jobs > 0
+                is_busy = self.dispatcher.active_job_count > 0
                 await asyncio.sleep(TICK_SECONDS if is_busy else IDLE_TICK_SECONDS)
         except Exception as error:
             self._report_failure(error)
--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -12,7 +12,7 @@
 from ..config.options import Address
 from ..core.consensus.member import Member
 from ..core.consensus.replacement import (
-    find_most_voters,
+    compute_max_voters,
     get_host,
     plan_change,
     plan_removal,
@@ -78,8 +78,8 @@
 
     def plan_step(self, leader: Member, now: timedelta) -> Members | None:
         """Return the next step towards members that are all there, or None."""
-        lost = leader.find_silent(now, LOST_AFTER)
-        most = find_most_voters(leader.members, lost)
+        lost = leader.find_silent_members(now, LOST_AFTER)
+        most = compute_max_voters(leader.members, lost)
         return plan_change(leader, self._joiners, lost, most) or plan_removal(leader, lost)
 
     async def _ask(self, host: str, request: bytes) -> Hello | None:
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -155,7 +155,7 @@
         """Ask another voter to lead, if this one does; it may not come to that."""
         if self.member is None or self.member.role is not Role.LEADER:
             return
-        self.member.transfer(self._clock.monotonic())
+        self.member.transfer_leadership(self._clock.monotonic())
         self._pump()
 
     def renew(self) -> None:
@@ -293,11 +293,11 @@
             id=self._journal.member,
             stored=stored,
             timing=TIMING,
-            chance=random.random,
+            random_float=random.random,
             now=self._clock.monotonic(),
-            saves_late=True,
+            saves_after_sending=True,
         )
-        self.member.note_saved()
+        self.member.record_saved()
         self._log_bytes = sum(len(entry.data) for entry in stored.entries)
         self._machine.restore(stored.snapshot.data)
         for entry in stored.entries:
@@ -308,7 +308,7 @@
     def _pump(self) -> None:
         """Save, send and apply what the member put out; a leader may send before it saves."""
         while self.member is not None and self._journal is not None:
-            output = self.member.take_output()
+            output = self.member.pop_output()
             if not (output.must_save or output.messages or output.committed):
                 break
             if not self._keep(output):
@@ -345,7 +345,7 @@
             return True
         if not (self._flush_unsaved() and self._save(output)):
             return False
-        self.member.note_saved()
+        self.member.record_saved()
         return True
 
     def _flush_unsaved(self) -> bool:
@@ -360,7 +360,7 @@
     def _save_late(self) -> None:
         """Save what was put off and count this member for it."""
         if self._unsaved and self._flush_unsaved() and self.member is not None:
-            self.member.note_saved()
+            self.member.record_saved()
             self._pump()
 
     def _save(self, output: Output) -> bool:
@@ -389,7 +389,7 @@
             return
         if not self._flush_unsaved():
             return
-        self.member.note_saved()
+        self.member.record_saved()
         self.member.compact(self._machine.encode(), output.committed[-1].index)
         self._log_bytes = 0
         self.counts.snapshots += 1
--- a/cottonlug/runtime/rulebook.py
+++ b/cottonlug/runtime/rulebook.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..config.rules import RulesDocument, read_rules
-from ..core.rules import Matcher, Question, Rule, compile_rules
+from ..core.rules import Matcher, RuleInput, Rule, compile_rules
 
 
 class Rulebook:
@@ -15,9 +15,9 @@
         self.rules: list[Rule] = []
         self._match: Matcher = compile_rules([])
 
-    def match(self, question: Question) -> Rule | None:
+    def match(self, rule_input: RuleInput) -> Rule | None:
         """Return the first rule that matches."""
-        return self._match(question)
+        return self._match(rule_input)
 
     def put_in_force(self, version: int, text: str, document: RulesDocument) -> bool:
         """Take a document into force; False where a version as high is in force already."""
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -134,7 +134,7 @@
     async def stop(self) -> None:
         """Hand the lead to another voter if it can be had, and stop."""
         if self.member is not None and self.member.role is Role.LEADER and self._clients:
-            self.member.transfer(self._clock.monotonic())
+            self.member.transfer_leadership(self._clock.monotonic())
             self._pump()
             await asyncio.sleep(TICK_SECONDS)
         for task in self._tasks:
@@ -204,7 +204,7 @@
             id=self._journal.member,
             stored=stored,
             timing=Timing(),
-            chance=random.random,
+            random_float=random.random,
             now=self._clock.monotonic(),
         )
         self._state = decode_state(stored.snapshot.data)
@@ -216,7 +216,7 @@
     def _pump(self) -> None:
         """Save, send and apply whatever the member put out, in this order."""
         while self.member is not None and self._journal is not None:
-            output = self.member.take_output()
+            output = self.member.pop_output()
             if not (output.must_save or output.messages or output.committed):
                 break
             if not self._save(output):
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -26,12 +26,12 @@
     Output,
     Record,
     Snapshot,
-    Stored,
+    StoredState,
     Term,
 )
 from .files import Files
 
-JOURNAL = "journal"
+JOURNAL_FILE = "journal"
 _LENGTH = struct.Struct(">I")
 _HEADER = struct.Struct(">III")
 _NO_INDEX = Index(0)
@@ -92,14 +92,14 @@
 
 
 @dataclass(slots=True)
-class _Content:
+class _JournalContent:
     member: MemberId | None = None
     hard_state: HardState = _NO_HARD_STATE
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: list[Entry] = field(default_factory=list)
     applied: Index = _NO_INDEX
 
-    def take(self, record: JournalRecord) -> None:
+    def apply_record(self, record: JournalRecord) -> None:
         """Replay one record."""
         if isinstance(record, IdentityRecord):
             self.member = record.member
@@ -120,7 +120,9 @@
 class Journal:
     """What one member has saved; after a failed write it accepts no further records."""
 
-    def __init__(self, *, files: Files, member: MemberId, content: _Content, cut: int) -> None:
+    def __init__(
+        self, *, files: Files, member: MemberId, content: _JournalContent, cut: int
+    ) -> None:
         self.member = member
         self.cut_bytes = cut
         self._files = files
@@ -128,10 +130,10 @@
         self._failed: StorageError | None = None
 
     @property
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """Return everything that is saved."""
         content = self._content
-        return Stored(
+        return StoredState(
             hard_state=content.hard_state,
             snapshot=content.snapshot,
             entries=tuple(content.entries),
@@ -163,13 +165,13 @@
     def _append(self, records: list[JournalRecord]) -> Result[None, StorageError]:
         if self._failed is not None:
             return Err(self._failed)
-        data = b"".join(_frame(record) for record in records)
+        data = b"".join(_encode_record(record) for record in records)
         try:
-            self._files.append(JOURNAL, data)
+            self._files.append(JOURNAL_FILE, data)
         except OSError as error:
-            return self._fail(error)
+            return self._record_write_failure(error)
         for record in records:
-            self._content.take(record)
+            self._content.apply_record(record)
         return Success(None)
 
     def _rewrite(
@@ -180,9 +182,9 @@
             return Err(self._failed)
         content = self._content
         for record in records:
-            content.take(record)
+            content.apply_record(record)
         kept = [] if restore else [e for e in content.entries if e.index > snapshot.index]
-        content.take(SnapshotRecord(snapshot=snapshot))
+        content.apply_record(SnapshotRecord(snapshot=snapshot))
         content.entries = kept
         whole: list[JournalRecord] = [
             IdentityRecord(member=self.member),
@@ -192,12 +194,12 @@
             AppliedRecord(index=content.applied),
         ]
         try:
-            self._files.replace(JOURNAL, b"".join(_frame(record) for record in whole))
+            self._files.replace(JOURNAL_FILE, b"".join(_encode_record(record) for record in whole))
         except OSError as error:
-            return self._fail(error)
+            return self._record_write_failure(error)
         return Success(None)
 
-    def _fail(self, error: OSError) -> Result[None, StorageError]:
+    def _record_write_failure(self, error: OSError) -> Result[None, StorageError]:
         # It is unknown how much of the write reached the disk, so nothing may be appended to it.
         message = f"cannot write the journal: {error.strerror or error}"
         self._failed = StorageError(message=message, damaged=False)
@@ -207,18 +209,20 @@
 def open_journal(files: Files, new_member: MemberId) -> Result[Journal, StorageError]:
     """Open a journal and cut off a torn tail, or create one with the new member id."""
     try:
-        data = files.read(JOURNAL)
+        data = files.read(JOURNAL_FILE)
         if not data:
-            files.replace(JOURNAL, _frame(IdentityRecord(member=new_member)))
-            return Success(Journal(files=files, member=new_member, content=_Content(), cut=0))
+            files.replace(JOURNAL_FILE, _encode_record(IdentityRecord(member=new_member)))
+            return Success(
+                Journal(files=files, member=new_member, content=_JournalContent(), cut=0)
+            )
         # An earlier process may have been killed between a write and its sync.
-        files.sync(JOURNAL)
+        files.sync(JOURNAL_FILE)
         replayed = _replay(data)
         if isinstance(replayed, Err):
             return Err(replayed.failure())
         content, good = replayed.unwrap()
         if good < len(data):
-            files.truncate(JOURNAL, good)
+            files.truncate(JOURNAL_FILE, good)
     except OSError as error:
         message = f"cannot use the data folder: {error.strerror or error}"
         return Err(StorageError(message=message, damaged=False))
@@ -228,23 +232,23 @@
     return Success(journal)
 
 
-def _frame(record: JournalRecord) -> bytes:
+def _encode_record(record: JournalRecord) -> bytes:
     payload = msgspec.json.encode(record)
     length_check = zlib.crc32(_LENGTH.pack(len(payload)))
     return _HEADER.pack(len(payload), length_check, zlib.crc32(payload)) + payload
 
 
-def _replay(data: bytes) -> Result[tuple[_Content, int], StorageError]:
-    content = _Content()
+def _replay(data: bytes) -> Result[tuple[_JournalContent, int], StorageError]:
+    content = _JournalContent()
     at = 0
     while at < len(data):
         payload = _read_payload(data, at)
         if payload is None:
-            if _is_torn(data, at):
+            if _is_torn_write(data, at):
                 break
             return Err(_report_damage(at))
         try:
-            content.take(_decoder.decode(payload))
+            content.apply_record(_decoder.decode(payload))
         except msgspec.MsgspecError:
             return Err(_report_damage(at))
         at += _HEADER.size + len(payload)
@@ -274,7 +278,7 @@
     return int(length)
 
 
-def _is_torn(data: bytes, at: int) -> bool:
+def _is_torn_write(data: bytes, at: int) -> bool:
     """Whether the rest of the file can only be a write that a crash cut short."""
     rest = len(data) - at
     if rest < _HEADER.size:
--- a/cottonlug/tests/conftest.py
+++ b/cottonlug/tests/conftest.py
@@ -10,7 +10,7 @@
 import pytest
 
 KNOWN_RED = Path(__file__).parents[2] / "KNOWN-RED.txt"
-MOST_LINES = 3
+MAX_LINES = 3
 
 
 def read_known_red() -> dict[str, str]:
@@ -18,8 +18,8 @@
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
-    if len(lines) > MOST_LINES:
-        raise pytest.UsageError(f"{KNOWN_RED.name} has {len(lines)} lines, {MOST_LINES} at most")
+    if len(lines) > MAX_LINES:
+        raise pytest.UsageError(f"{KNOWN_RED.name} has {len(lines)} lines, {MAX_LINES} at most")
     named = [line.partition(": ") for line in lines]
     return {name.strip(): why.strip() for name, _, why in named}
 
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -31,24 +31,24 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    Stored,
+    StoredState,
     Term,
     VoteReply,
     VoteRequest,
 )
-from ..storage.journal import JOURNAL, Journal, open_journal
+from ..storage.journal import JOURNAL_FILE, Journal, open_journal
 from .test_consensus_faults import FakeFiles
 
 A, B, C = MemberId("a/1"), MemberId("b/1"), MemberId("c/1")
 SNAPSHOT = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(A, B, C)), data="")
 
 
-def build_member(stored: Stored) -> Member:
-    return Member(id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta())
+def build_member(stored: StoredState) -> Member:
+    return Member(id=A, stored=stored, timing=Timing(), random_float=lambda: 0.0, now=timedelta())
 
 
-def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> Stored:
-    return Stored(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
+def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> StoredState:
+    return StoredState(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
 
 
 def build_entry(index: int, term: int, data: str = "x") -> Entry:
@@ -62,7 +62,7 @@
 
 
 def read_vote(member: Member) -> bool:
-    message = member.take_output().messages[-1].message
+    message = member.pop_output().messages[-1].message
     assert isinstance(message, VoteReply)
     return message.granted
 
@@ -82,7 +82,7 @@
 
 
 def build_quick(id: MemberId, now: timedelta) -> Member:
-    return Member(id=id, stored=build_stored(3), timing=QUICK, chance=lambda: 0.0, now=now)
+    return Member(id=id, stored=build_stored(3), timing=QUICK, random_float=lambda: 0.0, now=now)
 
 
 def pass_on(members: dict[MemberId, Member], now: timedelta) -> None:
@@ -91,7 +91,7 @@
     while waiting:
         waiting = False
         for member in members.values():
-            for envelope in member.take_output().messages:
+            for envelope in member.pop_output().messages:
                 if envelope.to in members:
                     members[envelope.to].receive(envelope.message, now)
                     waiting = True
@@ -126,7 +126,7 @@
     member = build_quick(A, timedelta())
     for number in range(3):
         member.tick(timedelta(milliseconds=60 + 100 * number))
-        requests = [envelope.message for envelope in member.take_output().messages]
+        requests = [envelope.message for envelope in member.pop_output().messages]
         assert len(requests) == 2
         assert all(isinstance(each, VoteRequest) and each.pre for each in requests)
     assert member.term == 3
@@ -137,12 +137,12 @@
     entries = tuple(build_entry(index, 3) for index in range(2, 10))
     member = build_member(build_stored(3, entries))
     make_leader(member)
-    member.take_output()
+    member.pop_output()
     late = timedelta(seconds=10)
     refusal = AppendReply(term=member.term, sender=B, accepted=False, matched=Index(1))
 
     def count_sent() -> int:
-        messages = [envelope.message for envelope in member.take_output().messages]
+        messages = [envelope.message for envelope in member.pop_output().messages]
         return sum(len(each.entries) for each in messages if isinstance(each, AppendRequest))
 
     for _ in range(5):
@@ -158,7 +158,7 @@
     journal.save(Output(snapshot=SNAPSHOT, restore=True)).unwrap()
     member = build_member(journal.stored)
     member.receive(ask_vote(B, 5), timedelta())
-    output = member.take_output()
+    output = member.pop_output()
     assert output.hard_state == HardState(term=Term(5), voted_for=B)
     journal.save(output).unwrap()
     again = build_member(journal.stored)
@@ -186,7 +186,7 @@
     member.receive(SnapshotRequest(term=Term(2), sender=B, snapshot=late), timedelta())
     assert member.log.last_index == 3
     assert member.commit == 2
-    output = member.take_output()
+    output = member.pop_output()
     assert not output.restore
     assert [entry.index for entry in output.committed] == [2]
 
@@ -210,7 +210,7 @@
         commit=Index(1),
     )
     member.receive(beat, timedelta())
-    member.take_output()
+    member.pop_output()
     member.receive(ask_vote(C, 7), timedelta(milliseconds=100))
     assert member.term == 2
     assert read_vote(member) is False
@@ -241,24 +241,24 @@
 
 def test_every_flipped_bit_is_reported_and_loses_nothing_silently() -> None:
     files, _ = build_full_journal()
-    good = files.content[JOURNAL]
+    good = files.content[JOURNAL_FILE]
     for at in range(8 * len(good)):
         damaged = bytearray(good)
         damaged[at // 8] ^= 1 << at % 8
-        files.content[JOURNAL] = bytes(damaged)
+        files.content[JOURNAL_FILE] = bytes(damaged)
         opened = open_journal(files, B)
         assert isinstance(opened, Err), f"bit {at}"
         assert opened.failure().damaged
-        assert files.content[JOURNAL] == bytes(damaged), "a damaged file is left as it is"
+        assert files.content[JOURNAL_FILE] == bytes(damaged), "a damaged file is left as it is"
 
 
 def test_every_torn_tail_is_cut_to_whole_records() -> None:
     files, journal = build_full_journal()
-    good = files.content[JOURNAL]
+    good = files.content[JOURNAL_FILE]
     whole = journal.stored
     for size in range(len(good)):
         for filler in (b"", b"\0" * 40):
-            files.content[JOURNAL] = good[:size] + filler
+            files.content[JOURNAL_FILE] = good[:size] + filler
             opened = open_journal(files, A)
             if size == 0 and not filler:
                 assert opened.unwrap().is_empty
@@ -273,12 +273,12 @@
 
 def test_full_disk_is_an_error_and_the_journal_takes_no_more() -> None:
     files, journal = build_full_journal()
-    before = files.content[JOURNAL]
+    before = files.content[JOURNAL_FILE]
     files.full = True
     assert isinstance(journal.save(Output(entries=[build_entry(3, 3)])), Err)
     files.full = False
     assert isinstance(journal.save(Output(entries=[build_entry(3, 3)])), Err)
-    assert files.content[JOURNAL] == before
+    assert files.content[JOURNAL_FILE] == before
     assert len(open_journal(files, A).unwrap().stored.entries) == 2
 
 
@@ -301,4 +301,4 @@
 def test_leader_election_appends_an_empty_entry() -> None:
     member = build_member(build_stored(2))
     make_leader(member)
-    assert [entry.kind for entry in member.take_output().entries] == [EntryKind.EMPTY]
+    assert [entry.kind for entry in member.pop_output().entries] == [EntryKind.EMPTY]
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -41,7 +41,7 @@
     Snapshot,
     Term,
 )
-from ..storage.journal import JOURNAL, Journal, open_journal
+from ..storage.journal import JOURNAL_FILE, Journal, open_journal
 
 HOSTS = ("a", "b", "c")
 STEPS = 6_000
@@ -141,7 +141,7 @@
             id=node.journal.member,
             stored=stored,
             timing=Timing(),
-            chance=self.chance.random,
+            random_float=self.chance.random,
             now=self.now,
         )
         node.state = decode_state(stored.snapshot.data)
@@ -158,7 +158,7 @@
         """Do what a member asks for, in the order that it asks for."""
         try:
             while node.member is not None and node.journal is not None:
-                output = node.member.take_output()
+                output = node.member.pop_output()
                 if not (output.must_save or output.messages or output.committed):
                     return
                 if output.must_save and not isinstance(node.journal.save(output), Success):
@@ -221,7 +221,7 @@
         elif number < 0.996:
             self.cut = {node.host} if not self.cut else set()
         elif node.member is not None:
-            node.member.transfer(self.now)
+            node.member.transfer_leadership(self.now)
         self.replace_lost()
         for each in self.nodes.values():
             self.pump(each)
@@ -367,7 +367,7 @@
         for node in cluster.nodes.values():
             assert node.member is not None
             met["snapshots"] += node.member.log.snapshot.index > 1
-            met["replaced"] += not node.files.content[JOURNAL].startswith(b"none") and (
+            met["replaced"] += not node.files.content[JOURNAL_FILE].startswith(b"none") and (
                 node.member.id.partition("/")[2] not in ("1", "2", "3")
             )
         for outcome in cluster.promised.values():
--- a/cottonlug/tests/test_control_processes.py
+++ b/cottonlug/tests/test_control_processes.py
@@ -15,7 +15,7 @@
 import pytest
 
 from ..config.deployments import DEPLOYMENTS, DeploymentName
-from ..storage.journal import JOURNAL
+from ..storage.journal import JOURNAL_FILE
 from .processes import (
     WAIT_LIMIT_SECONDS,
     Fleet,
@@ -212,7 +212,7 @@
     assert apply(fleet, "e1", "first", 0)["version"] == 1
     fleet.processes["e4"].kill()
     fleet.processes["e4"].wait()
-    file = fleet.folder / "data" / "e4" / JOURNAL
+    file = fleet.folder / "data" / "e4" / JOURNAL_FILE
     content = bytearray(file.read_bytes())
     content[len(content) // 2] ^= 4
     file.write_bytes(content)
--- a/cottonlug/tests/test_dispatcher.py
+++ b/cottonlug/tests/test_dispatcher.py
@@ -36,7 +36,7 @@
     for _ in range(2):
         assert dispatcher.exchange(executor.build_request(link), timedelta()) is None
     (delivery,) = dispatcher.dispatch(timedelta())
-    executor.take_reply(link, delivery.session, delivery.reply, timedelta())
+    executor.handle_reply(link, delivery.session, delivery.reply, timedelta())
     assert link.open_requests == 1
     dispatcher.tick(20 * SECOND)
     assert executor.upstream in dispatcher.sessions
@@ -68,7 +68,7 @@
         for _ in range(2):
             submit(dispatcher, 1)
             (delivery,) = dispatcher.dispatch(timedelta())
-            executor.take_reply(link, delivery.session, delivery.reply, timedelta())
+            executor.handle_reply(link, delivery.session, delivery.reply, timedelta())
             assignment = executor.start_next()
             assert assignment is not None
             executor.finish(assignment.key, ResultStatus.FAILED, Raw(b"1"), 10, timedelta())
@@ -136,7 +136,7 @@
     dispatcher.exchange(executor.build_request(link), timedelta())
     job = submit(dispatcher, 1)
     (delivery,) = dispatcher.dispatch(timedelta())
-    executor.take_reply(link, delivery.session, delivery.reply, timedelta())
+    executor.handle_reply(link, delivery.session, delivery.reply, timedelta())
     assignment = executor.start_next()
     assert assignment is not None
     executor.finish(assignment.key, ResultStatus.SUCCEEDED, Raw(b"1"), 10, timedelta())
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -106,7 +106,7 @@
         self.calls.remove(call)
         assert call.reply is not None
         link = call.executor.links[HOST]
-        call.executor.take_reply(link, call.request.session, call.reply, self.now)
+        call.executor.handle_reply(link, call.request.session, call.reply, self.now)
 
     def break_connection(self) -> None:
         if self.calls:
@@ -125,7 +125,9 @@
             executor.begin_session(link)
         if call.taken and call.reply is None and self.chance.random() < 0.5:
             request = call.request
-            self.dispatcher.disconnect(request.upstream, request.session, request.seq, self.now)
+            self.dispatcher.handle_disconnect(
+                request.upstream, request.session, request.seq, self.now
+            )
         if not call.taken and self.chance.random() < 0.3:
             self.dispatcher.exchange(call.request, self.now)
             self.dispatch()
@@ -138,8 +140,8 @@
 
     def finish_task(self) -> None:
         executor = self.chance.choice(self.executors)
-        while executor.to_stop:
-            key = executor.to_stop.popleft()
+        while executor.pending_stops:
+            key = executor.pending_stops.popleft()
             if key in executor.running:
                 executor.finish(key, ResultStatus.STOPPED, Raw(b"null"), 0, self.now)
         if not executor.running:
@@ -181,7 +183,7 @@
             job = self.jobs[id]
             if not job.spec.idempotent:
                 assert count <= 1, f"task {task} of {id} started {count} times"
-        for job in self.dispatcher.take_ended():
+        for job in self.dispatcher.pop_ended_jobs():
             assert job.id not in self.answers, "a job ends once"
             self.answers[job.id] = build_answer(job)
         for id, answer in self.answers.items():
--- a/cottonlug/tests/test_inputs.py
+++ b/cottonlug/tests/test_inputs.py
@@ -12,9 +12,9 @@
 from ..core.ids import DomainName, KindName, SubmissionId, TeamName, parse_id
 from ..core.intake import check_submit
 from ..core.messages import ExchangeRequest, SubmitRequest
-from ..core.rules import Question, Rule, When, compile_rules, explain, find_mismatch
+from ..core.rules import RuleInput, Rule, When, compile_rules, explain, find_mismatch
 from ..net.codec import decode, encode
-from ..storage.journal import JOURNAL, open_journal
+from ..storage.journal import JOURNAL_FILE, open_journal
 
 SETTINGS = settings(derandomize=True, deadline=None, max_examples=300)
 names = st.sampled_from(["a", "b", "c"])
@@ -43,8 +43,8 @@
 
 
 @st.composite
-def draw_questions(draw: st.DrawFn) -> Question:
-    return Question(
+def draw_questions(draw: st.DrawFn) -> RuleInput:
+    return RuleInput(
         team=TeamName(draw(names)),
         kind=KindName(draw(names)),
         domain=DomainName(draw(names)),
@@ -58,18 +58,18 @@
 
 @SETTINGS
 @given(st.lists(draw_whens(), max_size=12), draw_questions())
-def test_compiled_rules_agree_with_a_naive_scan(whens: list[When], question: Question) -> None:
+def test_compiled_rules_agree_with_a_naive_scan(whens: list[When], rule_input: RuleInput) -> None:
     rules = [Rule(name=f"r{at}", when=when) for at, when in enumerate(whens)]
-    naive = next((rule for rule in rules if find_mismatch(rule.when, question) is None), None)
-    assert compile_rules(rules)(question) is naive
-    tried = explain(rules, question)
+    naive = next((rule for rule in rules if find_mismatch(rule.when, rule_input) is None), None)
+    assert compile_rules(rules)(rule_input) is naive
+    tried = explain(rules, rule_input)
     matched = [each.rule for each in tried if each.mismatch is None]
     assert matched == ([naive.name] if naive else [])
 
 
 def test_time_of_day_may_span_midnight() -> None:
     when = When(after=time(22), before=time(6))
-    question = Question(
+    rule_input = RuleInput(
         team=TeamName("t"),
         kind=KindName("k"),
         domain=DomainName("d"),
@@ -80,9 +80,9 @@
         time_of_day=time(23),
     )
     match = compile_rules([Rule(name="night", when=when)])
-    assert match(question) is not None
-    object.__setattr__(question, "time_of_day", time(12))
-    assert match(question) is None
+    assert match(rule_input) is not None
+    object.__setattr__(rule_input, "time_of_day", time(12))
+    assert match(rule_input) is None
 
 
 @SETTINGS
@@ -122,14 +122,14 @@
         self.content = content
 
     def read(self, name: str) -> bytes | None:
-        assert name == JOURNAL
+        assert name == JOURNAL_FILE
         return self.content
 
     def append(self, name: str, data: bytes) -> None:
         self.content += data
 
     def sync(self, name: str) -> None:
-        assert name == JOURNAL
+        assert name == JOURNAL_FILE
 
     def truncate(self, name: str, size: int) -> None:
         self.content = self.content[:size]
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -23,7 +23,7 @@
     Members,
     Output,
     Snapshot,
-    Stored,
+    StoredState,
     Term,
 )
 from ..storage import files as files_module
@@ -56,7 +56,7 @@
         self.first = Index(1)
         """Entries before it are in a snapshot."""
 
-    def keep(self, stored: Stored, member: MemberId) -> None:
+    def keep(self, stored: StoredState, member: MemberId) -> None:
         self.member = member
         self.term = stored.hard_state.term
         self.first = Index(stored.snapshot.index + 1)
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -12,7 +12,7 @@
 from ..config.options import Address
 from ..core.cluster.commands import ForgetJobs, SetDraining, encode_commands
 from ..core.consensus.member import Member
-from ..core.consensus.replacement import find_most_voters, plan_change, plan_removal
+from ..core.consensus.replacement import compute_max_voters, plan_change, plan_removal
 from ..core.consensus.timing import Timing
 from ..core.consensus.types import (
     AppendReply,
@@ -22,7 +22,7 @@
     Members,
     Role,
     Snapshot,
-    Stored,
+    StoredState,
     Term,
     VoteReply,
 )
@@ -42,9 +42,14 @@
     """Return a member that has just been elected by all voters."""
     members = Members(voters=voters)
     snapshot = Snapshot(index=Index(1), term=Term(0), members=members, data="")
-    stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
+    stored = StoredState(hard_state=HardState(term=Term(0)), snapshot=snapshot)
     member = Member(
-        id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta(), saves_late=True
+        id=A,
+        stored=stored,
+        timing=Timing(),
+        random_float=lambda: 0.0,
+        now=timedelta(),
+        saves_after_sending=True,
     )
     member.tick(NOW)
     for pre in (True, False):
@@ -52,7 +57,7 @@
             reply = VoteReply(term=Term(1), sender=voter, granted=True, pre=pre)
             member.receive(reply, NOW)
     assert member.role is Role.LEADER
-    member.take_output()
+    member.pop_output()
     return member
 
 
@@ -66,7 +71,7 @@
     last = member.log.last_index
     acknowledge(member, B, last)
     assert member.commit < last, "one disk of three has it"
-    member.note_saved()
+    member.record_saved()
     assert member.commit == last
 
 
@@ -100,7 +105,7 @@
 def grow(member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()) -> None:
     """Take every step towards members that are all there, each acknowledged by all."""
     for _ in range(20):
-        most = find_most_voters(member.members, lost)
+        most = compute_max_voters(member.members, lost)
         planned = plan_change(member, hosts, lost, most)
         if planned is None:
             return
@@ -109,7 +114,7 @@
         for each in (*member.members.voters, *member.members.learners):
             if each != A and each not in lost:
                 acknowledge(member, each, last)
-        member.note_saved()
+        member.record_saved()
     raise AssertionError("the members never settle")
 
 
@@ -156,7 +161,7 @@
     for _ in range(500):
         member.propose("x", NOW)
         if chance.random() < 0.2:
-            member.note_saved()
+            member.record_saved()
             saved = member.log.last_index
         for voter in (B, C):
             if chance.random() < 0.3:
--- a/cottonlug/tests/test_start.py
+++ b/cottonlug/tests/test_start.py
@@ -19,7 +19,7 @@
 def test_a_daemon_loads_nothing_that_it_does_not_need_to_serve(name: str) -> None:
     """Failed before: each loaded the command line, litestar, httpx and OpenTelemetry first."""
     program = (
-        "import sys; from cottonlug import lean; lean.leave_out_unused(); "
+        "import sys; from cottonlug import unused_imports; unused_imports.block_unused_imports(); "
         f"import cottonlug.commands.{name}; print(*sys.modules)"
     )
     ran = subprocess.run(
--- a/cottonlug/lean.py
+++ b/cottonlug/unused_imports.py
@@ -12,11 +12,11 @@
 UNUSED_MODULES = ("pydantic", "httpx._main", "rich")
 
 
-def leave_out_unused() -> None:
+def block_unused_imports() -> None:
     """Make imports of the unused modules fail, as if they were not installed."""
     for name in UNUSED_MODULES:
         if name not in sys.modules:
             sys.modules[name] = None  # type: ignore[assignment]
 
 
-leave_out_unused()
+block_unused_imports()
--- a/cottonlug/upstream/daemon.py
+++ b/cottonlug/upstream/daemon.py
@@ -16,7 +16,7 @@
 from returns.result import Result, Success
 
 from ..config.defaults import UpstreamSettings
-from ..core.execution import MAX_OPEN_REQUESTS, NULL, Assignment, Executor, Link
+from ..core.execution import MAX_OPEN_REQUESTS, NULL_VALUE, Assignment, Executor, Link
 from ..core.ids import HostId, Incarnation, SubmissionId, TaskKey
 from ..core.messages import Announcement, ExchangeReply, TaskName
 from ..core.states import ResultStatus
@@ -196,11 +196,11 @@
     async def _is_request_due(self, link: Link) -> bool:
         if link.open_requests == 0:
             is_quiet = link.draining or self.executor.leaving
-            if is_quiet and not self.executor.has_news(link):
+            if is_quiet and not self.executor.has_updates(link):
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self._news[link.host].wait(), _QUIET_PAUSE_SECONDS)
             return True
-        due = self.executor.find_due(link)
+        due = self.executor.find_next_request_time(link)
         if due is None:
             return False
         wait = (due - _read_clock()).total_seconds()
@@ -217,7 +217,7 @@
         if isinstance(reply, Err):
             why: str = reply.failure()
             return why
-        self.executor.take_reply(link, request.session, reply.unwrap(), _read_clock())
+        self.executor.handle_reply(link, request.session, reply.unwrap(), _read_clock())
         self._start_tasks()
         self._stop_tasks()
         return None
@@ -235,9 +235,9 @@
             self._running[assignment.key] = task
 
     def _stop_tasks(self) -> None:
-        to_stop = self.executor.to_stop
-        while to_stop:
-            task = self._running.get(to_stop.popleft())
+        pending_stops = self.executor.pending_stops
+        while pending_stops:
+            task = self._running.get(pending_stops.popleft())
             if task is not None:
                 task.cancel()
 
@@ -256,7 +256,9 @@
     def _settle(self, key: TaskKey) -> None:
         """Report a task that was stopped before its first step."""
         if self._running.pop(key, None) is not None:
-            self._wake(self.executor.finish(key, ResultStatus.STOPPED, NULL, 0, _read_clock()))
+            self._wake(
+                self.executor.finish(key, ResultStatus.STOPPED, NULL_VALUE, 0, _read_clock())
+            )
 
     async def _run_bounded(self, assignment: Assignment) -> tuple[ResultStatus, Raw]:
         try:
@@ -265,7 +267,7 @@
         except TimeoutError:
             return ResultStatus.FAILED, Raw(b'"timeout"')
         except asyncio.CancelledError:
-            return ResultStatus.STOPPED, NULL
+            return ResultStatus.STOPPED, NULL_VALUE
         if isinstance(result, Success):
             return ResultStatus.SUCCEEDED, result.unwrap()
         return ResultStatus.FAILED, Raw(msgspec.json.encode(result.failure()))
