--- a/cottonlug/tests/model_disk.py
+++ b/cottonlug/tests/model_disk.py
@@ -18,7 +18,7 @@
 """Descriptor of the folder."""
 
 
-class ProcessEnded(BaseException):
+class ProcessKilled(BaseException):
     """The process was killed in the middle of a call."""
 
 
@@ -45,10 +45,10 @@
     def lose_power(self, chance: random.Random) -> None:
         loses_all = chance.random() < 0.3
         for change, torn in zip(self.pending, self.torn, strict=True):
-            fate = 0.0 if loses_all else chance.random()
-            if fate > 0.6:
+            draw = 0.0 if loses_all else chance.random()
+            if draw > 0.6:
                 self.durable = change(self.durable)
-            elif fate > 0.3:
+            elif draw > 0.3:
                 self.durable = torn(self.durable)
         self.pending.clear()
         self.torn.clear()
@@ -63,9 +63,9 @@
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
-        self.end_share = 0.0
+        self.kill_rate = 0.0
         """Of the calls during which the process is killed."""
-        self.fail_share = 0.0
+        self.failure_rate = 0.0
         """Of the writes and syncs that the disk refuses, after a part of a write."""
         self._names: dict[str, _Inode] = {}
         self._durable_names: dict[str, _Inode] = {}
@@ -89,12 +89,12 @@
         else:
             self._durable_names = dict(self._names)
 
-    def _strike(self) -> None:
-        if self.chance.random() < self.end_share:
-            raise ProcessEnded
+    def _maybe_kill_process(self) -> None:
+        if self.chance.random() < self.kill_rate:
+            raise ProcessKilled
 
-    def _refuse(self) -> None:
-        if self.chance.random() < self.fail_share:
+    def _maybe_fail(self) -> None:
+        if self.chance.random() < self.failure_rate:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     # Calls
@@ -105,7 +105,7 @@
 
     def open(self, path: object, flags: int, mode: int = 0o777) -> int:
         name = str(path).rpartition("/")[2]
-        self._strike()
+        self._maybe_kill_process()
         number, self._next = self._next, self._next + 1
         if name == FOLDER_NAME:
             return FOLDER
@@ -114,15 +114,15 @@
         if name not in self._names:
             if not flags & os.O_CREAT:
                 raise FileNotFoundError(name)
-            self._refuse()
+            self._maybe_fail()
             self._names[name] = _Inode()
         inode = self._names[name]
         self._open[number] = inode
         return number
 
     def write(self, file: int, data: bytes) -> int:
-        self._strike()
-        if self.chance.random() < self.fail_share:
+        self._maybe_kill_process()
+        if self.chance.random() < self.failure_rate:
             self._append(self._open[file], data[: self.chance.randint(0, len(data))])
             raise OSError(errno.ENOSPC, "No space left on device")
         if self.chance.random() < 0.1:
@@ -131,12 +131,12 @@
         return len(data)
 
     def ftruncate(self, file: int, size: int) -> None:
-        self._strike()
+        self._maybe_kill_process()
         self._change(self._open[file], lambda old: old[:size], lambda old: old[:size])
 
     def fsync(self, file: int) -> None:
-        self._strike()
-        self._refuse()
+        self._maybe_kill_process()
+        self._maybe_fail()
         if file == FOLDER:
             self._durable_names = dict(self._names)
             return
@@ -147,13 +147,13 @@
                 self._durable_names[name] = inode
 
     def replace(self, old: object, new: object) -> None:
-        self._strike()
+        self._maybe_kill_process()
         names = [str(path).rpartition("/")[2] for path in (old, new)]
         self._names[names[1]] = self._names.pop(names[0])
         # That the old name is gone lasts no sooner than the new one.
 
     def unlink(self, path: object) -> None:
-        self._strike()
+        self._maybe_kill_process()
         if self._names.pop(str(path).rpartition("/")[2], None) is None:
             raise FileNotFoundError(path)
 
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -67,7 +67,7 @@
     return message.granted
 
 
-def make_leader(member: Member) -> None:
+def elect_leader(member: Member) -> None:
     late = timedelta(seconds=10)
     member.tick(late)
     term = Term(member.term + 1)
@@ -76,16 +76,18 @@
     assert member.role is Role.LEADER
 
 
-QUICK = Timing(
+FAST_TIMING = Timing(
     first_election=timedelta(milliseconds=60), pre_vote_retry=timedelta(milliseconds=100)
 )
 
 
-def build_quick(id: MemberId, now: timedelta) -> Member:
-    return Member(id=id, stored=build_stored(3), timing=QUICK, random_float=lambda: 0.0, now=now)
+def build_fast_member(id: MemberId, now: timedelta) -> Member:
+    return Member(
+        id=id, stored=build_stored(3), timing=FAST_TIMING, random_float=lambda: 0.0, now=now
+    )
 
 
-def pass_on(members: dict[MemberId, Member], now: timedelta) -> None:
+def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
     """Deliver messages until there are none."""
     waiting = True
     while waiting:
@@ -97,33 +99,33 @@
                     waiting = True
 
 
-def test_after_all_were_down_a_leader_is_elected_at_once() -> None:
+def test_leader_is_elected_quickly_after_all_members_were_down() -> None:
     """Failed on every day's last fault: the first election waited for 0.35 to 0.7 s."""
-    members = {id: build_quick(id, timedelta()) for id in (A, B, C)}
+    members = {id: build_fast_member(id, timedelta()) for id in (A, B, C)}
     now = timedelta(milliseconds=60)
     members[A].tick(now)
-    pass_on(members, now)
+    deliver_messages(members, now)
     assert members[A].role is Role.LEADER
 
 
-def test_a_member_that_starts_beside_a_leader_disturbs_nobody() -> None:
-    members = {id: build_quick(id, timedelta()) for id in (A, B)}
+def test_member_that_starts_does_not_disturb_a_leader() -> None:
+    members = {id: build_fast_member(id, timedelta()) for id in (A, B)}
     now = timedelta(milliseconds=60)
     members[A].tick(now)
-    pass_on(members, now)
+    deliver_messages(members, now)
     term = members[A].term
-    members[C] = build_quick(C, now)
+    members[C] = build_fast_member(C, now)
     for _ in range(3):
         now += timedelta(milliseconds=100)
         members[A].tick(now)
         members[C].tick(now)
-        pass_on(members, now)
+        deliver_messages(members, now)
     assert members[A].role is Role.LEADER
     assert {member.term for member in members.values()} == {term}
 
 
-def test_a_pre_vote_without_answers_is_tried_again_soon() -> None:
-    member = build_quick(A, timedelta())
+def test_pre_vote_without_replies_is_retried_soon() -> None:
+    member = build_fast_member(A, timedelta())
     for number in range(3):
         member.tick(timedelta(milliseconds=60 + 100 * number))
         requests = [envelope.message for envelope in member.pop_output().messages]
@@ -132,11 +134,11 @@
     assert member.term == 3
 
 
-def test_what_is_missing_is_sent_once_for_many_refusals_of_messages_under_way() -> None:
+def test_missing_entries_are_sent_once_for_many_refusals_of_messages_in_flight() -> None:
     """0.134 GB between domains."""
     entries = tuple(build_entry(index, 3) for index in range(2, 10))
     member = build_member(build_stored(3, entries))
-    make_leader(member)
+    elect_leader(member)
     member.pop_output()
     late = timedelta(seconds=10)
     refusal = AppendReply(term=member.term, sender=B, accepted=False, matched=Index(1))
@@ -153,7 +155,7 @@
     assert count_sent() == 9
 
 
-def test_vote_is_saved_before_it_is_sent_and_holds_after_a_restart() -> None:
+def test_vote_is_saved_before_it_is_sent_and_kept_over_a_restart() -> None:
     journal = open_journal(FakeFiles(random.Random(1)), A).unwrap()
     journal.save(Output(snapshot=SNAPSHOT, restore=True)).unwrap()
     member = build_member(journal.stored)
@@ -168,9 +170,9 @@
     assert read_vote(again) is True
 
 
-def test_entries_of_an_older_term_are_not_committed_by_counting() -> None:
+def test_entries_of_an_older_term_are_not_committed_by_counting_replicas() -> None:
     member = build_member(build_stored(2, (build_entry(2, 2),)))
-    make_leader(member)
+    elect_leader(member)
     late = timedelta(seconds=10)
     old = AppendReply(term=member.term, sender=B, accepted=True, matched=Index(2))
     member.receive(old, late)
@@ -180,7 +182,7 @@
     assert member.commit == 3
 
 
-def test_late_snapshot_keeps_the_entries_that_were_acknowledged() -> None:
+def test_delayed_snapshot_does_not_discard_acknowledged_entries() -> None:
     member = build_member(build_stored(2, (build_entry(2, 2), build_entry(3, 2))))
     late = Snapshot(index=Index(2), term=Term(2), members=SNAPSHOT.members, data="s")
     member.receive(SnapshotRequest(term=Term(2), sender=B, snapshot=late), timedelta())
@@ -193,14 +195,14 @@
 
 def test_isolated_leader_steps_down() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     member.tick(timedelta(seconds=20))
     assert member.role is Role.FOLLOWER
     refused = member.propose("x", timedelta(seconds=20))
     assert isinstance(refused, Err)
 
 
-def test_returning_member_does_not_unseat_a_leader() -> None:
+def test_returning_member_does_not_depose_a_leader() -> None:
     member = build_member(build_stored(2))
     beat = AppendRequest(
         term=Term(2),
@@ -218,7 +220,7 @@
 
 def test_only_one_voter_changes_at_a_time() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     late = timedelta(seconds=10)
     too_early = member.change_members(Members(voters=(A, B)), late)
     assert isinstance(too_early, Err)
@@ -239,7 +241,7 @@
     return files, journal
 
 
-def test_every_flipped_bit_is_reported_and_loses_nothing_silently() -> None:
+def test_every_flipped_bit_is_reported_and_the_journal_is_left_unchanged() -> None:
     files, _ = build_full_journal()
     good = files.content[JOURNAL_FILE]
     for at in range(8 * len(good)):
@@ -271,7 +273,7 @@
             assert open_journal(files, A).unwrap().cut_bytes == 0
 
 
-def test_full_disk_is_an_error_and_the_journal_takes_no_more() -> None:
+def test_journal_accepts_no_records_after_a_full_disk() -> None:
     files, journal = build_full_journal()
     before = files.content[JOURNAL_FILE]
     files.full = True
@@ -282,7 +284,7 @@
     assert len(open_journal(files, A).unwrap().stored.entries) == 2
 
 
-def test_equal_numbers_accept_one_and_resends_get_the_first_answer() -> None:
+def test_one_change_per_base_version_is_accepted_and_resends_get_the_same_outcome() -> None:
     state = ConfigurationState()
     first = ChangeCommand(request_id="one", base_version=0, text="a")
     second = ChangeCommand(request_id="two", base_version=0, text="b")
@@ -300,5 +302,5 @@
 
 def test_leader_election_appends_an_empty_entry() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     assert [entry.kind for entry in member.pop_output().entries] == [EntryKind.EMPTY]
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -57,7 +57,7 @@
 
     def __init__(self, chance: random.Random) -> None:
         self.content: dict[str, bytes] = {}
-        self.crash_share = 0.0
+        self.crash_rate = 0.0
         self.full = False
         self._chance = chance
 
@@ -68,7 +68,7 @@
         old = self.content.get(name, b"")
         if self.full:
             raise OSError(28, "No space left on device")
-        if self._chance.random() < self.crash_share:
+        if self._chance.random() < self.crash_rate:
             kept = self._chance.randint(0, len(data))
             filler = b"\0" * self._chance.choice([0, 0, 16, len(data) - kept])
             self.content[name] = old + data[:kept] + filler
@@ -84,7 +84,7 @@
     def replace(self, name: str, data: bytes) -> None:
         if self.full:
             raise OSError(28, "No space left on device")
-        if self._chance.random() < self.crash_share:
+        if self._chance.random() < self.crash_rate:
             if self._chance.random() < 0.5:
                 self.content[name] = data
             raise CrashError
@@ -109,15 +109,15 @@
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.now = timedelta()
-        self.lives = 0
+        self.ids_built = 0
         self.network: list[Envelope] = []
-        self.cut: set[str] = set()
+        self.isolated: set[str] = set()
         self.leaders: dict[Term, MemberId] = {}
         self.committed: dict[Index, Entry] = {}
-        self.promised: dict[str, ChangeOutcome] = {}
-        self.asked: dict[str, ChangeCommand] = {}
+        self.known_outcomes: dict[str, ChangeOutcome] = {}
+        self.proposed: dict[str, ChangeCommand] = {}
         self.nodes = {host: Node(host, FakeFiles(self.chance)) for host in HOSTS}
-        ids = [self.make_id(host) for host in HOSTS]
+        ids = [self.build_id(host) for host in HOSTS]
         for node, id in zip(self.nodes.values(), ids, strict=True):
             journal = open_journal(node.files, id).unwrap()
             if node.host == HOSTS[0]:
@@ -126,16 +126,16 @@
                 journal.save(Output(snapshot=first, restore=True)).unwrap()
             self.start(node)
 
-    def make_id(self, host: str) -> MemberId:
-        self.lives += 1
-        return MemberId(f"{host}/{self.lives}")
+    def build_id(self, host: str) -> MemberId:
+        self.ids_built += 1
+        return MemberId(f"{host}/{self.ids_built}")
 
     # Processes
 
     def start(self, node: Node) -> None:
-        node.files.crash_share = 0.0
+        node.files.crash_rate = 0.0
         node.files.full = False
-        node.journal = open_journal(node.files, self.make_id(node.host)).unwrap()
+        node.journal = open_journal(node.files, self.build_id(node.host)).unwrap()
         stored = node.journal.stored
         node.member = Member(
             id=node.journal.member,
@@ -154,7 +154,7 @@
         node.member = None
         node.journal = None
 
-    def pump(self, node: Node) -> None:
+    def process_output(self, node: Node) -> None:
         """Do what a member asks for, in the order that it asks for."""
         try:
             while node.member is not None and node.journal is not None:
@@ -167,11 +167,11 @@
                 self.network += output.messages
                 if output.restore and output.snapshot is not None:
                     node.state = decode_state(output.snapshot.data)
-                self.take_committed(node, output)
+                self.apply_committed(node, output)
         except CrashError:
             self.stop(node)
 
-    def take_committed(self, node: Node, output: Output) -> None:
+    def apply_committed(self, node: Node, output: Output) -> None:
         assert node.journal is not None and node.member is not None
         if output.committed:
             saved = node.journal.save_applied(output.committed[-1].index)
@@ -192,7 +192,7 @@
         if entry.kind is not EntryKind.COMMAND:
             return
         outcome = apply_change(node.state, decode_command(entry.data), lambda _: None)
-        known = self.promised.setdefault(outcome.request_id, outcome)
+        known = self.known_outcomes.setdefault(outcome.request_id, outcome)
         assert known == outcome, "an operator was told something else before"
 
     # What may happen
@@ -204,11 +204,11 @@
             self.deliver()
         elif number < 0.86:
             self.now += timedelta(milliseconds=self.chance.choice([1, 5, 5, 20, 20, 300]))
-            self.for_running(lambda member: member.tick(self.now))
+            self.for_each_running(lambda member: member.tick(self.now))
         elif number < 0.92:
             self.propose(node)
         elif number < 0.924:
-            node.files.crash_share = 0.5
+            node.files.crash_rate = 0.5
         elif number < 0.925:
             node.files.full = True
         elif number < 0.927:
@@ -219,12 +219,12 @@
         elif number < 0.992:
             self.lose_disk(node)
         elif number < 0.996:
-            self.cut = {node.host} if not self.cut else set()
+            self.isolated = {node.host} if not self.isolated else set()
         elif node.member is not None:
             node.member.transfer_leadership(self.now)
-        self.replace_lost()
+        self.replace_lost_disks()
         for each in self.nodes.values():
-            self.pump(each)
+            self.process_output(each)
         self.check_leaders()
 
     def deliver(self) -> None:
@@ -238,22 +238,22 @@
             return
         sender = envelope.message.sender.partition("/")[0]
         node = self.nodes[envelope.to.partition("/")[0]]
-        is_cut = (sender in self.cut) != (node.host in self.cut)
-        if is_cut or node.member is None or node.member.id != envelope.to:
+        is_isolated = (sender in self.isolated) != (node.host in self.isolated)
+        if is_isolated or node.member is None or node.member.id != envelope.to:
             return
         node.member.receive(envelope.message, self.now)
 
     def propose(self, node: Node) -> None:
         if node.member is None:
             return
-        if self.asked and self.chance.random() < 0.3:
-            command = self.chance.choice(list(self.asked.values()))
+        if self.proposed and self.chance.random() < 0.3:
+            command = self.chance.choice(list(self.proposed.values()))
         else:
-            name = f"r{len(self.asked)}"
+            name = f"r{len(self.proposed)}"
             command = ChangeCommand(
                 request_id=name, base_version=node.state.version, text=f"# {name}"
             )
-            self.asked[name] = command
+            self.proposed[name] = command
         node.member.propose(encode_command(command), self.now)
 
     def lose_disk(self, node: Node) -> None:
@@ -274,7 +274,7 @@
         node.seen_version = 0
         self.start(node)
 
-    def replace_lost(self) -> None:
+    def replace_lost_disks(self) -> None:
         ids = {node.host: node.member.id for node in self.nodes.values() if node.member is not None}
         for node in self.nodes.values():
             if node.member is not None and node.member.role is Role.LEADER:
@@ -282,11 +282,11 @@
                 if planned is not None:
                     node.member.change_members(planned, self.now)
 
-    def for_running(self, act: object) -> None:
+    def for_each_running(self, act: object) -> None:
         for node in self.nodes.values():
             if node.member is not None:
                 act(node.member)  # type: ignore[operator]
-                self.pump(node)
+                self.process_output(node)
 
     def propose_last(self) -> None:
         leaders = [
@@ -308,38 +308,38 @@
                 known = self.leaders.setdefault(member.term, member.id)
                 assert known == member.id, "one term has one leader"
 
-    def settle(self) -> None:
+    def run_without_faults(self) -> None:
         """Without faults everybody comes to hold the newest configuration."""
-        self.cut = set()
+        self.isolated = set()
         for node in self.nodes.values():
             if node.member is None:
                 self.start(node)
-            node.files.crash_share = 0.0
+            node.files.crash_rate = 0.0
             node.files.full = False
         for round in range(600):
             if round == 400:
                 self.propose_last()
             self.now += timedelta(milliseconds=50)
-            self.for_running(lambda member: member.tick(self.now))
-            self.replace_lost()
+            self.for_each_running(lambda member: member.tick(self.now))
+            self.replace_lost_disks()
             batch, self.network = self.network, []
             for envelope in batch:
                 node = self.nodes[envelope.to.partition("/")[0]]
                 if node.member is not None and node.member.id == envelope.to:
                     node.member.receive(envelope.message, self.now)
-                    self.pump(node)
+                    self.process_output(node)
             for node in self.nodes.values():
-                self.pump(node)
+                self.process_output(node)
             self.check_leaders()
             for node in self.nodes.values():
                 if node.member is None:
                     self.start(node)
         versions = {node.state.version for node in self.nodes.values()}
         assert len(versions) == 1, versions
-        for request, outcome in self.promised.items():
+        for request, outcome in self.known_outcomes.items():
             final = self.nodes[HOSTS[0]].state.outcomes[request]
             assert final == outcome, "an accepted change was lost"
-        accepted = [o for o in self.promised.values() if o.decision is Decision.ACCEPTED]
+        accepted = [o for o in self.known_outcomes.values() if o.decision is Decision.ACCEPTED]
         numbers = [outcome.version for outcome in accepted]
         assert len(numbers) == len(set(numbers)), "one number was given to two changes"
         assert max(numbers, default=0) == versions.pop()
@@ -351,29 +351,31 @@
     cluster = Cluster(seed)
     for _ in range(STEPS):
         cluster.step()
-    cluster.settle()
-    assert cluster.promised["last"].decision is Decision.ACCEPTED, "a healed cluster works again"
+    cluster.run_without_faults()
+    assert (
+        cluster.known_outcomes["last"].decision is Decision.ACCEPTED
+    ), "a healed cluster works again"
 
 
-def test_runs_meet_conflicts_snapshots_and_replaced_disks() -> None:
-    met: Counter[str] = Counter()
+def test_random_runs_include_conflicts_snapshots_and_replaced_disks() -> None:
+    counts: Counter[str] = Counter()
     for seed in range(200, 212):
         cluster = Cluster(seed)
         for _ in range(STEPS):
             cluster.step()
-        cluster.settle()
-        met["lives"] += cluster.lives > 2 * len(HOSTS)
-        met["leaders"] += len(cluster.leaders) > 2
+        cluster.run_without_faults()
+        counts["lives"] += cluster.ids_built > 2 * len(HOSTS)
+        counts["leaders"] += len(cluster.leaders) > 2
         for node in cluster.nodes.values():
             assert node.member is not None
-            met["snapshots"] += node.member.log.snapshot.index > 1
-            met["replaced"] += not node.files.content[JOURNAL_FILE].startswith(b"none") and (
+            counts["snapshots"] += node.member.log.snapshot.index > 1
+            counts["replaced"] += not node.files.content[JOURNAL_FILE].startswith(b"none") and (
                 node.member.id.partition("/")[2] not in ("1", "2", "3")
             )
-        for outcome in cluster.promised.values():
-            met[outcome.decision.value] += 1
+        for outcome in cluster.known_outcomes.values():
+            counts[outcome.decision.value] += 1
     for kind in ("accepted", "conflict", "snapshots", "leaders", "replaced"):
-        assert met[kind] > 0, kind
+        assert counts[kind] > 0, kind
 
 
 def test_journal_of_a_new_disk_holds_no_vote() -> None:
--- a/cottonlug/tests/test_dispatcher.py
+++ b/cottonlug/tests/test_dispatcher.py
@@ -42,7 +42,7 @@
     assert executor.upstream in dispatcher.sessions
 
 
-def test_silent_upstream_is_given_up_and_its_tasks_are_unknown() -> None:
+def test_lease_of_a_silent_upstream_expires_and_its_tasks_are_unknown() -> None:
     dispatcher = build_dispatcher()
     executor = build_executor("w0")
     link = executor.links[HOST]
@@ -84,7 +84,7 @@
     assert len(list_started([delivery.reply])) == 1
 
 
-def test_short_job_overtakes_a_long_one_but_not_for_ever() -> None:
+def test_short_job_overtakes_a_long_one_only_for_a_limited_time() -> None:
     dispatcher = build_dispatcher()
     long = submit(dispatcher, 100)
     short = submit(dispatcher, 1, SECOND)
@@ -128,7 +128,7 @@
     assert job.failure.may_have_run == []
 
 
-def test_late_and_repeated_results_change_nothing() -> None:
+def test_late_and_repeated_results_are_ignored() -> None:
     dispatcher = build_dispatcher()
     executor = build_executor("w0")
     link = executor.links[HOST]
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -33,7 +33,7 @@
 
     executor: Executor
     request: ExchangeRequest
-    taken: bool = False
+    delivered: bool = False
     reply: ExchangeReply | None = None
 
 
@@ -87,18 +87,18 @@
         if link.open_requests < MAX_OPEN_REQUESTS:
             self.calls.append(Call(executor, executor.build_request(link)))
 
-    def take_request(self) -> None:
-        waiting = [call for call in self.calls if not call.taken]
+    def deliver_request(self) -> None:
+        waiting = [call for call in self.calls if not call.delivered]
         if not waiting:
             return
         call = self.chance.choice(waiting)
-        call.taken = True
+        call.delivered = True
         refusal = self.dispatcher.exchange(call.request, self.now)
         if refusal is not None:
             self.break_call(call)
         self.dispatch()
 
-    def take_reply(self) -> None:
+    def deliver_reply(self) -> None:
         answered = [call for call in self.calls if call.reply is not None]
         if not answered:
             return
@@ -123,12 +123,12 @@
         link = executor.links[HOST]
         if executor in self.executors and call.request.session == link.session:
             executor.begin_session(link)
-        if call.taken and call.reply is None and self.chance.random() < 0.5:
+        if call.delivered and call.reply is None and self.chance.random() < 0.5:
             request = call.request
             self.dispatcher.handle_disconnect(
                 request.upstream, request.session, request.seq, self.now
             )
-        if not call.taken and self.chance.random() < 0.3:
+        if not call.delivered and self.chance.random() < 0.3:
             self.dispatcher.exchange(call.request, self.now)
             self.dispatch()
 
@@ -149,7 +149,7 @@
         key = self.chance.choice(list(executor.running))
         is_good = self.chance.random() < 0.97
         status = ResultStatus.SUCCEEDED if is_good else ResultStatus.FAILED
-        executor.finish(key, status, make_value(key), 1_000, self.now)
+        executor.finish(key, status, build_value(key), 1_000, self.now)
 
     def restart_upstream(self) -> None:
         at = self.chance.randrange(UPSTREAMS)
@@ -172,7 +172,7 @@
                     delivery.session,
                     delivery.reply.seq,
                 )
-                if same and call.taken and call.reply is None:
+                if same and call.delivered and call.reply is None:
                     call.reply = delivery.reply
                     break
 
@@ -192,7 +192,7 @@
     def check_answer(self, job: Job, answer: JobAnswer) -> None:
         assert build_answer(job) == answer, "an answer never changes"
         if answer.state is JobState.COMPLETE:
-            expected = [make_value(TaskKey(job.id, at, 0)) for at in range(len(job.states))]
+            expected = [build_value(TaskKey(job.id, at, 0)) for at in range(len(job.states))]
             assert answer.results is not None
             assert list(map(bytes, answer.results)) == list(map(bytes, expected))
             return
@@ -206,8 +206,8 @@
             (self.resend, 1),
             (self.cancel, 1),
             (self.send, 20),
-            (self.take_request, 25),
-            (self.take_reply, 25),
+            (self.deliver_request, 25),
+            (self.deliver_reply, 25),
             (self.break_connection, 2),
             (self.start_tasks, 10),
             (self.finish_task, 15),
@@ -219,11 +219,17 @@
             self.chance.choice(choices)()
             self.check()
 
-    def settle(self) -> None:
+    def run_without_faults(self) -> None:
         """With no more faults every job ends."""
-        calm = [self.send, self.take_request, self.take_reply, self.start_tasks, self.finish_task]
+        fault_free_actions = [
+            self.send,
+            self.deliver_request,
+            self.deliver_reply,
+            self.start_tasks,
+            self.finish_task,
+        ]
         for _ in range(400):
-            for action in calm * 3:
+            for action in fault_free_actions * 3:
                 action()
             self.now += timedelta(seconds=1)
             self.dispatcher.tick(self.now)
@@ -232,25 +238,25 @@
         assert all(job.ended for job in self.jobs.values())
 
 
-def make_value(key: TaskKey) -> Raw:
+def build_value(key: TaskKey) -> Raw:
     return Raw(f'"{key.submission}/{key.task}"'.encode())
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_promises_hold_over_a_faulty_network(seed: int) -> None:
+def test_guarantees_hold_over_a_faulty_network(seed: int) -> None:
     world = World(seed)
     world.run(STEPS)
-    world.settle()
+    world.run_without_faults()
     assert world.answers, "a run without an answer proves nothing"
 
 
-def test_runs_reach_every_kind_of_end() -> None:
+def test_random_runs_include_every_kind_of_job_end() -> None:
     ends: Counter[str] = Counter()
     returned = 0
     for seed in range(100, 115):
         world = World(seed)
         world.run(STEPS)
-        world.settle()
+        world.run_without_faults()
         returned += world.dispatcher.counters.returned_unstarted
         for answer in world.answers.values():
             ends[answer.failure.reason.value if answer.failure else "complete"] += 1
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -29,7 +29,7 @@
 from ..storage import files as files_module
 from ..storage.files import FolderFiles
 from ..storage.journal import Journal, open_journal
-from .model_disk import FOLDER_NAME, ModelDisk, ProcessEnded
+from .model_disk import FOLDER_NAME, ModelDisk, ProcessKilled
 
 STEPS = 30
 
@@ -46,7 +46,7 @@
         return self._disk.read(name)
 
 
-class Promises:
+class Guarantees:
     """What a member has counted itself for."""
 
     def __init__(self) -> None:
@@ -56,13 +56,13 @@
         self.first = Index(1)
         """Entries before it are in a snapshot."""
 
-    def keep(self, stored: StoredState, member: MemberId) -> None:
+    def update(self, stored: StoredState, member: MemberId) -> None:
         self.member = member
         self.term = stored.hard_state.term
         self.first = Index(stored.snapshot.index + 1)
         self.entries = {entry.index: entry for entry in stored.entries}
 
-    def find_broken(self, journal: Journal) -> str:
+    def find_violation(self, journal: Journal) -> str:
         """Return what a journal that was opened again lacks, or nothing."""
         stored = journal.stored
         if self.member is not None and journal.member != self.member:
@@ -78,27 +78,27 @@
         return f"lost entries {lost}" if lost else ""
 
 
-class Play:
+class DiskScenario:
     """A host that saves, is killed, loses power and finds its disk full."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
         self.disk = ModelDisk(self.chance)
-        self.promises = Promises()
+        self.guarantees = Guarantees()
         self.journal: Journal | None = None
-        self.lives = 0
+        self.open_count = 0
         self.number = 0
 
     def open(self) -> None:
-        self.lives += 1
-        opened = open_journal(DiskFiles(self.disk), MemberId(f"m{self.lives}"))
+        self.open_count += 1
+        opened = open_journal(DiskFiles(self.disk), MemberId(f"m{self.open_count}"))
         if isinstance(opened, Err):
             assert not opened.failure().damaged, opened.failure().message
             return
         self.journal = opened.unwrap()
-        broken = self.promises.find_broken(self.journal)
-        assert not broken, broken
-        self.promises.keep(self.journal.stored, self.journal.member)
+        violation = self.guarantees.find_violation(self.journal)
+        assert not violation, violation
+        self.guarantees.update(self.journal.stored, self.journal.member)
 
     def save(self) -> None:
         journal = self.journal
@@ -108,8 +108,8 @@
         last = max([stored.snapshot.index, *(entry.index for entry in stored.entries)])
         term = Term(stored.hard_state.term + 1)
         output = Output(hard_state=HardState(term=term))
-        fate = self.chance.random()
-        if fate < 0.15 and stored.entries:
+        draw = self.chance.random()
+        if draw < 0.15 and stored.entries:
             output.truncate_from = Index(last)
             last = Index(last - 1)
         output.entries = [
@@ -121,56 +121,56 @@
             )
             for number in range(self.chance.randint(0, 3))
         ]
-        if fate > 0.85 and stored.entries:
+        if draw > 0.85 and stored.entries:
             at = stored.entries[0].index
             output.snapshot = Snapshot(
                 index=at, term=term, members=Members(voters=()), data="state"
             )
         # A vote that was cast, or entries voided, may be on the disk also where that said no.
-        self.promises.entries = {
+        self.guarantees.entries = {
             index: entry
-            for index, entry in self.promises.entries.items()
+            for index, entry in self.guarantees.entries.items()
             if output.truncate_from is None or index < output.truncate_from
         }
         if isinstance(journal.save(output), Err):
             self.journal = None
             return
-        self.promises.keep(journal.stored, journal.member)
+        self.guarantees.update(journal.stored, journal.member)
 
-    def play(self) -> None:
+    def run(self) -> None:
         for _ in range(STEPS):
-            self.disk.end_share = self.chance.choice((0.0, 0.05, 0.2))
-            self.disk.fail_share = self.chance.choice((0.0, 0.0, 0.1))
+            self.disk.kill_rate = self.chance.choice((0.0, 0.05, 0.2))
+            self.disk.failure_rate = self.chance.choice((0.0, 0.0, 0.1))
             try:
                 if self.journal is None:
                     self.open()
                 else:
                     self.save()
-            except ProcessEnded:
+            except ProcessKilled:
                 self.journal = None
                 self.disk.end_process()
             if self.chance.random() < 0.15:
                 self.journal = None
                 self.disk.lose_power()
-        self.disk.end_share = self.disk.fail_share = 0.0
+        self.disk.kill_rate = self.disk.failure_rate = 0.0
         self.disk.lose_power()
         self.open()
 
 
-def play(seed: int) -> Play:
+def run_scenario(seed: int) -> DiskScenario:
     patch = pytest.MonkeyPatch()
-    played = Play(seed)
-    patch.setattr(files_module, "os", played.disk)
+    scenario = DiskScenario(seed)
+    patch.setattr(files_module, "os", scenario.disk)
     try:
-        played.play()
+        scenario.run()
     finally:
         patch.undo()
-    return played
+    return scenario
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(seed=st.integers(0, 1 << 32))
-def test_what_was_counted_for_outlasts_any_end_of_a_process_and_any_loss_of_power(
+def test_saved_state_survives_process_kills_and_power_failures(
     seed: int,
 ) -> None:
-    play(seed)
+    run_scenario(seed)
--- a/cottonlug/tests/test_start.py
+++ b/cottonlug/tests/test_start.py
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("name", ["control", "gateway"])
-def test_a_daemon_loads_nothing_that_it_does_not_need_to_serve(name: str) -> None:
+def test_daemon_imports_no_module_that_it_does_not_need_to_serve(name: str) -> None:
     """Failed before: each loaded the command line, litestar, httpx and OpenTelemetry first."""
     program = (
         "import sys; from cottonlug import unused_imports; unused_imports.block_unused_imports(); "
@@ -32,13 +32,13 @@
 @pytest.mark.parametrize(
     "arguments", [[], ["serve", "--config", "x"], ["gateway"], ["control", "x"]]
 )
-def test_wrong_usage_is_told(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+def test_wrong_usage_is_reported(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
     assert main(arguments) == USAGE_EXIT
     assert "usage: " in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("name", ["control", "gateway"])
-def test_settings_with_errors_are_told(
+def test_settings_with_errors_are_reported(
     name: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "settings.yaml"
@@ -47,6 +47,6 @@
     assert "unknown key" in capsys.readouterr().err
 
 
-def test_its_exit_codes_are_those_of_the_command_line() -> None:
+def test_daemon_exit_codes_equal_those_of_the_command_line() -> None:
     codes = (ExitCode.USAGE, ExitCode.SETTINGS, ExitCode.BROKEN_INVARIANT)
     assert codes == (USAGE_EXIT, SETTINGS_EXIT, INVARIANT_EXIT)
