--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -203,7 +203,7 @@
         if self.queued_tasks + len(job.payloads) > self._limits.max_queued_tasks:
             return Refusal(
                 code=RefusalCode.OVERLOADED,
-                message=f"the queue is full: {self.queued_tasks} tasks are queued",
+                message=f"the queue limit is reached: {self.queued_tasks} tasks are queued",
                 outcome=RunOutcome.NOT_RUN,
                 retry_after_ms=OVERLOAD_RETRY_AFTER_MS,
             )
--- a/cottonlug/tests/builders.py
+++ b/cottonlug/tests/builders.py
@@ -1,4 +1,4 @@
-"""Small builders that the tests share."""
+"""Builders shared by the tests."""
 
 from __future__ import annotations
 
--- a/cottonlug/tests/conftest.py
+++ b/cottonlug/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Tests that fail for a known fault: KNOWN-RED.txt at the root names them, three at most.
+"""Expected failures: KNOWN-RED.txt at the root lists tests that fail for a known fault, at most 3.
 
-They still run. One that passes fails the run, so that its line goes with the mend.
+The listed tests still run. If one passes, the run fails, so that the fix also removes its line.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def read_known_red() -> dict[str, str]:
-    """Return why each listed test fails, by its name: lines are `NAME: why`."""
+    """Return the reason why each listed test fails, by test name; lines are `NAME: reason`."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -27,10 +27,10 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     known = read_known_red()
     for item in items:
-        # One line stands for all cases of a test.
+        # One line covers all parametrized cases of a test.
         why = known.get(item.nodeid.partition("[")[0])
         if why is not None:
-            # One that fails otherwise than by what it asserts is not known.
+            # A failure by any other exception than these is not the known one.
             known_ways = (AssertionError, TimeoutError)
             item.add_marker(pytest.mark.xfail(reason=why, strict=True, raises=known_ways))
 
--- a/cottonlug/tests/model_disk.py
+++ b/cottonlug/tests/model_disk.py
@@ -1,8 +1,8 @@
-"""A disk that loses, tears or keeps what was not synced, writes and names, under the calls of `os`.
+"""Model of a disk that may lose, tear or keep unsynced writes and names; replaces the `os` module.
 
-After a loss of power a file holds what its last sync covered; each later write is there, missing or
-torn, or all of them are gone. A new file lasts with its own sync, a rename with that of its folder.
-The end of a process loses nothing.
+After a power failure a file holds what its last sync covered; each later write is present, missing
+or torn, or all of them are lost. A new file is durable after its own sync, a rename after a sync of
+the folder. The end of a process loses nothing.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 FOLDER_NAME = "data"
 FOLDER = -1
-"""Descriptor of the folder."""
+"""File descriptor of the folder."""
 
 
 class ProcessKilled(BaseException):
-    """The process was killed in the middle of a call."""
+    """The process was killed during a call."""
 
 
 @dataclass(slots=True)
 class _Inode:
     durable: bytes = b""
     pending: list[Callable[[bytes], bytes]] = field(default_factory=list)
-    """Writes since the last sync, each as what it makes of the content."""
+    """Writes since the last sync, each as a function from the old content to the new."""
     torn: list[Callable[[bytes], bytes]] = field(default_factory=list)
-    """The same writes as they are where the power fails in the middle of them."""
+    """The same writes as they are if the power fails during them."""
 
     @property
     def content(self) -> bytes:
@@ -55,7 +55,7 @@
 
 
 class ModelDisk:
-    """One folder; stands in for the module `os` of `storage.files`."""
+    """One folder; replaces the module `os` in `storage.files`."""
 
     O_RDONLY, O_WRONLY, O_CREAT = os.O_RDONLY, os.O_WRONLY, os.O_CREAT
     O_APPEND, O_EXCL = os.O_APPEND, os.O_EXCL
@@ -64,9 +64,9 @@
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
         self.kill_rate = 0.0
-        """Of the calls during which the process is killed."""
+        """Share of the calls during which the process is killed."""
         self.failure_rate = 0.0
-        """Of the writes and syncs that the disk refuses, after a part of a write."""
+        """Share of the writes and syncs that fail; a failed write may have written a part."""
         self._names: dict[str, _Inode] = {}
         self._durable_names: dict[str, _Inode] = {}
         self._open: dict[int, _Inode] = {}
@@ -150,7 +150,7 @@
         self._maybe_kill_process()
         names = [str(path).rpartition("/")[2] for path in (old, new)]
         self._names[names[1]] = self._names.pop(names[0])
-        # That the old name is gone lasts no sooner than the new one.
+        # The removal of the old name is not durable before the new name is.
 
     def unlink(self, path: object) -> None:
         self._maybe_kill_process()
@@ -166,7 +166,7 @@
         at = len(inode.content)
 
         def write(content: bytes, written: bytes = data) -> bytes:
-            # Where an earlier write is missing there is a hole, which reads as zeros.
+            # If an earlier write is missing, there is a hole, which reads as zeros.
             return content.ljust(at, b"\0")[:at] + written
 
         self._change(inode, write, lambda content: write(content, kept + filler))
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Focused tests of the replicated log and its journal: what random runs meet too seldom."""
+"""Focused tests of the replicated log and its journal, for cases that random runs rarely reach."""
 
 from __future__ import annotations
 
@@ -100,7 +100,7 @@
 
 
 def test_leader_is_elected_quickly_after_all_members_were_down() -> None:
-    """Failed on every day's last fault: the first election waited for 0.35 to 0.7 s."""
+    """Failure: after a restart of all members the first election began only after 0.35 to 0.7 s."""
     members = {id: build_fast_member(id, timedelta()) for id in (A, B, C)}
     now = timedelta(milliseconds=60)
     members[A].tick(now)
@@ -135,7 +135,7 @@
 
 
 def test_missing_entries_are_sent_once_for_many_refusals_of_messages_in_flight() -> None:
-    """0.134 GB between domains."""
+    """Failure: each refusal of a message in flight resent the entries, 0.134 GB between domains."""
     entries = tuple(build_entry(index, 3) for index in range(2, 10))
     member = build_member(build_stored(3, entries))
     elect_leader(member)
@@ -150,7 +150,7 @@
     for _ in range(5):
         member.receive(refusal, late)
     assert count_sent() == 9
-    # Refused again much later, the first sending was lost.
+    # A refusal much later means that the first transmission was lost.
     member.receive(refusal, late + Timing().heartbeat * 2)
     assert count_sent() == 9
 
@@ -251,7 +251,7 @@
         opened = open_journal(files, B)
         assert isinstance(opened, Err), f"bit {at}"
         assert opened.failure().damaged
-        assert files.content[JOURNAL_FILE] == bytes(damaged), "a damaged file is left as it is"
+        assert files.content[JOURNAL_FILE] == bytes(damaged), "a damaged file must not be changed"
 
 
 def test_every_torn_tail_is_cut_to_whole_records() -> None:
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -1,7 +1,7 @@
-"""Long random runs of the replicated configuration over a bad network and bad disks.
+"""Long random runs of the replicated configuration over a faulty network and faulty disks.
 
 Members, journal and configuration state are the real ones. The network loses, delays, repeats and
-reorders; processes stop at any write, disks lose what was not synced or are lost whole.
+reorders messages; processes crash at any write; disks lose unsynced data or are lost entirely.
 """
 
 from __future__ import annotations
@@ -49,11 +49,11 @@
 
 
 class CrashError(Exception):
-    """The process stops in the middle of a write."""
+    """The process crashes during a write."""
 
 
 class FakeFiles:
-    """A folder in memory that may stop at a write and keep only part of what was not synced."""
+    """A folder in memory that may crash during a write and keep only a part of it."""
 
     def __init__(self, chance: random.Random) -> None:
         self.content: dict[str, bytes] = {}
@@ -93,7 +93,7 @@
 
 @dataclass(slots=True)
 class Node:
-    """One host: its disk, and its process while it runs."""
+    """One host: its disk, and its process while that runs."""
 
     host: str
     files: FakeFiles
@@ -104,7 +104,7 @@
 
 
 class Cluster:
-    """Three hosts, the messages between them, and what was promised so far."""
+    """Three hosts, the messages between them, and all outcomes known to operators so far."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -155,7 +155,7 @@
         node.journal = None
 
     def process_output(self, node: Node) -> None:
-        """Do what a member asks for, in the order that it asks for."""
+        """Save, send and apply a member's output, in this order."""
         try:
             while node.member is not None and node.journal is not None:
                 output = node.member.pop_output()
@@ -193,9 +193,9 @@
             return
         outcome = apply_change(node.state, decode_command(entry.data), lambda _: None)
         known = self.known_outcomes.setdefault(outcome.request_id, outcome)
-        assert known == outcome, "an operator was told something else before"
+        assert known == outcome, "an operator was given a different outcome before"
 
-    # What may happen
+    # Random actions and faults
 
     def step(self) -> None:
         node = self.chance.choice(list(self.nodes.values()))
@@ -257,7 +257,7 @@
         node.member.propose(encode_command(command), self.now)
 
     def lose_disk(self, node: Node) -> None:
-        """Lose one disk, if the two others run and hold everything that was committed."""
+        """Lose one disk if the two others run and hold everything that was committed."""
         others = [each for each in self.nodes.values() if each is not node]
         if node.member is None or any(each.member is None for each in others):
             return
@@ -299,7 +299,7 @@
         last = ChangeCommand(request_id="last", base_version=node.state.version, text="# last")
         node.member.propose(encode_command(last), self.now)
 
-    # What must hold
+    # Invariants
 
     def check_leaders(self) -> None:
         for node in self.nodes.values():
@@ -309,7 +309,7 @@
                 assert known == member.id, "one term has one leader"
 
     def run_without_faults(self) -> None:
-        """Without faults everybody comes to hold the newest configuration."""
+        """Check that without faults all hosts reach the newest configuration."""
         self.isolated = set()
         for node in self.nodes.values():
             if node.member is None:
@@ -345,7 +345,7 @@
         assert max(numbers, default=0) == versions.pop()
 
 
-# The last two lost an acknowledged entry to a late snapshot.
+# With the last two seeds an acknowledged entry was lost to a delayed snapshot.
 @pytest.mark.parametrize("seed", [*range(60), 30_495, 33_476])
 def test_configuration_survives_faults(seed: int) -> None:
     cluster = Cluster(seed)
@@ -354,7 +354,7 @@
     cluster.run_without_faults()
     assert (
         cluster.known_outcomes["last"].decision is Decision.ACCEPTED
-    ), "a healed cluster works again"
+    ), "a healed cluster must accept changes"
 
 
 def test_random_runs_include_conflicts_snapshots_and_replaced_disks() -> None:
@@ -364,7 +364,7 @@
         for _ in range(STEPS):
             cluster.step()
         cluster.run_without_faults()
-        counts["lives"] += cluster.ids_built > 2 * len(HOSTS)
+        counts["restarts"] += cluster.ids_built > 2 * len(HOSTS)
         counts["leaders"] += len(cluster.leaders) > 2
         for node in cluster.nodes.values():
             assert node.member is not None
--- a/cottonlug/tests/test_dispatcher.py
+++ b/cottonlug/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Focused tests of the dispatcher: leases, guards, order of jobs, and what can never run."""
+"""Focused tests of the dispatcher: leases, probation, order of jobs, and unrunnable jobs."""
 
 from __future__ import annotations
 
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -1,7 +1,7 @@
 """Long random runs of one entry host and its upstreams over a network that loses and delays.
 
-The dispatcher and executor cores are the real ones; only the network between them is a fake. The
-promises are checked where they can be seen: starts are counted at the upstreams.
+Dispatcher and executor are the real ones; only the network between them is simulated. The
+guarantees are checked where they are observable: starts are counted at the upstreams.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request on its way, and its reply on the way back."""
+    """One request and its reply, both possibly still in flight."""
 
     executor: Executor
     request: ExchangeRequest
@@ -38,7 +38,7 @@
 
 
 class World:
-    """One host, some upstreams and every message between them."""
+    """One entry host, its upstreams and all messages between them."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -53,7 +53,7 @@
         for executor in self.executors:
             executor.begin_session(executor.links[HOST])
 
-    # What may happen
+    # Random actions and faults
 
     def submit(self) -> None:
         if len(self.jobs) >= MAX_JOBS:
@@ -113,10 +113,10 @@
             self.break_call(self.chance.choice(self.calls))
 
     def break_call(self, call: Call) -> None:
-        """The upstream sees a transport error; the host may see it, or never hear of it.
+        """Let the upstream see a transport error; the host may see it, too, or never learn of it.
 
-        Every other call of the session may still arrive at the host later, as may its reply at the
-        upstream: the network delays as it likes.
+        Any other call of the session may still arrive at the host later, and its reply at the
+        upstream, since the network may delay messages for any time.
         """
         self.calls.remove(call)
         executor = call.executor
@@ -176,7 +176,7 @@
                     call.reply = delivery.reply
                     break
 
-    # What must hold
+    # Invariants
 
     def check(self) -> None:
         for (id, task), count in self.starts.items():
@@ -184,13 +184,13 @@
             if not job.spec.idempotent:
                 assert count <= 1, f"task {task} of {id} started {count} times"
         for job in self.dispatcher.pop_ended_jobs():
-            assert job.id not in self.answers, "a job ends once"
+            assert job.id not in self.answers, "a job must not end twice"
             self.answers[job.id] = build_answer(job)
         for id, answer in self.answers.items():
             self.check_answer(self.jobs[id], answer)
 
     def check_answer(self, job: Job, answer: JobAnswer) -> None:
-        assert build_answer(job) == answer, "an answer never changes"
+        assert build_answer(job) == answer, "an answer must not change"
         if answer.state is JobState.COMPLETE:
             expected = [build_value(TaskKey(job.id, at, 0)) for at in range(len(job.states))]
             assert answer.results is not None
@@ -198,7 +198,7 @@
             return
         assert answer.results is None and answer.failure is not None
         started = {task for id, task in self.starts if id == job.id}
-        assert started <= set(answer.failure.may_have_run), "what is called not run did not run"
+        assert started <= set(answer.failure.may_have_run), "a task reported as not run was started"
 
     def run(self, steps: int) -> None:
         actions = [
@@ -220,7 +220,7 @@
             self.check()
 
     def run_without_faults(self) -> None:
-        """With no more faults every job ends."""
+        """Check that without further faults every job ends."""
         fault_free_actions = [
             self.send,
             self.deliver_request,
@@ -261,4 +261,4 @@
         for answer in world.answers.values():
             ends[answer.failure.reason.value if answer.failure else "complete"] += 1
     assert {"complete", "task_failed", "task_unknown", "cancelled", "deadline"} <= set(ends)
-    assert returned > 0, "tasks whose reply was lost were started elsewhere"
+    assert returned > 0, "no task whose reply was lost was returned to the queue"
--- a/cottonlug/tests/test_inputs.py
+++ b/cottonlug/tests/test_inputs.py
@@ -1,4 +1,4 @@
-"""Anything may come in: rules against a naive scan, and fuzzed documents, messages and journals."""
+"""Property tests of inputs: rules against a naive scan; fuzzed documents, messages and journals."""
 
 from __future__ import annotations
 
@@ -116,7 +116,7 @@
 
 
 class _OneFile:
-    """A folder that holds one journal."""
+    """A folder with a single file, the journal."""
 
     def __init__(self, content: bytes) -> None:
         self.content = content
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -1,7 +1,7 @@
-"""What a host has counted itself for is on its disk, whatever the disk does with unsynced writes.
+"""What a host has counted itself for is durable, whatever the disk does with unsynced writes.
 
-Failure pattern: a process is killed between a write and its sync, begins anew, reads what it had
-written and counts itself for it; then the power fails, and the disk has never held it.
+Failure pattern: a process is killed between a write and its sync, restarts, reads what it had
+written and counts itself for it; then the power fails, and the write never reached the disk.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class DiskFiles(FolderFiles):
-    """The real code of a folder, on a model of its disk."""
+    """The real `FolderFiles` on a model of its disk."""
 
     def __init__(self, disk: ModelDisk) -> None:
         self._disk = disk
@@ -47,14 +47,14 @@
 
 
 class Guarantees:
-    """What a member has counted itself for."""
+    """What a member has counted itself for, so that it must still be on its disk."""
 
     def __init__(self) -> None:
         self.member: MemberId | None = None
         self.term = Term(0)
         self.entries: dict[Index, Entry] = {}
         self.first = Index(1)
-        """Entries before it are in a snapshot."""
+        """Index of the first entry after the snapshot."""
 
     def update(self, stored: StoredState, member: MemberId) -> None:
         self.member = member
@@ -63,7 +63,7 @@
         self.entries = {entry.index: entry for entry in stored.entries}
 
     def find_violation(self, journal: Journal) -> str:
-        """Return what a journal that was opened again lacks, or nothing."""
+        """Return what a reopened journal lacks, or an empty string."""
         stored = journal.stored
         if self.member is not None and journal.member != self.member:
             return f"member {self.member} is {journal.member}"
@@ -79,7 +79,7 @@
 
 
 class DiskScenario:
-    """A host that saves, is killed, loses power and finds its disk full."""
+    """Random saves, process kills, power failures and full disks of one host."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -126,7 +126,7 @@
             output.snapshot = Snapshot(
                 index=at, term=term, members=Members(voters=()), data="state"
             )
-        # A vote that was cast, or entries voided, may be on the disk also where that said no.
+        # After a failed save, the new term or the truncation may still have reached the disk.
         self.guarantees.entries = {
             index: entry
             for index, entry in self.guarantees.entries.items()
--- a/cottonlug/tests/test_start.py
+++ b/cottonlug/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a daemon loads before it serves, and how its short way of starting answers for mistakes."""
+"""Tests of the daemons' fast start: which modules are imported, and how wrong usage is reported."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from ..daemon import INVARIANT_EXIT, SETTINGS_EXIT, USAGE_EXIT, main
 
 SLOW_TO_LOAD = ("typer", "litestar", "httpx", "opentelemetry")
-"""Together they took half of the start of a daemon, and serve neither callers nor upstreams."""
+"""Importing these took half of a daemon's start time; serving callers and upstreams needs none."""
 
 
 @pytest.mark.parametrize("name", ["control", "gateway"])
 def test_daemon_imports_no_module_that_it_does_not_need_to_serve(name: str) -> None:
-    """Failed before: each loaded the command line, litestar, httpx and OpenTelemetry first."""
+    """Failure: each daemon first imported the command line, litestar, httpx and OpenTelemetry."""
     program = (
         "import sys; from cottonlug import unused_imports; unused_imports.block_unused_imports(); "
         f"import cottonlug.commands.{name}; print(*sys.modules)"
