--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -352,12 +352,12 @@
 
     def _check_quorum(self) -> None:
         """Step down unless a majority of voters was heard within the last election timeout."""
-        heard = {
+        recently_heard = {
             member
             for member, progress in self._progress.items()
             if self._now - progress.heard_at < self._timing.election
         }
-        if not is_quorum(self.members.voters, heard | {self.id}):
+        if not is_quorum(self.members.voters, recently_heard | {self.id}):
             self._become_follower(self.term, None)
             return
         self._election_due = self._now + self._timing.election
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -59,10 +59,10 @@
     members = leader.members
     if len(members.voters) <= DEFAULT_VOTERS:
         return None
-    gone = next((voter for voter in members.voters if voter in lost), None)
-    if gone is None:
+    lost_voter = next((voter for voter in members.voters if voter in lost), None)
+    if lost_voter is None:
         return None
-    voters = tuple(voter for voter in members.voters if voter != gone)
+    voters = tuple(voter for voter in members.voters if voter != lost_voter)
     return Members(voters=voters, learners=members.learners)
 
 
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -251,7 +251,9 @@
         for job in list(self._active.values()):
             if job.succeeded or job.sent or now - job.accepted_at < self._limits.unrunnable_grace:
                 continue
-            if not any(sessions.could_ever_fit(offer, job.spec) for offer in announcements):
+            if not any(
+                sessions.could_ever_fit(announcement, job.spec) for announcement in announcements
+            ):
                 detail = "no upstream has what a task of this job needs"
                 self._fail_job(job, FailureReason.NEVER_RUNNABLE, detail, now)
 
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -138,13 +138,15 @@
             return 0
         slots = self.announcement.slots
         open_links = [other for other in self.links.values() if not other.draining]
-        wanting = [other for other in open_links if other.backlog > 0]
-        if not wanting:
+        backlogged = [other for other in open_links if other.backlog > 0]
+        if not backlogged:
             return _compute_share(slots, open_links, link)
-        idle = len(open_links) - len(wanting)
+        idle = len(open_links) - len(backlogged)
         if link.backlog == 0:
             return 1
-        return max(1, _compute_share(max(slots - idle, 1), wanting, link)) + self._delays.prefetch
+        return (
+            max(1, _compute_share(max(slots - idle, 1), backlogged, link)) + self._delays.prefetch
+        )
 
     def find_next_request_time(self, link: Link) -> timedelta | None:
         """Return when to send the link's next request, or None if nothing calls for one yet."""
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -63,7 +63,7 @@
 
     def choose_session(self, spec: JobSpec) -> Session | None:
         """Return the first session where a task of the job fits, or None."""
-        passed: list[_Entry] = []
+        skipped: list[_Entry] = []
         chosen: Session | None = None
         while self._heap and chosen is None:
             entry = self._heap[0]
@@ -73,8 +73,8 @@
             elif fits_now(session, spec):
                 chosen = session
             else:
-                passed.append(heapq.heappop(self._heap))
-        for entry in passed:
+                skipped.append(heapq.heappop(self._heap))
+        for entry in skipped:
             heapq.heappush(self._heap, entry)
         return chosen
 
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -88,11 +88,11 @@
         caller starts none is offered again only on the next call.
         """
         for priority in sorted(self._classes):
-            passed: list[tuple[_TeamQueue, _Entry]] = []
+            skipped: list[tuple[_TeamQueue, _Entry]] = []
             try:
-                yield from self._iterate_class(priority, passed)
+                yield from self._iterate_class(priority, skipped)
             finally:
-                for team, entry in passed:
+                for team, entry in skipped:
                     heapq.heappush(team.entries, entry)
 
     def charge(self, job: Job, work: timedelta) -> None:
@@ -104,7 +104,7 @@
         return job.spec.team if self._fair_teams else _SHARED_TEAM
 
     def _iterate_class(
-        self, priority: int, passed: list[tuple[_TeamQueue, _Entry]]
+        self, priority: int, skipped: list[tuple[_TeamQueue, _Entry]]
     ) -> Generator[Turn]:
         teams = self._classes[priority]
         while True:
@@ -123,4 +123,4 @@
             yield Turn(job, len(job.queued) if len(waiting) == 1 else 1)
             if len(job.queued) == before:
                 heapq.heappop(team.entries)
-                passed.append((team, entry))
+                skipped.append((team, entry))
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -94,7 +94,7 @@
             return _refuse_stale(request)
         if request.announce is None:
             return _refuse_stale(request)
-        fresh = Session(
+        new_session = Session(
             upstream=request.upstream,
             incarnation=request.incarnation,
             number=request.session,
@@ -103,10 +103,10 @@
             expires_at=now,
             ordinal=next(self._ordinals),
         )
-        opened = OpenedSession(fresh)
+        opened = OpenedSession(new_session)
         if session is not None:
             self._replace_session(session, opened, request)
-        self.by_upstream[request.upstream] = fresh
+        self.by_upstream[request.upstream] = new_session
         self.guard.add(request.upstream)
         self.notices.append(Notice(NoticeKind.OPENED, request.upstream))
         return opened
@@ -199,8 +199,8 @@
     def _replace_session(
         self, old: Session, opened: OpenedSession, request: ExchangeRequest
     ) -> None:
-        fresh = opened.session
-        if old.incarnation != fresh.incarnation:
+        new_session = opened.session
+        if old.incarnation != new_session.incarnation:
             opened.lost = self.close_session(old, "the upstream restarted")
             return
         self._answer_open_requests(old)
@@ -211,7 +211,7 @@
         for key, needs in list(old.outstanding.items()):
             sessions.remove_outstanding(old, key)
             if key in reported:
-                sessions.add_outstanding(fresh, key, needs)
+                sessions.add_outstanding(new_session, key, needs)
             else:
                 opened.unstarted.append(key)
 
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -186,7 +186,7 @@
         kept = [] if restore else [e for e in content.entries if e.index > snapshot.index]
         content.apply_record(SnapshotRecord(snapshot=snapshot))
         content.entries = kept
-        whole: list[JournalRecord] = [
+        rewritten: list[JournalRecord] = [
             IdentityRecord(member=self.member),
             HardStateRecord(hard_state=content.hard_state),
             SnapshotRecord(snapshot=snapshot),
@@ -194,7 +194,9 @@
             AppliedRecord(index=content.applied),
         ]
         try:
-            self._files.replace(JOURNAL_FILE, b"".join(_encode_record(record) for record in whole))
+            self._files.replace(
+                JOURNAL_FILE, b"".join(_encode_record(record) for record in rewritten)
+            )
         except OSError as error:
             return self._record_write_failure(error)
         return Success(None)
@@ -220,15 +222,17 @@
         replayed = _replay(data)
         if isinstance(replayed, Err):
             return Err(replayed.failure())
-        content, good = replayed.unwrap()
-        if good < len(data):
-            files.truncate(JOURNAL_FILE, good)
+        content, valid_size = replayed.unwrap()
+        if valid_size < len(data):
+            files.truncate(JOURNAL_FILE, valid_size)
     except OSError as error:
         message = f"cannot use the data folder: {error.strerror or error}"
         return Err(StorageError(message=message, damaged=False))
     if content.member is None:
         return Err(StorageError(message="the journal has no identity", damaged=True))
-    journal = Journal(files=files, member=content.member, content=content, cut=len(data) - good)
+    journal = Journal(
+        files=files, member=content.member, content=content, cut=len(data) - valid_size
+    )
     return Success(journal)
 
 
@@ -240,59 +244,59 @@
 
 def _replay(data: bytes) -> Result[tuple[_JournalContent, int], StorageError]:
     content = _JournalContent()
-    at = 0
-    while at < len(data):
-        payload = _read_payload(data, at)
+    offset = 0
+    while offset < len(data):
+        payload = _read_payload(data, offset)
         if payload is None:
-            if _is_torn_write(data, at):
+            if _is_torn_write(data, offset):
                 break
-            return Err(_report_damage(at))
+            return Err(_report_damage(offset))
         try:
             content.apply_record(_decoder.decode(payload))
         except msgspec.MsgspecError:
-            return Err(_report_damage(at))
-        at += _HEADER.size + len(payload)
-    return Success((content, at))
+            return Err(_report_damage(offset))
+        offset += _HEADER.size + len(payload)
+    return Success((content, offset))
 
 
-def _read_payload(data: bytes, at: int) -> bytes | None:
+def _read_payload(data: bytes, offset: int) -> bytes | None:
     """Return the payload of the record at an offset, or None if its checksums do not match."""
-    length = _read_length(data, at)
+    length = _read_length(data, offset)
     if length is None:
         return None
-    start = at + _HEADER.size
+    start = offset + _HEADER.size
     payload = data[start : start + length]
-    _, _, checksum = _HEADER.unpack_from(data, at)
+    _, _, checksum = _HEADER.unpack_from(data, offset)
     if len(payload) < length or zlib.crc32(payload) != checksum:
         return None
     return payload
 
 
-def _read_length(data: bytes, at: int) -> int | None:
+def _read_length(data: bytes, offset: int) -> int | None:
     """Return the payload length in a record's header, or None if the header is not valid."""
-    if at + _HEADER.size > len(data):
+    if offset + _HEADER.size > len(data):
         return None
-    length, length_check, _ = _HEADER.unpack_from(data, at)
+    length, length_check, _ = _HEADER.unpack_from(data, offset)
     if length == 0 or zlib.crc32(_LENGTH.pack(length)) != length_check:
         return None
     return int(length)
 
 
-def _is_torn_write(data: bytes, at: int) -> bool:
+def _is_torn_write(data: bytes, offset: int) -> bool:
     """Whether the rest of the file can only be a write that a crash cut short."""
-    rest = len(data) - at
+    rest = len(data) - offset
     if rest < _HEADER.size:
         return True
-    length = _read_length(data, at)
+    length = _read_length(data, offset)
     if length is not None and rest < _HEADER.size + length:
         return True
     # A payload is JSON and never ends with a zero byte; a write cut short can leave trailing zeros.
     return data.endswith(b"\0")
 
 
-def _report_damage(at: int) -> StorageError:
+def _report_damage(offset: int) -> StorageError:
     message = (
-        f"the journal is damaged at byte {at}; this disk cannot be trusted: empty the data folder, "
-        "and the host joins again as a new member"
+        f"the journal is damaged at byte {offset}; this disk cannot be trusted: empty the data "
+        "folder, and the host joins again as a new member"
     )
     return StorageError(message=message, damaged=True)
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -69,11 +69,11 @@
             return f"member {self.member} is {journal.member}"
         if stored.hard_state.term < self.term:
             return f"term {self.term} is {stored.hard_state.term}"
-        there = {entry.index: entry for entry in stored.entries}
+        stored_entries = {entry.index: entry for entry in stored.entries}
         lost = [
             index
             for index, entry in self.entries.items()
-            if index > stored.snapshot.index and there.get(index) != entry
+            if index > stored.snapshot.index and stored_entries.get(index) != entry
         ]
         return f"lost entries {lost}" if lost else ""
 
