--- a/cottonlug/core/consensus/log.py
+++ b/cottonlug/core/consensus/log.py
@@ -78,7 +78,7 @@
         return members
 
     def find_members_index(self) -> Index:
-        """Return the index of the newest set of members."""
+        """Return the index at which the newest set of members was appended."""
         for entry in reversed(self._entries):
             if entry.members is not None:
                 return entry.index
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -329,7 +329,7 @@
         elif self.role is Role.CANDIDATE:
             self._become_leader()
 
-    # Leading
+    # Leader
 
     def _become_leader(self) -> None:
         require(self.id in self.members.voters, "only a voter may lead")
@@ -454,7 +454,7 @@
             self._become_follower(self.term, None)
         return True
 
-    # Following
+    # Follower
 
     def _handle_append_request(self, request: AppendRequest) -> None:
         self._follow_leader(request.sender)
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -178,7 +178,7 @@
         return deliveries
 
     def tick(self, now: timedelta) -> None:
-        """End overdue jobs, expire records and, every `SCAN_INTERVAL`, scan all sessions."""
+        """End overdue jobs, expire records and, every `SCAN_INTERVAL`, scan sessions and jobs."""
         self.session_table.now = now
         self._end_overdue_jobs(now)
         self.store.expire(now)
--- a/cottonlug/core/submissions.py
+++ b/cottonlug/core/submissions.py
@@ -68,7 +68,7 @@
         )
 
     def find_submission(self, id: SubmissionId, now: timedelta) -> Result[Job | JobAnswer, Refusal]:
-        """Return the job of an id, or the answer `record_lost` for an older generation's id."""
+        """Return the job of an id; an id of another generation gets the answer `record_lost`."""
         job = self.jobs.get(id)
         if job is not None:
             return Success(job)
