--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -293,7 +293,7 @@
             id=self._journal.member,
             stored=stored,
             timing=TIMING,
-            random_float=random.random,
+            chance=random.random,
             now=self._clock.monotonic(),
             saves_after_sending=True,
         )
@@ -308,7 +308,7 @@
     def _pump(self) -> None:
         """Save, send and apply what the member put out; a leader may send before it saves."""
         while self.member is not None and self._journal is not None:
-            output = self.member.pop_output()
+            output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
                 break
             if not self._keep(output):
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -204,7 +204,7 @@
             id=self._journal.member,
             stored=stored,
             timing=Timing(),
-            random_float=random.random,
+            chance=random.random,
             now=self._clock.monotonic(),
         )
         self._state = decode_state(stored.snapshot.data)
@@ -216,7 +216,7 @@
     def _pump(self) -> None:
         """Save, send and apply whatever the member put out, in this order."""
         while self.member is not None and self._journal is not None:
-            output = self.member.pop_output()
+            output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
                 break
             if not self._save(output):
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -28,7 +28,7 @@
     MemberId,
     Members,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
 )
 from ..core.ids import UpstreamId
@@ -439,8 +439,8 @@
     It passed orders to it, and did not ask to be taken in, since only voters have a time-out.
     """
     snapshot = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(OTHER,)), data="")
-    stored = StoredState(hard_state=HardState(term=Term(0)), snapshot=snapshot)
-    member = Member(id=OWN, stored=stored, timing=TIMING, random_float=lambda: 0.5, now=timedelta())
+    stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
+    member = Member(id=OWN, stored=stored, timing=TIMING, chance=lambda: 0.5, now=timedelta())
     heartbeat = AppendRequest(
         term=Term(1), sender=OTHER, previous_index=Index(1), previous_term=Term(0), commit=Index(1)
     )
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -31,7 +31,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    StoredState,
+    Stored,
     Term,
     VoteReply,
     VoteRequest,
@@ -43,12 +43,12 @@
 SNAPSHOT = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(A, B, C)), data="")
 
 
-def build_member(stored: StoredState) -> Member:
-    return Member(id=A, stored=stored, timing=Timing(), random_float=lambda: 0.0, now=timedelta())
+def build_member(stored: Stored) -> Member:
+    return Member(id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta())
 
 
-def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> StoredState:
-    return StoredState(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
+def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> Stored:
+    return Stored(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
 
 
 def build_entry(index: int, term: int, data: str = "x") -> Entry:
@@ -62,7 +62,7 @@
 
 
 def read_vote(member: Member) -> bool:
-    message = member.pop_output().messages[-1].message
+    message = member.take_output().messages[-1].message
     assert isinstance(message, VoteReply)
     return message.granted
 
@@ -82,9 +82,7 @@
 
 
 def build_fast_member(id: MemberId, now: timedelta) -> Member:
-    return Member(
-        id=id, stored=build_stored(3), timing=FAST_TIMING, random_float=lambda: 0.0, now=now
-    )
+    return Member(id=id, stored=build_stored(3), timing=FAST_TIMING, chance=lambda: 0.0, now=now)
 
 
 def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
@@ -93,7 +91,7 @@
     while waiting:
         waiting = False
         for member in members.values():
-            for envelope in member.pop_output().messages:
+            for envelope in member.take_output().messages:
                 if envelope.to in members:
                     members[envelope.to].receive(envelope.message, now)
                     waiting = True
@@ -128,7 +126,7 @@
     member = build_fast_member(A, timedelta())
     for number in range(3):
         member.tick(timedelta(milliseconds=60 + 100 * number))
-        requests = [envelope.message for envelope in member.pop_output().messages]
+        requests = [envelope.message for envelope in member.take_output().messages]
         assert len(requests) == 2
         assert all(isinstance(each, VoteRequest) and each.pre for each in requests)
     assert member.term == 3
@@ -139,12 +137,12 @@
     entries = tuple(build_entry(index, 3) for index in range(2, 10))
     member = build_member(build_stored(3, entries))
     elect_leader(member)
-    member.pop_output()
+    member.take_output()
     late = timedelta(seconds=10)
     refusal = AppendReply(term=member.term, sender=B, accepted=False, matched=Index(1))
 
     def count_sent() -> int:
-        messages = [envelope.message for envelope in member.pop_output().messages]
+        messages = [envelope.message for envelope in member.take_output().messages]
         return sum(len(each.entries) for each in messages if isinstance(each, AppendRequest))
 
     for _ in range(5):
@@ -160,7 +158,7 @@
     journal.save(Output(snapshot=SNAPSHOT, restore=True)).unwrap()
     member = build_member(journal.stored)
     member.receive(ask_vote(B, 5), timedelta())
-    output = member.pop_output()
+    output = member.take_output()
     assert output.hard_state == HardState(term=Term(5), voted_for=B)
     journal.save(output).unwrap()
     again = build_member(journal.stored)
@@ -188,7 +186,7 @@
     member.receive(SnapshotRequest(term=Term(2), sender=B, snapshot=late), timedelta())
     assert member.log.last_index == 3
     assert member.commit == 2
-    output = member.pop_output()
+    output = member.take_output()
     assert not output.restore
     assert [entry.index for entry in output.committed] == [2]
 
@@ -212,7 +210,7 @@
         commit=Index(1),
     )
     member.receive(beat, timedelta())
-    member.pop_output()
+    member.take_output()
     member.receive(ask_vote(C, 7), timedelta(milliseconds=100))
     assert member.term == 2
     assert read_vote(member) is False
@@ -303,4 +301,4 @@
 def test_leader_election_appends_an_empty_entry() -> None:
     member = build_member(build_stored(2))
     elect_leader(member)
-    assert [entry.kind for entry in member.pop_output().entries] == [EntryKind.EMPTY]
+    assert [entry.kind for entry in member.take_output().entries] == [EntryKind.EMPTY]
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -141,7 +141,7 @@
             id=node.journal.member,
             stored=stored,
             timing=Timing(),
-            random_float=self.chance.random,
+            chance=self.chance.random,
             now=self.now,
         )
         node.state = decode_state(stored.snapshot.data)
@@ -158,7 +158,7 @@
         """Save, send and apply a member's output, in this order."""
         try:
             while node.member is not None and node.journal is not None:
-                output = node.member.pop_output()
+                output = node.member.take_output()
                 if not (output.must_save or output.messages or output.committed):
                     return
                 if output.must_save and not isinstance(node.journal.save(output), Success):
