--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -336,7 +336,7 @@
         self.role = Role.LEADER
         self.leader = self.id
         self._progress = {}
-        # As a follower, this member saved every vote and entry before it acknowledged it.
+        # Every vote and entry up to now was saved before it was acknowledged.
         self._saved_index = self.log.last_index
         self._append_own_entry(EntryKind.EMPTY, "", None)
         self._update_members()
@@ -486,7 +486,7 @@
         self._follow_leader(request.sender)
         snapshot = request.snapshot
         if self.log.find_term(snapshot.index) == snapshot.term:
-            # A delayed snapshot: entries after it may have been acknowledged and must be kept.
+            # A delayed snapshot: the entries after it were acknowledged already and must be kept.
             self.commit = max(self.commit, snapshot.index)
         elif snapshot.index > self.commit:
             self.log.install_snapshot(snapshot)
