--- a/bench/leader.py
+++ b/bench/leader.py
@@ -26,9 +26,9 @@
 import uvloop
 
 from cottonlug.config.options import Address
-from cottonlug.core.cluster.calls import Answer, Call, Greet, Submit, call_decoder
-from cottonlug.core.cluster.identity import name_life
-from cottonlug.core.cluster.lives import choose_terms
+from cottonlug.core.cluster.calls import Answer, Call, KeepAlive, Submit, call_decoder
+from cottonlug.core.cluster.identity import build_instance_id
+from cottonlug.core.cluster.instances import choose_lease_terms
 from cottonlug.core.cluster.model import (
     Capacity,
     Configuration,
@@ -46,11 +46,11 @@
 from cottonlug.net.servers import Listener
 from cottonlug.platform.workers import WorkerClient
 from cottonlug.runtime.clocks import SystemClock
-from cottonlug.runtime.gateways import GATEWAY_SILENT
-from cottonlug.runtime.job_lines import JobLines
-from cottonlug.runtime.leading import Leading, LeadingSettings
+from cottonlug.runtime.gateways import GATEWAY_TIMEOUT
+from cottonlug.runtime.job_lines import JobChannelServer
+from cottonlug.runtime.leadership import Leadership, LeadershipSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
-from cottonlug.tests.gateway_builders import fail
+from cottonlug.tests.gateway_builders import raise_error
 from cottonlug.tests.processes import find_base_port
 from cottonlug.tests.test_cluster_waiting import OwnOffice
 
@@ -95,7 +95,7 @@
     """Return what the stand-ins would say of themselves."""
     return [
         UpstreamInfo(
-            id=name_life(f"u{number}", BORN_MS),
+            id=build_instance_id(f"u{number}", BORN_MS),
             service=SERVICE,
             address=f"{build_address(number)}:{port}",
             domain=DomainName("domain"),
@@ -112,20 +112,20 @@
 
     def __init__(self, *, address: Address, infos: list[UpstreamInfo]) -> None:
         replicated = ReplicatedRecords()
-        replicated.records.put_in_force(build_configuration())
+        replicated.records.activate_configuration(build_configuration())
         for info in infos:
             replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
         self._address = address
         self._pools = ConnectionPools(max_connections=16)
         clock = SystemClock()
-        self.leading = Leading(
+        self.leadership = Leadership(
             authority=OwnOffice(),
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
-            on_failure=fail,
-            settings=LeadingSettings(
-                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+            on_failure=raise_error,
+            settings=LeadershipSettings(
+                lease_terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
                 keep_ended=timedelta(seconds=120),
                 caller_retry=CALLER_RETRY,
                 control_address=None,
@@ -133,16 +133,16 @@
         )
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
-            self.leading.dispatch.take_heartbeat(heartbeat, clock.monotonic())
-        self._lines = JobLines(
-            answer=self.leading.answer, clock=clock, find_slack=lambda submit: 1.0
+            self.leadership.dispatch.handle_heartbeat(heartbeat, clock.monotonic())
+        self._lines = JobChannelServer(
+            answer=self.leadership.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
         self.listener = Listener(app=app, address=address)
 
     def stop(self) -> None:
         """Decide nothing more."""
-        self.leading.stop()
+        self.leadership.stop()
         self._pools.close()
 
     def _answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
@@ -152,15 +152,15 @@
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
-        assert isinstance(call, Greet), "its tag says so"
-        return _reply(self._add_host(self.leading.answer_greeting(call)))
+        assert isinstance(call, KeepAlive), "its tag says so"
+        return _reply(self._add_host(self.leadership.answer_keepalive(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         if self._lines.handles(request.path):
             return await self._lines.handle(request)
         call: Call = call_decoder.decode(request.body)
         assert not isinstance(call, Submit), "jobs come in batches"
-        return _reply(await self.leading.answer(call))
+        return _reply(await self.leadership.answer(call))
 
     def _add_host(self, answer: Answer) -> Answer:
         own = str(self._address)
@@ -198,7 +198,7 @@
     spent = time.thread_time() - began
     assert callers.stdout is not None
     answered = json.loads(callers.stdout.read())
-    counts = host.leading.dispatch.counts
+    counts = host.leadership.dispatch.counts
     host.stop()
     await host.listener.stop()
     upstreams.terminate()
--- a/cottonlug/core/cluster/ends.py
+++ b/cottonlug/core/cluster/ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs: learnt from, noted in the record, and acted upon."""
+"""Handles the ends of runs: learns from them, records them and acts on them."""
 
 from __future__ import annotations
 
@@ -6,136 +6,151 @@
 
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
-from .commands import NoteEnds
-from .life_table import LifeTable
-from .lives import Life
-from .model import EndKind, EndReport, JobId
+from .commands import RecordRunEnds
+from .instances import Instance
+from .life_table import InstanceTable
+from .model import JobId, RunEndKind, RunEndReport
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
-from .records import JobRecord, note_end
-from .settlement import Settlement
+from .records import JobRecord, record_run_end
+from .settlement import Reconciliation
 from .term import Term
 
 
-class Ends:
-    """What a leader does about ends; those of jobs that must be kept go through the log first."""
+class RunEndHandler:
+    """Processes run ends that upstreams list; those of durable jobs go through the log first."""
 
     def __init__(
-        self, *, term: Term, lives: LifeTable, jobs: OpenJobs, settlement: Settlement
+        self,
+        *,
+        term: Term,
+        instances: InstanceTable,
+        jobs: OpenJobs,
+        reconciliation: Reconciliation,
     ) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
-        self._settlement = settlement
-        self._orphans: dict[JobId, list[EndReport]] = {}
-        """Ends of jobs that are not known, but may be submitted again."""
+        self._reconciliation = reconciliation
+        self._orphaned: dict[JobId, list[RunEndReport]] = {}
+        """Ends of jobs that are unknown so far but may be submitted again."""
 
-    def take_listed(self, life: Life, ended: tuple[EndReport, ...], now: timedelta) -> None:
-        """Take note of ends that an upstream has listed, here or through the log."""
-        new = tuple(end for end in ended if end.number > max(life.proposed, life.noted))
+    def handle_listed_ends(
+        self, instance: Instance, ended: tuple[RunEndReport, ...], now: timedelta
+    ) -> None:
+        """Record ends that an upstream has listed: here, or through the log for durable jobs."""
+        new = tuple(
+            end
+            for end in ended
+            if end.number > max(instance.proposed_through, instance.recorded_through)
+        )
         if not new:
             return
-        awaits_record = life.proposed > life.noted
-        life.proposed = new[-1].number
+        awaits_record = instance.proposed_through > instance.recorded_through
+        instance.proposed_through = new[-1].number
         self._term.counts.ends += len(new)
-        self._jobs.tempo.take_ends(len(new), now)
-        kept: list[EndReport] = []
+        self._jobs.throughput.record_run_ends(len(new), now)
+        durable_ends: list[RunEndReport] = []
         for end in new:
-            run = life.remove_run((end.task, end.run))
+            run = instance.remove_run((end.task, end.run))
             if run is not None:
-                self._look_for_another(life, run, end)
-                self._judge(life, run, end, now)
-            self._jobs.mark_noting(end, life.info.id)
+                self._detect_other_coordinator(instance, run, end)
+                self._evaluate_end(instance, run, end, now)
+            self._jobs.mark_recording(end, instance.info.id)
             if end.task.job in self._term.records.jobs:
-                kept.append(end)
+                durable_ends.append(end)
             else:
-                self._note_here(end, life.info.id, now)
-        if not kept and not awaits_record:
-            life.noted = max(life.noted, life.proposed)
+                self._record_locally(end, instance.info.id, now)
+        if not durable_ends and not awaits_record:
+            instance.recorded_through = max(instance.recorded_through, instance.proposed_through)
             return
-        command = NoteEnds(
-            upstream=life.info.id,
-            through=life.proposed,
-            ends=tuple(kept),
+        command = RecordRunEnds(
+            upstream=instance.info.id,
+            through=instance.proposed_through,
+            ends=tuple(durable_ends),
             at_ms=self._term.wall_ms(),
         )
         self._term.proposals.append(command)
 
-    def take_noted(self, command: NoteEnds, now: timedelta) -> None:
-        """Act on ends that the record has taken note of."""
-        life = self._lives.by_id.get(command.upstream)
-        if life is not None:
-            life.noted = max(life.noted, command.through)
-            life.look_due = now
-            self._lives.touch(life)
+    def handle_recorded_ends(self, command: RecordRunEnds, now: timedelta) -> None:
+        """Act on ends that the log has committed."""
+        instance = self._instances.by_id.get(command.upstream)
+        if instance is not None:
+            instance.recorded_through = max(instance.recorded_through, command.through)
+            instance.poll_due = now
+            self._instances.mark_changed(instance)
         for end in command.ends:
-            self._take_noted_end(end, command.upstream, now)
+            self._apply_recorded_end(end, command.upstream, now)
 
-    def claim(self, record: JobRecord, now: timedelta) -> None:
-        """Take note of ends that were listed before their job was submitted again."""
-        for end in self._orphans.pop(record.id, []):
-            note_end(record, end, self._term.wall_ms())
-            self._take_noted_end(end, None, now)
+    def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
+        """Apply ends that were listed before their job was submitted again."""
+        for end in self._orphaned.pop(record.id, []):
+            record_run_end(record, end, self._term.wall_ms())
+            self._apply_recorded_end(end, None, now)
 
-    def forget_orphans(self, now: timedelta) -> None:
-        """Forget ends of jobs that nobody has submitted again in time."""
-        if self._orphans and not self._lives.is_grace(now):
-            self._orphans.clear()
+    def forget_orphaned_ends(self, now: timedelta) -> None:
+        """Drop ends of jobs that nobody has submitted again in time."""
+        if self._orphaned and not self._instances.is_in_grace_period(now):
+            self._orphaned.clear()
 
-    def _look_for_another(self, life: Life, run: Run, end: EndReport) -> None:
-        """Learn from a stop that is not ours that another host decides, with a higher token.
+    def _detect_other_coordinator(self, instance: Instance, run: Run, end: RunEndReport) -> None:
+        """Detect, from a stop that another host sent, that a host with a higher token coordinates.
 
-        It may have begun the task again by now.
+        That host may have started the task again by now.
         """
-        if end.how is EndKind.STOPPED and not run.stop_wanted:
-            self._term.is_fenced_off = True
-            self._term.note(
-                "run_stopped_elsewhere", {"upstream": life.info.id, "job": end.task.job}
+        if end.how is RunEndKind.STOPPED and not run.stop_requested:
+            self._term.is_superseded = True
+            self._term.log_decision(
+                "run_stopped_elsewhere", {"upstream": instance.info.id, "job": end.task.job}
             )
 
-    def _judge(self, life: Life, run: Run, end: EndReport, now: timedelta) -> None:
-        """Learn from the end of a run how fast its kind is, and how well its upstream."""
-        health = self._lives.get_health(life)
+    def _evaluate_end(
+        self, instance: Instance, run: Run, end: RunEndReport, now: timedelta
+    ) -> None:
+        """Update the expected run time of a step and the health of an upstream."""
+        health = self._instances.get_health(instance)
         job = self._jobs.jobs.get(end.task.job)
-        if job is None or run.is_orphan:
+        if job is None or run.is_orphaned:
             return
         step = job.record.spec.steps[end.task.step]
         queue = job.record.queue.key
         taken = now - run.since
         expected = self._jobs.forecast.predict(queue, step)
-        self._term.note(
+        self._term.log_decision(
             "run_ended",
             {
                 "job": end.task.job,
                 "task": f"{end.task.step}.{end.task.place}",
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "how": end.how.value,
                 "took_ms": to_milliseconds(taken),
                 "expected_ms": to_milliseconds(expected),
             },
         )
         if job.record.spec.long_running:
-            # How long a task lasts says nothing of its upstream.
+            # The run time of a long-running task says nothing about its upstream.
             return
-        if end.how is EndKind.DONE:
+        if end.how is RunEndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
-            job.learn_pace(end.task.step, life.info.id, taken)
-            if health.take_done(taken / expected, now):
-                self._term.note("upstream_slow", {"upstream": life.info.id})
-        elif end.how is EndKind.FAILED and health.take_failure(now):
-            self._term.note("upstream_failing", {"upstream": life.info.id})
+            job.record_run_time(end.task.step, instance.info.id, taken)
+            if health.record_success(taken / expected, now):
+                self._term.log_decision("upstream_slow", {"upstream": instance.info.id})
+        elif end.how is RunEndKind.FAILED and health.record_failure(now):
+            self._term.log_decision("upstream_failing", {"upstream": instance.info.id})
 
-    def _note_here(self, end: EndReport, upstream: UpstreamId, now: timedelta) -> None:
-        """Take note of an end that need not be kept."""
+    def _record_locally(self, end: RunEndReport, upstream: UpstreamId, now: timedelta) -> None:
+        """Record the end of a run of a best-effort job."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
-            note_end(job.record, end, self._term.wall_ms())
-            self._take_noted_end(end, upstream, now)
-        elif self._lives.is_grace(now):
-            self._orphans.setdefault(end.task.job, []).append(end)
+            record_run_end(job.record, end, self._term.wall_ms())
+            self._apply_recorded_end(end, upstream, now)
+        elif self._instances.is_in_grace_period(now):
+            self._orphaned.setdefault(end.task.job, []).append(end)
 
-    def _take_noted_end(self, end: EndReport, upstream: UpstreamId | None, now: timedelta) -> None:
+    def _apply_recorded_end(
+        self, end: RunEndReport, upstream: UpstreamId | None, now: timedelta
+    ) -> None:
         job = self._jobs.jobs.get(end.task.job)
         if job is None:
             return
@@ -147,18 +162,19 @@
         if task is None:
             return
         if job.record.get_task(end.task).is_done:
-            # A run that was given up may have ended as done before its lease did.
-            if task.phase is TaskPhase.RUNNING and task.life is not None:
-                self._lives.want_stop(task.life, end.task, task.run)
+            # A run that was abandoned may have ended as done before its lease did.
+            if task.phase is TaskPhase.RUNNING and task.instance is not None:
+                self._instances.request_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
                 self._jobs.unqueue(end.task)
             del job.tasks[end.task]
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
-        elif task.phase is TaskPhase.NOTING and task.is_unknown:
-            # An end of one run says nothing of a later one at an upstream not seen yet.
+        elif task.phase is TaskPhase.RECORDING and task.is_unknown:
+            # The end of one run says nothing of a later run at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
-            self._settlement.note_unsure()
-        elif task.phase is TaskPhase.NOTING and task.noted == (upstream, end.run):
-            # An older end, noted meanwhile, must not free a task whose later run has ended well.
+            self._reconciliation.request_recheck()
+        elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
+            # An older end recorded in the meantime must not requeue a task whose later run has
+            # succeeded.
             self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.place])
--- a/cottonlug/core/cluster/guards.py
+++ b/cottonlug/core/cluster/guards.py
@@ -1,8 +1,8 @@
-"""Upstreams that look well but are not: judged by how their runs go, against all others.
+"""Outlier detection: upstreams whose runs go badly, against those of all others, are suspended.
 
-Patterns: an upstream that fails all it starts, on which tasks stand still, or that has turned slow,
-while its heartbeats are good. A share of the upstreams is never set aside, so that a bad job or a
-slow day cannot empty the service.
+Failure patterns: an upstream that fails all it starts, on which tasks stall, or that has become
+slow, while its heartbeats are good. A share of the upstreams is never suspended, so that a bad job
+or a slow day cannot empty the service.
 """
 
 from __future__ import annotations
@@ -11,68 +11,70 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-FAILURES_IN_A_ROW = 3
+MAX_CONSECUTIVE_FAILURES = 3
 """One task in 500 fails by itself (the users' sheets), so three in a row are not chance."""
-FIRST_PAUSE = timedelta(seconds=2)
-LONGEST_PAUSE = timedelta(seconds=6)
-"""Each return costs the jobs that are tried; what ails an upstream lasts for seconds."""
+FIRST_SUSPENSION = timedelta(seconds=2)
+MAX_SUSPENSION = timedelta(seconds=6)
+"""Each return costs the jobs that are tried there; the causes of bad runs last for seconds."""
 SLOW_FACTOR = 2.2
-"""Declared times scatter by 0.4 on a logarithmic scale; a mean of several runs does far less."""
+"""Declared times scatter by 0.4 on a logarithmic scale, a mean of several runs far less."""
 LEARNING_RATE = 0.3
-MOST_SET_ASIDE = 0.34
-"""Share of a service's upstreams that may be set aside at once."""
+MAX_SUSPENDED_SHARE = 0.34
+"""Share of a service's upstreams that may be suspended at once."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Health:
-    """How the runs at one upstream have gone lately."""
+class UpstreamHealth:
+    """How recent runs at one upstream have gone."""
 
     failures: int = 0
-    slowness: float = 0.0
-    """Mean of the logarithm of real to expected run times."""
-    pause: timedelta = FIRST_PAUSE
-    set_aside_until: timedelta = timedelta()
-    is_on_trial: bool = False
-    """Whether it was set aside and has not finished a run well since: it gets one at a time."""
+    mean_log_slowdown: float = 0.0
+    """Mean of the logarithm of actual to expected run times."""
+    next_suspension: timedelta = FIRST_SUSPENSION
+    suspended_until: timedelta = timedelta()
+    is_on_probation: bool = False
+    """Whether it was suspended and has not finished a run well since: it gets one at a time."""
 
-    def take_done(self, ratio: float, now: timedelta) -> bool:
-        """Learn from a good run; return whether the upstream was just found slow."""
+    def record_success(self, ratio: float, now: timedelta) -> bool:
+        """Record a successful run; return whether the upstream was just found slow."""
         self.failures = 0
-        if self.take_pace(ratio, now):
+        if self.record_run_time_ratio(ratio, now):
             return True
-        if not self._is_slow() and now >= self.set_aside_until:
-            self.pause = FIRST_PAUSE
-            self.is_on_trial = False
+        if not self._is_slow() and now >= self.suspended_until:
+            self.next_suspension = FIRST_SUSPENSION
+            self.is_on_probation = False
         return False
 
-    def take_pace(self, ratio: float, now: timedelta) -> bool:
-        """Learn how long a run takes against the expected; return whether it was just set aside."""
-        self.slowness += LEARNING_RATE * (math.log(max(ratio, 0.01)) - self.slowness)
+    def record_run_time_ratio(self, ratio: float, now: timedelta) -> bool:
+        """Record actual over expected run time; return whether the upstream was just suspended."""
+        self.mean_log_slowdown += LEARNING_RATE * (
+            math.log(max(ratio, 0.01)) - self.mean_log_slowdown
+        )
         if not self._is_slow():
             return False
-        self.slowness = math.log(SLOW_FACTOR) * 0.7
-        return self._set_aside(now)
+        self.mean_log_slowdown = math.log(SLOW_FACTOR) * 0.7
+        return self._suspend(now)
 
-    def take_failure(self, now: timedelta) -> bool:
-        """Learn from a failed run; return whether the upstream was just set aside."""
+    def record_failure(self, now: timedelta) -> bool:
+        """Record a failed run; return whether the upstream was just suspended."""
         self.failures += 1
-        return self.failures >= FAILURES_IN_A_ROW and self._set_aside(now)
+        return self.failures >= MAX_CONSECUTIVE_FAILURES and self._suspend(now)
 
-    def take_stall(self, now: timedelta) -> bool:
-        """Learn that a run stands still; return whether the upstream was just set aside."""
-        return self._set_aside(now)
+    def record_stall(self, now: timedelta) -> bool:
+        """Record a stalled run; return whether the upstream was just suspended."""
+        return self._suspend(now)
 
-    def is_set_aside(self, now: timedelta) -> bool:
-        """Whether no work should go there at the moment."""
-        return now < self.set_aside_until
+    def is_suspended(self, now: timedelta) -> bool:
+        """Whether the upstream gets no work at the moment."""
+        return now < self.suspended_until
 
     def _is_slow(self) -> bool:
-        return self.slowness >= math.log(SLOW_FACTOR)
+        return self.mean_log_slowdown >= math.log(SLOW_FACTOR)
 
-    def _set_aside(self, now: timedelta) -> bool:
-        if self.is_set_aside(now):
+    def _suspend(self, now: timedelta) -> bool:
+        if self.is_suspended(now):
             return False
-        self.is_on_trial = True
-        self.set_aside_until = now + self.pause
-        self.pause = min(self.pause * 2, LONGEST_PAUSE)
+        self.is_on_probation = True
+        self.suspended_until = now + self.next_suspension
+        self.next_suspension = min(self.next_suspension * 2, MAX_SUSPENSION)
         return True
--- /dev/null
+++ b/cottonlug/core/cluster/instances.py
@@ -0,0 +1,243 @@
+"""Instances of upstreams as one leader sees them: clock, lease, runs and free capacity."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from datetime import timedelta
+
+import msgspec
+
+from ..clock import to_milliseconds
+from .crashes import NO_ACTIVE_TASKS, ActiveTasks
+from .model import Capacity, Needs, RunNumber, TaskRef, UpstreamInfo
+from .orders import Run
+from .response_timeout import ResponseTimeout
+
+RunKey = tuple[TaskRef, RunNumber]
+
+MIN_CLOCK_RATE = 0.98
+"""Lowest rate of an upstream's monotonic clock relative to ours (the platform's bound: 2% slow)."""
+LAPSE_MARGIN = timedelta(milliseconds=60)
+"""Added to the end of a lease before anybody relies on it, for timers that fire late."""
+MIN_LEASE = timedelta(milliseconds=500)
+"""A shorter lease would not outlast a change of leader."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class LeaseTerms:
+    """How long an upstream lets a lease last."""
+
+    longest: timedelta
+    delivery: timedelta = timedelta()
+    """Longest delay between deciding on an order and its arrival at an upstream."""
+
+    @property
+    def lapse_after(self) -> timedelta:
+        """The time after which a lease that is requested now has certainly ended."""
+        return self.delivery + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
+
+
+def choose_lease_terms(
+    longest: timedelta, caller_retry: timedelta, silence_tolerated: timedelta
+) -> LeaseTerms:
+    """Return terms of leases that end before a lost caller's job can be submitted again.
+
+    A caller that lost its gateway submits its job again after `caller_retry`. The coordinator
+    abandons the job once it has not heard that gateway for `silence_tolerated`. What still runs
+    then, at an unreachable upstream, has lost its lease by the time the job arrives again.
+    """
+    ended_in_time = (caller_retry - silence_tolerated - LAPSE_MARGIN) * MIN_CLOCK_RATE
+    return LeaseTerms(longest=min(longest, max(ended_in_time, MIN_LEASE)))
+
+
+@dataclass(slots=True, kw_only=True)
+class Instance:
+    """One run of an upstream's process, from its start to its exit or crash."""
+
+    info: UpstreamInfo
+    terms: LeaseTerms
+    recorded_through: int
+    """Number of the last run end that the replicated state has recorded."""
+    number: int = 0
+    """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
+    draining: bool = False
+    is_evacuated: bool = False
+    """Whether its failure domain is evacuated: active runs continue, nothing is started."""
+    is_over: bool = False
+    is_cordoned: bool = False
+    """Whether no run started by a leader can be active there, so that nothing may be started
+    either."""
+    is_uncordoning: bool = False
+    """Whether a command to use it again has been proposed to the log."""
+    is_managed_elsewhere: bool = False
+    """Whether another host sends its orders in this term."""
+    is_fenced: bool = False
+    """Whether it has answered a poll of this leader's term, so that its runs are known."""
+    proposed_through: int = 0
+    """Number of the last run end that was proposed to the log."""
+    confirmed_through: int = 0
+    """Number of the last run end whose recording was confirmed to the upstream."""
+    sequence: int = 0
+    """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
+    reported_at: timedelta | None = None
+    """The earliest time at which its last capacity report can have been sent; None if unknown."""
+    is_capacity_doubted: bool = False
+    """Whether the replicated state says that a heartbeat was missed."""
+    is_unreadable: bool = False
+    """Whether the capacity in its last report could not be read."""
+    refusals: int = 0
+    """Starts refused for lack of capacity since the last successful start or capacity report."""
+    heard_at: timedelta | None = None
+    contact_at: timedelta | None = None
+    failed_polls: int = 0
+    is_poll_pending: bool = False
+    is_probe_pending: bool = False
+    listed_ms: int = -1
+    """When its runs were last listed, on its own clock: an older list that arrives later is
+    ignored."""
+    poll_due: timedelta = timedelta()
+    probe_due: timedelta = timedelta()
+    is_on_trial: bool = False
+    """Whether it gets one run at a time, after it was found failing, stalled or slow."""
+    is_listening: bool = True
+    """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
+    avoid_until: timedelta = timedelta()
+    cold_until: timedelta = timedelta()
+    """Until then tasks take longer there than usual, so that it is used last."""
+    must_poll: bool = False
+    """Whether it is to be polled soon although nothing runs there."""
+    lost_at: timedelta | None = None
+    """When it was first found not to answer; None once it has answered again."""
+    lost: ActiveTasks = NO_ACTIVE_TASKS
+    """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
+    lapse_at: timedelta = timedelta()
+    """From then on nothing can run there unless a lease is renewed."""
+    response_timeout: ResponseTimeout = field(default_factory=ResponseTimeout)
+    runs: dict[RunKey, Run] = field(default_factory=dict)
+    _used_cpu: int = 0
+    _used_memory: int = 0
+    _used_gpus: int = 0
+    _orphaned: int = 0
+    _disputed: int = 0
+    _exclusive: int = 0
+    _clock_ms: float | None = None
+    _clock_at: timedelta = timedelta()
+
+    def record_clock(self, clock_ms: int, now: timedelta) -> None:
+        """Update the lower bound of the upstream's clock from an answer."""
+        known = self._estimate_clock(now)
+        if known is None or clock_ms >= known:
+            self._clock_ms = float(clock_ms)
+            self._clock_at = now
+
+    def record_capacity(self, capacity: Capacity, sequence: int, reported_at: timedelta) -> bool:
+        """Store the reported capacity; return whether it differs from the replicated state.
+
+        Active runs stay even if they exceed a capacity that has shrunk; only starts may not exceed
+        it.
+        """
+        self.sequence = sequence
+        self.reported_at = reported_at
+        self.refusals = 0
+        is_news = capacity != self.info.capacity or self.is_capacity_doubted
+        self.is_capacity_doubted = False
+        if is_news:
+            self.info = msgspec.structs.replace(self.info, capacity=capacity)
+        return is_news
+
+    def find_age(self, clock_ms: int | None, now: timedelta) -> timedelta:
+        """Return the least age of something that the upstream sent at a time on its own clock."""
+        known = self._estimate_clock(now)
+        if known is None or clock_ms is None:
+            return timedelta()
+        return timedelta(milliseconds=max(known - clock_ms, 0.0))
+
+    def grant_lease(self, now: timedelta) -> int | None:
+        """Return a lease end on the upstream's clock, and count the lease as granted.
+
+        None if the upstream's clock is unknown.
+        """
+        clock_ms = self._estimate_clock(now)
+        if clock_ms is None:
+            return None
+        self.lapse_at = max(self.lapse_at, now + self.terms.lapse_after)
+        return int(clock_ms) + to_milliseconds(self.terms.longest)
+
+    def add_run(self, run: Run) -> None:
+        """Add a run and count its needs as used."""
+        self.runs[(run.task, run.run)] = run
+        self._adjust_usage(run, 1)
+
+    def remove_run(self, key: RunKey) -> Run | None:
+        """Remove a run and free what it used."""
+        run = self.runs.pop(key, None)
+        if run is not None:
+            self._adjust_usage(run, -1)
+        return run
+
+    def mark_disputed(self, key: RunKey) -> None:
+        """Renew no lease here until a run is gone, because another host relies on its end."""
+        run = self.runs.get(key)
+        if run is not None and not run.is_disputed:
+            run.is_disputed = True
+            self._disputed += 1
+
+    @property
+    def free_cpu(self) -> int:
+        """Free processor capacity, in thousandths of a core."""
+        return self.info.capacity.cpu_millis - self._used_cpu
+
+    @property
+    def has_orphaned_runs(self) -> bool:
+        """Whether there are runs whose jobs, and therefore whose needs, are unknown."""
+        return self._orphaned > 0
+
+    @property
+    def has_disputed(self) -> bool:
+        """Whether a run's lease must run out: nothing is started or renewed here."""
+        return self._disputed > 0
+
+    def has_free_capacity(self, needs: Needs) -> bool:
+        """Return whether a task fits.
+
+        Each orphaned run, whose needs are unknown, counts as much as the task.
+        """
+        capacity = self.info.capacity
+        alike = 1 + self._orphaned
+        return (
+            needs.cpu_millis * alike <= capacity.cpu_millis - self._used_cpu
+            and needs.memory_mb * alike <= capacity.memory_mb - self._used_memory
+            and needs.gpus * alike <= capacity.gpus - self._used_gpus
+        )
+
+    def accepts_work(self, now: timedelta) -> bool:
+        """Return whether a start may be sent at all."""
+        return (
+            self.is_fenced
+            and not self.is_cordoned
+            and not self.draining
+            and not self.is_evacuated
+            and not self.has_disputed
+            and not self._exclusive
+            and not self.is_over
+            and self.failed_polls == 0
+            and now >= self.avoid_until
+        )
+
+    def is_cold(self, now: timedelta) -> bool:
+        """Return whether tasks take longer there than usual."""
+        return now < self.cold_until
+
+    def _adjust_usage(self, run: Run, sign: int) -> None:
+        self._used_cpu += sign * run.needs.cpu_millis
+        self._used_memory += sign * run.needs.memory_mb
+        self._used_gpus += sign * run.needs.gpus
+        self._orphaned += sign * run.is_orphaned
+        self._disputed += sign * run.is_disputed
+        self._exclusive += sign * run.is_exclusive
+
+    def _estimate_clock(self, now: timedelta) -> float | None:
+        if self._clock_ms is None:
+            return None
+        elapsed = (now - self._clock_at) / timedelta(milliseconds=1)
+        return self._clock_ms + elapsed * MIN_CLOCK_RATE
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves: that they live, what they have to give, and that they leave."""
+"""Processes heartbeats of upstreams: existence, capacity, and leaving."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from ..ids import UpstreamId
 from .commands import AddUpstream, DoubtCapacities, ResizeUpstream, SetDraining
-from .life_table import LifeTable
-from .lives import Life
+from .instances import Instance
+from .life_table import InstanceTable
 from .model import Heartbeat
 from .term import Term
 
 
 class Registry:
-    """Takes heartbeats in, and has the log tell every later leader what they changed."""
+    """Processes heartbeats, and proposes to the log what every later leader must know."""
 
-    def __init__(self, *, term: Term, lives: LifeTable) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._joining: dict[UpstreamId, Heartbeat] = {}
-        """The newest heartbeat of each upstream that the log is to know."""
+        """The newest heartbeat of each upstream that is not yet registered in the log."""
 
-    def take_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Learn that an upstream lives, what it has to give, and whether it is leaving."""
-        life = self._lives.by_id.get(heartbeat.info.id)
-        later = self._lives.find_later(heartbeat.info.id) if life is None else None
+    def handle_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
+        """Record that an upstream is alive, what its capacity is, and whether it is leaving."""
+        instance = self._instances.by_id.get(heartbeat.info.id)
+        later = self._instances.find_later(heartbeat.info.id) if instance is None else None
         if later is not None:
-            self._note_overtaken(later, heartbeat)
+            self._log_overtaken(later, heartbeat)
             return
-        if life is None:
+        if instance is None:
             joining = self._joining.get(heartbeat.info.id)
             if joining is None:
                 add = AddUpstream(info=heartbeat.info, sequence=heartbeat.sequence)
@@ -38,94 +38,97 @@
             if heartbeat.draining:
                 self._term.proposals.append(SetDraining(upstream=heartbeat.info.id))
             return
-        if heartbeat.sequence < life.sequence:
-            self._note_overtaken(life, heartbeat)
+        if heartbeat.sequence < instance.sequence:
+            self._log_overtaken(instance, heartbeat)
             return
-        self._lives.touch(life)
-        self._take_report(life, heartbeat, now)
-        life.heard_at = now
-        life.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
+        self._instances.mark_changed(instance)
+        self._record_capacity(instance, heartbeat, now)
+        instance.heard_at = now
+        instance.cold_until = now + timedelta(milliseconds=heartbeat.cold_left_ms)
         if heartbeat.clock_ms is not None:
-            life.take_clock(heartbeat.clock_ms, now)
+            instance.record_clock(heartbeat.clock_ms, now)
         if heartbeat.draining:
-            self.take_leave(life.info.id)
-        if not life.is_fenced and not life.look_is_out:
-            life.look_due = now
+            self.handle_leave(instance.info.id)
+        if not instance.is_fenced and not instance.is_poll_pending:
+            instance.poll_due = now
 
-    def _note_overtaken(self, life: Life, heartbeat: Heartbeat) -> None:
-        self._term.note(
+    def _log_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
+        self._term.log_decision(
             "heartbeat_overtaken",
             {
                 "upstream": heartbeat.info.id,
-                "by": life.info.id,
+                "by": instance.info.id,
                 "sequence": heartbeat.sequence,
-                "newest": life.sequence,
+                "newest": instance.sequence,
                 "clock_ms": heartbeat.clock_ms or 0,
             },
         )
 
-    def take_heard(
+    def handle_reported_heartbeat(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Learn that another host has answered a heartbeat in which nothing was new."""
-        life = self._lives.by_id.get(id)
-        if life is None or sequence < life.sequence:
+        """Record that another host has answered a heartbeat that contained nothing new."""
+        instance = self._instances.by_id.get(id)
+        if instance is None or sequence < instance.sequence:
             return
-        life.take_report(life.info.capacity, sequence, at)
-        life.heard_at = max(at, life.heard_at or at)
+        instance.record_capacity(instance.info.capacity, sequence, at)
+        instance.heard_at = max(at, instance.heard_at or at)
         if clock_ms is not None:
-            life.take_clock(clock_ms, at)
-        if not life.is_fenced and not life.look_is_out:
-            life.look_due = min(life.look_due, at)
-            self._lives.touch(life)
+            instance.record_clock(clock_ms, at)
+        if not instance.is_fenced and not instance.is_poll_pending:
+            instance.poll_due = min(instance.poll_due, at)
+            self._instances.mark_changed(instance)
 
-    def _take_report(self, life: Life, heartbeat: Heartbeat, now: timedelta) -> None:
-        """Learn what an upstream has to give at the moment, and put a change into the log."""
-        if heartbeat.has_no_capacity and not life.is_unreadable:
-            self._term.note("capacity_unreadable", {"upstream": life.info.id})
-        life.is_unreadable = heartbeat.has_no_capacity
-        before, capacity = life.info.capacity, heartbeat.info.capacity
-        sent_at = now - life.find_age(heartbeat.clock_ms, now)
-        if not life.take_report(capacity, heartbeat.sequence, sent_at):
+    def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
+        """Record the reported capacity, and propose a change to the log."""
+        if heartbeat.has_no_capacity and not instance.is_unreadable:
+            self._term.log_decision("capacity_unreadable", {"upstream": instance.info.id})
+        instance.is_unreadable = heartbeat.has_no_capacity
+        before, capacity = instance.info.capacity, heartbeat.info.capacity
+        sent_at = now - instance.find_age(heartbeat.clock_ms, now)
+        if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
             return
         self._term.counts.resized_upstreams += 1
-        self._term.note(
+        self._term.log_decision(
             "upstream_resized",
             {
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "cpu_millis": capacity.cpu_millis,
                 "cpu_millis_before": before.cpu_millis,
                 "memory_mb": capacity.memory_mb,
                 "gpus": capacity.gpus,
                 "sequence": heartbeat.sequence,
-                "free_cpu": life.free_cpu,
+                "free_cpu": instance.free_cpu,
             },
         )
         resize = ResizeUpstream(
-            upstream=life.info.id, capacity=capacity, sequence=heartbeat.sequence
+            upstream=instance.info.id, capacity=capacity, sequence=heartbeat.sequence
         )
         self._term.proposals.append(resize)
 
-    def take_leave(self, upstream: UpstreamId) -> None:
+    def handle_leave(self, upstream: UpstreamId) -> None:
         """Send no more work to an upstream."""
-        life = self._lives.by_id.get(upstream)
-        if life is not None and not life.draining:
-            life.draining = True
+        instance = self._instances.by_id.get(upstream)
+        if instance is not None and not instance.draining:
+            instance.draining = True
             self._term.proposals.append(SetDraining(upstream=upstream))
-            self._term.note("upstream_leaving", {"upstream": upstream})
+            self._term.log_decision("upstream_leaving", {"upstream": upstream})
 
-    def take_added(self, command: AddUpstream, now: timedelta) -> None:
-        """Begin to watch an upstream that the log knows from now on."""
+    def handle_added_upstream(self, command: AddUpstream, now: timedelta) -> None:
+        """Begin to track an upstream that the log has just registered."""
         joining = self._joining.pop(command.info.id, None)
-        if command.info.id not in self._lives.by_id:
-            life = self._lives.add(command.info, 0, False, now)
-            life.sequence = command.sequence
+        if command.info.id not in self._instances.by_id:
+            instance = self._instances.add(command.info, 0, False, now)
+            instance.sequence = command.sequence
         if joining is not None:
-            # It may have said something new of itself while the log took it in.
-            self.take_heartbeat(joining, now)
+            # It may have reported something new while the log was registering it.
+            self.handle_heartbeat(joining, now)
 
     def doubt_capacities(self, now: timedelta) -> None:
-        """Tell whoever decides next of which unguarded upstreams a heartbeat was missed."""
-        doubted = self._lives.find_newly_doubted(now)
+        """Propose to mark upstreams that do not check their own capacity and missed a heartbeat.
+
+        The next coordinator then knows that their capacity may have changed.
+        """
+        doubted = self._instances.find_newly_doubted(now)
         if doubted and self._term.keeps_log:
             self._term.proposals.append(DoubtCapacities(upstreams=tuple(doubted)))
--- /dev/null
+++ b/cottonlug/core/cluster/scheduler.py
@@ -0,0 +1,253 @@
+"""Starts waiting tasks where capacity is free, and sheds jobs that cannot be served in time."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+
+from .admission import Rejection, estimate_wait
+from .backlog import Batch, Tier
+from .capacity_index import CapacityIndex
+from .crashes import EXCLUSIVE_WAIT, THIRD_START_DELAY, StartRestriction
+from .forecast import USEFUL_FACTOR
+from .instances import Instance
+from .life_table import InstanceTable
+from .model import JobSpec, Queue, RunNumber, ServiceName, TaskRef
+from .open_job import TaskPhase
+from .open_jobs import OpenJobs, find_max_wait
+from .orders import Run, RunPhase, StartOrder
+from .placement import choose_instance
+from .records import JobRecord
+from .term import Term
+
+ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
+EVACUATED_RETRY = timedelta(seconds=2)
+"""Evacuations last from seconds to hours: this is frequent enough for the former, and rare enough
+for the latter."""
+NO_DEMAND = 1 << 62
+"""More CPU than any upstream has, so that no change of one triggers another try."""
+
+
+class Scheduler:
+    """Places waiting tasks on upstreams."""
+
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
+        self._term = term
+        self._instances = instances
+        self._jobs = jobs
+        self._capacity = CapacityIndex(instances=instances)
+        self._min_cpu_needed = 0
+        """No batch that did not fit needs less CPU than this, in thousandths of a core."""
+
+    def schedule(self, now: timedelta, changed: list[Instance] | None) -> None:
+        """Start waiting tasks as long as any of them fits.
+
+        `changed` are the instances that may have gained capacity, None where that is not known:
+        a batch that did not fit is tried again only where one of these has enough.
+        """
+        for instance in changed or ():
+            self._capacity.update(instance, now)
+        if changed is None:
+            self._capacity.invalidate()
+        backlog = self._jobs.backlog
+        if not len(backlog):
+            return
+        backlog.demote(now)
+        if self._capacity.refresh_if_due(now):
+            self._schedule_backlog(None, now)
+        elif backlog.has_new or _find_max_free_cpu(changed) >= self._min_cpu_needed:
+            self._schedule_backlog(changed, now)
+        self._shed(now)
+
+    def _schedule_backlog(self, changed: list[Instance] | None, now: timedelta) -> None:
+        """Try all batches, but not those again that need more than any changed instance has.
+
+        `changed` is None where any instance may have changed.
+        """
+        backlog = self._jobs.backlog
+        if changed is None:
+            self._schedule_all(now)
+        else:
+            self._schedule_changed(changed, now)
+            for batch in backlog.pop_new():
+                self._schedule_batch(batch, now)
+        backlog.drop_empty()
+
+    def _schedule_all(self, now: timedelta) -> None:
+        backlog = self._jobs.backlog
+        backlog.pop_new()
+        for batch in backlog:
+            self._schedule_batch(batch, now)
+        waiting = (batch.cpu_millis for batch in backlog if batch.waiting)
+        self._min_cpu_needed = min(waiting, default=NO_DEMAND)
+
+    def _schedule_changed(self, changed: list[Instance], now: timedelta) -> None:
+        """Try the batches in their order on changed instances, until none fits any more."""
+        most = _find_max_free_cpu(changed)
+        if most < self._min_cpu_needed:
+            return
+        for batch in self._jobs.backlog:
+            if batch.cpu_millis > most and batch.was_tried:
+                continue
+            if self._schedule_batch(batch, now):
+                most = _find_max_free_cpu(changed)
+            if most < self._min_cpu_needed:
+                return
+
+    def _schedule_batch(self, batch: Batch, now: timedelta) -> bool:
+        """Try to place a batch if it may start now; return whether any of its tasks was started."""
+        batch.was_tried = True
+        self._min_cpu_needed = min(self._min_cpu_needed, batch.cpu_millis)
+        if self._is_delayed(batch, now):
+            return False
+        service = self._find_service(batch.job)
+        if batch.cpu_millis > self._capacity.find_max_free_cpu(service):
+            return False
+        return self._start_batch(batch, service, now)
+
+    def _shed(self, now: timedelta) -> None:
+        """End at once the jobs that did not fit while they could be of use."""
+        hopeless = self._jobs.backlog.list_tier(Tier.HOPELESS)
+        if not hopeless:
+            return
+        wait = estimate_wait(
+            self._jobs.backlog.measure_work(), self._instances.measure_usable_cores(now)
+        )
+        for batch in hopeless:
+            job = self._jobs.jobs.get(batch.job.id)
+            if job is None or not batch.job.spec.best_effort:
+                continue
+            if job.has_begun:
+                self._jobs.abandon(job, now)
+            else:
+                self._jobs.reject(job, "cannot be served in time", wait, now)
+
+    def find_rejection(
+        self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
+    ) -> Rejection | None:
+        """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
+        if spec.is_timed or spec.long_running:
+            return None
+        if self._instances.is_service_evacuated(queue.service):
+            self._term.counts.evacuated_rejections += 1
+            return Rejection(reason=ALL_EVACUATED, retry_after=EVACUATED_RETRY)
+        objective = self._jobs.forecast.find_objective(queue, spec.steps)
+        chain = self._jobs.forecast.predict_chain(queue.key, spec.steps, 0)
+        latest_start = now - waited + find_max_wait(queue, objective, chain)
+        core_ms = self._jobs.backlog.measure_work_ahead(latest_start)
+        if not core_ms and waited <= objective * USEFUL_FACTOR:
+            # Nothing is queued ahead of it, whatever the capacity.
+            return None
+        cores = self._instances.measure_usable_cores(now)
+        if cores <= 0.0:
+            return None
+        wait = estimate_wait(core_ms, cores)
+        if waited + wait <= objective * USEFUL_FACTOR:
+            return None
+        return Rejection(reason="the work before it takes too long", retry_after=wait)
+
+    def reject_evacuated(self, now: timedelta) -> None:
+        """Reject at once the waiting jobs of services whose upstreams are all evacuated."""
+        evacuated: dict[ServiceName, bool] = {}
+        for job in list(self._jobs.jobs.values()):
+            spec = job.record.spec
+            if job.has_begun or job.has_unknown_tasks() or not spec.best_effort or spec.is_timed:
+                continue
+            service = self._find_service(job.record)
+            if service not in evacuated:
+                evacuated[service] = self._instances.is_service_evacuated(service)
+            if evacuated[service]:
+                self._term.counts.evacuated_rejections += 1
+                self._jobs.reject(job, ALL_EVACUATED, EVACUATED_RETRY, now)
+
+    def _find_service(self, job: JobRecord) -> ServiceName:
+        """Return the service that the job's queue is assigned to now."""
+        queues = self._term.records.queues
+        queue = queues.get(job.queue.key) if queues is not None else None
+        return (queue or job.queue).service
+
+    def _is_delayed(self, batch: Batch, now: timedelta) -> bool:
+        """Whether the start of a batch is delayed, since its tasks may crash upstreams."""
+        if batch.restriction is StartRestriction.NONE:
+            return False
+        if batch.first_tried_at is None:
+            batch.first_tried_at = now
+        is_early = now < batch.first_tried_at + THIRD_START_DELAY
+        return batch.restriction is StartRestriction.BARRED or (
+            batch.restriction is StartRestriction.HELD and is_early
+        )
+
+    def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
+        """Whether the tasks of a batch may start only where nothing runs."""
+        since = batch.first_tried_at
+        if batch.restriction is StartRestriction.NONE or since is None:
+            return False
+        return now < since + EXCLUSIVE_WAIT + (
+            THIRD_START_DELAY if batch.restriction is StartRestriction.HELD else timedelta()
+        )
+
+    def _start_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
+        """Start tasks of a batch as long as any fits; return whether any was started."""
+        has_started = False
+        job = self._jobs.jobs[batch.job.id]
+        while batch.waiting:
+            instances = self._capacity.iterate_instances(service, batch.cpu_millis, now, job.home)
+            instance = choose_instance(
+                batch, instances, is_sorted=True, needs_empty=self._needs_empty(batch, now)
+            )
+            if instance is None:
+                break
+            has_started = True
+            self._start(batch, batch.waiting.pop(), instance, now)
+        self._jobs.backlog.has_empty |= not batch.waiting
+        return has_started
+
+    def _start(self, batch: Batch, index: int, instance: Instance, now: timedelta) -> None:
+        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, index)
+        job = self._jobs.jobs[ref.job]
+        task = job.tasks[ref]
+        expires_ms = instance.grant_lease(now)
+        assert expires_ms is not None, "only a fenced instance accepts work, and its clock is known"
+        known = batch.job.get_task(ref)
+        last_run = max(task.run, known.last_run)
+        task.run = RunNumber(max(last_run + 1, self._term.first_run))
+        task.phase = TaskPhase.RUNNING
+        task.instance = instance.info.id
+        job.has_begun = batch.has_begun = True
+        job.home = job.home or instance.info.domain
+        run = Run(task=ref, run=task.run, needs=batch.needs, phase=RunPhase.STARTING, since=now)
+        run.resumes = bool(known.checkpoint)
+        run.is_exclusive = batch.restriction is not StartRestriction.NONE
+        instance.add_run(run)
+        self._capacity.update(instance, now)
+        self._instances.mark_changed(instance)
+        instance.poll_due = min(instance.poll_due, now)
+        self._term.counts.starts += 1
+        # A first start is routine; one beside which another run may be active is always logged.
+        is_again = last_run > 0 or job.reconcile_at > timedelta()
+        self._term.log_decision(
+            "run_started_again" if is_again else "run_started",
+            {
+                "job": ref.job,
+                "task": f"{ref.step}.{ref.place}",
+                "run": task.run,
+                "upstream": instance.info.id,
+                "tier": batch.tier.value,
+                "free_cpu": instance.free_cpu,
+                "waiting": len(self._jobs.backlog),
+            },
+        )
+        order = StartOrder(
+            upstream=instance.info,
+            task=ref,
+            run=task.run,
+            payload=batch.job.spec.payload,
+            checkpoint=known.checkpoint,
+            expires_ms=expires_ms,
+            response_timeout=instance.response_timeout.find_timeout(),
+        )
+        self._term.orders.append(order)
+
+
+def _find_max_free_cpu(instances: list[Instance] | None) -> int:
+    """Return the most free CPU that any of some instances has, in thousandths of a core."""
+    return max((instance.free_cpu for instance in instances or ()), default=0)
--- a/cottonlug/core/cluster/suspicion.py
+++ b/cottonlug/core/cluster/suspicion.py
@@ -1,4 +1,4 @@
-"""Which tasks one leader suspects of crashing upstreams, by what was lost with them at work."""
+"""Tracks which tasks one leader suspects of crashing upstreams, from what was active at losses."""
 
 from __future__ import annotations
 
@@ -7,147 +7,157 @@
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .commands import NoteCrash, RemoveUpstreams
+from .commands import RecordCrash, RemoveUpstreams
 from .crashes import (
-    MOST_CRASHES,
-    MOST_LOSSES,
-    MOST_UNRESOLVED,
+    CRASH_ON_START_WITHIN,
+    MAX_CRASHES,
+    MAX_LOSSES,
+    MAX_UNRESOLVED_STARTS,
+    NO_ACTIVE_TASKS,
     NO_CRASHES,
-    NO_WORK,
-    YOUNG,
-    AtWork,
-    Care,
+    ActiveTasks,
     CrashCounts,
     Loss,
+    StartRestriction,
     Suspect,
     assign_blame,
-    is_explained,
+    has_common_cause,
 )
-from .life_table import LifeTable
-from .lives import Life
+from .instances import Instance
+from .life_table import InstanceTable
 from .model import JobId, QueueKey, TaskRef
 from .orders import RunPhase
 from .term import Term
 
 KEEP_LOSSES = timedelta(seconds=30)
-"""An upstream that has crashed is back after some seconds, and shows by then that it had."""
+"""An upstream that has crashed is back after some seconds, and then shows that it had."""
 
 LARGEST_RACK = 64
-"""A label that more upstreams have is not that of a rack."""
-MOST_TOLD = 1_000
-"""Suspects that gateways have told of; the oldest are of jobs that ended long ago."""
+"""A label that more upstreams have than this does not name a rack."""
+MAX_REPORTED_SUSPECTS = 1_000
+"""Suspects that gateways have reported; the oldest belong to jobs that ended long ago."""
 
 
-class Suspicion:
-    """What was lost lately, and what may have done it; the counts are in the record."""
+class CrashTracker:
+    """Recent losses of upstreams and their possible causes; the log holds the counts."""
 
-    def __init__(self, *, term: Term, lives: LifeTable) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._losses: list[Loss] = []
-        self.convicted: Counter[QueueKey] = Counter()
-        """How many tasks of each kind were given up in this term for crashing upstreams."""
+        self.quarantined: Counter[QueueKey] = Counter()
+        """How many tasks of each queue were quarantined in this term for crashing upstreams."""
         self._lost_tasks: Counter[TaskRef] = Counter()
-        """At how many upstreams, lost and not known to have crashed, each task was at work."""
+        """For each task, the lost upstreams at which it was active and that may have crashed."""
         self._lost_starts: Counter[TaskRef] = Counter()
-        """At how many such upstreams each task may have been started."""
-        self._told: dict[TaskRef, CrashCounts] = {}
-        """What gateways have learnt from hosts that decided before, and the log does not say."""
-        for life in lives.by_id.values():
-            self._lost_tasks.update(life.lost.tasks)
-            self._lost_starts.update(life.lost.all_tasks)
-
-    def note_silent(self, life: Life, now: timedelta) -> None:
-        """Learn that an upstream does not answer."""
-        if life.lost_at is not None:
+        """For each task, the lost upstreams at which it may have been started."""
+        self._reported: dict[TaskRef, CrashCounts] = {}
+        """Counts from earlier coordinators that gateways have reported and that the log does not
+        contain."""
+        for instance in instances.by_id.values():
+            self._lost_tasks.update(instance.lost.tasks)
+            self._lost_starts.update(instance.lost.all_tasks)
+
+    def record_no_answer(self, instance: Instance, now: timedelta) -> None:
+        """Record that an upstream does not answer."""
+        if instance.lost_at is not None:
             return
-        life.lost_at = now
-        if life.runs:
-            self._check_neighbours(life)
+        instance.lost_at = now
+        if instance.runs:
+            self._poll_neighbours(instance)
         self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
         self._losses.append(
-            Loss(upstream=life.info.id, at=now, domain=life.info.domain, labels=life.info.labels)
+            Loss(
+                upstream=instance.info.id,
+                at=now,
+                domain=instance.info.domain,
+                labels=instance.info.labels,
+            )
         )
 
-    def _check_neighbours(self, life: Life) -> None:
-        """Have those looked at that would be lost together with an upstream: its rack, if any.
+    def _poll_neighbours(self, instance: Instance) -> None:
+        """Poll the upstreams that would be lost together with one, such as those of its rack.
 
-        Nothing is asked of idle upstreams as a rule, so that a rack that has gone down with one
-        busy upstream would look like the crash of that one.
+        Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
+        upstream would look like a crash of that one.
         """
         by_label = {
-            label: [each for each in self._lives.by_id.values() if label in each.info.labels]
-            for label in life.info.labels
+            label: [each for each in self._instances.by_id.values() if label in each.info.labels]
+            for label in instance.info.labels
         }
         for neighbours in by_label.values():
             if len(neighbours) <= LARGEST_RACK:
                 for each in neighbours:
-                    each.must_check = True
-                    self._lives.touch(each)
+                    each.must_poll = True
+                    self._instances.mark_changed(each)
 
-    def note_answer(self, life: Life) -> tuple[TaskRef, ...]:
-        """Learn that an upstream has not crashed; return what was at work when it was lost."""
-        if life.lost_at is None and life.lost is NO_WORK:
+    def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
+        """Record that an upstream has not crashed; return what was active when it was lost."""
+        if instance.lost_at is None and instance.lost is NO_ACTIVE_TASKS:
             return ()
-        cleared = self.forget(life)
-        if life.lost_at is not None:
-            life.lost_at = None
-            self._losses = [each for each in self._losses if each.upstream != life.info.id]
+        cleared = self.forget_instance(instance)
+        if instance.lost_at is not None:
+            instance.lost_at = None
+            self._losses = [each for each in self._losses if each.upstream != instance.info.id]
         return cleared
 
-    def note_lapse(self, life: Life, now: timedelta) -> None:
-        """Remember what was at work at an upstream that may turn out to have crashed."""
-        self._set_lost(life, _find_at_work(life, now))
+    def record_lapse(self, instance: Instance, now: timedelta) -> None:
+        """Remember the tasks that were active at an upstream that may turn out to have crashed."""
+        self._set_lost(instance, _find_active_tasks(instance, now))
 
-    def forget(self, life: Life) -> tuple[TaskRef, ...]:
-        """Forget an upstream that the log does not know any more; return what was lost there."""
-        lost = life.lost.all_tasks
-        self._set_lost(life, NO_WORK)
+    def forget_instance(self, instance: Instance) -> tuple[TaskRef, ...]:
+        """Forget an upstream that the log has removed; return the tasks that were lost there."""
+        lost = instance.lost.all_tasks
+        self._set_lost(instance, NO_ACTIVE_TASKS)
         return lost
 
-    def take_told(self, suspects: Iterable[Suspect]) -> None:
-        """Learn from a gateway what hosts that decided before had against its job."""
+    def record_reported_suspects(self, suspects: Iterable[Suspect]) -> None:
+        """Record the crashes that earlier coordinators have counted for a gateway's job."""
         for suspect in suspects:
-            more = suspect.counts.subtract(self.find_counts(suspect.task))
-            self._told[suspect.task] = self._told.get(suspect.task, NO_CRASHES).add(more)
-        while len(self._told) > MOST_TOLD:
-            del self._told[next(iter(self._told))]
+            more = suspect.counts.subtract(self.get_counts(suspect.task))
+            self._reported[suspect.task] = self._reported.get(suspect.task, NO_CRASHES).add(more)
+        while len(self._reported) > MAX_REPORTED_SUSPECTS:
+            del self._reported[next(iter(self._reported))]
 
     def list_suspects(self, job: JobId) -> tuple[Suspect, ...]:
         """Return the tasks of a job under which upstreams have ended."""
-        tasks = {*self._told, *self._term.records.suspects}
+        tasks = {*self._reported, *self._term.records.suspects}
         of_job = sorted(task for task in tasks if task.job == job)
-        return tuple(Suspect(task=task, counts=self.find_counts(task)) for task in of_job)
-
-    def find_counts(self, task: TaskRef) -> CrashCounts:
-        """Return how often upstreams have ended under a task, as far as is known here."""
-        counts = self._term.records.find_crashes(task)
-        return counts.add(self._told.get(task, NO_CRASHES))
-
-    def note_end(self, life: Life, queues: Mapping[JobId, QueueKey], now: timedelta) -> None:
-        """Learn that an upstream has ended; the log is to count it where it did not leave."""
-        at_work = _find_at_work(life, now)
-        if life.draining or at_work == NO_WORK:
-            self._term.proposals.append(RemoveUpstreams(upstreams=(life.info.id,)))
+        return tuple(Suspect(task=task, counts=self.get_counts(task)) for task in of_job)
+
+    def get_counts(self, task: TaskRef) -> CrashCounts:
+        """Return the known counts of upstream ends under a task."""
+        counts = self._term.records.get_crash_counts(task)
+        return counts.add(self._reported.get(task, NO_CRASHES))
+
+    def record_instance_end(
+        self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
+    ) -> None:
+        """Record that an upstream has ended; propose to count a crash if it was not leaving."""
+        at_work = _find_active_tasks(instance, now)
+        if instance.draining or at_work == NO_ACTIVE_TASKS:
+            self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
             return
-        self.note_silent(life, now)
-        blamed = [] if self._is_explained(life) else self._find_blamed(at_work.tasks, queues)
+        self.record_no_answer(instance, now)
+        blamed = (
+            [] if self._has_common_cause(instance) else self._find_blamed(at_work.tasks, queues)
+        )
         others = tuple(task for task in at_work.tasks if task not in blamed)
         self._term.counts.crashed_upstreams += 1
-        self._term.note(
+        self._term.log_decision(
             "upstream_crashed",
             {
-                "upstream": life.info.id,
+                "upstream": instance.info.id,
                 "runs": len(at_work.tasks),
                 "unsure": len(at_work.unsure),
                 "blamed": " ".join(f"{task.job}.{task.step}.{task.place}" for task in blamed),
-                "lost_ms_ago": to_milliseconds(now - (life.lost_at or now)),
+                "lost_ms_ago": to_milliseconds(now - (instance.lost_at or now)),
             },
         )
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
-            NoteCrash(
-                upstream=life.info.id,
+            RecordCrash(
+                upstream=instance.info.id,
                 blamed=tuple(blamed),
                 others=others,
                 unanswered=at_work.unsure,
@@ -155,64 +165,66 @@
             )
         )
 
-    def note_gone(self, life: Life) -> None:
-        """Learn that an upstream that was lost does not come back: nobody knows what ended it."""
+    def record_removal(self, instance: Instance) -> None:
+        """Record that a lost upstream does not come back; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
-            NoteCrash(
-                upstream=life.info.id,
+            RecordCrash(
+                upstream=instance.info.id,
                 blamed=(),
-                others=life.lost.tasks,
-                unanswered=life.lost.unsure,
+                others=instance.lost.tasks,
+                unanswered=instance.lost.unsure,
                 at_ms=at_ms,
             )
         )
 
-    def find_care(self, task: TaskRef) -> Care:
-        """Return how a task is to be started, by what is known of earlier starts."""
-        counts = self.find_counts(task)
+    def find_restriction(self, task: TaskRef) -> StartRestriction:
+        """Return how the next start of a task is restricted by the outcomes of earlier ones."""
+        counts = self.get_counts(task)
         unsure = self._lost_starts[task]
         if not unsure:
-            return Care.ALONE if counts.crashes else Care.NONE
+            return StartRestriction.ALONE if counts.crashes else StartRestriction.NONE
         starts = counts.starts + unsure
-        if starts >= MOST_UNRESOLVED or counts.losses + self._lost_tasks[task] >= MOST_LOSSES:
-            return Care.BARRED
-        return Care.HELD if starts >= MOST_CRASHES else Care.ALONE
+        if starts >= MAX_UNRESOLVED_STARTS or counts.losses + self._lost_tasks[task] >= MAX_LOSSES:
+            return StartRestriction.BARRED
+        return StartRestriction.HELD if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
-        """Whether there is anything to find by `find_care`."""
-        return bool(self._lost_starts or self._told or self._term.records.suspects)
+        """Return whether any task may be restricted."""
+        return bool(self._lost_starts or self._reported or self._term.records.suspects)
 
-    def _set_lost(self, life: Life, at_work: AtWork) -> None:
-        self._lost_tasks.subtract(life.lost.tasks)
+    def _set_lost(self, instance: Instance, at_work: ActiveTasks) -> None:
+        self._lost_tasks.subtract(instance.lost.tasks)
         self._lost_tasks.update(at_work.tasks)
-        self._lost_starts.subtract(life.lost.all_tasks)
+        self._lost_starts.subtract(instance.lost.all_tasks)
         self._lost_starts.update(at_work.all_tasks)
-        # Without those that have come down to none.
+        # Unary plus drops tasks whose count has come down to zero.
         self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
-        life.lost = at_work
+        instance.lost = at_work
 
-    def _is_explained(self, life: Life) -> bool:
-        loss = next(each for each in self._losses if each.upstream == life.info.id)
-        infos = {id: (each.info.domain, each.info.labels) for id, each in self._lives.by_id.items()}
+    def _has_common_cause(self, instance: Instance) -> bool:
+        loss = next(each for each in self._losses if each.upstream == instance.info.id)
+        infos = {
+            id: (each.info.domain, each.info.labels) for id, each in self._instances.by_id.items()
+        }
         infos |= {each.upstream: (each.domain, each.labels) for each in self._losses}
         sizes: Counter[str] = Counter()
         for domain, labels in infos.values():
             sizes.update((domain, *labels))
-        return is_explained(loss, self._losses, sizes)
+        return has_common_cause(loss, self._losses, sizes)
 
     def _find_blamed(
         self, at_work: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
     ) -> list[TaskRef]:
-        known = {task: self.find_counts(task) for task in at_work}
-        return assign_blame(at_work, known, queues, self.convicted)
+        known = {task: self.get_counts(task) for task in at_work}
+        return assign_blame(at_work, known, queues, self.quarantined)
 
 
-def _find_at_work(life: Life, now: timedelta) -> AtWork:
-    """Return what was at work at an upstream and had not been for long."""
-    young = [run for run in life.runs.values() if now - run.since < YOUNG]
-    found = AtWork(
+def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
+    """Return the tasks that are active at an upstream and were started recently."""
+    young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
+    found = ActiveTasks(
         tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
         unsure=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
     )
-    return found.join(life.lost)
+    return found.join(instance.lost)
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -1,4 +1,4 @@
-"""Bringing a host with a new disk back as a new member, one safe step at a time."""
+"""Replaces the member of a host that has a new disk, one safe change of members at a time."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from .member import Member
 from .types import MemberId, Members
 
-USUAL_VOTERS = 3
-"""With more voters than this, one that is lost is removed without a successor."""
-MOST_VOTERS = 7
-"""More would only make a majority slower: seven bear the loss of three."""
+DEFAULT_VOTERS = 3
+"""With more voters than this, a lost voter is removed without a replacement."""
+MAX_VOTERS = 7
+"""Seven voters tolerate the loss of three; more would only make a majority slower."""
 
 
-def find_most_voters(members: Members, lost: Collection[MemberId]) -> int:
-    """Return how many should vote: an odd number, so that no split leaves two equal halves."""
+def compute_max_voters(members: Members, lost: Collection[MemberId]) -> int:
+    """Return how many members should vote: an odd number, so that no split is into equal halves."""
     present = [member for member in (*members.voters, *members.learners) if member not in lost]
     odd = len(present) - (len(present) + 1) % 2
-    return min(max(odd, USUAL_VOTERS), MOST_VOTERS)
+    return min(max(odd, DEFAULT_VOTERS), MAX_VOTERS)
 
 
 def plan_change(
     leader: Member,
     current: Mapping[str, MemberId],
     lost: Collection[MemberId] = (),
-    most_voters: int | None = None,
+    max_voters: int | None = None,
 ) -> Members | None:
-    """Return the next set of members, or None where nothing is to be done.
+    """Return the next set of members, or None if no change is needed.
 
-    `current` gives, for each host that should vote, the member id of its present disk. A host whose
-    id is not known to the log first learns; once it has everything that is committed, the id of its
-    old disk is removed, and then the new id is given its vote. A new host takes the place of a
-    voter that is lost, if there is one; else it only learns once `most_voters` vote.
+    `current` maps each host that should vote to the member id of its present disk. A host whose id
+    is not in the log is first added as a learner. Once it has everything that is committed, the id
+    of its old disk is removed, and then the new id becomes a voter. A new host replaces a lost
+    voter, if there is one; otherwise it stays a learner while there are `max_voters` voters.
     """
     members = leader.members
     for host, member in current.items():
@@ -40,14 +40,14 @@
         if member not in members.learners:
             others = tuple(each for each in members.learners if get_host(each) != host)
             return Members(voters=members.voters, learners=(*others, member))
-        if leader.matched(member) < leader.commit:
+        if leader.get_matched_index(member) < leader.commit:
             continue
         old = [voter for voter in members.voters if get_host(voter) == host]
         old = old or [voter for voter in members.voters if voter in lost][:1]
         if old:
             voters = tuple(voter for voter in members.voters if voter not in old)
             return Members(voters=voters, learners=members.learners)
-        if most_voters is not None and len(members.voters) >= most_voters:
+        if max_voters is not None and len(members.voters) >= max_voters:
             continue
         learners = tuple(learner for learner in members.learners if learner != member)
         return Members(voters=(*members.voters, member), learners=learners)
@@ -55,17 +55,17 @@
 
 
 def plan_removal(leader: Member, lost: Collection[MemberId]) -> Members | None:
-    """Return the members without one that is lost, where there are more voters than usual."""
+    """Return the members without one lost voter, or None unless voters exceed the usual number."""
     members = leader.members
-    if len(members.voters) <= USUAL_VOTERS:
+    if len(members.voters) <= DEFAULT_VOTERS:
         return None
-    gone = next((voter for voter in members.voters if voter in lost), None)
-    if gone is None:
+    lost_voter = next((voter for voter in members.voters if voter in lost), None)
+    if lost_voter is None:
         return None
-    voters = tuple(voter for voter in members.voters if voter != gone)
+    voters = tuple(voter for voter in members.voters if voter != lost_voter)
     return Members(voters=voters, learners=members.learners)
 
 
 def get_host(member: MemberId) -> str:
-    """Return the host part of a member id, which is `<host>/<life of its disk>`."""
+    """Return the host part of a member id, which is `<host>/<id of its disk>`."""
     return member.partition("/")[0]
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -1,9 +1,9 @@
 """The upstream's side of the exchange protocol: links to entry hosts, credit and held tasks.
 
-An upstream keeps one link to each entry host of its failure domain and splits its slots among them
-as credit. It alone decides what runs, so no two hosts can race for a slot. Any transport error ends
-the link's session: replies to it are refused from then on, and the next session reports what is
-held.
+An upstream keeps one link to each entry host of its failure domain and divides its slots among
+them as credit. It alone decides what runs, so no two hosts can compete for the same slot. Any
+transport error ends the link's session: later replies to that session are ignored, and the next
+session reports which tasks are held.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from .states import ResultStatus
 
 MAX_OPEN_REQUESTS = 2
-NULL = Raw(b"null")
+NULL_VALUE = Raw(b"null")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -54,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Delays:
-    """How long results wait for company, and how many starts are taken ahead.
+    """How long results are delayed to be sent together, and how many starts are prefetched.
 
-    `coalesce` counts while half of the slots run. `hold` counts while the host has no backlog and
-    the same submission still runs here: its answer cannot be whole before that anyway.
+    `coalesce` is the delay while at least half of the slots are running. `hold` is the delay while
+    the host has no backlog and every pending result is a success of a submission with more tasks
+    held here: the submission's answer cannot be complete before those end.
     """
 
     prefetch: int = 2
@@ -66,8 +67,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
-    """What became of an assignment."""
+class AssignmentResult:
+    """The result of one assignment, to be reported to its host."""
 
     key: TaskKey
     result: TaskResult
@@ -83,22 +84,22 @@
     announced: bool = False
     backlog: int = 0
     draining: bool = False
-    told_credit: int = -1
-    told_leaving: bool = False
+    reported_credit: int = -1
+    reported_leaving: bool = False
     closing_seq: int | None = None
     closed: bool = False
-    pending: list[Result] = field(default_factory=list)
+    pending: list[AssignmentResult] = field(default_factory=list)
     pending_since: timedelta = timedelta()
-    unacknowledged: dict[int, list[Result]] = field(default_factory=dict)
+    unacknowledged: dict[int, list[AssignmentResult]] = field(default_factory=dict)
 
     @property
     def open_requests(self) -> int:
-        """How many requests of this session wait for their reply."""
+        """Number of this session's requests that wait for a reply."""
         return len(self.unacknowledged)
 
 
 class Executor:
-    """State of one upstream: what it holds, what runs, and its links."""
+    """State of one upstream: its waiting and running tasks, and its links."""
 
     def __init__(
         self,
@@ -115,61 +116,63 @@
         self.leaving = False
         self.running: dict[TaskKey, Assignment] = {}
         self.waiting: dict[TaskKey, Assignment] = {}
-        self.to_stop: deque[TaskKey] = deque()
+        self.pending_stops: deque[TaskKey] = deque()
         self._held: Counter[SubmissionId] = Counter()
         self._incarnation = incarnation
         self._delays = delays
 
     def begin_session(self, link: Link) -> None:
-        """Give up the link's session; the next request opens a new one and reports what is held."""
+        """Abandon the link's session; the next request opens a new one and reports held tasks."""
         link.session += 1
         link.next_seq = 1
         link.announced = False
-        link.told_leaving = False
+        link.reported_leaving = False
         link.closing_seq = None
         for results in link.unacknowledged.values():
             link.pending.extend(results)
         link.unacknowledged = {}
 
     def get_credit(self, link: Link) -> int:
-        """Return this link's share of the slots, by which hosts have a backlog."""
+        """Return this link's share of the slots; hosts with a backlog get most of them."""
         if self.leaving or link.draining:
             return 0
         slots = self.announcement.slots
         open_links = [other for other in self.links.values() if not other.draining]
-        wanting = [other for other in open_links if other.backlog > 0]
-        if not wanting:
-            return _share(slots, open_links, link)
-        idle = len(open_links) - len(wanting)
+        backlogged = [other for other in open_links if other.backlog > 0]
+        if not backlogged:
+            return _compute_share(slots, open_links, link)
+        idle = len(open_links) - len(backlogged)
         if link.backlog == 0:
             return 1
-        return max(1, _share(max(slots - idle, 1), wanting, link)) + self._delays.prefetch
+        return (
+            max(1, _compute_share(max(slots - idle, 1), backlogged, link)) + self._delays.prefetch
+        )
 
-    def find_due(self, link: Link) -> timedelta | None:
-        """Return when the link's next request should go out, or None for not yet known."""
+    def find_next_request_time(self, link: Link) -> timedelta | None:
+        """Return when to send the link's next request, or None if nothing calls for one yet."""
         if link.open_requests == 0:
             return timedelta()
-        if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_news(link):
+        if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_updates(link):
             return None
         if not link.pending or self.leaving:
             return timedelta()
         return link.pending_since + self._get_delay(link)
 
-    def has_news(self, link: Link) -> bool:
-        """Whether a request should go out beside one that is already open."""
-        if link.pending or self.get_credit(link) > link.told_credit:
+    def has_updates(self, link: Link) -> bool:
+        """Whether there is something to send although a request is already open."""
+        if link.pending or self.get_credit(link) > link.reported_credit:
             return True
-        return self.leaving and (not link.told_leaving or self._may_close(link))
+        return self.leaving and (not link.reported_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
-        """Return the link's next request; its results count as delivered once it is answered."""
-        require(link.open_requests < MAX_OPEN_REQUESTS, "a link has a bounded number of requests")
+        """Return the link's next request; its results are acknowledged by the reply to it."""
+        require(link.open_requests < MAX_OPEN_REQUESTS, "too many open requests on one link")
         results = link.pending
         link.pending = []
         link.unacknowledged[link.next_seq] = results
-        link.told_credit = self.get_credit(link)
+        link.reported_credit = self.get_credit(link)
         is_first = not link.announced
-        link.told_leaving = self.leaving
+        link.reported_leaving = self.leaving
         closing = self.leaving and not self._holds_any(link)
         if closing:
             link.closing_seq = link.next_seq
@@ -178,7 +181,7 @@
             incarnation=self._incarnation,
             session=SessionNumber(link.session),
             seq=link.next_seq,
-            credit=link.told_credit,
+            credit=link.reported_credit,
             announce=self.announcement if is_first else None,
             held=self._list_held(link) if is_first else [],
             results=_group_results(results),
@@ -189,8 +192,8 @@
         link.next_seq += 1
         return request
 
-    def take_reply(self, link: Link, session: int, reply: ExchangeReply, now: timedelta) -> None:
-        """Act on a reply, unless its session was given up meanwhile."""
+    def handle_reply(self, link: Link, session: int, reply: ExchangeReply, now: timedelta) -> None:
+        """Process a reply, unless its session has been abandoned since."""
         if session != link.session or reply.seq not in link.unacknowledged:
             return
         del link.unacknowledged[reply.seq]
@@ -201,7 +204,7 @@
         for group in reply.starts:
             for start in group.tasks:
                 key = TaskKey(group.submission, start.index, start.attempt)
-                require(key not in self.running, "a start must not come twice")
+                require(key not in self.running, "a running task must not be started again")
                 assignment = Assignment(
                     key=key,
                     host=link.host,
@@ -213,12 +216,12 @@
                 self.waiting[key] = assignment
                 self._held[key.submission] += 1
         if self.leaving:
-            self.return_waiting()
+            self.return_waiting_tasks()
         for name in reply.stops:
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
     def start_next(self) -> Assignment | None:
-        """Take the next waiting task into a free slot."""
+        """Move the first waiting task by rank to a free slot; None if there is no task or slot."""
         if not self.waiting or len(self.running) >= self.announcement.slots:
             return None
         key = min(self.waiting, key=lambda waiting: self.waiting[waiting].rank_ms)
@@ -229,7 +232,7 @@
     def finish(
         self, key: TaskKey, status: ResultStatus, value: Raw, ran_us: int, now: timedelta
     ) -> HostId:
-        """Record a running task's end and return the host that is to be told."""
+        """Record the end of a running task and return the host that its result goes to."""
         assignment = self.running.pop(key)
         link = self.links[assignment.host]
         if not link.pending:
@@ -238,15 +241,15 @@
         return assignment.host
 
     def leave(self) -> None:
-        """Take no new work from now on and give back what has not started."""
+        """Stop accepting work and return the tasks that have not started."""
         self.leaving = True
-        self.return_waiting()
+        self.return_waiting_tasks()
 
-    def return_waiting(self) -> None:
+    def return_waiting_tasks(self) -> None:
         """Report every waiting task as not started."""
         for assignment in list(self.waiting.values()):
             del self.waiting[assignment.key]
-            self._report(assignment, ResultStatus.NOT_STARTED, NULL, 0)
+            self._report(assignment, ResultStatus.NOT_STARTED, NULL_VALUE, 0)
 
     def is_done(self) -> bool:
         """Whether a leaving upstream holds nothing and has nothing left to report."""
@@ -263,8 +266,8 @@
             return self._delays.coalesce
         return timedelta()
 
-    def _may_hold(self, item: Result) -> bool:
-        """Whether the answer has to wait for more from here, and this result is no bad news."""
+    def _may_hold(self, item: AssignmentResult) -> bool:
+        """Whether this is a success and the submission has more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
         return self._held[item.key.submission] > 0
@@ -272,9 +275,9 @@
     def _stop(self, key: TaskKey) -> None:
         waiting = self.waiting.pop(key, None)
         if waiting is not None:
-            self._report(waiting, ResultStatus.NOT_STARTED, NULL, 0)
+            self._report(waiting, ResultStatus.NOT_STARTED, NULL_VALUE, 0)
         elif key in self.running:
-            self.to_stop.append(key)
+            self.pending_stops.append(key)
 
     def _report(self, assignment: Assignment, status: ResultStatus, value: Raw, us: int) -> None:
         key = assignment.key
@@ -282,7 +285,7 @@
         if not self._held[key.submission]:
             del self._held[key.submission]
         result = TaskResult(key.task, key.attempt, status, value, us)
-        self.links[assignment.host].pending.append(Result(key, result))
+        self.links[assignment.host].pending.append(AssignmentResult(key, result))
 
     def _list_held(self, link: Link) -> list[TaskName]:
         held = [*self.waiting.values(), *self.running.values()]
@@ -296,13 +299,13 @@
         return any(item.host == link.host for item in held)
 
 
-def _share(slots: int, links: list[Link], link: Link) -> int:
+def _compute_share(slots: int, links: list[Link], link: Link) -> int:
     position = next((at for at, other in enumerate(links) if other is link), 0)
     share, rest = divmod(slots, len(links))
     return max(1, share + (1 if position < rest else 0))
 
 
-def _group_results(results: list[Result]) -> list[ResultGroup]:
+def _group_results(results: list[AssignmentResult]) -> list[ResultGroup]:
     groups: dict[str, ResultGroup] = {}
     for item in results:
         id = item.key.submission
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -10,18 +10,18 @@
 from returns.result import Result
 
 from ..core.clock import to_milliseconds
-from ..core.cluster.identity import find_birth, get_name
+from ..core.cluster.identity import find_start_ms, get_upstream_name
 from ..core.cluster.model import (
-    EndKind,
-    EndReport,
-    LookReply,
+    PollReply,
+    RunEndKind,
+    RunEndReport,
     RunNumber,
     RunReport,
     UpstreamInfo,
 )
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -44,12 +44,12 @@
     "room": StartOutcome.NO_ROOM,
 }
 _END_WORDS = {
-    "done": EndKind.DONE,
-    "failed": EndKind.FAILED,
-    "stopped": EndKind.STOPPED,
-    "lapsed": EndKind.LAPSED,
-    "broken": EndKind.BROKEN,
-    "alone": EndKind.ALONE,
+    "done": RunEndKind.DONE,
+    "failed": RunEndKind.FAILED,
+    "stopped": RunEndKind.STOPPED,
+    "lapsed": RunEndKind.LAPSED,
+    "broken": RunEndKind.BROKEN,
+    "alone": RunEndKind.ALONE,
 }
 
 
@@ -81,7 +81,7 @@
         }
         if order.checkpoint:
             body["checkpoint"] = order.checkpoint
-        sent = await self._call(order.upstream, START, body, order.patience)
+        sent = await self._call(order.upstream, START, body, order.response_timeout)
         if isinstance(sent, Err):
             return _find_lost_start(sent.failure()), None
         reply = sent.unwrap()
@@ -92,12 +92,12 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop."""
         body = {"task": name_task(order.task), "run_id": order.run, "fencing_token": token}
-        sent = await self._call(order.upstream, STOP, body, order.patience)
+        sent = await self._call(order.upstream, STOP, body, order.response_timeout)
         if isinstance(sent, Err):
             return _find_lost_call(sent.failure())
         return _find_failure(sent.unwrap())
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
         """Ask what runs and what has ended, and renew the lease."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": order.last_seen}
         if order.expires_ms is not None:
@@ -105,7 +105,7 @@
         wait_ms = to_milliseconds(order.wait)
         if wait_ms:
             body["wait_ms"] = wait_ms
-        sent = await self._call(order.upstream, LOOK, body, order.patience + order.wait)
+        sent = await self._call(order.upstream, LOOK, body, order.response_timeout + order.wait)
         if isinstance(sent, Err):
             return _find_lost_call(sent.failure())
         failure = _find_failure(sent.unwrap())
@@ -114,8 +114,8 @@
         read = _read_reply(sent.unwrap())
         if read is not None and read.born is not None and not _is_born(order.upstream, read):
             # Known by its id alone, as in logs of earlier versions, it may be this life or not.
-            is_known = find_birth(order.upstream.id) is not None
-            return CallFailure.LIFE_ENDED if is_known else CallFailure.REFUSED
+            is_known = find_start_ms(order.upstream.id) is not None
+            return CallFailure.INSTANCE_ENDED if is_known else CallFailure.REFUSED
         lists = read_lists(read.clock_ms, read.running, read.finished) if read else None
         return lists if lists is not None else CallFailure.REFUSED
 
@@ -126,10 +126,10 @@
         if address is None:
             return Err(TransportError(message=f"{upstream.address} is no address", unsent=True))
         pool = self._pools.get(address)
-        headers = {LIFE_HEADER: get_name(upstream.id)}
+        headers = {LIFE_HEADER: get_upstream_name(upstream.id)}
         data = msgspec.json.encode(body)
         handshake = None
-        if find_birth(upstream.id) is not None:
+        if find_start_ms(upstream.id) is not None:
             changes_nothing = path == LOOK and not body["last_seen"] and "expires_ms" not in body
             handshake = _build_handshake(upstream, body["fencing_token"], changes_nothing)
         return await pool.call(
@@ -151,27 +151,27 @@
 
 
 def _is_born(upstream: UpstreamInfo, read: _ReplyBody | None) -> bool:
-    return read is not None and read.born == find_birth(upstream.id)
+    return read is not None and read.born == find_start_ms(upstream.id)
 
 
 def _find_lost_start(error: TransportError) -> StartOutcome:
     if error.is_identity_mismatch:
-        return StartOutcome.LIFE_ENDED
+        return StartOutcome.INSTANCE_ENDED
     return StartOutcome.NOT_SENT if error.unsent else StartOutcome.UNKNOWN
 
 
 def _find_lost_call(error: TransportError) -> CallFailure:
-    return CallFailure.LIFE_ENDED if error.is_identity_mismatch else CallFailure.NO_ANSWER
+    return CallFailure.INSTANCE_ENDED if error.is_identity_mismatch else CallFailure.NO_ANSWER
 
 
 def read_lists(
     clock_ms: int | None, running: list[list[Any]], finished: list[list[Any]]
-) -> LookReply | None:
+) -> PollReply | None:
     """Return what a worker says that it holds, or None where that cannot be read."""
     if clock_ms is None:
         return None
     try:
-        return LookReply(
+        return PollReply(
             clock_ms=clock_ms,
             running=tuple(run for row in running if (run := _read_run(row)) is not None),
             ended=tuple(end for row in finished if (end := _read_end(row)) is not None),
@@ -189,7 +189,7 @@
     if status in (429, 503):
         return StartOutcome.UNHEALTHY
     if status == ANOTHER_LIFE:
-        return StartOutcome.LIFE_ENDED
+        return StartOutcome.INSTANCE_ENDED
     if status == 400:
         return StartOutcome.INVALID
     return StartOutcome.UNKNOWN
@@ -199,7 +199,7 @@
     if reply.status == 200:
         return None
     if reply.status == ANOTHER_LIFE:
-        return CallFailure.LIFE_ENDED
+        return CallFailure.INSTANCE_ENDED
     read = _read_reply(reply)
     is_fenced = reply.status == 409 and read is not None and read.reason == FENCED
     return CallFailure.FENCED if is_fenced else CallFailure.REFUSED
@@ -223,7 +223,7 @@
     return RunReport(task=ref, run=RunNumber(run), checkpoint=saved, percent=int(percent))
 
 
-def _read_end(row: list[Any]) -> EndReport | None:
+def _read_end(row: list[Any]) -> RunEndReport | None:
     """Return one end that is listed, or None where it is of no task of ours."""
     number, name, run, word = row[:4]
     saved = row[4] or ""
@@ -232,4 +232,4 @@
         return None
     if type(number) is not int or type(run) is not int or type(saved) is not str:
         raise ValueError
-    return EndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=saved)
+    return RunEndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=saved)
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -28,13 +28,13 @@
 
     def count() -> dict[str, float]:
         counts: dict[str, float] = dict.fromkeys(_DISPATCH_COUNTS, 0.0)
-        if host.leading is not None:
-            counts.update(dataclasses.asdict(host.leading.dispatch.counts))
+        if host.leadership is not None:
+            counts.update(dataclasses.asdict(host.leadership.dispatch.counts))
         counts.update(dataclasses.asdict(host.replica.counts))
-        counts["heartbeats_answered_here"] = host.heartbeats.answered
+        counts["heartbeats_answered_here"] = host.heartbeat_responder.answered
         counts["heartbeats_refused"] = refused.count
         counts["idle_connections_closed"] = idle.closed
-        counts["log_lines_left_out"] = output.left_out
+        counts["log_lines_left_out"] = output.dropped
         return counts
 
     def gauge() -> dict[str, float]:
@@ -43,30 +43,30 @@
         gauges["jobs_kept"] = len(host.replicated.records.jobs)
         gauges["peak_memory_mb"] = _read_peak_memory()
         gauges["descriptors_open"] = _count_descriptors()
-        if host.leading is not None:
-            gauges.update(_gauge_dispatch(host))
+        if host.leadership is not None:
+            gauges.update(_read_dispatch_gauges(host))
         return gauges
 
     metrics = Metrics(counters=count, gauges=gauge)
-    host.record_greeting_age = metrics.add_histogram("greeting_age_ms", HOLD_BOUNDS_MS)
-    host.record_hold = metrics.add_histogram("between_decisions_ms", HOLD_BOUNDS_MS)
+    host.record_keepalive_age = metrics.add_histogram("greeting_age_ms", DELAY_BOUNDS_MS)
+    host.record_decision_gap = metrics.add_histogram("between_decisions_ms", DELAY_BOUNDS_MS)
     return metrics
 
 
 def build_gateway_metrics(gateway: Gateway, output: LogOutput) -> Metrics:
-    """Return the metrics of a gateway, with the time its calls take."""
+    """Return the metrics of a gateway, including the duration of its calls."""
 
     def count() -> dict[str, float]:
         counts = {f"calls_{name}": float(value) for name, value in gateway.outcomes.items()}
         counts["calls_held_to_end"] = gateway.held_to_end
         counts["calls_held_back"] = gateway.held_back
-        counts["log_lines_left_out"] = output.left_out
+        counts["log_lines_left_out"] = output.dropped
         return counts
 
     def gauge() -> dict[str, float]:
         return {
             "ready": float(gateway.is_ready()),
-            "is_deputy": float(gateway.deputy is not None),
+            "is_deputy": float(gateway.acting_leader is not None),
             "peak_memory_mb": _read_peak_memory(),
         }
 
@@ -78,7 +78,7 @@
 
 
 def build_metrics_handler(metrics: Metrics) -> Handler:
-    """Return the handler that shows metrics as text."""
+    """Return the HTTP handler that serves the metrics as text."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path != "/metrics":
@@ -89,10 +89,10 @@
 
 
 CALL_BOUNDS_MS = (5.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0)
-HOLD_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
-"""Up to 20 ms between decisions are usual, and 300 ms of a gateway's silence are borne."""
+DELAY_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
+"""Up to 20 ms between decisions are usual; 300 ms of silence of a gateway are tolerated."""
 REFUSAL_BOUNDS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
-"""Shares of the objective: within a quarter of it a caller can still act."""
+"""Fractions of the latency objective; within a quarter of it a caller can still react."""
 _DISPATCH_COUNTS = (
     "starts", "started", "refused_starts", "unknown_starts", "stops", "looks", "failed_looks",
     "lapsed_runs", "ends", "rejected_jobs", "given_up_jobs", "moved_runs", "resized_upstreams",
@@ -106,33 +106,35 @@
 )  # fmt: skip
 
 
-def _gauge_dispatch(host: ControlHost) -> dict[str, float]:
-    assert host.leading is not None
-    dispatch = host.leading.dispatch
-    lives = list(dispatch.lives.values())
-    evacuated = host.leading.list_evacuated_ms()
-    working = [life for life in lives if life.is_fenced and not life.draining]
+def _read_dispatch_gauges(host: ControlHost) -> dict[str, float]:
+    assert host.leadership is not None
+    dispatch = host.leadership.dispatch
+    instances = list(dispatch.instances.values())
+    evacuated = host.leadership.list_evacuation_ages_ms()
+    working = [instance for instance in instances if instance.is_fenced and not instance.draining]
     return {
         "settled_after_ms": dispatch.counts.settled_after_ms,
         "open_jobs": dispatch.jobs.count_jobs(),
-        "unsure_jobs": sum(job.is_unsure() for job in dispatch.jobs.jobs.values()),
+        "unsure_jobs": sum(job.has_unknown_tasks() for job in dispatch.jobs.jobs.values()),
         "waiting_tasks": dispatch.jobs.backlog.count_tasks(),
-        "upstreams": len(lives),
+        "upstreams": len(instances),
         "upstreams_working": len(working),
-        "upstreams_draining": sum(life.draining for life in lives),
+        "upstreams_draining": sum(instance.draining for instance in instances),
         "suspects": len(host.replicated.records.suspects),
-        "heartbeat_desks": host.leading.count_desks(),
+        "heartbeat_desks": host.leadership.count_responders(),
         "domains_evacuated": len(evacuated),
         "evacuated_for_ms": max(evacuated, default=0.0),
-        "runs_evacuated": sum(len(life.runs) for life in lives if life.is_evacuated),
-        "free_cpu_millis": sum(life.free_cpu for life in working),
-        "capacity_cpu_millis": sum(life.info.capacity.cpu_millis for life in working),
-        "oldest_report_ms": host.leading.find_oldest_report() / timedelta(milliseconds=1),
+        "runs_evacuated": sum(
+            len(instance.runs) for instance in instances if instance.is_evacuated
+        ),
+        "free_cpu_millis": sum(instance.free_cpu for instance in working),
+        "capacity_cpu_millis": sum(instance.info.capacity.cpu_millis for instance in working),
+        "oldest_report_ms": host.leadership.find_oldest_report_age() / timedelta(milliseconds=1),
     }
 
 
 def _count_descriptors() -> float:
-    """Return how many descriptors are open, of those that the limits of the host allow."""
+    """Return the number of open file descriptors, which the limits of the host restrict."""
     try:
         return float(len(os.listdir("/proc/self/fd")))
     except OSError:
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -1,4 +1,4 @@
-"""An entry host: the dispatcher core with its timers, waiting callers and parked upstreams."""
+"""An entry host: the dispatcher core with its timers, waiting callers and parked exchanges."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from ..core.ids import Generation, SubmissionId, UpstreamId
 from ..core.intake import (
     build_job,
-    build_question,
-    build_submit,
+    build_rule_input,
+    build_submit_request,
     check_submit,
     compute_digest,
 )
@@ -47,7 +47,7 @@
 MAX_WAIT_SECONDS = 60.0
 NOT_READY_RETRY_AFTER_MS = 1000
 _RequestId = tuple[UpstreamId, int, int]
-_EVENT_OF_NOTICE = {
+_EVENT_BY_NOTICE_KIND = {
     NoticeKind.OPENED: Event.UPSTREAM_OPENED,
     NoticeKind.GONE: Event.UPSTREAM_GONE,
     NoticeKind.LEAVING: Event.UPSTREAM_LEAVING,
@@ -56,7 +56,7 @@
 
 
 class EntryHost:
-    """State of one entry host; all of it on one loop."""
+    """State of one entry host; all of it is used on one event loop."""
 
     def __init__(
         self, *, settings: EntrySettings, clock: Clock, rulebook: Rulebook, control: Control
@@ -80,29 +80,29 @@
         )
         self._job_waiters: dict[SubmissionId, list[asyncio.Future[None]]] = {}
         self._exchange_waiters: dict[_RequestId, asyncio.Future[ExchangeReply]] = {}
-        self._dispatch_planned = False
+        self._dispatch_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
         self._unfetched: set[SubmissionId] = set()
-        self._failure: Callable[[BaseException], None] | None = None
+        self._on_failure: Callable[[BaseException], None] | None = None
 
-    # Life
+    # Lifecycle
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
-        """Begin the timers; `on_failure` hears of a broken invariant."""
-        self._failure = on_failure
+        """Start the timers; `on_failure` is called when an invariant is broken."""
+        self._on_failure = on_failure
         self._ticker = asyncio.create_task(self._tick_forever())
 
     async def drain(self) -> None:
-        """Take no new work, finish what was accepted and let callers fetch their answers."""
+        """Accept no new jobs, finish the accepted ones and let callers fetch their answers."""
         self.dispatcher.draining = True
-        log_event(Event.DRAINING, host=self.settings.host, jobs=self.dispatcher.active_jobs)
+        log_event(Event.DRAINING, host=self.settings.host, jobs=self.dispatcher.active_job_count)
         now = self._clock.monotonic()
         limit = now + self.settings.drain_limit
-        while self.dispatcher.active_jobs and self._clock.monotonic() < limit:
+        while self.dispatcher.active_job_count and self._clock.monotonic() < limit:
             await asyncio.sleep(TICK_SECONDS)
-        if self.dispatcher.active_jobs:
-            log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_jobs)
-        self.plan_dispatch()
+        if self.dispatcher.active_job_count:
+            log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_job_count)
+        self.schedule_dispatch()
         linger = self._clock.monotonic() + self.settings.drain_linger
         while self._unfetched and self._clock.monotonic() < linger:
             await asyncio.sleep(TICK_SECONDS)
@@ -117,7 +117,7 @@
     def mint(self, count: int) -> Result[MintReply, Refusal]:
         """Return fresh submission ids."""
         if not 1 <= count <= MAX_IDS_PER_MINT:
-            message = f"ask for 1 to {MAX_IDS_PER_MINT} ids at a time"
+            message = f"the number of ids must be between 1 and {MAX_IDS_PER_MINT}"
             return Err(Refusal(code=RefusalCode.INVALID, message=message, path="$.count"))
         now = self._clock.monotonic()
         store = self.dispatcher.store
@@ -127,26 +127,29 @@
     def submit(
         self, request: SubmitRequest, idempotent: bool = False
     ) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Accept a job or attach to it; `record_lost` is an answer already."""
+        """Accept a job, or attach to the job with the same id.
+
+        A job whose record was lost has an answer already, which is returned.
+        """
         now = self._clock.monotonic()
         store = self.dispatcher.store
         id = request.id or store.mint(now)
-        found = store.find(id, now) if request.id else None
+        found = store.find_submission(id, now) if request.id else None
         if isinstance(found, Success):
             known = found.unwrap()
             if isinstance(known, JobAnswer):
                 return Success(known)
             return self.dispatcher.attach(known, compute_digest(request))
-        # Before any check that may say `not_run`: an id without a record here may have run.
-        refusal = store.check_new(id, now)
+        # Check this before anything that may answer `not_run`: a job without a record may have run.
+        refusal = store.check_new_id(id, now)
         refusal = refusal or check_submit(request, self.settings.bodies.max_payload_kb * 1024)
         if refusal is None and not self.control.is_ready():
             refusal = _refuse_not_ready()
         if refusal is not None:
             return Err(refusal)
         time_of_day = self._clock.now().time()
-        question = build_question(request, self.settings.domain, idempotent, time_of_day)
-        rule = self.rulebook.match(question)
+        rule_input = build_rule_input(request, self.settings.domain, idempotent, time_of_day)
+        rule = self.rulebook.match(rule_input)
         built = build_job(id=id, request=request, rule=rule, idempotent=idempotent, now=now)
         if isinstance(built, Err):
             log_event(Event.SUBMISSION_REFUSED, team=request.team, rule=rule.name if rule else "")
@@ -157,19 +160,19 @@
         accepted = self.dispatcher.submit(built.unwrap(), run_time)
         if isinstance(accepted, Success) and not idempotent:
             self._unfetched.add(id)
-        self.plan_dispatch()
+        self.schedule_dispatch()
         return accepted
 
     def get_status(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Return how far a job has come."""
-        found = self.dispatcher.store.find(id, self._clock.monotonic())
+        """Return the status of a job, or its answer if only that is still stored."""
+        found = self.dispatcher.store.find_submission(id, self._clock.monotonic())
         return found.map(lambda known: build_status(known) if isinstance(known, Job) else known)
 
     async def wait_answer(
         self, id: SubmissionId, wait_seconds: float
     ) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Return the whole answer, or the status once the wait is over."""
-        found = self.dispatcher.store.find(id, self._clock.monotonic())
+        """Return the answer of a job, or its status if it has not ended within the wait."""
+        found = self.dispatcher.store.find_submission(id, self._clock.monotonic())
         if isinstance(found, Err):
             return Err(found.failure())
         known = found.unwrap()
@@ -183,21 +186,21 @@
         return Success(build_answer(known))
 
     def cancel(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Cancel a job; the answer is the same for all who ask."""
+        """Cancel a job; all callers that ask for it get the same answer."""
         now = self._clock.monotonic()
-        found = self.dispatcher.store.find(id, now)
+        found = self.dispatcher.store.find_submission(id, now)
         if isinstance(found, Err):
             return Err(found.failure())
         known = found.unwrap()
         if isinstance(known, JobAnswer):
             return Success(known)
         status = self.dispatcher.cancel(known, now)
-        self.plan_dispatch()
+        self.schedule_dispatch()
         return Success(status)
 
     async def run_single(self, request: SingleRequest) -> Result[JobAnswer, Refusal]:
-        """Run one task and return its answer, which comes at its deadline at the latest."""
-        submitted = self.submit(build_submit(request), request.idempotent)
+        """Run one task and return its answer, at its deadline at the latest."""
+        submitted = self.submit(build_submit_request(request), request.idempotent)
         if isinstance(submitted, Err):
             return Err(submitted.failure())
         status = submitted.unwrap()
@@ -214,41 +217,41 @@
     def open_exchange(
         self, request: ExchangeRequest
     ) -> Result[asyncio.Future[ExchangeReply], Refusal]:
-        """Take in an upstream's message and return the future of its reply."""
+        """Handle an upstream's message and return the future of its reply."""
         refusal = self.dispatcher.exchange(request, self._clock.monotonic())
         if refusal is not None:
             return Err(refusal)
         future: asyncio.Future[ExchangeReply] = asyncio.get_running_loop().create_future()
-        self._exchange_waiters[_identify(request)] = future
-        self.plan_dispatch()
+        self._exchange_waiters[_get_request_id(request)] = future
+        self.schedule_dispatch()
         return Success(future)
 
     def close_exchange(self, request: ExchangeRequest) -> None:
-        """Note that an upstream hung up before its reply."""
-        if self._exchange_waiters.pop(_identify(request), None) is None:
+        """Handle an upstream's disconnect before its reply."""
+        if self._exchange_waiters.pop(_get_request_id(request), None) is None:
             return
         now = self._clock.monotonic()
-        self.dispatcher.disconnect(request.upstream, request.session, request.seq, now)
+        self.dispatcher.handle_disconnect(request.upstream, request.session, request.seq, now)
 
-    def plan_dispatch(self) -> None:
-        """Dispatch once all messages that wait on the loop have been taken in."""
-        if self._dispatch_planned:
+    def schedule_dispatch(self) -> None:
+        """Schedule a dispatch after all messages that are ready on the event loop."""
+        if self._dispatch_scheduled:
             return
-        self._dispatch_planned = True
+        self._dispatch_scheduled = True
         asyncio.get_running_loop().call_soon(self._run_dispatch)
 
     # Operators
 
-    def count(self) -> dict[str, float]:
-        """Return all counters."""
+    def get_counters(self) -> dict[str, float]:
+        """Return all counters by name."""
         counters: dict[str, float] = asdict(self.dispatcher.counters)
         return counters
 
-    def gauge(self) -> dict[str, float]:
-        """Return the current sizes."""
+    def get_gauges(self) -> dict[str, float]:
+        """Return all gauges by name."""
         dispatcher = self.dispatcher
         return {
-            "active_jobs": dispatcher.active_jobs,
+            "active_jobs": dispatcher.active_job_count,
             "kept_jobs": len(dispatcher.store.jobs),
             "queued_tasks": dispatcher.queued_tasks,
             "upstreams": len(dispatcher.sessions),
@@ -258,10 +261,10 @@
             "rules_stale": float(self.control.is_stale()),
         }
 
-    # Inside
+    # Internals
 
     def _run_dispatch(self) -> None:
-        self._dispatch_planned = False
+        self._dispatch_scheduled = False
         try:
             self._dispatch()
         except Exception as error:
@@ -273,13 +276,13 @@
             future = self._exchange_waiters.pop(request_id, None)
             if future is not None and not future.done():
                 future.set_result(delivery.reply)
-        for job in self.dispatcher.take_ended():
-            self._announce_end(job)
-        for notice in self.dispatcher.take_notices():
-            event = _EVENT_OF_NOTICE[notice.kind]
+        for job in self.dispatcher.pop_ended_jobs():
+            self._report_job_end(job)
+        for notice in self.dispatcher.pop_notices():
+            event = _EVENT_BY_NOTICE_KIND[notice.kind]
             log_event(event, upstream=notice.upstream, detail=notice.detail)
 
-    def _announce_end(self, job: Job) -> None:
+    def _report_job_end(self, job: Job) -> None:
         if job.state is JobState.FAILED and job.failure is not None:
             reason = job.failure.reason.value
             log_event(Event.JOB_FAILED, id=job.id, reason=reason, detail=job.failure.detail)
@@ -301,7 +304,7 @@
                 self.dispatcher.tick(self._clock.monotonic())
                 self._dispatch()
                 self._forget_unfetched()
-                is_busy = self.dispatcher.active_jobs > 0
+                is_busy = self.dispatcher.active_job_count > 0
                 await asyncio.sleep(TICK_SECONDS if is_busy else IDLE_TICK_SECONDS)
         except Exception as error:
             self._report_failure(error)
@@ -313,18 +316,18 @@
 
     def _report_failure(self, error: Exception) -> None:
         log_event(Event.INVARIANT_BROKEN, error=f"{type(error).__name__}: {error}")
-        if self._failure is not None:
-            self._failure(error)
+        if self._on_failure is not None:
+            self._on_failure(error)
 
 
 def _refuse_not_ready() -> Refusal:
     return Refusal(
         code=RefusalCode.NOT_READY,
-        message="this entry host does not know the rules in force yet",
+        message="this entry host has not received the active rules yet",
         outcome=RunOutcome.NOT_RUN,
         retry_after_ms=NOT_READY_RETRY_AFTER_MS,
     )
 
 
-def _identify(request: ExchangeRequest) -> _RequestId:
+def _get_request_id(request: ExchangeRequest) -> _RequestId:
     return (request.upstream, request.session, request.seq)
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -1,4 +1,4 @@
-"""An entry host of the cluster: passes callers' requests to whoever decides, and answers them."""
+"""An entry host of the cluster: sends callers' requests to the coordinator, and answers them."""
 
 from __future__ import annotations
 
@@ -14,50 +14,50 @@
 from ..core.cluster.calls import (
     NO_CONFIGURATION,
     NO_LOG,
-    NOT_IN_TOUCH,
+    NO_RECENT_CONTACT,
     Abandon,
+    AbandonedSubmission,
     Answer,
     Call,
-    GivenUp,
-    Greet,
+    KeepAlive,
     Outcome,
     Submit,
     call_decoder,
 )
-from ..core.cluster.forecast import find_declared_objective, find_last_use
+from ..core.cluster.forecast import find_declared_objective, find_latest_useful_start
 from ..core.cluster.model import Queue
 from ..net.asgi import HttpRequest, HttpResponse
-from .decider import DeciderLink, Via
-from .deputy import Deputy
+from .decider import CoordinatorLink, Via
+from .deputy import ActingLeader
 from .events import Event, log_event
 from .job_line import NOT_SENT
-from .job_lines import JobLines
+from .job_lines import JobChannelServer
 from .peer_calls import (
     CALL_PATH,
-    GREETING_PASSED,
-    PASS_ON_TIMEOUT,
+    FORWARD_TIMEOUT,
+    KEEPALIVE_FORWARD_TIMEOUT,
     PeerCalls,
-    decode_greeting,
+    decode_keepalive,
 )
 from .ports import OnFailure, UpstreamPort
 
 RETRY_SECONDS = 0.05
-ABANDON_PATIENCE = timedelta(milliseconds=500)
-LEAST_TIME = timedelta(milliseconds=20)
-"""With less time left a call is not tried again."""
-NOBODY_PATIENCE = timedelta(milliseconds=2_000)
-"""How long a call waits for somebody who decides, before its caller is told to come back."""
-NO_LEADER = "neither a deputy nor in touch with a leader"
-NO_ANSWER = "whoever decides has not answered lately"
-KEPT_PATIENCE = timedelta(milliseconds=800)
-"""The same for a job that must be kept: no deputy can take it, and an election takes 0.7 s. Where
-no majority of control hosts answers none can come about, and its caller is told at once."""
+ABANDON_TIMEOUT = timedelta(milliseconds=500)
+MIN_TRY_TIME = timedelta(milliseconds=20)
+"""A call is not tried again with less time left than this."""
+COORDINATOR_WAIT = timedelta(milliseconds=2_000)
+"""How long a call waits for a coordinator before its caller is told to retry later."""
+NO_LEADER = "neither an acting leader nor connected to a leader"
+COORDINATOR_OVERDUE = "the coordinator has not answered lately"
+DURABLE_COORDINATOR_WAIT = timedelta(milliseconds=800)
+"""The same for a durable job: an acting leader cannot accept it, and an election takes 0.7 s. If no
+majority of control hosts answers, no leader can be elected, and its caller is told at once."""
 DEFAULT_MAX_BODY_BYTES = 262_144
-_ORDINARY = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
+_EXPECTED_OUTCOMES = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
 
 
 class Gateway:
-    """State of one entry host."""
+    """State of one gateway."""
 
     def __init__(
         self,
@@ -68,34 +68,34 @@
         on_failure: OnFailure,
     ) -> None:
         self.outcomes: dict[str, int] = {outcome.value: 0 for outcome in Outcome}
-        """How many calls had which outcome."""
+        """Number of calls by outcome."""
         self.record_call: Callable[[float], object] = lambda took_ms: None
-        """Called with the milliseconds that each call took."""
+        """Called with the duration of each call in milliseconds."""
         self.record_refusal: Callable[[float], object] = lambda share: None
-        """Called for each job that was not served with the time that took, over its objective."""
+        """Called for each job that was not served with the time taken divided by its objective."""
         self.held_to_end = 0
-        """How many calls were answered only when their callers gave up waiting."""
+        """Number of failed calls that were answered only when their callers' wait timed out."""
         self.held_back = 0
-        """How often a job was not sent to a host that owed an answer."""
+        """How often a job was withheld from a coordinator whose answer was overdue."""
         self._clock = clock
         self.calls = PeerCalls(own=str(settings.listen.peers), urgent_port=settings.urgent_port)
-        self._job_lines = JobLines(
+        self._job_channels = JobChannelServer(
             answer=self.answer_peer, clock=clock, find_slack=self._find_slack
         )
-        self.link = DeciderLink(
+        self.link = CoordinatorLink(
             settings=settings,
             clock=clock,
             port=port,
             calls=self.calls,
             on_failure=on_failure,
         )
-        self._number = self.link.vouching.life
-        """Of the last submission; no earlier process at this address has used it."""
-        self.calls.stamp = self.link.vouching.stamp
+        self._last_number = self.link.confirmations.instance
+        """Number of the last submission; no earlier process at this address has used it."""
+        self.calls.stamp = self.link.confirmations.stamp
         self._background: set[asyncio.Task[Answer]] = set()
 
     def start(self) -> None:
-        """Begin to look for the leader."""
+        """Start the background tasks that find and follow the coordinator."""
         self.link.start()
 
     def stop(self) -> None:
@@ -104,69 +104,74 @@
         self.calls.close()
 
     def begin_stopping(self) -> None:
-        """Be ready for callers no more; what has arrived is still answered."""
+        """Become not ready for callers; calls that have arrived are still answered."""
         self.link.is_stopping = True
 
     @property
     def is_stopping(self) -> bool:
-        """Whether this host is about to stop."""
+        """Whether this gateway is shutting down."""
         return self.link.is_stopping
 
     def is_ready(self) -> bool:
-        """Whether callers' requests can be carried out here at the moment."""
-        return not self.is_stopping and self.link.is_reached()
+        """Return whether this gateway can serve callers' requests now."""
+        return not self.is_stopping and self.link.is_connected()
 
     @property
     def max_body_bytes(self) -> int:
-        """Longest body of a request, as the configuration says."""
+        """Maximum size of a request body, from the configuration if it is known."""
         return self.link.max_body_bytes or DEFAULT_MAX_BODY_BYTES
 
     @property
-    def deputy(self) -> Deputy | None:
-        """This host's decisions for want of a leader, while it stands in."""
-        return self.link.deputy
+    def acting_leader(self) -> ActingLeader | None:
+        """The acting leader in this process, or None."""
+        return self.link.acting_leader
 
     @property
-    def decider(self) -> str | None:
-        """Address of the host that calls go to, where it is known."""
-        return self.link.host
+    def coordinator(self) -> str | None:
+        """Address of the coordinator, or None while none is known."""
+        return self.link.coordinator
 
     @property
     def hosts(self) -> list[str]:
         """Addresses of the known control hosts."""
         return self.link.hosts
 
-    def use_seeds(self, seeds: list[Address]) -> None:
-        """Look for control hosts at these addresses, too."""
-        self.link.use_seeds(seeds)
+    def add_seeds(self, seeds: list[Address]) -> None:
+        """Add addresses at which control hosts may be found."""
+        self.link.add_seeds(seeds)
 
     # Calls of callers
 
     def abandon(self, call: Submit) -> None:
-        """Tell the leader that a caller has left; nobody waits for the answer."""
-        abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own)
-        task = asyncio.create_task(self._call(abandon, ABANDON_PATIENCE))
+        """Tell the coordinator that a caller has disconnected, without waiting for the answer."""
+        abandon = Abandon(host=call.host, path=call.path, gateway=self.link.own_address)
+        task = asyncio.create_task(self._call(abandon, ABANDON_TIMEOUT))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    async def call(self, call: Call, patience: timedelta) -> Answer:
-        """Have a call carried out, and log what was not."""
+    async def call(self, call: Call, timeout: timedelta) -> Answer:
+        """Have a call carried out, and log it if it was not.
+
+        Returns an answer within `timeout`.
+        """
         began_at = self._clock.monotonic()
         if isinstance(call, Submit):
-            self._number += 1
-            call = msgspec.structs.replace(call, gateway=self.link.own, number=self._number)
+            self._last_number += 1
+            call = msgspec.structs.replace(
+                call, gateway=self.link.own_address, number=self._last_number
+            )
         try:
-            answer = await self._call(call, patience)
+            answer = await self._call(call, timeout)
         except asyncio.CancelledError:
-            self._note_given_up(call)
+            self._record_abandoned(call)
             raise
-        if answer.outcome in (Outcome.UNKNOWN, Outcome.GIVEN_UP):
-            self._note_given_up(call)
+        if answer.outcome in (Outcome.UNKNOWN, Outcome.ABANDONED):
+            self._record_abandoned(call)
         if answer.outcome is Outcome.UNKNOWN and isinstance(call, Submit) and call.spec.best_effort:
-            # Its caller hears no more of this try, so what runs of it is of no use.
+            # Its caller gets no result of this try, so its runs are useless and can be stopped.
             self.abandon(call)
-        self._count(call, answer, self._clock.monotonic() - began_at, patience)
-        if answer.outcome not in _ORDINARY:
+        self._record_outcome(call, answer, self._clock.monotonic() - began_at, timeout)
+        if answer.outcome not in _EXPECTED_OUTCOMES:
             log_event(
                 Event.CALL_FAILED,
                 call=type(call).__name__,
@@ -177,127 +182,140 @@
             )
         return answer
 
-    def _note_given_up(self, call: Call) -> None:
-        """Have whoever decides told, until it surely knows, that nobody waits for a job here."""
+    def _record_abandoned(self, call: Call) -> None:
+        """Report that this gateway no longer waits for a best-effort job.
+
+        Keep-alives repeat the report until the coordinator is sure to have received it.
+        """
         if isinstance(call, Submit) and call.spec.best_effort:
-            self.link.vouching.note_given_up(
-                GivenUp(host=call.host, path=call.path, number=call.number)
+            self.link.confirmations.record_abandoned(
+                AbandonedSubmission(host=call.host, path=call.path, number=call.number)
             )
 
-    def _count(self, call: Call, answer: Answer, took: timedelta, patience: timedelta) -> None:
-        """Count a call that has been answered."""
+    def _record_outcome(
+        self, call: Call, answer: Answer, took: timedelta, timeout: timedelta
+    ) -> None:
+        """Update the metrics for a call that has been answered."""
         self.outcomes[answer.outcome.value] += 1
         self.record_call(took / timedelta(milliseconds=1))
-        if answer.outcome in _ORDINARY:
+        if answer.outcome in _EXPECTED_OUTCOMES:
             return
-        self.held_to_end += took >= patience - LEAST_TIME
+        self.held_to_end += took >= timeout - MIN_TRY_TIME
         queue = self._find_queue(call) if isinstance(call, Submit) else None
         if isinstance(call, Submit) and queue is not None:
             self.record_refusal(took / find_declared_objective(queue, call.spec))
 
     def _find_queue(self, call: Submit) -> Queue | None:
-        """Return the queue of a job, as far as the last leader has told."""
-        queues = self.link.rosters.queues
-        found = queues.find(call.host, call.path) if queues is not None else None
+        """Return the queue of a job in the last known configuration, or None."""
+        queues = self.link.failover_store.queues
+        found = queues.find_queue(call.host, call.path) if queues is not None else None
         return found[0] if found is not None else None
 
-    async def _call(self, call: Call, patience: timedelta) -> Answer:
-        """Try a call until it is answered for good; every call may be sent twice."""
+    async def _call(self, call: Call, timeout: timedelta) -> Answer:
+        """Retry a call until it has a final answer; every call is safe to send twice."""
         began_at = self._clock.monotonic()
-        give_up_at = began_at + patience
-        nobody_since: timedelta | None = None
+        deadline = began_at + timeout
+        unavailable_since: timedelta | None = None
         is_unknown = False
         while True:
             now = self._clock.monotonic()
-            left = give_up_at - now
-            if left < LEAST_TIME:
+            left = deadline - now
+            if left < MIN_TRY_TIME:
                 break
-            if nobody_since is not None and now - nobody_since > self._find_patience(call):
+            if (
+                unavailable_since is not None
+                and now - unavailable_since > self._get_coordinator_wait(call)
+            ):
                 break
             via = self.link.via
-            deputy_term = self.link.deputy_term if via is Via.DEPUTY else 0
+            deputy_term = self.link.acting_leader_term if via is Via.ACTING_LEADER else 0
             if isinstance(call, Submit):
                 waited_ms = to_milliseconds(now - began_at)
                 call = msgspec.structs.replace(call, waited_ms=waited_ms)
-            answer = await self._try(call, left)
+            answer = await self._try_once(call, left)
             is_open = answer.outcome in (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
             if answer.outcome is Outcome.UNKNOWN:
                 is_unknown = True
-                nobody_since = None
+                unavailable_since = None
                 if isinstance(call, Submit):
                     call = _mark_begun(call, deputy_term, via)
                     call = _add_suspects(call, answer)
             elif answer.outcome is Outcome.UNAVAILABLE:
-                nobody_since = now if nobody_since is None else nobody_since
+                unavailable_since = now if unavailable_since is None else unavailable_since
             elif answer.outcome is Outcome.REJECTED and is_unknown:
-                # An earlier try may have run: "not run" cannot be said any more.
+                # An earlier try may have run, so the job can no longer be reported as not run.
                 break
             else:
                 return answer
             waited = self._clock.monotonic() - began_at
             if is_open and isinstance(call, Submit) and self._is_hopeless(call, waited):
                 break
-            await self.link.wait_change(RETRY_SECONDS)
+            await self.link.wait_for_change(RETRY_SECONDS)
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
-        return Answer(outcome=outcome, detail="nobody could be reached in time who decides")
+        return Answer(outcome=outcome, detail="no coordinator could be reached in time")
 
-    def _find_patience(self, call: Call) -> timedelta:
-        """Return how long a call waits for somebody who decides."""
+    def _get_coordinator_wait(self, call: Call) -> timedelta:
+        """Return how long a call waits for a coordinator."""
         if not isinstance(call, Submit) or call.spec.best_effort:
-            return NOBODY_PATIENCE
-        return timedelta() if self.link.is_core_silent() else KEPT_PATIENCE
+            return COORDINATOR_WAIT
+        return timedelta() if self.link.is_control_majority_silent() else DURABLE_COORDINATOR_WAIT
 
     def _is_hopeless(self, call: Submit, waited: timedelta) -> bool:
-        """Whether a job that waited so long would end too late to be of any use."""
+        """Return whether a job that has waited this long would end too late to be useful."""
         queue = self._find_queue(call)
         spec = call.spec
         if queue is None or not spec.best_effort or spec.is_timed or spec.long_running:
             return False
-        return waited > find_last_use(queue, spec)
+        return waited > find_latest_useful_start(queue, spec)
 
     def _find_slack(self, call: Submit) -> float:
-        """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
+        """Return for how many seconds a job can still wait and be useful; 0 if not known."""
         queue = self._find_queue(call)
         if queue is None:
             return 0.0
-        return find_last_use(queue, call.spec).total_seconds() - call.waited_ms / 1000
+        return find_latest_useful_start(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
-    async def _try(self, call: Call, timeout: timedelta) -> Answer:
-        if self.deputy is not None:
-            return await _ask_itself(self.deputy, call, timeout)
-        host = self.link.host
+    async def _try_once(self, call: Call, timeout: timedelta) -> Answer:
+        if self.acting_leader is not None:
+            return await _call_itself(self.acting_leader, call, timeout)
+        host = self.link.coordinator
         if host is None:
-            return Answer(outcome=Outcome.UNAVAILABLE, detail="nobody is known who decides")
+            return Answer(outcome=Outcome.UNAVAILABLE, detail="no coordinator is known")
         if isinstance(call, Submit) and self.link.is_overdue():
             self.held_back += 1
-            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_ANSWER)
-        sent_call = _to_deputy(call) if self.link.via is Via.DEPUTY else call
+            return Answer(outcome=Outcome.UNAVAILABLE, detail=COORDINATOR_OVERDUE)
+        sent_call = _to_acting_leader(call) if self.link.via is Via.ACTING_LEADER else call
         answer = await self.calls.ask(host, sent_call, timeout)
-        still_decides = answer.detail in (NO_CONFIGURATION, NO_LOG, NOT_IN_TOUCH, NOT_SENT)
-        if answer.outcome is Outcome.UNAVAILABLE and not still_decides:
-            self.link.leave(host)
+        is_still_coordinator = answer.detail in (
+            NO_CONFIGURATION,
+            NO_LOG,
+            NO_RECENT_CONTACT,
+            NOT_SENT,
+        )
+        if answer.outcome is Outcome.UNAVAILABLE and not is_still_coordinator:
+            self.link.unfollow(host)
         return answer
 
     # Calls of other gateways
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Take jobs in, and answer greetings where this gateway stands in; None for all else."""
-        taken = self._job_lines.handle_at_once(request)
-        if taken is not None:
-            return taken
-        deputy = self.deputy
-        greeting = decode_greeting(request) if deputy is not None else None
-        if deputy is None or greeting is None:
+        """Receive jobs, and answer keep-alives while acting as leader; None for other requests."""
+        response = self._job_channels.handle_at_once(request)
+        if response is not None:
+            return response
+        acting_leader = self.acting_leader
+        keepalive = decode_keepalive(request) if acting_leader is not None else None
+        if acting_leader is None or keepalive is None:
             return None
-        answer = deputy.leading.answer_greeting(greeting)
-        answer = msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
+        answer = acting_leader.leadership.answer_keepalive(keepalive)
+        answer = msgspec.structs.replace(answer, is_acting_leader=True, domain=acting_leader.domain)
         return HttpResponse(status=200, body=msgspec.json.encode(answer))
 
-    async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request of another gateway, as its deputy or by passing it on to the leader."""
+    async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
+        """Answer a request of another gateway, as acting leader or by relaying it to the leader."""
         try:
-            if self._job_lines.handles(request.path):
-                return await self._job_lines.handle(request)
+            if self._job_channels.handles(request.path):
+                return await self._job_channels.handle(request)
             if request.path != CALL_PATH:
                 return HttpResponse(status=404)
             call = call_decoder.decode(request.body)
@@ -308,63 +326,71 @@
 
     async def answer_peer(self, call: Call) -> Answer:
         """Answer a call of another gateway."""
-        deputy = self.deputy
-        if deputy is not None:
-            # It may have stood down by the time at which a job has ended.
-            answer = await deputy.leading.answer(call)
-            return msgspec.structs.replace(answer, is_deputy=True, domain=deputy.domain)
-        leader = self.link.host if self.link.is_led_directly() else None
+        acting_leader = self.acting_leader
+        if acting_leader is not None:
+            # It may have stepped down by the time a job has ended: mark its answers all the same.
+            answer = await acting_leader.leadership.answer(call)
+            return msgspec.structs.replace(
+                answer, is_acting_leader=True, domain=acting_leader.domain
+            )
+        leader = self.link.coordinator if self.link.has_direct_leader() else None
         if leader is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_LEADER, hosts=tuple(self.hosts))
-        answer = await self.calls.ask(leader, call, _find_patience(call))
-        if isinstance(call, Greet) and answer.outcome is not Outcome.DONE:
+        answer = await self.calls.ask(leader, call, _get_relay_timeout(call))
+        if isinstance(call, KeepAlive) and answer.outcome is not Outcome.DONE:
             return msgspec.structs.replace(answer, leader=leader, hosts=tuple(self.hosts))
         return answer
 
 
 def _mark_begun(call: Submit, deputy_term: int, via: Via) -> Submit:
-    """Return a submission whose last try may have begun it, under a deputy of that term or none."""
+    """Return a submission marked as possibly started, by an acting leader of that term if any."""
     return msgspec.structs.replace(
         call,
         may_have_begun=True,
-        deputy_term=max(deputy_term, call.deputy_term),
-        # A gateway that passes calls on may stand in before it has seen one.
-        may_be_of_deputy=call.may_be_of_deputy or via is not Via.LEADER,
+        acting_leader_term=max(deputy_term, call.acting_leader_term),
+        # A relay may have begun to act as leader before it handled the call.
+        may_be_of_acting_leader=call.may_be_of_acting_leader or via is not Via.LEADER,
     )
 
 
 def _add_suspects(call: Submit, answer: Answer) -> Submit:
-    """Return a submission that tells the next host what the last one had against its tasks."""
+    """Return a submission that tells the next coordinator which tasks the last one suspects."""
     return msgspec.structs.replace(call, suspects=answer.suspects or call.suspects)
 
 
-def _to_deputy(call: Call) -> Call:
-    """Return a call as a deputy takes it, whose token is above that of deputies before it."""
-    if isinstance(call, Submit) and call.deputy_term:
-        return msgspec.structs.replace(call, deputy_term=0)
+def _to_acting_leader(call: Call) -> Call:
+    """Return a call as sent to an acting leader.
+
+    The term of an earlier acting leader is cleared, since the new one has a higher fencing token.
+    """
+    if isinstance(call, Submit) and call.acting_leader_term:
+        return msgspec.structs.replace(call, acting_leader_term=0)
     return call
 
 
-async def _ask_itself(deputy: Deputy, call: Call, timeout: timedelta) -> Answer:
-    """Have this gateway answer a call of its own, while it stands in, and wait no longer."""
+async def _call_itself(acting_leader: ActingLeader, call: Call, timeout: timedelta) -> Answer:
+    """Answer a call of this gateway's own callers while it acts as leader, within a timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
-            return await deputy.leading.answer(_to_itself(call))
+            return await acting_leader.leadership.answer(_to_itself(call))
     except TimeoutError:
         return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
 
 def _to_itself(call: Call) -> Call:
-    """Return a call as this gateway answers it, while it stands in: it cannot lose itself."""
+    """Return a call as this gateway answers it itself.
+
+    The gateway's address is cleared: it cannot lose contact with itself.
+    """
     if isinstance(call, Submit | Abandon):
         call = msgspec.structs.replace(call, gateway="")
-    return _to_deputy(call)
+    return _to_acting_leader(call)
 
 
-def _find_patience(call: Call) -> timedelta:
-    """Return how long the caller of a call that is passed on still waits."""
-    if isinstance(call, Greet):
-        return GREETING_PASSED
-    if isinstance(call, Submit) and call.patience_ms:
-        return timedelta(milliseconds=max(call.patience_ms - call.waited_ms, 1))
-    return PASS_ON_TIMEOUT
+def _get_relay_timeout(call: Call) -> timedelta:
+    """Return how long the caller of a relayed call still waits."""
+    if isinstance(call, KeepAlive):
+        return KEEPALIVE_FORWARD_TIMEOUT
+    if isinstance(call, Submit) and call.wait_timeout_ms:
+        return timedelta(milliseconds=max(call.wait_timeout_ms - call.waited_ms, 1))
+    return FORWARD_TIMEOUT
--- a/cottonlug/runtime/order_desk.py
+++ b/cottonlug/runtime/idempotent_calls.py
@@ -1,4 +1,4 @@
-"""Orders of operators and upstreams as the host takes them in that they reach."""
+"""Idempotent calls of operators and upstreams, on the control host that receives them."""
 
 from __future__ import annotations
 
@@ -9,18 +9,28 @@
 import msgspec
 
 from ..core.clock import Clock
-from ..core.cluster.calls import AskConfiguration, Beat, Call, Configure, Evacuate, Leave
+from ..core.cluster.calls import (
+    AskConfiguration,
+    Call,
+    Configure,
+    Evacuate,
+    ForwardHeartbeat,
+    ForwardLeave,
+)
 from ..core.cluster.model import OrderId
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import HostId
 
-HANG_UP_SECONDS = 0.03
-"""How long an order is kept before it counts as received: after a freeze or a cut, the end of its
-connection arrives just behind it, and then its sender has long gone to another host."""
+HANG_UP_GRACE_SECONDS = 0.03
+"""How long an evacuation order is delayed before it counts as received.
 
+After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
+has then long gone to another host.
+"""
 
-class OrderDesk:
-    """Numbers the orders that need it, and knows which orders this host's own log holds."""
+
+class IdempotentCalls:
+    """Assigns ids to evacuation orders, and checks whether calls are committed in the local log."""
 
     def __init__(
         self,
@@ -35,35 +45,36 @@
         self._get_records = get_records
         self._orders_by_heartbeat = orders_by_heartbeat
 
-    async def receive(self, call: Evacuate) -> Evacuate:
-        """Return an order with its id and the revision that it was received at."""
-        await asyncio.sleep(HANG_UP_SECONDS)
+    async def assign_order_id(self, call: Evacuate) -> Evacuate:
+        """Return an order with a new id and the domain's revision at its receipt."""
+        await asyncio.sleep(HANG_UP_GRACE_SECONDS)
         revision = self._get_records().evacuations.get(call.domain).revision
         order = OrderId(f"{self._prefix}.{next(self._numbers)}")
         return msgspec.structs.replace(call, base_revision=revision, order=order)
 
-    def is_order(self, call: Call) -> bool:
-        """Whether a call may be sent to the leader twice, and answered from this host's own log.
+    def is_idempotent(self, call: Call) -> bool:
+        """Whether a call may be sent to the leader twice and be answered from the local log.
 
-        Not a heartbeat that is answered with orders: each must come once, and with its answer.
+        A heartbeat that is answered with orders may not: each must reach the leader once, and its
+        sender needs the leader's answer.
         """
-        if isinstance(call, Beat):
+        if isinstance(call, ForwardHeartbeat):
             return call.heartbeat.draining and not self._orders_by_heartbeat
-        return isinstance(call, Configure | AskConfiguration | Leave | Evacuate)
+        return isinstance(call, Configure | AskConfiguration | ForwardLeave | Evacuate)
 
-    def is_in_log(self, call: Call) -> bool:
-        """Whether what a call asks for was committed, as far as this host knows."""
+    def is_committed(self, call: Call) -> bool:
+        """Whether the change that a call asks for is committed in the local log."""
         records = self._get_records()
         if isinstance(call, Configure):
             current = records.configuration
             return current is not None and call.configuration.version <= current.version
         if isinstance(call, Evacuate):
-            # This very order: that the domain is as it asks may be undone already.
+            # Compare the order's id: the domain's state may have been changed again since.
             order = records.evacuations.get(call.domain).order
             return bool(call.order) and order == call.order
-        if isinstance(call, Leave):
+        if isinstance(call, ForwardLeave):
             return _is_leaving(records.find_leaving(call.upstream))
-        if isinstance(call, Beat) and self.is_order(call):
+        if isinstance(call, ForwardHeartbeat) and self.is_idempotent(call):
             return _is_leaving(records.upstreams.get(call.heartbeat.info.id))
         return False
 
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -1,4 +1,4 @@
-"""What a host that decides answers to calls about jobs."""
+"""Answers of the coordinator to calls about jobs."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from ..core.cluster.admission import Rejection
 from ..core.cluster.calls import (
     NO_CONFIGURATION,
-    NOT_IN_TOUCH,
+    NO_RECENT_CONTACT,
     Abandon,
+    AbandonedSubmission,
     Answer,
     AskState,
     Cancel,
-    GivenUp,
     Outcome,
     Submit,
 )
-from ..core.cluster.checks import JOB_ID_PATTERN, find_job_problem, find_unsupported
 from ..core.cluster.commands import AcceptJob, CancelJob, Command
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import JobId, JobState, Queue
 from ..core.cluster.open_job import Submission
 from ..core.cluster.records import JobRecord, Records
+from ..core.cluster.validation import JOB_ID_PATTERN, find_job_problem, find_unsupported_feature
 from .events import Event, log_event
-from .gateways import GATEWAY_SILENT, Gateways
+from .gateways import GATEWAY_TIMEOUT, GatewayRegistry
 from .ports import Authority
 from .replicated import Waiters
 
 STATE_WAIT = timedelta(milliseconds=60)
-"""How long a question for the state of a job waits that is about to end; a commit takes 20 ms."""
+"""How long a state query waits for a job whose end is being committed; a commit takes 20 ms."""
 
-KEEP_GIVEN_UP = timedelta(seconds=2)
-"""A submission that is older than `GATEWAY_SILENT` is refused in any case."""
+ABANDONED_RETENTION = timedelta(seconds=2)
+"""A submission that is older than `GATEWAY_TIMEOUT` is refused in any case."""
 
 
 class JobAnswers:
-    """Answers about jobs, for as long as one term lasts."""
+    """Answers calls about jobs during one term."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         authority: Authority,
         records: Records,
         dispatch: Dispatch,
-        gateways: Gateways,
+        gateways: GatewayRegistry,
         waiters: Waiters,
         clock: Clock,
         terms: LeaseTerms,
@@ -67,36 +67,36 @@
         self._caller_retry = caller_retry
         self._propose = propose
         self._wait = wait
-        self._given_up: dict[tuple[str, int], timedelta] = {}
-        """Submissions that gateways wait for no more, by their numbers, and since when."""
+        self._abandoned: dict[tuple[str, int], timedelta] = {}
+        """Abandoned submissions, by gateway and number, with the time when they were abandoned."""
         self._wake = wake
 
     async def answer_submit(self, call: Submit) -> Answer:
-        """Take a job in; one that need not be kept is answered when it has ended."""
+        """Accept a job; a best-effort job is answered when it has ended."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
         queue, job = found
-        if (call.gateway, call.number) in self._given_up:
-            return Answer(outcome=Outcome.UNKNOWN, detail="its gateway waits for it no more")
-        sent_at = self._gateways.find_sent(call.gateway, call.contact)
+        if (call.gateway, call.number) in self._abandoned:
+            return Answer(outcome=Outcome.UNKNOWN, detail="the gateway abandoned this submission")
+        sent_at = self._gateways.find_send_time(call.gateway, call.contact)
         if call.gateway and sent_at is None:
-            # Held up: by now its gateway may have taken it to another host that decides.
-            return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_IN_TOUCH)
-        if call.deputy_term >= self._term:
-            # The deputy's token is higher than ours: take a later term before going on.
-            self._authority.renew()
-            return Answer(outcome=Outcome.UNKNOWN, detail="a later term is needed after a deputy's")
+            # Delayed: by now its gateway may have submitted the job to another coordinator.
+            return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_RECENT_CONTACT)
+        if call.acting_leader_term >= self._term:
+            # The token of the acting leader is higher than ours: a later term is needed first.
+            self._authority.start_new_term()
+            return Answer(outcome=Outcome.UNKNOWN, detail="an acting leader requires a later term")
         if job in self._records.jobs:
             return Answer(outcome=Outcome.DONE)
         if call.spec.best_effort and self._dispatch.jobs.find_ended(job) is not None:
             return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_ended(job))
-        self._dispatch.jobs.suspicion.take_told(call.suspects)
-        if call.spec.best_effort and self._dispatch.is_given_up(job):
+        self._dispatch.jobs.crash_tracker.record_reported_suspects(call.suspects)
+        if call.spec.best_effort and self._dispatch.has_quarantined_task(job):
             return Answer(outcome=Outcome.DONE, state=JobState.FAILED)
         if call.spec.best_effort and self._dispatch.jobs.is_open(job):
             submission = self._build_submission(call, sent_at or timedelta())
-            self._dispatch.join(job, submission, self._clock.monotonic())
+            self._dispatch.merge_submission(job, submission, self._clock.monotonic())
             return await self._wait_end(job)
         if ("job", job) in self._waiters:
             return await self._wait(("job", job))
@@ -105,7 +105,7 @@
         problem = find_job_problem(call.spec)
         if problem is not None:
             return Answer(outcome=Outcome.INVALID, detail=problem)
-        unsupported = find_unsupported(call.spec)
+        unsupported = find_unsupported_feature(call.spec)
         if unsupported is not None:
             return Answer(outcome=Outcome.UNSUPPORTED, detail=unsupported)
         waited = timedelta(milliseconds=call.waited_ms)
@@ -120,7 +120,7 @@
         return await self._propose(command, ("job", job))
 
     def answer_abandon(self, call: Abandon) -> Answer:
-        """Give up a job that nobody waits for any more."""
+        """Abandon a job whose caller has disconnected."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -128,25 +128,25 @@
         self._wake()
         return Answer(outcome=Outcome.DONE)
 
-    def give_up(self, gateway: str, given_up: GivenUp) -> bool:
-        """Give up what a gateway waits for no more; False where that is known already."""
-        key = (gateway, given_up.number)
-        if key in self._given_up:
+    def abandon_submission(self, gateway: str, submission: AbandonedSubmission) -> bool:
+        """Abandon a submission that its gateway no longer waits for; False if already known."""
+        key = (gateway, submission.number)
+        if key in self._abandoned:
             return False
         now = self._clock.monotonic()
-        self._given_up[key] = now
-        found = self._find_queue(given_up.host, given_up.path)
+        self._abandoned[key] = now
+        found = self._find_queue(submission.host, submission.path)
         if not isinstance(found, Answer):
             self._dispatch.abandon(found[1], gateway, now)
         return True
 
-    def forget_given_up(self) -> None:
-        """Forget what was given up so long ago that it can hardly come any more."""
-        limit = self._clock.monotonic() - KEEP_GIVEN_UP
-        self._given_up = {key: at for key, at in self._given_up.items() if at >= limit}
+    def forget_abandoned(self) -> None:
+        """Forget submissions that were abandoned so long ago that they can hardly still arrive."""
+        limit = self._clock.monotonic() - ABANDONED_RETENTION
+        self._abandoned = {key: at for key, at in self._abandoned.items() if at >= limit}
 
     async def answer_state(self, call: AskState) -> Answer:
-        """Tell a job's state, or how many jobs of a queue have not begun."""
+        """Return a job's state, or how many jobs of a queue have not started."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -158,13 +158,13 @@
         if record is None or record.queue.key != queue.key:
             return Answer(outcome=Outcome.NO_JOB)
         if self._dispatch.jobs.is_ending(job):
-            # Callers ask again much later than a commit takes.
+            # Wait for the commit, which is short: callers query again only much later.
             waiting = self._waiters.wait_for(("end", job))
             await asyncio.wait([waiting], timeout=STATE_WAIT.total_seconds())
         return Answer(outcome=Outcome.DONE, state=self._dispatch.jobs.find_state(record))
 
     async def answer_cancel(self, call: Cancel) -> Answer:
-        """End a job by its caller's wish."""
+        """Cancel a job at its caller's request."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -184,13 +184,13 @@
         queues = self._records.queues
         if queues is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_CONFIGURATION)
-        found = queues.find(host, path)
+        found = queues.find_queue(host, path)
         return found if found is not None else Answer(outcome=Outcome.NO_QUEUE)
 
     async def _run_to_end(
         self, job: JobId, queue: Queue, call: Submit, sent_at: timedelta
     ) -> Answer:
-        """Run a job that need not be kept, and answer when it has ended."""
+        """Run a best-effort job, and answer when it has ended."""
         record = JobRecord(id=job, queue=queue, spec=call.spec, accepted_ms=self._read_wall())
         now = self._clock.monotonic()
         submission = self._build_submission(call, sent_at)
@@ -199,32 +199,32 @@
         return await self._wait_end(job)
 
     def _build_submission(self, call: Submit, sent_at: timedelta) -> Submission:
-        longest = self._terms.lapse_after + GATEWAY_SILENT
+        longest = self._terms.lapse_after + GATEWAY_TIMEOUT
         after_retry = max(longest - self._caller_retry, timedelta())
         return Submission(
             gateway=call.gateway,
             home=self._gateways.find_domain(call.gateway),
-            vouched_until=sent_at + GATEWAY_SILENT,
+            confirmed_until=sent_at + GATEWAY_TIMEOUT,
             may_have_begun=call.may_have_begun,
-            may_be_of_deputy=call.may_be_of_deputy or bool(call.deputy_term),
-            # A caller whose gateway was lost sends its job again only after a while.
-            settle_after=longest if call.may_have_begun else after_retry,
+            may_be_of_acting_leader=call.may_be_of_acting_leader or bool(call.acting_leader_term),
+            # A caller that lost its gateway sends its job again only after `caller_retry`.
+            reconcile_after=longest if call.may_have_begun else after_retry,
             waited=timedelta(milliseconds=call.waited_ms),
         )
 
     async def _wait_end(self, job: JobId) -> Answer:
         if self._dispatch.jobs.is_open(job) and not await self._waiters.wait_for(("end", job)):
-            suspects = self._dispatch.jobs.suspicion.list_suspects(job)
-            detail = "this host does not lead any more"
+            suspects = self._dispatch.jobs.crash_tracker.list_suspects(job)
+            detail = "this host is no longer the leader"
             return Answer(outcome=Outcome.UNKNOWN, detail=detail, suspects=suspects)
         rejection = self._dispatch.jobs.rejections.get(job)
         if rejection is not None:
             return _reject(job, rejection)
-        if job in self._dispatch.jobs.given_up:
-            return Answer(outcome=Outcome.GIVEN_UP, detail="it would end too late for any use")
+        if job in self._dispatch.jobs.abandoned:
+            return Answer(outcome=Outcome.ABANDONED, detail="it would end too late to be useful")
         state = self._dispatch.jobs.find_ended(job)
         if state is None:
-            return Answer(outcome=Outcome.UNKNOWN, detail="the job was given up")
+            return Answer(outcome=Outcome.UNKNOWN, detail="the job was abandoned")
         return Answer(outcome=Outcome.DONE, state=state)
 
     def _read_wall(self) -> int:
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -1,4 +1,4 @@
-"""An entry host as a running whole: core, timers and one listener for each kind of peer."""
+"""A running entry host: core, timers and one listener for each kind of client."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from .control import Control, LocalControl
 from .entry import EntryHost
 from .events import Event, log_event
-from .follower import Follower
+from .follower import VoterClient
 from .rulebook import Rulebook
 from .voter import Voter
 
 
 class EntryNode:
-    """One entry host and everything round it."""
+    """One entry host with its control, listeners and connections to homes."""
 
     def __init__(
         self, *, settings: EntrySettings, clock: Clock, on_failure: Callable[[BaseException], None]
@@ -41,10 +41,10 @@
         self._listeners: list[Listener] = []
 
     async def start(self) -> str | None:
-        """Start everything; return why that failed, or None."""
+        """Start all components; return an error message if one failed, else None."""
         settings = self._settings
         if settings.rules is not None:
-            load_first_rules(self.rulebook, settings.rules)
+            load_initial_rules(self.rulebook, settings.rules)
         error = await self.control.start()
         if error is not None:
             return error
@@ -58,7 +58,7 @@
         return None
 
     async def drain(self) -> None:
-        """Finish what was accepted."""
+        """Finish all accepted jobs."""
         await self.host.drain()
 
     async def stop(self) -> None:
@@ -92,8 +92,8 @@
         ]
 
 
-def load_first_rules(rulebook: Rulebook, file: Path) -> None:
-    """Put the rules of a file in force, or raise `SettingsError` naming every problem."""
+def load_initial_rules(rulebook: Rulebook, file: Path) -> None:
+    """Activate the rules of a file; raise `SettingsError` that lists every problem."""
     try:
         text = file.read_text()
     except OSError as error:
@@ -102,8 +102,8 @@
     errors = [problem for problem in loaded.problems if not problem.is_warning]
     if errors or loaded.value is None:
         raise SettingsError("\n".join(f"{file}: {problem}" for problem in errors))
-    rulebook.put_in_force(1, text, loaded.value)
-    log_event(Event.RULES_IN_FORCE, version=1, rules=len(loaded.value.rules))
+    rulebook.activate(1, text, loaded.value)
+    log_event(Event.CONFIGURATION_ACTIVE, version=1, rules=len(loaded.value.rules))
 
 
 def _build_control(
@@ -116,4 +116,4 @@
         return LocalControl(rulebook=rulebook)
     if settings.host in settings.voters:
         return Voter(settings=settings, clock=clock, rulebook=rulebook, on_failure=on_failure)
-    return Follower(settings=settings, clock=clock, rulebook=rulebook)
+    return VoterClient(settings=settings, clock=clock, rulebook=rulebook)
--- a/cottonlug/runtime/order_answers.py
+++ b/cottonlug/runtime/operator_answers.py
@@ -1,13 +1,13 @@
-"""Answers of a leader to its operators: configurations and evacuations."""
+"""A leader's answers to operators: configurations and evacuations of failure domains."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable, Hashable
 
 from ..core.cluster.calls import NO_CONFIGURATION, Answer, Configure, Evacuate, Outcome
-from ..core.cluster.checks import find_configuration_problem
 from ..core.cluster.commands import Command, SetConfiguration, SetEvacuation
 from ..core.cluster.records import Records
+from ..core.cluster.validation import find_configuration_problem
 from ..core.ids import DomainName
 from .events import Event, log_event
 from .ports import Authority
@@ -17,8 +17,8 @@
 Propose = Callable[[Command, Hashable], Awaitable[Answer]]
 
 
-class OrderAnswers:
-    """Has the log decide about orders while this host leads."""
+class OperatorAnswers:
+    """Answers operators' calls while this host leads; the log decides about changes."""
 
     def __init__(
         self,
@@ -27,20 +27,20 @@
         records: Records,
         domains: frozenset[DomainName],
         propose: Propose,
-        read_wall: Callable[[], int],
+        read_wall_ms: Callable[[], int],
     ) -> None:
         self._authority = authority
         self._records = records
         self._domains = domains
         self._propose = propose
-        self._read_wall = read_wall
+        self._read_wall_ms = read_wall_ms
 
     async def answer_configure(self, call: Configure) -> Answer:
-        """Put a configuration in force, unless one as new already is."""
+        """Activate a configuration, unless one of the same or a later version is active."""
         configuration = call.configuration
         problem = find_configuration_problem(configuration)
         if problem is not None:
-            log_event(Event.RULES_REFUSED, version=configuration.version, problem=problem)
+            log_event(Event.CONFIGURATION_REFUSED, version=configuration.version, problem=problem)
             return Answer(outcome=Outcome.INVALID, detail=problem)
         current = self._records.configuration
         if current is not None and configuration.version <= current.version:
@@ -49,14 +49,14 @@
         return await self._propose(command, ("version", configuration.version))
 
     def answer_configuration(self) -> Answer:
-        """Return the configuration in force, word for word."""
+        """Return the active configuration exactly as it was sent."""
         configuration = self._records.configuration
         if configuration is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_CONFIGURATION)
         return Answer(outcome=Outcome.DONE, document=configuration.document)
 
     async def answer_evacuate(self, call: Evacuate) -> Answer:
-        """Have the log carry out an order; done if the domain is then as it asks."""
+        """Commit an evacuation order; done if the domain is then in the state that it asks for."""
         if not self._is_known(call.domain):
             log_event(Event.EVACUATION_REFUSED, domain=call.domain, reason="unknown domain")
             detail = f"no failure domain {call.domain!r} is known"
@@ -70,7 +70,7 @@
             is_evacuated=call.is_evacuated,
             base_revision=call.base_revision,
             order=call.order,
-            at_ms=self._read_wall(),
+            at_ms=self._read_wall_ms(),
         )
         answer = await self._propose(command, ("evacuation", call.order))
         if answer.outcome is not Outcome.DONE or self._is_done(call):
@@ -78,15 +78,15 @@
         return self._refuse_superseded(call)
 
     def answer_evacuations(self) -> Answer:
-        """Tell which domains are evacuated."""
+        """Return the domains that are evacuated."""
         records = self._records.evacuations.records
         evacuated = tuple(record for record in records if record.is_evacuated)
         return Answer(outcome=Outcome.DONE, evacuations=evacuated)
 
-    def note_applied(self, command: SetConfiguration | SetEvacuation) -> None:
-        """Log an order that the log has carried out; one that came too late is only answered."""
+    def log_applied(self, command: SetConfiguration | SetEvacuation) -> None:
+        """Log an applied change; a superseded evacuation order is answered but not logged here."""
         if isinstance(command, SetConfiguration):
-            log_event(Event.RULES_IN_FORCE, version=command.configuration.version)
+            log_event(Event.CONFIGURATION_ACTIVE, version=command.configuration.version)
             return
         record = self._records.evacuations.get(command.domain)
         if record.order == command.order:
@@ -100,7 +100,7 @@
         return any(record.info.domain == domain for record in self._records.upstreams.values())
 
     def _is_done(self, call: Evacuate) -> bool:
-        """Whether an order was carried out, or, which takes a lease to know, changes nothing."""
+        """Whether an order was carried out or changes nothing; the latter needs a valid lease."""
         record = self._records.evacuations.get(call.domain)
         if record.order == call.order:
             return True
--- a/cottonlug/runtime/roster_keeper.py
+++ b/cottonlug/runtime/roster_keeper.py
@@ -1,58 +1,58 @@
-"""What a gateway has been told so that it can stand in for want of a leader."""
+"""The failover state that a gateway has received, so that it can act as leader."""
 
 from __future__ import annotations
 
 from ..core.clock import Clock
-from ..core.cluster.calls import Answer, Roster
+from ..core.cluster.calls import Answer, FailoverState
+from ..core.cluster.failover_state import merge_failover_state
 from ..core.cluster.queues import QueueIndex
-from ..core.cluster.rosters import merge_roster
 
 
-class RosterKeeper:
-    """The last whole roster, and what has arrived of the next one."""
+class FailoverStore:
+    """The last complete failover state, and the parts of the next one that have arrived."""
 
     def __init__(self, *, clock: Clock) -> None:
-        self.whole: Roster | None = None
+        self.current: FailoverState | None = None
         self.confirmed_at = clock.monotonic()
-        """When a leader last said, or confirmed, what the whole one says."""
+        """When a leader last sent or confirmed the complete failover state."""
         self.queues: QueueIndex | None = None
         """The queues of the last leader's configuration."""
         self._clock = clock
-        self._next: Roster | None = None
+        self._incoming: FailoverState | None = None
 
     @property
     def version(self) -> str:
-        """What to ask the leader for more with."""
-        known = self._next or self.whole
+        """Version that tells the leader which changes to send next; empty if nothing is known."""
+        known = self._incoming or self.current
         return known.version if known is not None else ""
 
     def count_gateways(self) -> int:
         """Return how many gateways are known."""
-        return len(self.whole.gateways) if self.whole is not None else 0
+        return len(self.current.gateways) if self.current is not None else 0
 
-    def take_answer(self, answer: Answer) -> bool:
-        """Learn from the answer to a greeting; return whether a whole roster has arrived."""
-        if answer.roster is not None:
-            return self.take(answer.roster)
-        if not answer.is_roster_due:
+    def receive_answer(self, answer: Answer) -> bool:
+        """Handle the answer to a keep-alive; return whether the failover state was replaced."""
+        if answer.failover_state is not None:
+            return self.receive(answer.failover_state)
+        if not answer.has_more_failover_state:
             self.confirmed_at = self._clock.monotonic()
         return False
 
-    def take(self, received: Roster) -> bool:
-        """Take a part in; one that does not follow on what is known is left out.
+    def receive(self, received: FailoverState) -> bool:
+        """Add a received part; one that does not follow on the known version is ignored.
 
-        Return whether the next roster is whole by now, and so takes the place of the last.
+        Return whether the next failover state is now complete and has replaced the last one.
         """
-        known = self._next or self.whole
-        roster = merge_roster(known, received)
-        if roster is None:
+        known = self._incoming or self.current
+        merged = merge_failover_state(known, received)
+        if merged is None:
             return False
-        if known is None or roster.configuration is not known.configuration:
-            configuration = roster.configuration
+        if known is None or merged.configuration is not known.configuration:
+            configuration = merged.configuration
             self.queues = QueueIndex(configuration=configuration) if configuration else None
-        if roster.is_partial:
-            self._next = roster
+        if merged.is_partial:
+            self._incoming = merged
             return False
         self.confirmed_at = self._clock.monotonic()
-        self.whole, self._next = roster, None
+        self.current, self._incoming = merged, None
         return True
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Gateways without a network, for tests of what they answer and who stands in."""
+"""Builders of gateways without a network, for tests of their answers and of acting leaders."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 from ..core.cluster.calls import (
     Answer,
     Call,
+    FailoverState,
     GatewayInfo,
-    Greet,
+    KeepAlive,
     Outcome,
-    Roster,
     Submit,
 )
-from ..core.cluster.model import Configuration, ConfigurationVersion, LookReply, Service
-from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome, StopOrder
+from ..core.cluster.model import Configuration, ConfigurationVersion, PollReply, Service
+from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import DomainName, HostId
-from ..runtime.deputy import DEPUTY_AFTER_SILENCE
+from ..runtime.deputy import ACT_AS_LEADER_AFTER_SILENCE
 from ..runtime.gateway import Gateway
-from ..runtime.gateways import Gateways
+from ..runtime.gateways import GatewayRegistry
 from .model_upstreams import SERVICE, build_info, build_queue, build_spec
 
-PATIENCE = timedelta(seconds=1)
+CALL_TIMEOUT = timedelta(seconds=1)
 
 
 JOB = "0123456789abcdef"
 
 
 class IdlePort:
-    """Upstreams that take every start and never end a run."""
+    """Upstreams that accept every start and never end a run."""
 
     def __init__(self) -> None:
         self.tokens: set[int] = set()
@@ -48,13 +48,13 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         return None
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
         self.tokens.add(token)
         await asyncio.sleep(order.wait.total_seconds())
-        return LookReply(clock_ms=1_000, running=(), ended=())
+        return PollReply(clock_ms=1_000, running=(), ended=())
 
 
-def fail(error: BaseException) -> None:
+def raise_error(error: BaseException) -> None:
     raise error
 
 
@@ -76,14 +76,14 @@
         drain_limit=timedelta(seconds=5),
         log=LogSettings(),
     )
-    return Gateway(settings=settings, clock=clock, port=IdlePort(), on_failure=fail)
+    return Gateway(settings=settings, clock=clock, port=IdlePort(), on_failure=raise_error)
 
 
 def build_clock() -> ManualClock:
     return ManualClock(start=datetime(2026, 1, 1, tzinfo=UTC))
 
 
-def build_roster(count: int = 2, keeps_jobs: bool = False) -> Roster:
+def build_failover_state(count: int = 2, keeps_jobs: bool = False) -> FailoverState:
     configuration = Configuration(
         version=ConfigurationVersion(1),
         queues=(build_queue(),),
@@ -91,7 +91,7 @@
         max_body_bytes=1_000,
         document="{}",
     )
-    return Roster(
+    return FailoverState(
         version="1.1",
         term=5,
         configuration=configuration,
@@ -100,29 +100,29 @@
             GatewayInfo(address=f"10.0.0.{number}:7000", domain=DomainName("domain"))
             for number in range(1, count + 1)
         ),
-        keeps_jobs=keeps_jobs,
+        has_durable_jobs=keeps_jobs,
     )
 
 
 def answer_in_turn(gateway: Gateway, answers: list[Answer]) -> list[Call]:
-    """Have a gateway's tries answered from a list; return what was tried."""
+    """Answer a gateway's tries from a list, in order; return the list of calls tried."""
     tried: list[Call] = []
 
     async def try_once(call: Call, timeout: timedelta) -> Answer:
         tried.append(call)
         return answers.pop(0)
 
-    gateway._try = try_once  # type: ignore[method-assign]
+    gateway._try_once = try_once  # type: ignore[method-assign]
     return tried
 
 
-def submit() -> Submit:
+def build_submit() -> Submit:
     return Submit(host="host", path=f"/q/{JOB}", spec=build_spec())
 
 
 def connect(gateways: list[Gateway], cut: Callable[[Gateway, str], bool]) -> None:
-    """Let gateways ask one another; control hosts do not answer."""
-    by_address = {gateway.link.own: gateway for gateway in gateways}
+    """Connect gateways with one another, unless `cut`; control hosts do not answer."""
+    by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
@@ -136,29 +136,33 @@
         gateway.calls.ask = build_ask(gateway)  # type: ignore[method-assign]
 
 
-def prepare(count: int, clock: ManualClock, **roster: Any) -> list[Gateway]:
+def build_gateways(count: int, clock: ManualClock, **changes: Any) -> list[Gateway]:
     gateways = [build_gateway(clock, number) for number in range(1, count + 1)]
     for gateway in gateways:
-        gateway.link.use_roster(build_roster(count, **roster))
+        gateway.link.receive_failover_state(build_failover_state(count, **changes))
     return gateways
 
 
-def greet(gateway: str, domain: str = "north", roster: str = "") -> Greet:
-    return Greet(gateway=gateway, domain=DomainName(domain), roster=roster)
+def build_keepalive(gateway: str, domain: str = "north", version: str = "") -> KeepAlive:
+    return KeepAlive(gateway=gateway, domain=DomainName(domain), failover_version=version)
 
 
-def add_upstream(gateways: Gateways, records: Records, name: str) -> None:
+def add_upstream(gateways: GatewayRegistry, records: Records, name: str) -> None:
     info = build_info(name)
     records.upstreams[info.id] = UpstreamRecord(info=info)
-    gateways.log.note_upstream(info.id)
+    gateways.failover_log.record_upstream_change(info.id)
 
 
-def stand_in() -> tuple[Gateway, ManualClock]:
-    """Return a gateway that stands in; to be called on a running loop, after which it is asked."""
+def build_acting_gateway() -> tuple[Gateway, ManualClock]:
+    """Return a gateway that is due to act as leader, and its clock.
+
+    Must be called while an event loop is running. The gateway acts as leader after its next
+    `replace_leader`.
+    """
     clock = build_clock()
-    gateway = prepare(1, clock)[0]
+    gateway = build_gateways(1, clock)[0]
     connect([gateway], lambda asking, host: False)
-    clock.advance(DEPUTY_AFTER_SILENCE)
+    clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
     return gateway, clock
 
 
@@ -166,17 +170,19 @@
 
 
 def connect_with_leader(
-    gateways: list[Gateway], cut: Callable[[Gateway, str], bool], led: Callable[[Call], Answer]
+    gateways: list[Gateway],
+    cut: Callable[[Gateway, str], bool],
+    answer_leader: Callable[[Call], Answer],
 ) -> None:
-    """Let gateways ask one another and a leader, where they are not cut off from it."""
-    by_address = {gateway.link.own: gateway for gateway in gateways}
+    """Connect gateways with one another and a leader, unless `cut`."""
+    by_address = {gateway.link.own_address: gateway for gateway in gateways}
 
     def build_ask(asking: Gateway) -> Any:
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             if cut(asking, host):
                 return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
             if host == LEADER:
-                return led(call)
+                return answer_leader(call)
             return await by_address[host].answer_peer(call)
 
         return ask
@@ -185,7 +191,7 @@
         gateway.calls.ask = build_ask(gateway)  # type: ignore[method-assign]
 
 
-def lead(call: Call) -> Answer:
-    if isinstance(call, Greet):
+def answer_as_leader(call: Call) -> Answer:
+    if isinstance(call, KeepAlive):
         return Answer(outcome=Outcome.DONE, leader=LEADER, hosts=(LEADER,))
     return Answer(outcome=Outcome.DONE, detail="led")
--- a/cottonlug/tests/model_disk.py
+++ b/cottonlug/tests/model_disk.py
@@ -1,8 +1,8 @@
-"""A disk that loses, tears or keeps what was not synced, writes and names, under the calls of `os`.
+"""Model of a disk that may lose, tear or keep unsynced writes and names; replaces the `os` module.
 
-After a loss of power a file holds what its last sync covered; each later write is there, missing or
-torn, or all of them are gone. A new file lasts with its own sync, a rename with that of its folder.
-The end of a process loses nothing.
+After a power failure a file holds what its last sync covered; each later write is present, missing
+or torn, or all of them are lost. A new file is durable after its own sync, a rename after a sync of
+the folder. The end of a process loses nothing.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 FOLDER_NAME = "data"
 FOLDER = -1
-"""Descriptor of the folder."""
+"""File descriptor of the folder."""
 
 
-class ProcessEnded(BaseException):
-    """The process was killed in the middle of a call."""
+class ProcessKilled(BaseException):
+    """The process was killed during a call."""
 
 
 @dataclass(slots=True)
 class _Inode:
     durable: bytes = b""
     pending: list[Callable[[bytes], bytes]] = field(default_factory=list)
-    """Writes since the last sync, each as what it makes of the content."""
+    """Writes since the last sync, each as a function from the old content to the new."""
     torn: list[Callable[[bytes], bytes]] = field(default_factory=list)
-    """The same writes as they are where the power fails in the middle of them."""
+    """The same writes as they are if the power fails during them."""
 
     @property
     def content(self) -> bytes:
@@ -45,17 +45,17 @@
     def lose_power(self, chance: random.Random) -> None:
         loses_all = chance.random() < 0.3
         for change, torn in zip(self.pending, self.torn, strict=True):
-            fate = 0.0 if loses_all else chance.random()
-            if fate > 0.6:
+            draw = 0.0 if loses_all else chance.random()
+            if draw > 0.6:
                 self.durable = change(self.durable)
-            elif fate > 0.3:
+            elif draw > 0.3:
                 self.durable = torn(self.durable)
         self.pending.clear()
         self.torn.clear()
 
 
 class ModelDisk:
-    """One folder; stands in for the module `os` of `storage.files`."""
+    """One folder; replaces the module `os` in `storage.files`."""
 
     O_RDONLY, O_WRONLY, O_CREAT = os.O_RDONLY, os.O_WRONLY, os.O_CREAT
     O_APPEND, O_EXCL = os.O_APPEND, os.O_EXCL
@@ -63,10 +63,10 @@
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
-        self.end_share = 0.0
-        """Of the calls during which the process is killed."""
-        self.fail_share = 0.0
-        """Of the writes and syncs that the disk refuses, after a part of a write."""
+        self.kill_rate = 0.0
+        """Share of the calls during which the process is killed."""
+        self.failure_rate = 0.0
+        """Share of the writes and syncs that fail; a failed write may have written a part."""
         self._names: dict[str, _Inode] = {}
         self._durable_names: dict[str, _Inode] = {}
         self._open: dict[int, _Inode] = {}
@@ -89,12 +89,12 @@
         else:
             self._durable_names = dict(self._names)
 
-    def _strike(self) -> None:
-        if self.chance.random() < self.end_share:
-            raise ProcessEnded
+    def _maybe_kill_process(self) -> None:
+        if self.chance.random() < self.kill_rate:
+            raise ProcessKilled
 
-    def _refuse(self) -> None:
-        if self.chance.random() < self.fail_share:
+    def _maybe_fail(self) -> None:
+        if self.chance.random() < self.failure_rate:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     # Calls
@@ -105,7 +105,7 @@
 
     def open(self, path: object, flags: int, mode: int = 0o777) -> int:
         name = str(path).rpartition("/")[2]
-        self._strike()
+        self._maybe_kill_process()
         number, self._next = self._next, self._next + 1
         if name == FOLDER_NAME:
             return FOLDER
@@ -114,15 +114,15 @@
         if name not in self._names:
             if not flags & os.O_CREAT:
                 raise FileNotFoundError(name)
-            self._refuse()
+            self._maybe_fail()
             self._names[name] = _Inode()
         inode = self._names[name]
         self._open[number] = inode
         return number
 
     def write(self, file: int, data: bytes) -> int:
-        self._strike()
-        if self.chance.random() < self.fail_share:
+        self._maybe_kill_process()
+        if self.chance.random() < self.failure_rate:
             self._append(self._open[file], data[: self.chance.randint(0, len(data))])
             raise OSError(errno.ENOSPC, "No space left on device")
         if self.chance.random() < 0.1:
@@ -131,12 +131,12 @@
         return len(data)
 
     def ftruncate(self, file: int, size: int) -> None:
-        self._strike()
+        self._maybe_kill_process()
         self._change(self._open[file], lambda old: old[:size], lambda old: old[:size])
 
     def fsync(self, file: int) -> None:
-        self._strike()
-        self._refuse()
+        self._maybe_kill_process()
+        self._maybe_fail()
         if file == FOLDER:
             self._durable_names = dict(self._names)
             return
@@ -147,13 +147,13 @@
                 self._durable_names[name] = inode
 
     def replace(self, old: object, new: object) -> None:
-        self._strike()
+        self._maybe_kill_process()
         names = [str(path).rpartition("/")[2] for path in (old, new)]
         self._names[names[1]] = self._names.pop(names[0])
-        # That the old name is gone lasts no sooner than the new one.
+        # The removal of the old name is not durable before the new name is.
 
     def unlink(self, path: object) -> None:
-        self._strike()
+        self._maybe_kill_process()
         if self._names.pop(str(path).rpartition("/")[2], None) is None:
             raise FileNotFoundError(path)
 
@@ -166,7 +166,7 @@
         at = len(inode.content)
 
         def write(content: bytes, written: bytes = data) -> bytes:
-            # Where an earlier write is missing there is a hole, which reads as zeros.
+            # If an earlier write is missing, there is a hole, which reads as zeros.
             return content.ljust(at, b"\0")[:at] + written
 
         self._change(inode, write, lambda content: write(content, kept + filler))
