--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -1,7 +1,7 @@
-"""A model of upstreams that take orders, and of a network that loses, repeats and delays them.
+"""A model of upstreams that accept orders, and of a network that loses, repeats and delays them.
 
-It stands in for the users' workers: leases on a slow clock, fencing tokens, run numbers, two lists
-in every look, orders carried out seconds late. What must never happen is asserted where it would.
+It replaces the users' workers: leases on a slow clock, fencing tokens, run numbers, two lists in
+every poll, orders carried out seconds late. Invariants are asserted where they would be violated.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 from ..core.cluster.commands import AcceptJob, Command
 from ..core.cluster.dispatch import Dispatch
-from ..core.cluster.lives import LeaseTerms
+from ..core.cluster.instances import LeaseTerms
 from ..core.cluster.model import (
     Capacity,
-    EndKind,
-    EndReport,
     Heartbeat,
     JobId,
     JobSpec,
-    LookReply,
     Needs,
+    PollReply,
     Queue,
+    RunEndKind,
+    RunEndReport,
     RunNumber,
     RunReport,
     ServiceName,
@@ -36,23 +36,23 @@
     UpstreamInfo,
 )
 from ..core.cluster.open_job import Submission
-from ..core.cluster.orders import CallFailure, LookOrder, Order, StartOrder, StartOutcome, StopOrder
+from ..core.cluster.orders import CallFailure, Order, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import JobRecord, Records
-from ..core.cluster.reports import USUAL_REPORTS
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName, UpstreamId
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
 SETTLE_AFTER = TERMS.lapse_after + timedelta(milliseconds=500)
 SERVICE = ServiceName("service")
 TASK_CPU = 7_000
-"""Every task takes as much, of 16,000: two fit an upstream."""
-COMMIT = timedelta(milliseconds=15)
+"""CPU that every task takes, of 16,000: two tasks fit an upstream."""
+COMMIT_DELAY = timedelta(milliseconds=15)
 CRASHES_AFTER = timedelta(milliseconds=5)
-"""From the start of a task that crashes its upstream to the crash."""
+"""Time from the start of a task that crashes its upstream to the crash."""
 
 
 def milliseconds(count: float) -> timedelta:
-    """Return a span of that many milliseconds."""
+    """Return a duration of that many milliseconds."""
     return timedelta(milliseconds=count)
 
 
@@ -70,10 +70,10 @@
     )
 
 
-def build_spec(*, tasks: int = 4, run_ms: int = 60, kept: bool = False) -> JobSpec:
+def build_spec(*, tasks: int = 4, run_ms: int = 60, durable: bool = False) -> JobSpec:
     """Return a job of one step."""
     step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU), estimate_ms=run_ms)
-    return JobSpec(payload="payload", steps=(step,), best_effort=not kept)
+    return JobSpec(payload="payload", steps=(step,), best_effort=not durable)
 
 
 def build_info(name: str, cpu: int = 16_000, domain: str = "domain") -> UpstreamInfo:
@@ -96,12 +96,12 @@
     needs: Needs
     began_at: timedelta
     ends_at: timedelta
-    how: EndKind
+    how: RunEndKind
 
 
 @dataclass(slots=True, kw_only=True)
 class World:
-    """Time, events, and what must hold over all upstreams."""
+    """Time, events, and the invariants over all upstreams."""
 
     random: random.Random
     now: timedelta = timedelta()
@@ -111,33 +111,33 @@
     events: list[tuple[timedelta, int, Callable[[], None]]] = field(default_factory=list)
     counter: itertools.count[int] = field(default_factory=itertools.count)
     running: dict[TaskRef, str] = field(default_factory=dict)
-    noted_done: set[TaskRef] = field(default_factory=set)
-    lasting: set[JobId] = field(default_factory=set)
-    """Jobs whose tasks are begun again however they end."""
+    recorded_done: set[TaskRef] = field(default_factory=set)
+    long_running_jobs: set[JobId] = field(default_factory=set)
+    """Jobs whose tasks are started again however they end."""
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
-    """Every start, and when it was."""
-    kept: set[JobId] = field(default_factory=set)
+    """Every start and its time."""
+    durable_jobs: set[JobId] = field(default_factory=set)
     poison: set[TaskRef] = field(default_factory=set)
     """Tasks that crash each upstream that starts them."""
     crashes: dict[TaskRef, int] = field(default_factory=dict)
-    """How often an upstream has crashed with each task at work."""
+    """How often an upstream has crashed with each task active."""
     on_crash: Callable[[ModelUpstream], None] = lambda upstream: None
-    """Called when an upstream has crashed: has it come back after a while."""
+    """Called when an upstream has crashed: brings it back after a while."""
     needs: dict[JobId, Needs] = field(default_factory=dict)
-    """What a task of a job takes, where it is not the usual."""
+    """What a task of a job takes, where it differs from the default."""
     starts_after_three: dict[TaskRef, int] = field(default_factory=dict)
-    """Starts of each kept task after three upstreams had crashed under it, by hosts in touch."""
-    in_touch_from: timedelta = timedelta()
+    """Starts of each durable task by connected hosts after three upstreams crashed under it."""
+    connected_from: timedelta = timedelta()
     """Until then the control hosts have been without faults for too short a time."""
     starts: int = 0
     started_jobs: set[JobId] = field(default_factory=set)
 
     def at(self, delay: timedelta, act: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action."""
         heapq.heappush(self.events, (self.now + delay, next(self.counter), act))
 
     def run_until(self, end: timedelta) -> None:
-        """Let everything happen until a moment."""
+        """Execute all events up to a point in time."""
         while self.events and self.events[0][0] <= end:
             at, _, act = heapq.heappop(self.events)
             self.now = at
@@ -147,37 +147,37 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelUpstream:
-    """One life of an upstream."""
+    """One instance of an upstream."""
 
     world: World
     info: UpstreamInfo
     rate: float
-    """How fast its steady clock runs, 0.98 to 1."""
+    """Rate of its monotonic clock, 0.98 to 1."""
     run_times: Callable[[JobId], timedelta]
-    """How long a task of a job runs there."""
+    """Returns how long a task of a job runs there."""
     clock_began_ms: int = 0
-    """What its steady clock would have shown when the world began."""
+    """Reading of its monotonic clock at the start of the world."""
     is_up: bool = True
     is_replaced: bool = False
-    """Whether, after a crash, a later life answers at its address."""
-    guards: bool = True
-    """Whether it refuses what does not fit; else a start over its capacity stops the test."""
+    """Whether, after a crash, a later instance answers at its address."""
+    rejects_overload: bool = True
+    """Whether it refuses what does not fit; otherwise a start over its capacity fails the test."""
     earlier_sizes: list[tuple[timedelta, int]] = field(default_factory=list)
-    """Capacities that it had, in core-thousandths, each with the moment until which it did."""
+    """Earlier capacities, in thousandths of a core, each with the time until which it had them."""
     sequence: int = 0
-    """Of its last heartbeat."""
+    """Sequence number of its last heartbeat."""
     fails_all: bool = False
-    """Whether all that it starts fails at once."""
+    """Whether everything that it starts fails at once."""
     token: int = 0
     expires_ms: float = 0.0
     number: int = 0
-    ended: list[EndReport] = field(default_factory=list)
+    ended: list[RunEndReport] = field(default_factory=list)
     runs: dict[TaskRef, ModelRun] = field(default_factory=dict)
     barred: dict[TaskRef, int] = field(default_factory=dict)
     parked: list[Callable[[], None]] = field(default_factory=list)
 
     def clock_ms(self) -> int:
-        """Return the time on its own steady clock."""
+        """Return the time on its own monotonic clock."""
         return self.clock_began_ms + int(self.world.now / milliseconds(1) * self.rate)
 
     def start(self, order: StartOrder, token: int, needs: Needs) -> StartOutcome:
@@ -195,29 +195,29 @@
         if order.expires_ms <= self.clock_ms():
             return StartOutcome.LATE
         wanted = needs.cpu_millis + sum(run.needs.cpu_millis for run in self.runs.values())
-        is_over = self.guards and wanted > self.info.capacity.cpu_millis
+        is_over = self.rejects_overload and wanted > self.info.capacity.cpu_millis
         if present is not None or is_over:
             self._extend(order.expires_ms)
             return StartOutcome.NO_ROOM
-        borne = self.find_borne_size()
-        assert wanted <= borne, f"a start brings {self.info.id} to {wanted} of {borne}"
+        tolerated = self.find_tolerated_size()
+        assert wanted <= tolerated, f"a start brings {self.info.id} to {wanted} of {tolerated}"
         self._begin(order, needs)
         return StartOutcome.STARTED
 
     def resize(self, cpu_millis: int) -> None:
-        """Have another capacity from now on; what runs there goes on."""
+        """Change the capacity from now on; active runs continue."""
         self.earlier_sizes.append((self.world.now, self.info.capacity.cpu_millis))
         capacity = msgspec.structs.replace(self.info.capacity, cpu_millis=cpu_millis)
         self.info = msgspec.structs.replace(self.info, capacity=capacity)
 
-    def find_borne_size(self) -> int:
-        """Return up to which room starts are borne: one that has shrunk counts after a while."""
-        since = self.world.now - USUAL_REPORTS.valid_for
-        borne = [size for until, size in self.earlier_sizes if until >= since]
-        return max([self.info.capacity.cpu_millis, *borne])
+    def find_tolerated_size(self) -> int:
+        """Return the CPU that starts may use: a capacity that has shrunk counts after a while."""
+        since = self.world.now - DEFAULT_REPORT_TERMS.valid_for
+        tolerated = [size for until, size in self.earlier_sizes if until >= since]
+        return max([self.info.capacity.cpu_millis, *tolerated])
 
-    def make_heartbeat(self, *, draining: bool = False) -> Heartbeat:
-        """Return what it says of itself now."""
+    def build_heartbeat(self, *, draining: bool = False) -> Heartbeat:
+        """Return a heartbeat with its present state."""
         self.sequence += 1
         return Heartbeat(
             info=self.info,
@@ -235,27 +235,27 @@
         self.barred[order.task] = max(self.barred.get(order.task, 0), order.run)
         run = self.runs.get(order.task)
         if run is not None and run.run == order.run:
-            self._end(run, EndKind.STOPPED)
+            self._end(run, RunEndKind.STOPPED)
         return None
 
-    def hold(self, order: LookOrder, token: int) -> CallFailure | None:
-        """Take in a look; the reply is made by `report`."""
+    def accept_poll(self, order: PollOrder, token: int) -> CallFailure | None:
+        """Accept a poll; `build_reply` builds the answer."""
         self._advance()
         if token < self.token:
             return CallFailure.FENCED
         self.token = token
         for end in self.ended:
-            if end.number <= order.last_seen and end.how is EndKind.DONE:
-                self.world.noted_done.add(end.task)
+            if end.number <= order.last_seen and end.how is RunEndKind.DONE:
+                self.world.recorded_done.add(end.task)
         self.ended = [end for end in self.ended if end.number > order.last_seen]
         if order.expires_ms is not None:
             self._extend(order.expires_ms)
         return None
 
-    def report(self) -> LookReply:
-        """Return both lists."""
+    def build_reply(self) -> PollReply:
+        """Return the lists of active and ended runs."""
         self._advance()
-        return LookReply(
+        return PollReply(
             clock_ms=self.clock_ms(),
             running=tuple(self._report_run(run) for run in self.runs.values()),
             ended=tuple(self.ended[:500]),
@@ -266,7 +266,7 @@
         return RunReport(task=run.ref, run=run.run, percent=int(100 * gone / whole))
 
     def crash(self) -> None:
-        """Lose everything."""
+        """Lose all runs."""
         self.is_up = False
         for ref in self.runs:
             self.world.running.pop(ref, None)
@@ -280,10 +280,10 @@
         assert (
             ref not in world.running
         ), f"{ref} runs at {world.running.get(ref)} and {self.info.id}"
-        if ref.job in world.kept - world.lasting:
-            assert ref not in world.noted_done, f"{ref} starts again after its end was noted"
-        is_in_touch = world.now >= world.in_touch_from
-        if ref.job in world.kept and world.crashes.get(ref, 0) >= 3 and is_in_touch:
+        if ref.job in world.durable_jobs - world.long_running_jobs:
+            assert ref not in world.recorded_done, f"{ref} starts again after its end was recorded"
+        is_in_touch = world.now >= world.connected_from
+        if ref.job in world.durable_jobs and world.crashes.get(ref, 0) >= 3 and is_in_touch:
             world.starts_after_three[ref] = world.starts_after_three.get(ref, 0) + 1
             assert world.starts_after_three[ref] < 3, f"{ref} is started after three crashes"
         world.running[ref] = self.info.id
@@ -291,7 +291,7 @@
         world.begun.append((ref, world.now))
         world.started_jobs.add(ref.job)
         fails = world.random.random() < world.failed_share or self.fails_all
-        how = EndKind.FAILED if fails else EndKind.DONE
+        how = RunEndKind.FAILED if fails else RunEndKind.DONE
         taken = milliseconds(1) if self.fails_all else self.run_times(ref.job)
         run = ModelRun(
             ref=ref,
@@ -312,15 +312,15 @@
         if self.is_up and self.runs.get(run.ref) is run:
             self._end(run, run.how)
 
-    def _end(self, run: ModelRun, how: EndKind) -> None:
+    def _end(self, run: ModelRun, how: RunEndKind) -> None:
         del self.runs[run.ref]
         self.world.running.pop(run.ref, None)
         self.barred[run.ref] = max(self.barred.get(run.ref, 0), run.run)
         self.number += 1
-        self.ended.append(EndReport(number=self.number, task=run.ref, run=run.run, how=how))
+        self.ended.append(RunEndReport(number=self.number, task=run.ref, run=run.run, how=how))
         parked, self.parked = self.parked, []
-        for wake in parked:
-            wake()
+        for answer_poll in parked:
+            answer_poll()
 
     def _extend(self, expires_ms: int) -> None:
         longest_ms = TERMS.longest / milliseconds(1)
@@ -332,15 +332,16 @@
         """Kill everything whose lease has ended."""
         if self.is_up and self.runs and self.clock_ms() >= self.expires_ms:
             for run in list(self.runs.values()):
-                # The first end answers a parked look, which comes back here and ends the others.
+                # The first end answers a long poll; handling it returns here and ends the other
+                # runs.
                 if self.runs.get(run.ref) is run:
-                    self._end(run, EndKind.LAPSED)
+                    self._end(run, RunEndKind.LAPSED)
 
 
 _ENDED: dict[type, object] = {
-    StartOrder: StartOutcome.LIFE_ENDED,
-    StopOrder: CallFailure.LIFE_ENDED,
-    LookOrder: CallFailure.LIFE_ENDED,
+    StartOrder: StartOutcome.INSTANCE_ENDED,
+    StopOrder: CallFailure.INSTANCE_ENDED,
+    PollOrder: CallFailure.INSTANCE_ENDED,
 }
 
 
@@ -355,14 +356,14 @@
     is_over: bool = False
     cut_off: set[UpstreamId] = field(default_factory=set)
     domain: DomainName | None = None
-    is_deputy: bool = False
+    is_acting: bool = False
     terms: LeaseTerms = TERMS
     known_until: timedelta = timedelta.max
-    """Until then the capacities in the record count without a heartbeat to this leader."""
+    """Until then the capacities in the records are valid without a heartbeat to this leader."""
     ended: list[JobId] = field(default_factory=list)
     ended_at: dict[JobId, timedelta] = field(default_factory=dict)
     commits: Callable[[Command], bool] = lambda command: True
-    """Whether a proposal is committed."""
+    """Returns whether a proposal is committed."""
     dispatch: Dispatch = field(init=False)
 
     def __post_init__(self) -> None:
@@ -372,15 +373,15 @@
             terms=self.terms,
             now=self.world.now,
             wall_ms=lambda: int(self.world.now / milliseconds(1)),
-            note=lambda name, fields: None,
-            on_end=self._note_end,
+            log_decision=lambda name, fields: None,
+            on_job_end=self._record_job_end,
             domain=self.domain,
-            keeps_log=not self.is_deputy,
+            keeps_log=not self.is_acting,
             known_until=self.known_until,
         )
         self._tick_forever()
 
-    def _note_end(self, job: JobId) -> None:
+    def _record_job_end(self, job: JobId) -> None:
         self.ended.append(job)
         self.ended_at[job] = self.world.now
 
@@ -391,16 +392,16 @@
         queue: Queue,
         *,
         may_have_begun: bool = False,
-        may_be_of_deputy: bool = False,
-        settle_after: timedelta = SETTLE_AFTER,
+        may_be_of_acting_leader: bool = False,
+        reconcile_after: timedelta = SETTLE_AFTER,
         waited: timedelta = timedelta(),
     ) -> None:
-        """Submit a job as a gateway does, or put it into the log where it must be kept."""
+        """Submit a job as a gateway does, or commit it to the log if it is durable."""
         job = JobId(id)
         if spec.long_running:
-            self.world.lasting.add(job)
+            self.world.long_running_jobs.add(job)
         if not spec.best_effort:
-            self.world.kept.add(job)
+            self.world.durable_jobs.add(job)
             self._commit(AcceptJob(job=job, queue=queue, spec=spec, at_ms=0))
             return
         if self.dispatch.jobs.is_open(job):
@@ -409,34 +410,36 @@
         submission = Submission(
             gateway="",
             may_have_begun=may_have_begun,
-            may_be_of_deputy=may_be_of_deputy,
-            settle_after=settle_after,
+            may_be_of_acting_leader=may_be_of_acting_leader,
+            reconcile_after=reconcile_after,
             waited=waited,
         )
         self.dispatch.submit(record, submission, self.world.now)
         self.act()
 
-    def beat(self, upstream: ModelUpstream, sequence: int, *, draining: bool = False) -> None:
+    def deliver_heartbeat(
+        self, upstream: ModelUpstream, sequence: int, *, draining: bool = False
+    ) -> None:
         """Deliver a heartbeat."""
         heartbeat = Heartbeat(info=upstream.info, sequence=sequence, draining=draining)
-        self.dispatch.take_heartbeat(heartbeat, self.world.now)
+        self.dispatch.handle_heartbeat(heartbeat, self.world.now)
         self.act()
 
     def act(self) -> None:
-        """Decide, send and propose."""
+        """Decide, send orders and propose commands."""
         if self.is_over:
             return
         self.dispatch.tick(self.world.now)
-        for order in self.dispatch.take_orders():
+        for order in self.dispatch.pop_orders():
             self._send(order)
-        for command in filter(self.commits, self.dispatch.take_proposals()):
-            self.world.at(COMMIT, lambda command=command: self._commit(command))  # type: ignore[misc]
+        for command in filter(self.commits, self.dispatch.pop_proposals()):
+            self.world.at(COMMIT_DELAY, lambda command=command: self._commit(command))  # type: ignore[misc]
 
     def _commit(self, command: Command) -> None:
-        # What a leader has proposed may be committed after it was lost.
+        # What a leader has proposed may be committed after the leader was lost.
         self.records.apply(command)
         if not self.is_over:
-            self.dispatch.take_applied(command, self.world.now)
+            self.dispatch.handle_applied_command(command, self.world.now)
             self.act()
 
     def _tick_forever(self) -> None:
@@ -448,12 +451,15 @@
         world = self.world
         upstream = self.upstreams[order.upstream.id]
         sent_at = world.now
-        if isinstance(order, LookOrder) and world.kept:
-            noted = self.records.upstreams[order.upstream.id].noted
+        if isinstance(order, PollOrder) and world.durable_jobs:
+            recorded_through = self.records.upstreams[order.upstream.id].recorded_through
             for end in upstream.ended:
-                is_early = noted < end.number <= order.last_seen and end.task.job in world.kept
+                is_early = (
+                    recorded_through < end.number <= order.last_seen
+                    and end.task.job in world.durable_jobs
+                )
                 assert not is_early, "an end is confirmed before it is in the record"
-        wait = order.wait if isinstance(order, LookOrder) else timedelta()
+        wait = order.wait if isinstance(order, PollOrder) else timedelta()
         answered = [False]
 
         def answer(value: object) -> None:
@@ -463,7 +469,7 @@
             self._take_answer(order, value, sent_at, upstream)
             self.act()
 
-        world.at(order.patience + wait, lambda: answer(None))
+        world.at(order.response_timeout + wait, lambda: answer(None))
         if order.upstream.id in self.cut_off:
             return
         fate = world.random.random()
@@ -490,21 +496,21 @@
         world = self.world
         if not upstream.is_up:
             if upstream.is_replaced:
-                # Another life holds the address, and says so.
+                # Another instance holds the address, and says so.
                 reply(_ENDED[type(order)])
             return
         if isinstance(order, StartOrder):
-            # As the job says, also for orders that come late.
+            # As the job specifies, also for orders that arrive late.
             needs = world.needs.get(order.task.job, Needs(cpu_millis=TASK_CPU))
             reply(upstream.start(order, self.token, needs))
         elif isinstance(order, StopOrder):
             reply(upstream.stop(order, self.token) or "stopped")
         else:
-            failure = upstream.hold(order, self.token)
+            failure = upstream.accept_poll(order, self.token)
             if failure is not None:
                 reply(failure)
             elif upstream.ended or not order.wait:
-                reply(upstream.report())
+                reply(upstream.build_reply())
             else:
                 self._park(upstream, order.wait, reply)
 
@@ -513,13 +519,13 @@
     ) -> None:
         is_done = [False]
 
-        def wake() -> None:
+        def answer_poll() -> None:
             if not is_done[0] and upstream.is_up:
                 is_done[0] = True
-                reply(upstream.report())
+                reply(upstream.build_reply())
 
-        upstream.parked.append(wake)
-        self.world.at(wait, wake)
+        upstream.parked.append(answer_poll)
+        self.world.at(wait, answer_poll)
 
     def _take_answer(
         self, order: Order, value: object, sent_at: timedelta, upstream: ModelUpstream
@@ -528,18 +534,18 @@
         if isinstance(order, StartOrder):
             outcome = value if isinstance(value, StartOutcome) else StartOutcome.UNKNOWN
             clock_ms = upstream.clock_ms() if value is not None else None
-            self.dispatch.take_start_answer(order, outcome, clock_ms, now)
+            self.dispatch.handle_start_answer(order, outcome, clock_ms, now)
         elif isinstance(order, StopOrder):
             lost = value if isinstance(value, CallFailure) else CallFailure.NO_ANSWER
             failure = None if value == "stopped" else lost
-            self.dispatch.take_stop_answer(order, failure, now)
+            self.dispatch.handle_stop_answer(order, failure, now)
         else:
-            reply = value if isinstance(value, LookReply | CallFailure) else CallFailure.NO_ANSWER
-            self.dispatch.take_look(order, reply, sent_at, now)
+            reply = value if isinstance(value, PollReply | CallFailure) else CallFailure.NO_ANSWER
+            self.dispatch.handle_poll_answer(order, reply, sent_at, now)
 
 
-def lead_site(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
-    """Return a leader that has heard all these upstreams, 0.1 s after its term began."""
+def start_site_leader(infos: Iterable[UpstreamInfo], *, seed: int, run_ms: int) -> Leader:
+    """Return a leader that has received heartbeats of all upstreams, 0.1 s into its term."""
     world = World(random=random.Random(seed))
     upstreams = {
         info.id: ModelUpstream(
@@ -549,6 +555,6 @@
     }
     leader = Leader(world=world, upstreams=upstreams, records=Records(), token=1_000_000)
     for upstream in upstreams.values():
-        leader.beat(upstream, 1)
+        leader.deliver_heartbeat(upstream, 1)
     world.run_until(milliseconds(100))
     return leader
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -1,4 +1,4 @@
-"""Upstreams that are put into the log as surely idle, so that no later leader waits for them."""
+"""Upstreams that are cordoned in the log as idle, so that no later leader waits for them."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 def lose_upstream(seed: int) -> Leader:
-    """Return a leader that has known for long that an upstream is gone."""
+    """Return a leader that has known for a long time that an upstream is gone."""
     world, upstreams = build_world(seed)
     for upstream in upstreams.values():
-        # One that runs five times as long as declared would be moved, and so be started once more.
+        # A run that takes five times as long as declared would be moved, and so started once more.
         upstream.run_times = lambda job: milliseconds(60 if job == JOB else 300)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -45,35 +45,35 @@
     return sum(ref.job == job for ref, _ in world.begun)
 
 
-def test_a_job_sent_again_waits_for_no_upstream_that_was_long_gone() -> None:
-    """Failed before: after a change of leader it waited until all leases must have ended."""
+def test_a_resubmitted_job_does_not_wait_for_a_cordoned_upstream() -> None:
+    """Guards against a job that waits until all leases must have ended after a leader change."""
     second = replace_leader(lose_upstream(1))
     second.submit(JOB, build_spec(tasks=2), build_queue(), may_have_begun=True)
     second.world.run_until(second.world.now + milliseconds(100))
     assert count_starts(second.world, JOB) == 2
 
 
-def test_a_job_that_a_deputy_may_have_begun_waits_for_it_all_the_same() -> None:
-    """No leader knows what a deputy has started in a failure domain that was cut off."""
+def test_a_job_that_an_acting_leader_may_have_started_waits_for_a_cordoned_upstream() -> None:
+    """No leader knows what an acting leader has started in a failure domain that was cut off."""
     second = replace_leader(lose_upstream(2))
     spec = build_spec(tasks=2)
-    second.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    second.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     second.world.run_until(second.world.now + milliseconds(500))
     assert count_starts(second.world, JOB) == 0
     second.world.run_until(second.world.now + timedelta(seconds=2))
     assert count_starts(second.world, JOB) == 2
 
 
-def test_nothing_is_started_before_the_log_says_that_an_upstream_is_used_again() -> None:
+def test_nothing_is_started_before_the_log_uncordons_an_upstream() -> None:
     leader = lose_upstream(3)
     upstream = leader.upstreams[GONE]
     upstream.is_up = True
     leader.commits = lambda command: not isinstance(command, UncordonUpstream)
-    leader.beat(upstream, 50)
+    leader.deliver_heartbeat(upstream, 50)
     leader.world.run_until(leader.world.now + timedelta(seconds=2))
     leader.submit(JOB, build_spec(tasks=8), build_queue())
     leader.world.run_until(leader.world.now + milliseconds(100))
-    assert leader.dispatch.lives[GONE].is_fenced
+    assert leader.dispatch.instances[GONE].is_fenced
     assert not upstream.runs
     leader.commits = lambda command: True
     leader._commit(UncordonUpstream(upstream=GONE))
@@ -91,7 +91,7 @@
     assert not any(record.is_cordoned for record in leader.records.upstreams.values())
 
 
-def test_the_record_survives_a_snapshot_and_repeats() -> None:
+def test_cordons_survive_snapshots_and_repeated_commands() -> None:
     records = lose_upstream(5).records
     records.apply(CordonUpstreams(upstreams=(GONE, UpstreamId("never-heard-of"))))
     again = Records()
@@ -104,9 +104,9 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_upstreams_that_come_and_go(seed: int) -> None:
-    """The model stops the test at two runs of a task.
+    """The model fails the test if a task runs twice.
 
-    It does with two of these seeds where starts do not wait for the log.
+    Two of these seeds do that if starts do not wait for the log.
     """
     world, upstreams = build_world(seed + 500, late_share=0.02)
     chance = random.Random(seed)
@@ -117,7 +117,7 @@
     jobs: list[str] = []
 
     def commits(command: Command) -> bool:
-        """A leader may be lost before what it proposes is committed."""
+        """A leader may be lost before its proposals are committed."""
         return not isinstance(command, UncordonUpstream) or chance.random() < 0.5
 
     leader.commits = commits
@@ -128,7 +128,7 @@
             leader.submit(jobs[-1], spec, queue)
         leader.cut_off ^= {chance.choice(list(upstreams))} if chance.random() < 0.15 else set()
         if chance.random() < 0.15:
-            # The next leader may see other upstreams than this one.
+            # The next leader may reach other upstreams than this one.
             cut_off = {id for id in upstreams if chance.random() < 0.4}
             leader = replace_leader(leader)
             leader.cut_off = cut_off
@@ -137,11 +137,11 @@
                 leader.submit(job, spec, queue, may_have_begun=True)
         for upstream in upstreams.values():
             if upstream.info.id not in leader.cut_off:
-                leader.beat(upstream, sequence=1_000 + step)
+                leader.deliver_heartbeat(upstream, sequence=1_000 + step)
     leader = replace_leader(leader)
     world.late_share = 0.0
     for upstream in upstreams.values():
-        leader.beat(upstream, sequence=10_000)
+        leader.deliver_heartbeat(upstream, sequence=10_000)
     for job in jobs:
         leader.submit(job, spec, queue, may_have_begun=True)
     world.run_until(world.now + timedelta(seconds=40))
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -1,4 +1,4 @@
-"""What is logged when whoever decides is lost and comes back."""
+"""Events logged when the coordinator is lost and returns."""
 
 from __future__ import annotations
 
@@ -15,7 +15,14 @@
 from ..runtime.control_host import ControlHost
 from ..runtime.decider import RELAY_AFTER, Via
 from ..runtime.events import Event
-from .gateway_builders import LEADER, IdlePort, build_clock, build_gateway, build_roster, fail
+from .gateway_builders import (
+    LEADER,
+    IdlePort,
+    build_clock,
+    build_failover_state,
+    build_gateway,
+    raise_error,
+)
 from .test_cluster_settings import CONTROL, write
 
 Logged = list[tuple[Event, dict[str, object]]]
@@ -27,33 +34,33 @@
     return logged
 
 
-def test_a_leader_logs_once_that_it_may_not_decide_and_who_was_not_heard(
+def test_leader_logs_once_that_it_lost_its_lease_and_which_voters_are_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """For 1.5 s no line told why nobody decided."""
+    """Without these events, no log line explained why nothing was scheduled for 1.5 s."""
     logged = record_events(monkeypatch, control_host)
     host = ControlHost(
         settings=load_control_settings(write(tmp_path, CONTROL)),
         clock=build_clock(),
         port=IdlePort(),
-        on_failure=fail,
+        on_failure=raise_error,
     )
-    host.leading = SimpleNamespace(term=3)  # type: ignore[assignment]
+    host.leadership = SimpleNamespace(term=3)  # type: ignore[assignment]
     host._had_lease = True
     has_lease = False
     monkeypatch.setattr(host.replica, "has_lease", lambda: has_lease)
-    monkeypatch.setattr(host.replica, "list_unheard", lambda: ["10.0.0.2:7720"])
-    host._note_lease()
-    host._note_lease()
+    monkeypatch.setattr(host.replica, "list_silent_voters", lambda: ["10.0.0.2:7720"])
+    host._log_lease_change()
+    host._log_lease_change()
     has_lease = True
-    host._note_lease()
+    host._log_lease_change()
     assert logged == [
         (Event.LEASE_LOST, {"term": 3, "unheard": ["10.0.0.2:7720"]}),
         (Event.LEASE_REGAINED, {"term": 3}),
     ]
 
 
-def test_a_gateway_logs_once_that_the_leader_does_not_answer(
+def test_gateway_logs_once_that_the_leader_does_not_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     logged = record_events(monkeypatch, decider)
@@ -61,7 +68,7 @@
     async def play() -> None:
         clock = build_clock()
         gateway = build_gateway(clock)
-        gateway.link.use_roster(build_roster(1))
+        gateway.link.receive_failover_state(build_failover_state(1))
 
         async def ask(host: str, call: Call, timeout: timedelta) -> Answer:
             return Answer(outcome=Outcome.UNKNOWN)
@@ -73,5 +80,5 @@
         await gateway.link.replace_leader()
 
     asyncio.run(play())
-    silent = [rest for event, rest in logged if event is Event.DECIDER_SILENT]
+    silent = [rest for event, rest in logged if event is Event.COORDINATOR_SILENT]
     assert silent == [{"decider": LEADER, "silent_ms": 200}]
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -1,7 +1,7 @@
-"""Tasks run in the failure domain of their job's gateway, as long as there is room.
+"""Tasks run in the failure domain of their job's gateway, as long as it has free capacity.
 
-Failure pattern: a domain is cut off for seconds, as on most days with trouble. Of the jobs under
-way elsewhere none must wait for the leases of the upstreams behind the cut.
+Failure pattern: a domain is cut off for seconds, as on most days with failures. No pending job of
+another domain must wait for the leases of the upstreams that are cut off.
 """
 
 from __future__ import annotations
@@ -18,35 +18,37 @@
     build_info,
     build_queue,
     build_spec,
-    lead_site,
     milliseconds,
+    start_site_leader,
 )
 
 DOMAINS = [DomainName(f"d{number}") for number in range(5)]
-EACH = 8
-"""Upstreams of a domain, with room for two tasks each."""
+UPSTREAMS_PER_DOMAIN = 8
+"""Each of the upstreams has capacity for two tasks."""
 
 
 def build_leader(seed: int, run_ms: int = 200) -> Leader:
     infos = [
         build_info(f"u{number + 1}", domain=DOMAINS[number % len(DOMAINS)])
-        for number in range(len(DOMAINS) * EACH)
+        for number in range(len(DOMAINS) * UPSTREAMS_PER_DOMAIN)
     ]
-    return lead_site(infos, seed=seed, run_ms=run_ms)
+    return start_site_leader(infos, seed=seed, run_ms=run_ms)
 
 
 def submit(leader: Leader, number: int, home: DomainName | None, tasks: int) -> JobId:
     job = JobId(f"{number:016x}")
     spec = build_spec(tasks=tasks, run_ms=200)
     record = JobRecord(id=job, queue=build_queue(), spec=spec, accepted_ms=0)
-    submission = Submission(gateway="", home=home, may_have_begun=False, settle_after=SETTLE_AFTER)
+    submission = Submission(
+        gateway="", home=home, may_have_begun=False, reconcile_after=SETTLE_AFTER
+    )
     leader.dispatch.submit(record, submission, leader.world.now)
     leader.act()
     return job
 
 
 def count_domains(leader: Leader) -> Counter[str]:
-    """Return how many tasks run in each domain."""
+    """Return the number of running tasks in each domain."""
     world, upstreams = leader.world, leader.upstreams
     return Counter(upstreams[UpstreamId(id)].info.domain for id in world.running.values())
 
@@ -58,25 +60,25 @@
     assert count_domains(leader) == {DOMAINS[3]: 8}
 
 
-def test_what_finds_no_room_at_home_goes_where_the_most_is_left() -> None:
+def test_tasks_beyond_the_home_capacity_go_where_most_capacity_is_free() -> None:
     leader = build_leader(2)
     submit(leader, 1, DOMAINS[0], tasks=4)
     submit(leader, 2, DOMAINS[3], tasks=20)
     leader.world.run_until(leader.world.now + milliseconds(50))
     counted = count_domains(leader)
-    assert (counted[DOMAINS[3]], counted[DOMAINS[0]]) == (2 * EACH, 4)
+    assert (counted[DOMAINS[3]], counted[DOMAINS[0]]) == (2 * UPSTREAMS_PER_DOMAIN, 4)
     assert sum(counted.values()) == 24
 
 
-def test_a_job_without_a_known_home_stays_where_its_first_task_runs() -> None:
+def test_job_without_a_known_home_stays_in_the_domain_of_its_first_task() -> None:
     leader = build_leader(3)
     submit(leader, 1, None, tasks=8)
     leader.world.run_until(leader.world.now + milliseconds(50))
     assert len(count_domains(leader)) == 1
 
 
-def test_a_cut_of_one_domain_stops_no_job_of_the_others() -> None:
-    """Failed before: of jobs of four tasks three in five had one behind the cut of one of five."""
+def test_cut_off_domain_delays_no_job_of_the_others() -> None:
+    """When tasks were spread, a cut of one of five domains hit three in five jobs of four tasks."""
     leader = build_leader(4)
     world = leader.world
     jobs: dict[JobId, DomainName] = {}
--- a/cottonlug/tests/test_cluster_settling.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -1,8 +1,8 @@
-"""How soon a new leader knows what runs at all upstreams, where some orders go unanswered.
+"""How soon a new leader knows what runs at all upstreams if some orders are not answered.
 
 Load pattern: one order in twenty is left unanswered, or carried out seconds late, when a leader is
-lost. Jobs that were under way wait for the last upstream, so that with hundreds of them some look
-is lost at nearly every change of leader.
+lost. Active jobs wait for the last upstream, so that with hundreds of upstreams some poll is lost
+at nearly every change of leader.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 import pytest
 
-from ..core.cluster.orders import LookOrder, Order
+from ..core.cluster.orders import Order, PollOrder
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
@@ -30,7 +30,7 @@
 
 
 def replace_leader(seed: int) -> Leader:
-    """Return a leader that has just been elected, with a lost one's job submitted to it again."""
+    """Return a newly elected leader to which a lost leader's job has been submitted again."""
     world = World(random=random.Random(seed))
     upstreams: dict[UpstreamId, ModelUpstream] = {}
     for number in range(UPSTREAMS):
@@ -41,7 +41,7 @@
     records = Records()
     first = Leader(world=world, upstreams=upstreams, records=records, token=TOKENS_PER_TERM)
     for upstream in upstreams.values():
-        first.beat(upstream, 1)
+        first.deliver_heartbeat(upstream, 1)
     world.run_until(milliseconds(200))
     first.is_over = True
     second = Leader(world=world, upstreams=upstreams, records=records, token=2 * TOKENS_PER_TERM)
@@ -49,14 +49,14 @@
     return second
 
 
-def lose_looks(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
-    """Have the first looks at some upstreams never arrive, as many as are given."""
+def lose_polls(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
+    """Have the first polls of some upstreams never arrive, as many as are given."""
     send = Leader._send
 
     def lose(self: Leader, order: Order) -> None:
         id = order.upstream.id
         is_lost = self.token == 2 * TOKENS_PER_TERM and lost.get(id, 0) > 0
-        if isinstance(order, LookOrder) and is_lost:
+        if isinstance(order, PollOrder) and is_lost:
             lost[id] -= 1
             self.cut_off = {id}
             send(self, order)
@@ -67,37 +67,37 @@
     monkeypatch.setattr(Leader, "_send", lose)
 
 
-def test_the_last_upstreams_are_looked_at_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Failed before: a look was given up after 80 ms, and the second one 100 ms after that.
+def test_the_last_upstreams_are_polled_again_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a lost poll that times out after 80 ms and is repeated only 100 ms after that.
 
-    Seen on a day with 5.5 % of the orders unanswered: 268 of 270 upstreams had answered 0.1 s after
-    the election, the others after 0.31 s.
+    With 5.5 % of the orders unanswered, 268 of 270 upstreams had answered 0.1 s after the election,
+    but the others only after 0.31 s.
     """
-    lose_looks(monkeypatch, {UpstreamId("u3"): 2, UpstreamId("u7"): 1})
+    lose_polls(monkeypatch, {UpstreamId("u3"): 2, UpstreamId("u7"): 1})
     leader = replace_leader(1)
     leader.world.run_until(leader.world.now + milliseconds(100))
     assert leader.world.starts == 4
 
 
-def test_upstreams_out_of_reach_are_not_looked_at_by_many_calls(
+def test_unreachable_upstreams_are_not_polled_by_many_calls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A domain that is cut off does not answer, however often it is asked."""
+    """A domain that is cut off does not answer, however often it is polled."""
     gone = {UpstreamId(f"u{number}"): 10_000 for number in range(1, 13)}
-    lose_looks(monkeypatch, gone)
+    lose_polls(monkeypatch, gone)
     leader = replace_leader(2)
     before = leader.dispatch.counts.looks
     leader.world.run_until(leader.world.now + milliseconds(1_000))
-    looks = leader.dispatch.counts.looks - before
-    assert looks < UPSTREAMS * 6
+    polls = leader.dispatch.counts.looks - before
+    assert polls < UPSTREAMS * 6
 
 
-def test_one_upstream_out_of_reach_is_soon_looked_at_as_others_are(
+def test_one_unreachable_upstream_is_soon_polled_like_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     gone = UpstreamId("u5")
     left = {gone: 10_000}
-    lose_looks(monkeypatch, left)
+    lose_polls(monkeypatch, left)
     leader = replace_leader(3)
     leader.world.run_until(leader.world.now + milliseconds(3_000))
     assert 10_000 - left[gone] < 20
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -1,7 +1,7 @@
-"""How long anybody waits for a job, and what a host that ceases to decide still does.
+"""How long a job is waited for, and what a host does that is no longer the coordinator.
 
-Found by a review of the incident's mend: each of these let a job go on for which nobody waited, or
-a host decide that had ceased to, so that a task could run beside the next try of its caller.
+Each test guards against a job that goes on though nobody waits for it, or a host that goes on
+deciding, so that a task could run beside the next try of its caller.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 
 from ..core.cluster.calls import Answer, Outcome, Submit
 from ..core.cluster.commands import AddUpstream
-from ..core.cluster.lives import choose_terms
-from ..core.cluster.model import EndKind, JobId, LookReply
-from ..core.cluster.orders import CallFailure, LookOrder
+from ..core.cluster.instances import choose_lease_terms
+from ..core.cluster.model import JobId, PollReply, RunEndKind
+from ..core.cluster.orders import CallFailure, PollOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
-from ..runtime.deputy import DeputyAuthority
-from ..runtime.gateways import GATEWAY_SILENT
-from ..runtime.leading import Leading, LeadingSettings
+from ..runtime.deputy import ActingLeaderAuthority
+from ..runtime.gateways import GATEWAY_TIMEOUT
+from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.replicated import ReplicatedRecords
 from .gateway_builders import (
     JOB,
     IdlePort,
+    build_acting_gateway,
     build_clock,
-    build_roster,
-    fail,
-    greet,
-    stand_in,
-    submit,
+    build_failover_state,
+    build_keepalive,
+    build_submit,
+    raise_error,
 )
 from .model_upstreams import ModelUpstream, build_info, build_queue, build_spec, milliseconds
-from .test_cluster_contact import CALLER_RETRY, let_run
+from .test_cluster_contact import CALLER_RETRY, run_callbacks
 from .test_cluster_dispatch import build_world, start_leader
 
 LONG = build_spec(tasks=1, run_ms=2_500)
 
 
 class OwnOffice:
-    """Of a host that leads on in the log, with its lease."""
+    """Authority of a host that leads the log, with its lease."""
 
     term = 6
 
@@ -51,42 +51,42 @@
     def propose(self, data: str) -> bool:
         return True
 
-    def renew(self) -> None:
+    def start_new_term(self) -> None:
         return None
 
 
 class CountingPort(IdlePort):
-    """Upstreams that are counted when they are looked at, and may never answer."""
+    """Upstreams whose polls are counted, and which may never answer."""
 
     def __init__(self, *, answers: bool = True) -> None:
         super().__init__()
         self.looks = 0
         self._answers = answers
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
+    async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
         self.looks += 1
         if not self._answers:
             await asyncio.sleep(3_600)
-        return await super().look(order, token)
+        return await super().poll(order, token)
 
 
 def lead(
     port: IdlePort, *, keeps_log: bool = True, commits: bool = False
-) -> tuple[Leading, ReplicatedRecords]:
-    """Lead two upstreams; with `commits` the log carries out at once what is proposed."""
+) -> tuple[Leadership, ReplicatedRecords]:
+    """Lead two upstreams; with `commits` the log applies proposals at once."""
     replicated = ReplicatedRecords()
-    replicated.records.put_in_force(build_roster().configuration)
+    replicated.records.activate_configuration(build_failover_state().configuration)
     for name in ("u1", "u2"):
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
-    leading = Leading(
-        authority=DeputyAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
+    leadership = Leadership(
+        authority=ActingLeaderAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
         replicated=replicated,
         port=port,
         clock=build_clock(),
-        on_failure=fail,
-        settings=LeadingSettings(
-            terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+        on_failure=raise_error,
+        settings=LeadershipSettings(
+            lease_terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
             keep_ended=timedelta(),
             caller_retry=CALLER_RETRY,
             control_address=None,
@@ -94,46 +94,46 @@
             level=0 if keeps_log else 1_001,
         ),
     )
-    return leading, replicated
+    return leadership, replicated
 
 
-def test_a_gateway_that_stands_in_waits_no_longer_than_its_caller() -> None:
-    """Its own calls had no time-out: a job went on, with its lease, for a caller long gone.
+def test_an_acting_leader_waits_no_longer_than_its_caller() -> None:
+    """Without a time-out on its own calls a job goes on, with its lease, for a caller long gone.
 
     A caller outside a domain that is cut off, with its gateway inside, times out after 1.5 s and
-    comes again elsewhere 1.3 s later; by then the gateway, which stands in, had begun the job.
+    retries elsewhere 1.3 s later; by then the gateway, as acting leader, has begun the job.
     """
 
     async def play() -> None:
-        gateway, clock = stand_in()
+        gateway, clock = build_acting_gateway()
         await gateway.link.replace_leader()
-        assert gateway.deputy is not None
-        call = msgspec.structs.replace(submit(), spec=LONG)
+        assert gateway.acting_leader is not None
+        call = msgspec.structs.replace(build_submit(), spec=LONG)
         waiting = asyncio.create_task(gateway.call(call, milliseconds(200)))
         for _ in range(30):
             clock.advance(milliseconds(50))
             await gateway.link.replace_leader()
             await asyncio.sleep(0.02)
-        deputy = gateway.deputy
+        deputy = gateway.acting_leader
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
-        assert not deputy.leading.dispatch.jobs.is_open(JobId(JOB))
+        assert not deputy.leadership.dispatch.jobs.is_open(JobId(JOB))
         gateway.stop()
 
     asyncio.run(play())
 
 
-def test_an_old_end_does_not_free_a_task_whose_good_end_awaits_its_commit() -> None:
-    """A third run, 12 ms after the second had ended well: the first had lapsed long before.
+def test_an_older_run_end_does_not_free_a_task_whose_success_awaits_its_commit() -> None:
+    """Guards against a third run, 12 ms after the second succeeded; the first lapsed long before.
 
-    Its upstream came back and listed that; the commit of this old end queued the task, though the
-    end of the second was on its way into the log.
+    Its upstream returns and lists that; the commit of this older end must not queue the task while
+    the end of the second is on its way into the log.
     """
     world, upstreams = build_world(15)
     for each in upstreams.values():
         each.run_times = lambda job: timedelta(seconds=2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
-    leader.submit(JOB, build_spec(tasks=1, kept=True, run_ms=2_000), build_queue())
+    leader.submit(JOB, build_spec(tasks=1, durable=True, run_ms=2_000), build_queue())
     world.run_until(milliseconds(130))
     first = next(each for each in upstreams.values() if each.runs)
     leader.cut_off = {first.info.id}
@@ -143,51 +143,53 @@
     (run,) = second.runs.values()
     assert second is not first
     world.run_until(run.ends_at - milliseconds(4))
-    look = LookOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
-    reply = first.report()
-    assert [end.how for end in reply.ended] == [EndKind.LAPSED]
+    look = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
+    reply = first.build_reply()
+    assert [end.how for end in reply.ended] == [RunEndKind.LAPSED]
     leader.cut_off = set()
-    leader.dispatch.take_look(look, reply, world.now, world.now)
+    leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
     leader.act()
     world.run_until(run.ends_at + timedelta(seconds=3))
     assert world.starts == 2
 
 
-@pytest.mark.parametrize("wakes_by", ["a decision that was due", "a commit"])
-def test_a_term_that_was_ended_decides_nothing_more(wakes_by: str) -> None:
-    """A host that hands over keeps its lease for a while, in which the next one decides."""
+@pytest.mark.parametrize("trigger", ["a decision that was due", "a commit"])
+def test_a_term_that_was_ended_makes_no_more_decisions(trigger: str) -> None:
+    """A host that hands over keeps its lease for a while, in which the next one coordinates."""
 
     async def play() -> int:
         port = CountingPort()
-        leading, replicated = lead(port)
-        if wakes_by == "a decision that was due":
-            leading._wake()
+        leadership, replicated = lead(port)
+        if trigger == "a decision that was due":
+            leadership._schedule_decision()
         listener = replicated.listener
-        leading.stop()
-        if wakes_by == "a commit" and listener is not None:
+        leadership.stop()
+        if trigger == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
-        await let_run()
+        await run_callbacks()
         return port.looks
 
     assert asyncio.run(play()) == 0
 
 
 @pytest.mark.parametrize(("second", "is_news"), [("b", True), ("a", False)])
-def test_a_second_submission_of_an_open_job_tells_what_the_first_did_not(
+def test_a_second_submission_of_an_open_job_adds_what_the_first_did_not_say(
     second: str, is_news: bool
 ) -> None:
-    """Another decider may have begun it for another gateway: its lease was not waited for.
+    """Another coordinator may have begun it for another gateway: its lease must be waited for.
 
     The same gateway only repeats what was answered late; its tasks need wait no longer for that.
     """
 
     async def play() -> None:
-        leading, _ = lead(CountingPort(answers=False), keeps_log=False)
-        clock = leading._clock
+        leadership, _ = lead(CountingPort(answers=False), keeps_log=False)
+        clock = leadership._clock
 
         def hear(gateway: str) -> None:
-            contact = leading.gateways.make_contact()
-            leading.gateways.take_greeting(msgspec.structs.replace(greet(gateway), contact=contact))
+            contact = leadership.gateways.build_contact()
+            leadership.gateways.handle_keepalive(
+                msgspec.structs.replace(build_keepalive(gateway), contact=contact)
+            )
 
         def send(gateway: str) -> asyncio.Task[Answer]:
             call = Submit(
@@ -197,55 +199,55 @@
                 gateway=gateway,
                 number=1,
                 may_have_begun=True,
-                may_be_of_deputy=True,
-                contact=leading.gateways.make_contact(),
+                may_be_of_acting_leader=True,
+                contact=leadership.gateways.build_contact(),
             )
-            return asyncio.create_task(leading.answer(call))
+            return asyncio.create_task(leadership.answer(call))
 
         hear("a")
         hear("b")
         waiting = [send("a")]
-        await let_run()
+        await run_callbacks()
         for _ in range(10):
             clock.advance(milliseconds(100))  # type: ignore[attr-defined]
             hear("a")
             hear("b")
-            leading._decide()
+            leadership._decide()
         left_at = clock.monotonic()
         waiting.append(send(second))
-        await let_run()
-        job = leading.dispatch.jobs.jobs[JobId(JOB)]
-        assert (job.settle_at >= left_at + CALLER_RETRY) is is_news
+        await run_callbacks()
+        job = leadership.dispatch.jobs.jobs[JobId(JOB)]
+        assert (job.reconcile_at >= left_at + CALLER_RETRY) is is_news
         for each in waiting:
             each.cancel()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
-def test_an_upstream_that_went_down_is_forgotten_where_nobody_can_stand_in() -> None:
-    """It was kept for an hour, and each job that a deputy may have had waited for its lease."""
+def test_a_crashed_upstream_is_forgotten_where_no_gateway_can_act_as_leader() -> None:
+    """Otherwise it is kept for an hour, and each job of an acting leader waits for its lease."""
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
-    leader.dispatch.may_be_stood_in_for = lambda: False
+    leader.dispatch.may_have_acting_leader = lambda: False
     world.run_until(milliseconds(100))
     upstreams[UpstreamId("u1")].crash()
     while world.now < timedelta(seconds=14):
         world.run_until(world.now + milliseconds(500))
         for each in upstreams.values():
             if each.is_up:
-                leader.beat(each, sequence=int(world.now / milliseconds(1)))
+                leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
     assert UpstreamId("u1") not in records.upstreams
     at = world.now
     spec = build_spec(tasks=1)
-    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_deputy=True)
+    leader.submit(JOB, spec, build_queue(), may_have_begun=True, may_be_of_acting_leader=True)
     while not leader.ended and world.now < at + timedelta(seconds=5):
         world.run_until(world.now + milliseconds(10))
     assert leader.ended_at[JobId(JOB)] - at < milliseconds(500)
 
 
-def test_a_silent_upstream_is_looked_at_when_another_life_takes_its_address() -> None:
+def test_a_silent_upstream_is_polled_when_another_instance_takes_its_address() -> None:
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
@@ -258,11 +260,11 @@
             world.run_until(world.now + milliseconds(500))
             for each in list(upstreams.values()):
                 if each.is_up:
-                    leader.beat(each, sequence=int(world.now / milliseconds(1)))
+                    leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
 
     live(timedelta(seconds=13))
-    looked = leader.dispatch.lives[old.info.id].failed_looks
+    looked = leader.dispatch.instances[old.info.id].failed_polls
     info = msgspec.structs.replace(build_info("u9"), address=old.info.address)
     upstreams[info.id] = ModelUpstream(world=world, info=info, rate=1.0, run_times=old.run_times)
     live(timedelta(seconds=14))
-    assert leader.dispatch.lives[old.info.id].failed_looks > looked
+    assert leader.dispatch.instances[old.info.id].failed_polls > looked
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""Focused tests of the replicated log and its journal: what random runs meet too seldom."""
+"""Focused tests of the replicated log and its journal, for cases that random runs rarely reach."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     VoteReply,
     VoteRequest,
 )
-from ..storage.journal import JOURNAL, Journal, open_journal
+from ..storage.journal import JOURNAL_FILE, Journal, open_journal
 from .test_consensus_faults import FakeFiles
 
 A, B, C = MemberId("a/1"), MemberId("b/1"), MemberId("c/1")
@@ -67,7 +67,7 @@
     return message.granted
 
 
-def make_leader(member: Member) -> None:
+def elect_leader(member: Member) -> None:
     late = timedelta(seconds=10)
     member.tick(late)
     term = Term(member.term + 1)
@@ -76,16 +76,16 @@
     assert member.role is Role.LEADER
 
 
-QUICK = Timing(
+FAST_TIMING = Timing(
     first_election=timedelta(milliseconds=60), pre_vote_retry=timedelta(milliseconds=100)
 )
 
 
-def build_quick(id: MemberId, now: timedelta) -> Member:
-    return Member(id=id, stored=build_stored(3), timing=QUICK, chance=lambda: 0.0, now=now)
+def build_fast_member(id: MemberId, now: timedelta) -> Member:
+    return Member(id=id, stored=build_stored(3), timing=FAST_TIMING, chance=lambda: 0.0, now=now)
 
 
-def pass_on(members: dict[MemberId, Member], now: timedelta) -> None:
+def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
     """Deliver messages until there are none."""
     waiting = True
     while waiting:
@@ -97,33 +97,33 @@
                     waiting = True
 
 
-def test_after_all_were_down_a_leader_is_elected_at_once() -> None:
-    """Failed on every day's last fault: the first election waited for 0.35 to 0.7 s."""
-    members = {id: build_quick(id, timedelta()) for id in (A, B, C)}
+def test_leader_is_elected_quickly_after_all_members_were_down() -> None:
+    """Failure: after a restart of all members the first election began only after 0.35 to 0.7 s."""
+    members = {id: build_fast_member(id, timedelta()) for id in (A, B, C)}
     now = timedelta(milliseconds=60)
     members[A].tick(now)
-    pass_on(members, now)
+    deliver_messages(members, now)
     assert members[A].role is Role.LEADER
 
 
-def test_a_member_that_starts_beside_a_leader_disturbs_nobody() -> None:
-    members = {id: build_quick(id, timedelta()) for id in (A, B)}
+def test_member_that_starts_does_not_disturb_a_leader() -> None:
+    members = {id: build_fast_member(id, timedelta()) for id in (A, B)}
     now = timedelta(milliseconds=60)
     members[A].tick(now)
-    pass_on(members, now)
+    deliver_messages(members, now)
     term = members[A].term
-    members[C] = build_quick(C, now)
+    members[C] = build_fast_member(C, now)
     for _ in range(3):
         now += timedelta(milliseconds=100)
         members[A].tick(now)
         members[C].tick(now)
-        pass_on(members, now)
+        deliver_messages(members, now)
     assert members[A].role is Role.LEADER
     assert {member.term for member in members.values()} == {term}
 
 
-def test_a_pre_vote_without_answers_is_tried_again_soon() -> None:
-    member = build_quick(A, timedelta())
+def test_pre_vote_without_replies_is_retried_soon() -> None:
+    member = build_fast_member(A, timedelta())
     for number in range(3):
         member.tick(timedelta(milliseconds=60 + 100 * number))
         requests = [envelope.message for envelope in member.take_output().messages]
@@ -132,11 +132,11 @@
     assert member.term == 3
 
 
-def test_what_is_missing_is_sent_once_for_many_refusals_of_messages_under_way() -> None:
-    """0.134 GB between domains."""
+def test_missing_entries_are_sent_once_for_many_refusals_of_messages_in_flight() -> None:
+    """Failure: each refusal of a message in flight resent the entries, 0.134 GB between domains."""
     entries = tuple(build_entry(index, 3) for index in range(2, 10))
     member = build_member(build_stored(3, entries))
-    make_leader(member)
+    elect_leader(member)
     member.take_output()
     late = timedelta(seconds=10)
     refusal = AppendReply(term=member.term, sender=B, accepted=False, matched=Index(1))
@@ -148,12 +148,12 @@
     for _ in range(5):
         member.receive(refusal, late)
     assert count_sent() == 9
-    # Refused again much later, the first sending was lost.
+    # A refusal much later means that the first transmission was lost.
     member.receive(refusal, late + Timing().heartbeat * 2)
     assert count_sent() == 9
 
 
-def test_vote_is_saved_before_it_is_sent_and_holds_after_a_restart() -> None:
+def test_vote_is_saved_before_it_is_sent_and_kept_over_a_restart() -> None:
     journal = open_journal(FakeFiles(random.Random(1)), A).unwrap()
     journal.save(Output(snapshot=SNAPSHOT, restore=True)).unwrap()
     member = build_member(journal.stored)
@@ -168,9 +168,9 @@
     assert read_vote(again) is True
 
 
-def test_entries_of_an_older_term_are_not_committed_by_counting() -> None:
+def test_entries_of_an_older_term_are_not_committed_by_counting_replicas() -> None:
     member = build_member(build_stored(2, (build_entry(2, 2),)))
-    make_leader(member)
+    elect_leader(member)
     late = timedelta(seconds=10)
     old = AppendReply(term=member.term, sender=B, accepted=True, matched=Index(2))
     member.receive(old, late)
@@ -180,7 +180,7 @@
     assert member.commit == 3
 
 
-def test_late_snapshot_keeps_the_entries_that_were_acknowledged() -> None:
+def test_delayed_snapshot_does_not_discard_acknowledged_entries() -> None:
     member = build_member(build_stored(2, (build_entry(2, 2), build_entry(3, 2))))
     late = Snapshot(index=Index(2), term=Term(2), members=SNAPSHOT.members, data="s")
     member.receive(SnapshotRequest(term=Term(2), sender=B, snapshot=late), timedelta())
@@ -193,14 +193,14 @@
 
 def test_isolated_leader_steps_down() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     member.tick(timedelta(seconds=20))
     assert member.role is Role.FOLLOWER
     refused = member.propose("x", timedelta(seconds=20))
     assert isinstance(refused, Err)
 
 
-def test_returning_member_does_not_unseat_a_leader() -> None:
+def test_returning_member_does_not_depose_a_leader() -> None:
     member = build_member(build_stored(2))
     beat = AppendRequest(
         term=Term(2),
@@ -218,7 +218,7 @@
 
 def test_only_one_voter_changes_at_a_time() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     late = timedelta(seconds=10)
     too_early = member.change_members(Members(voters=(A, B)), late)
     assert isinstance(too_early, Err)
@@ -239,26 +239,26 @@
     return files, journal
 
 
-def test_every_flipped_bit_is_reported_and_loses_nothing_silently() -> None:
+def test_every_flipped_bit_is_reported_and_the_journal_is_left_unchanged() -> None:
     files, _ = build_full_journal()
-    good = files.content[JOURNAL]
+    good = files.content[JOURNAL_FILE]
     for at in range(8 * len(good)):
         damaged = bytearray(good)
         damaged[at // 8] ^= 1 << at % 8
-        files.content[JOURNAL] = bytes(damaged)
+        files.content[JOURNAL_FILE] = bytes(damaged)
         opened = open_journal(files, B)
         assert isinstance(opened, Err), f"bit {at}"
         assert opened.failure().damaged
-        assert files.content[JOURNAL] == bytes(damaged), "a damaged file is left as it is"
+        assert files.content[JOURNAL_FILE] == bytes(damaged), "a damaged file must not be changed"
 
 
 def test_every_torn_tail_is_cut_to_whole_records() -> None:
     files, journal = build_full_journal()
-    good = files.content[JOURNAL]
+    good = files.content[JOURNAL_FILE]
     whole = journal.stored
     for size in range(len(good)):
         for filler in (b"", b"\0" * 40):
-            files.content[JOURNAL] = good[:size] + filler
+            files.content[JOURNAL_FILE] = good[:size] + filler
             opened = open_journal(files, A)
             if size == 0 and not filler:
                 assert opened.unwrap().is_empty
@@ -271,18 +271,18 @@
             assert open_journal(files, A).unwrap().cut_bytes == 0
 
 
-def test_full_disk_is_an_error_and_the_journal_takes_no_more() -> None:
+def test_journal_accepts_no_records_after_a_full_disk() -> None:
     files, journal = build_full_journal()
-    before = files.content[JOURNAL]
+    before = files.content[JOURNAL_FILE]
     files.full = True
     assert isinstance(journal.save(Output(entries=[build_entry(3, 3)])), Err)
     files.full = False
     assert isinstance(journal.save(Output(entries=[build_entry(3, 3)])), Err)
-    assert files.content[JOURNAL] == before
+    assert files.content[JOURNAL_FILE] == before
     assert len(open_journal(files, A).unwrap().stored.entries) == 2
 
 
-def test_equal_numbers_accept_one_and_resends_get_the_first_answer() -> None:
+def test_one_change_per_base_version_is_accepted_and_resends_get_the_same_outcome() -> None:
     state = ConfigurationState()
     first = ChangeCommand(request_id="one", base_version=0, text="a")
     second = ChangeCommand(request_id="two", base_version=0, text="b")
@@ -300,5 +300,5 @@
 
 def test_leader_election_appends_an_empty_entry() -> None:
     member = build_member(build_stored(2))
-    make_leader(member)
+    elect_leader(member)
     assert [entry.kind for entry in member.take_output().entries] == [EntryKind.EMPTY]
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -1,4 +1,4 @@
-"""What a control host that does not lead does with orders and heartbeats that come to it."""
+"""Idempotent calls and heartbeats that arrive at a control host that is not the leader."""
 
 from __future__ import annotations
 
@@ -12,14 +12,21 @@
 from ..config.cluster import ControlListeners, ControlSettings, OrdersBy
 from ..config.logs import LogSettings
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Beat, Call, HeartbeatOrders, Leave, Outcome
+from ..core.cluster.calls import (
+    Answer,
+    Call,
+    ForwardHeartbeat,
+    ForwardLeave,
+    HeartbeatOrders,
+    Outcome,
+)
 from ..core.cluster.commands import AddUpstream, SetDraining
 from ..core.cluster.model import Heartbeat
 from ..core.ids import DomainName, HostId
 from ..net.connections import ConnectionPools
 from ..runtime.control_host import ControlHost
 from ..runtime.replica import Replica
-from .gateway_builders import IdlePort, build_clock, fail
+from .gateway_builders import IdlePort, build_clock, raise_error
 from .model_upstreams import build_info
 
 LEADER = "10.0.1.2:7000"
@@ -42,18 +49,20 @@
         orders=orders,
         log=LogSettings(),
     )
-    host = ControlHost(settings=settings, clock=build_clock(), port=IdlePort(), on_failure=fail)
+    host = ControlHost(
+        settings=settings, clock=build_clock(), port=IdlePort(), on_failure=raise_error
+    )
     host.replicated.records.apply(AddUpstream(info=INFO))
     return host
 
 
-def lead_elsewhere(
+def mock_other_leader(
     host: ControlHost, answer_after: float, monkeypatch: pytest.MonkeyPatch
 ) -> list[Call]:
-    """Have another host lead that answers after some seconds; return what is sent to it."""
+    """Mock another host as leader that answers after some seconds; return the calls sent to it."""
     sent: list[Call] = []
 
-    async def pass_on(
+    async def forward(
         leader: str, call: Call, timeout: timedelta, pools: ConnectionPools
     ) -> Answer:
         sent.append(call)
@@ -66,7 +75,7 @@
         return Answer(outcome=Outcome.DONE, leader_control=LEADER, orders=orders)
 
     monkeypatch.setattr(Replica, "leader_host", LEADER)
-    monkeypatch.setattr(host, "_pass_on", pass_on)
+    monkeypatch.setattr(host, "_forward", forward)
     return sent
 
 
@@ -79,54 +88,54 @@
 ) -> tuple[Answer, list[Call]]:
     async def run() -> tuple[Answer, list[Call]]:
         host = build_host(orders, folder)
-        sent = lead_elsewhere(host, answer_after, monkeypatch)
+        sent = mock_other_leader(host, answer_after, monkeypatch)
         return await script(host), sent
 
     return asyncio.run(run())
 
 
-def beat(*, draining: bool) -> Beat:
-    return Beat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
+def build_beat(*, draining: bool) -> ForwardHeartbeat:
+    return ForwardHeartbeat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
 
 
-def test_a_leaving_upstream_gets_its_orders_with_its_heartbeat(
+def test_draining_upstream_still_receives_orders_and_its_lease(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Answered from the log, it had no lease, and what still ran there lapsed."""
+    """An answer from the log carried no lease, and the runs still active there lapsed."""
 
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
-        return await host.answer(beat(draining=True))
+        return await host.answer(build_beat(draining=True))
 
     answer, _ = play(OrdersBy.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
     assert answer.orders is not None and answer.orders.lease_ms
 
 
 @pytest.mark.parametrize("orders", list(OrdersBy))
-def test_a_heartbeat_goes_to_the_leader_once(
+def test_heartbeat_is_forwarded_to_the_leader_only_once(
     orders: OrdersBy, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The leader may keep it for 0.7 s; a second one would count as overtaken, and be for nothing.
+    """The leader may park a heartbeat for 0.7 s; a second copy would count as overtaken.
 
-    Beside a leader that is late, each would make it later.
+    Copies would also put more load on a leader that is late already.
     """
 
     async def script(host: ControlHost) -> Answer:
-        return await host.answer(beat(draining=False))
+        return await host.answer(build_beat(draining=False))
 
     answer, sent = play(orders, 0.5, script, tmp_path, monkeypatch)
     assert len(sent) == 1
     assert answer.outcome is Outcome.DONE
 
 
-def test_what_its_own_log_says_is_acknowledged_though_the_leader_is_late(
+def test_call_committed_in_the_local_log_is_acknowledged_despite_a_late_leader(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
-        leaving = await host.answer(Leave(upstream=INFO.id))
+        leaving = await host.answer(ForwardLeave(upstream=INFO.id))
         assert leaving.outcome is Outcome.DONE
-        return await host.answer(beat(draining=True))
+        return await host.answer(build_beat(draining=True))
 
     answer, _ = play(OrdersBy.CALL, 10.0, script, tmp_path, monkeypatch)
     assert answer.outcome is Outcome.DONE
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -2,7 +2,7 @@
 
 Failure pattern: an acknowledgement is lost and the operator sends the same order to another host;
 the first host, frozen or cut off, carries it out seconds later, when the opposite order has been
-acknowledged. And: an acknowledged order must be true after any loss that is borne.
+acknowledged. An acknowledged order must also hold after any loss that the cluster tolerates.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from ..config.options import Address
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest
-from .model_hosts import CONTROL_PORT, PATIENCE_SECONDS, Machine, World, play
+from .model_hosts import CLIENT_TIMEOUT_SECONDS, CONTROL_PORT, Machine, World, play
 from .test_acknowledgements import (
     ACKNOWLEDGED_WITHIN,
     CONTACT_SECONDS,
@@ -31,10 +31,10 @@
 
 
 async def send_order(world: World, machine: Machine, method: str, domain: str) -> int:
-    """Return the status of one call, 0 where none came in the time that operators wait."""
+    """Return the status of one call; 0 if none came within the time that operators wait."""
     request = HttpRequest(method=method, path=f"/evacuation/{domain}", headers={}, body=b"")
     try:
-        async with asyncio.timeout(PATIENCE_SECONDS):
+        async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
             address = Address(machine.ip, CONTROL_PORT)
             sent = await world.exchange(None, address, request, [])
     except TimeoutError:
@@ -43,12 +43,12 @@
 
 
 class Operator:
-    """Evacuates one domain and takes it back, in turn, each order until it is acknowledged."""
+    """Evacuates one domain and takes it back, in turn, repeating orders until acknowledged."""
 
     def __init__(self, world: World, domain: DomainName, chance: random.Random) -> None:
         self.domain = domain
         self.expected: bool | None = False
-        """What was acknowledged last; None while the next order is under way."""
+        """The last acknowledged state; None while the next order is pending."""
         self.orders = 0
         self.refusals: list[int] = []
         self._world = world
@@ -59,11 +59,11 @@
             await asyncio.sleep(self._chance.uniform(0.3, 3.0))
             begin = not self.expected
             self.expected = None
-            await self._insist("POST" if begin else "DELETE")
+            await self._send_until_acknowledged("POST" if begin else "DELETE")
             self.expected = begin
             self.orders += 1
 
-    async def _insist(self, method: str) -> None:
+    async def _send_until_acknowledged(self, method: str) -> None:
         backoff, last = 0.1, ""
         while True:
             others = [name for name in self._world.machines if name != last]
@@ -79,7 +79,7 @@
 
 
 class EvacuationDay(Day):
-    """A day of chance with two operators; whoever decides must go by what was acknowledged."""
+    """A random day with two operators; the coordinator must obey what was acknowledged."""
 
     def __init__(self, world: World, seed: int) -> None:
         super().__init__(world, seed)
@@ -131,9 +131,9 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_was_acknowledged_last_holds_through_any_troubles(seed: int) -> None:
+def test_what_was_acknowledged_last_holds_through_any_faults(seed: int) -> None:
     day = play_day(seed)
-    assert not day.find_problems(), day.troubles
+    assert not day.find_problems(), day.faults
     assert sum(operator.orders for operator in day.operators) > 3
 
 
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("power", [False, True])
-def test_an_acknowledged_order_is_true_after_all_hosts_were_lost(power: bool) -> None:
+def test_an_acknowledged_order_holds_after_all_hosts_were_lost(power: bool) -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         assert await send_order(world, machines[3], "POST", "d1") == 200
         wiped = machines[:2] if power else []
@@ -169,14 +169,14 @@
     play_core(2, day)
 
 
-def test_gateways_learn_of_an_evacuation_with_their_next_greeting() -> None:
+def test_gateways_learn_of_an_evacuation_with_their_next_keep_alive() -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         gateway = world.start_gateway("g1", "d1", "10.8.0.1", machines[:3])
         await asyncio.sleep(1.0)
         assert await send_order(world, machines[4], "POST", "d1") == 200
         await asyncio.sleep(0.3)
-        roster = gateway.link.rosters.whole
-        assert roster is not None
-        assert [each.domain for each in roster.evacuations if each.is_evacuated] == ["d1"]
+        state = gateway.link.failover_store.current
+        assert state is not None
+        assert [each.domain for each in state.evacuations if each.is_evacuated] == ["d1"]
 
     play_core(3, day)
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -1,6 +1,6 @@
-"""A failure domain that is evacuated gets no new work, whoever decides; what runs there ends well.
+"""An evacuated failure domain gets no new work, whoever coordinates; active runs end normally.
 
-Load pattern: operators empty a domain while its callers go on, and take it back seconds later.
+Load pattern: operators evacuate a domain while its callers continue, and end that seconds later.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from ..core.cluster.calls import (
     Answer,
     AskEvacuations,
-    Beat,
     Call,
     Evacuate,
+    ForwardHeartbeat,
     Outcome,
 )
 from ..core.cluster.commands import SetEvacuation, decode_commands, encode_commands
 from ..core.cluster.evacuations import Evacuations
-from ..core.cluster.filler import EVACUATED
-from ..core.cluster.model import EndKind, JobId, JobState, OrderId
+from ..core.cluster.model import JobId, JobState, OrderId, RunEndKind
 from ..core.cluster.records import Records
-from ..core.cluster.reports import USUAL_REPORTS
+from ..core.cluster.reports import DEFAULT_REPORT_TERMS
+from ..core.cluster.scheduler import ALL_EVACUATED
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest, HttpResponse
 from ..platform.control import build_control_handler
-from ..runtime.leading import Leading
+from ..runtime.leadership import Leadership
 from .gateway_builders import IdlePort
 from .model_site import EAST
 from .model_upstreams import (
@@ -39,7 +39,7 @@
     build_spec,
     milliseconds,
 )
-from .test_cluster_homes import DOMAINS, EACH, build_leader, count_domains, submit
+from .test_cluster_homes import DOMAINS, UPSTREAMS_PER_DOMAIN, build_leader, count_domains, submit
 from .test_cluster_waiting import lead
 
 HOME = DOMAINS[1]
@@ -58,13 +58,13 @@
 
 
 def commit(leader: Leader, domain: DomainName, *, is_evacuated: bool = True) -> None:
-    """Have the log carry out an order."""
+    """Have the log apply an order."""
     base = leader.records.evacuations.get(domain).revision
     command = build_command(domain, is_evacuated=is_evacuated, base=base, order=f"o{base + 1}")
     leader._commit(decode_commands(encode_commands((command,)))[0])
 
 
-# The record
+# Replicated state
 
 
 def test_of_two_orders_from_one_revision_the_first_in_the_log_holds() -> None:
@@ -84,7 +84,7 @@
     assert evacuations.evacuated == frozenset()
 
 
-def test_a_snapshot_keeps_evacuations_and_what_an_older_one_lacks_is_none() -> None:
+def test_a_snapshot_keeps_evacuations_and_an_older_one_has_none() -> None:
     records, other = Records(), Records()
     records.apply(build_command(HOME))
     records.apply(build_command(EAST))
@@ -98,26 +98,26 @@
     assert other.evacuations.records == ()
 
 
-# What a leader starts
+# Starts by a leader
 
 
-def test_nothing_is_started_in_an_evacuated_domain_and_what_runs_there_ends_well() -> None:
+def test_nothing_is_started_in_an_evacuated_domain_and_active_runs_end_normally() -> None:
     leader = build_leader(1)
     world = leader.world
     before = [submit(leader, number, HOME, tasks=4) for number in range(4)]
     world.run_until(world.now + milliseconds(50))
-    assert count_domains(leader)[HOME] == EACH * 2
+    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2
     commit(leader, HOME)
     after = [submit(leader, 100 + number, HOME, tasks=4) for number in range(4)]
     world.run_until(world.now + milliseconds(100))
-    assert count_domains(leader)[HOME] == EACH * 2, "what ran there goes on"
+    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2, "what ran there goes on"
     world.run_until(world.now + milliseconds(150))
     assert count_domains(leader)[HOME] == 0
     world.run_until(world.now + milliseconds(2_000))
     for job in (*before, *after):
         assert leader.dispatch.jobs.find_ended(job) is JobState.COMPLETED
     assert not any(
-        end.how is not EndKind.DONE
+        end.how is not RunEndKind.DONE
         for upstream in leader.upstreams.values()
         for end in upstream.ended
     )
@@ -128,15 +128,13 @@
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
     commit(leader, HOME, is_evacuated=False)
-    leader.world.run_until(leader.world.now + USUAL_REPORTS.every)
+    leader.world.run_until(leader.world.now + DEFAULT_REPORT_TERMS.interval)
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4
 
 
-def test_a_domain_that_is_taken_back_is_used_last_until_its_upstreams_say_that_they_are_warm() -> (
-    None
-):
+def test_a_domain_that_is_taken_back_is_used_last_until_its_upstreams_report_to_be_warm() -> None:
     leader = build_leader(1, run_ms=3_000)
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
@@ -144,18 +142,18 @@
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 0, "others have room"
-    elsewhere = (len(DOMAINS) - 1) * EACH * 2
+    elsewhere = (len(DOMAINS) - 1) * UPSTREAMS_PER_DOMAIN * 2
     submit(leader, 2, HOME, tasks=elsewhere)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4, "nobody waits while there is room"
 
 
-def test_a_domain_whose_upstreams_say_that_they_are_warm_is_used_at_once() -> None:
+def test_a_domain_whose_upstreams_report_to_be_warm_is_used_at_once() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     commit(leader, HOME, is_evacuated=False)
     for upstream in leader.upstreams.values():
-        leader.beat(upstream, 2)
+        leader.deliver_heartbeat(upstream, 2)
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert count_domains(leader)[HOME] == 4
@@ -164,13 +162,13 @@
 def test_a_cold_upstream_is_used_last() -> None:
     leader = build_leader(1)
     cold = next(each for each in leader.upstreams.values() if each.info.domain == HOME)
-    heartbeat = msgspec.structs.replace(cold.make_heartbeat(), sequence=9, cold_left_ms=400)
-    leader.dispatch.take_heartbeat(heartbeat, leader.world.now)
-    submit(leader, 1, HOME, tasks=EACH * 2)
+    heartbeat = msgspec.structs.replace(cold.build_heartbeat(), sequence=9, cold_left_ms=400)
+    leader.dispatch.handle_heartbeat(heartbeat, leader.world.now)
+    submit(leader, 1, HOME, tasks=UPSTREAMS_PER_DOMAIN * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert cold.info.id not in leader.world.running.values()
     leader.world.run_until(leader.world.now + milliseconds(400))
-    submit(leader, 2, HOME, tasks=EACH * 2)
+    submit(leader, 2, HOME, tasks=UPSTREAMS_PER_DOMAIN * 2)
     leader.world.run_until(leader.world.now + milliseconds(30))
     assert cold.info.id in leader.world.running.values()
 
@@ -183,7 +181,7 @@
     leader.upstreams[info.id] = ModelUpstream(
         world=leader.world, info=info, rate=1.0, run_times=lambda job: milliseconds(200)
     )
-    leader.beat(leader.upstreams[info.id], 1)
+    leader.deliver_heartbeat(leader.upstreams[info.id], 1)
     leader.world.run_until(leader.world.now + milliseconds(100))
     for number in range(10):
         submit(leader, number, HOME, tasks=4)
@@ -208,10 +206,12 @@
     assert counts[HOME] == 0 and sum(counts.values()) == 40
 
 
-def test_kept_jobs_lose_nothing_by_an_evacuation() -> None:
+def test_durable_jobs_lose_nothing_by_an_evacuation() -> None:
     leader = build_leader(3, run_ms=700)
     for number in range(8):
-        leader.submit(f"{number:016x}", build_spec(tasks=8, run_ms=700, kept=True), build_queue())
+        leader.submit(
+            f"{number:016x}", build_spec(tasks=8, run_ms=700, durable=True), build_queue()
+        )
     leader.world.run_until(leader.world.now + milliseconds(100))
     for domain in DOMAINS[1:]:
         commit(leader, domain)
@@ -220,7 +220,7 @@
     assert states == {JobState.COMPLETED}
 
 
-# What callers are told
+# Answers to callers
 
 
 def test_with_all_domains_evacuated_jobs_are_rejected_at_once() -> None:
@@ -235,34 +235,36 @@
     assert rejected == set(waiting) - begun
     queue, spec = build_queue(), build_spec(tasks=1)
     rejection = leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now)
-    assert rejection is not None and rejection.reason == EVACUATED
+    assert rejection is not None and rejection.reason == ALL_EVACUATED
     commit(leader, HOME, is_evacuated=False)
     assert leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now) is None
 
 
-def test_a_deputy_of_an_evacuated_domain_rejects_at_once() -> None:
+def test_an_acting_leader_of_an_evacuated_domain_rejects_at_once() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     records = Records()
     records.restore(leader.records.encode())
     leader.is_over = True
-    deputy = Leader(
+    acting_leader = Leader(
         world=leader.world,
         upstreams=leader.upstreams,
         records=records,
         token=1_000_001,
         domain=HOME,
-        is_deputy=True,
+        is_acting=True,
     )
     now = leader.world.now
-    rejection = deputy.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
-    assert rejection is not None and rejection.reason == EVACUATED
+    rejection = acting_leader.dispatch.find_rejection(build_queue(), build_spec(), timedelta(), now)
+    assert rejection is not None and rejection.reason == ALL_EVACUATED
 
 
 # Orders at a leader
 
 
-def order(leading: Leading, domain: str, *, begin: bool = True, base: int = 0, id: str) -> Call:
+def order(
+    leadership: Leadership, domain: str, *, begin: bool = True, base: int = 0, id: str
+) -> Call:
     return Evacuate(
         domain=DomainName(domain), is_evacuated=begin, base_revision=base, order=OrderId(id)
     )
@@ -270,12 +272,12 @@
 
 def test_orders_are_idempotent_and_the_last_acknowledged_one_holds() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort(), commits=True)
+        leadership, replicated = lead(IdlePort(), commits=True)
         evacuations = replicated.records.evacuations
 
         async def send(begin: bool, base: int, id: str) -> Outcome:
-            call = order(leading, "domain", begin=begin, base=base, id=id)
-            return (await leading.answer(call)).outcome
+            call = order(leadership, "domain", begin=begin, base=base, id=id)
+            return (await leadership.answer(call)).outcome
 
         assert await send(True, 0, "a") is Outcome.DONE
         assert await send(True, 0, "a") is Outcome.DONE, "the same order twice"
@@ -285,36 +287,36 @@
         assert await send(False, 1, "d") is Outcome.DONE
         assert await send(True, 0, "a") is Outcome.UNAVAILABLE, "delayed until after the second"
         assert evacuations.evacuated == frozenset()
-        answer = await leading.answer(AskEvacuations())
+        answer = await leadership.answer(AskEvacuations())
         assert answer.evacuations == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
-def test_an_unknown_domain_is_refused_and_nothing_is_kept() -> None:
+def test_an_unknown_domain_is_refused_and_nothing_is_stored() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort())
-        answer = await leading.answer(order(leading, "nowhere", id="a"))
+        leadership, replicated = lead(IdlePort())
+        answer = await leadership.answer(order(leadership, "nowhere", id="a"))
         assert answer.outcome is Outcome.NO_DOMAIN and "nowhere" in answer.detail
         assert replicated.records.evacuations.records == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
-def test_a_deputy_takes_no_order() -> None:
+def test_an_acting_leader_accepts_no_order() -> None:
     async def play() -> None:
-        leading, replicated = lead(IdlePort(), keeps_log=False)
-        answer = await leading.answer(order(leading, "domain", id="a"))
+        leadership, replicated = lead(IdlePort(), keeps_log=False)
+        answer = await leadership.answer(order(leadership, "domain", id="a"))
         assert answer.outcome is Outcome.UNAVAILABLE
         assert replicated.records.evacuations.records == ()
-        leading.stop()
+        leadership.stop()
 
     asyncio.run(play())
 
 
-# The platform's words
+# Requests of the platform
 
 
 def ask(
@@ -345,7 +347,7 @@
         ("PUT", "/evacuation/ridge-hut", b"", 404),
     ],
 )
-def test_a_bad_order_is_refused_and_goes_no_further(
+def test_an_invalid_order_is_refused_and_not_forwarded(
     method: str, path: str, body: bytes, status: int
 ) -> None:
     response, calls = ask(method, path, body)
@@ -355,7 +357,7 @@
 @pytest.mark.parametrize(
     ("cold_left", "read"), [(400, 400), (12.5, 12), (-3, 0), ("long", 0), (None, 0), (True, 0)]
 )
-def test_how_long_an_upstream_is_cold_is_read_and_nonsense_costs_nothing_else(
+def test_cold_left_ms_is_read_and_an_invalid_value_affects_nothing_else(
     cold_left: object, read: int
 ) -> None:
     body = {
@@ -367,11 +369,11 @@
         "cold_left_ms": cold_left,
     }
     _, calls = ask("PUT", "/instances/i-1", msgspec.json.encode(body))
-    assert isinstance(calls[0], Beat)
+    assert isinstance(calls[0], ForwardHeartbeat)
     assert (calls[0].heartbeat.cold_left_ms, calls[0].heartbeat.sequence) == (read, 7)
 
 
-def test_an_unknown_domain_is_a_404_and_a_lost_race_is_worth_another_try() -> None:
+def test_an_unknown_domain_is_a_404_and_a_lost_race_is_a_503() -> None:
     unknown = Answer(outcome=Outcome.NO_DOMAIN, detail="no failure domain 'x' is known")
     response, _ = ask("POST", "/evacuation/x", answer=unknown)
     assert response.status == 404 and b"no failure domain" in response.body
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -1,7 +1,7 @@
 """Long random runs of one entry host and its upstreams over a network that loses and delays.
 
-The dispatcher and executor cores are the real ones; only the network between them is a fake. The
-promises are checked where they can be seen: starts are counted at the upstreams.
+Dispatcher and executor are the real ones; only the network between them is simulated. The
+guarantees are checked where they are observable: starts are counted at the upstreams.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request on its way, and its reply on the way back."""
+    """One request and its reply, both possibly still in flight."""
 
     executor: Executor
     request: ExchangeRequest
-    taken: bool = False
+    delivered: bool = False
     reply: ExchangeReply | None = None
 
 
 class World:
-    """One host, some upstreams and every message between them."""
+    """One entry host, its upstreams and all messages between them."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -53,7 +53,7 @@
         for executor in self.executors:
             executor.begin_session(executor.links[HOST])
 
-    # What may happen
+    # Random actions and faults
 
     def submit(self) -> None:
         if len(self.jobs) >= MAX_JOBS:
@@ -87,18 +87,18 @@
         if link.open_requests < MAX_OPEN_REQUESTS:
             self.calls.append(Call(executor, executor.build_request(link)))
 
-    def take_request(self) -> None:
-        waiting = [call for call in self.calls if not call.taken]
+    def deliver_request(self) -> None:
+        waiting = [call for call in self.calls if not call.delivered]
         if not waiting:
             return
         call = self.chance.choice(waiting)
-        call.taken = True
+        call.delivered = True
         refusal = self.dispatcher.exchange(call.request, self.now)
         if refusal is not None:
             self.break_call(call)
         self.dispatch()
 
-    def take_reply(self) -> None:
+    def deliver_reply(self) -> None:
         answered = [call for call in self.calls if call.reply is not None]
         if not answered:
             return
@@ -106,27 +106,29 @@
         self.calls.remove(call)
         assert call.reply is not None
         link = call.executor.links[HOST]
-        call.executor.take_reply(link, call.request.session, call.reply, self.now)
+        call.executor.handle_reply(link, call.request.session, call.reply, self.now)
 
     def break_connection(self) -> None:
         if self.calls:
             self.break_call(self.chance.choice(self.calls))
 
     def break_call(self, call: Call) -> None:
-        """The upstream sees a transport error; the host may see it, or never hear of it.
+        """Let the upstream see a transport error; the host may see it, too, or never learn of it.
 
-        Every other call of the session may still arrive at the host later, as may its reply at the
-        upstream: the network delays as it likes.
+        Any other call of the session may still arrive at the host later, and its reply at the
+        upstream, since the network may delay messages for any time.
         """
         self.calls.remove(call)
         executor = call.executor
         link = executor.links[HOST]
         if executor in self.executors and call.request.session == link.session:
             executor.begin_session(link)
-        if call.taken and call.reply is None and self.chance.random() < 0.5:
+        if call.delivered and call.reply is None and self.chance.random() < 0.5:
             request = call.request
-            self.dispatcher.disconnect(request.upstream, request.session, request.seq, self.now)
-        if not call.taken and self.chance.random() < 0.3:
+            self.dispatcher.handle_disconnect(
+                request.upstream, request.session, request.seq, self.now
+            )
+        if not call.delivered and self.chance.random() < 0.3:
             self.dispatcher.exchange(call.request, self.now)
             self.dispatch()
 
@@ -138,8 +140,8 @@
 
     def finish_task(self) -> None:
         executor = self.chance.choice(self.executors)
-        while executor.to_stop:
-            key = executor.to_stop.popleft()
+        while executor.pending_stops:
+            key = executor.pending_stops.popleft()
             if key in executor.running:
                 executor.finish(key, ResultStatus.STOPPED, Raw(b"null"), 0, self.now)
         if not executor.running:
@@ -147,7 +149,7 @@
         key = self.chance.choice(list(executor.running))
         is_good = self.chance.random() < 0.97
         status = ResultStatus.SUCCEEDED if is_good else ResultStatus.FAILED
-        executor.finish(key, status, make_value(key), 1_000, self.now)
+        executor.finish(key, status, build_value(key), 1_000, self.now)
 
     def restart_upstream(self) -> None:
         at = self.chance.randrange(UPSTREAMS)
@@ -170,33 +172,33 @@
                     delivery.session,
                     delivery.reply.seq,
                 )
-                if same and call.taken and call.reply is None:
+                if same and call.delivered and call.reply is None:
                     call.reply = delivery.reply
                     break
 
-    # What must hold
+    # Invariants
 
     def check(self) -> None:
         for (id, task), count in self.starts.items():
             job = self.jobs[id]
             if not job.spec.idempotent:
                 assert count <= 1, f"task {task} of {id} started {count} times"
-        for job in self.dispatcher.take_ended():
-            assert job.id not in self.answers, "a job ends once"
+        for job in self.dispatcher.pop_ended_jobs():
+            assert job.id not in self.answers, "a job must not end twice"
             self.answers[job.id] = build_answer(job)
         for id, answer in self.answers.items():
             self.check_answer(self.jobs[id], answer)
 
     def check_answer(self, job: Job, answer: JobAnswer) -> None:
-        assert build_answer(job) == answer, "an answer never changes"
+        assert build_answer(job) == answer, "an answer must not change"
         if answer.state is JobState.COMPLETE:
-            expected = [make_value(TaskKey(job.id, at, 0)) for at in range(len(job.states))]
+            expected = [build_value(TaskKey(job.id, at, 0)) for at in range(len(job.states))]
             assert answer.results is not None
             assert list(map(bytes, answer.results)) == list(map(bytes, expected))
             return
         assert answer.results is None and answer.failure is not None
         started = {task for id, task in self.starts if id == job.id}
-        assert started <= set(answer.failure.may_have_run), "what is called not run did not run"
+        assert started <= set(answer.failure.may_have_run), "a task reported as not run was started"
 
     def run(self, steps: int) -> None:
         actions = [
@@ -204,8 +206,8 @@
             (self.resend, 1),
             (self.cancel, 1),
             (self.send, 20),
-            (self.take_request, 25),
-            (self.take_reply, 25),
+            (self.deliver_request, 25),
+            (self.deliver_reply, 25),
             (self.break_connection, 2),
             (self.start_tasks, 10),
             (self.finish_task, 15),
@@ -217,11 +219,17 @@
             self.chance.choice(choices)()
             self.check()
 
-    def settle(self) -> None:
-        """With no more faults every job ends."""
-        calm = [self.send, self.take_request, self.take_reply, self.start_tasks, self.finish_task]
+    def run_without_faults(self) -> None:
+        """Check that without further faults every job ends."""
+        fault_free_actions = [
+            self.send,
+            self.deliver_request,
+            self.deliver_reply,
+            self.start_tasks,
+            self.finish_task,
+        ]
         for _ in range(400):
-            for action in calm * 3:
+            for action in fault_free_actions * 3:
                 action()
             self.now += timedelta(seconds=1)
             self.dispatcher.tick(self.now)
@@ -230,27 +238,27 @@
         assert all(job.ended for job in self.jobs.values())
 
 
-def make_value(key: TaskKey) -> Raw:
+def build_value(key: TaskKey) -> Raw:
     return Raw(f'"{key.submission}/{key.task}"'.encode())
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_promises_hold_over_a_faulty_network(seed: int) -> None:
+def test_guarantees_hold_over_a_faulty_network(seed: int) -> None:
     world = World(seed)
     world.run(STEPS)
-    world.settle()
+    world.run_without_faults()
     assert world.answers, "a run without an answer proves nothing"
 
 
-def test_runs_reach_every_kind_of_end() -> None:
+def test_random_runs_include_every_kind_of_job_end() -> None:
     ends: Counter[str] = Counter()
     returned = 0
     for seed in range(100, 115):
         world = World(seed)
         world.run(STEPS)
-        world.settle()
+        world.run_without_faults()
         returned += world.dispatcher.counters.returned_unstarted
         for answer in world.answers.values():
             ends[answer.failure.reason.value if answer.failure else "complete"] += 1
     assert {"complete", "task_failed", "task_unknown", "cancelled", "deadline"} <= set(ends)
-    assert returned > 0, "tasks whose reply was lost were started elsewhere"
+    assert returned > 0, "no task whose reply was lost was returned to the queue"
--- a/cottonlug/tests/test_other_writers.py
+++ b/cottonlug/tests/test_malformed_heartbeats.py
@@ -1,6 +1,7 @@
-"""Heartbeats and lists of other writers: fields dropped, retyped, cut, nested and huge.
+"""Malformed heartbeats and lists: fields dropped, retyped, cut, nested and huge.
 
-What cannot be a worker's names no upstream, and costs nothing of what stands beside it.
+Whatever cannot come from a worker registers no upstream, and does not affect the valid input beside
+it.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from returns.result import Success
 
 from ..core.clock import ManualClock
-from ..core.cluster.calls import Answer, Beat, Call, Outcome
-from ..core.cluster.model import LookReply
+from ..core.cluster.calls import Answer, Call, ForwardHeartbeat, Outcome
+from ..core.cluster.model import PollReply
 from ..net.connections import parse_address
 from ..platform.heartbeats import decode_heartbeat, decode_leave
 from ..platform.workers import read_lists
-from ..runtime.refused_heartbeats import LINE_EVERY, RefusedHeartbeats
+from ..runtime.refused_heartbeats import LOG_INTERVAL, RefusedHeartbeats
 from .gateway_builders import build_clock
 from .test_platform import ask, run_control
 
@@ -57,7 +58,7 @@
 
 
 def check(body: bytes, name: str = "i-1") -> None:
-    """Whatever comes is refused with a reason, or is all that a worker's heartbeat must be."""
+    """Check that a body is refused with a reason, or is a complete heartbeat of a worker."""
     decoded = decode_heartbeat(name, body)
     if isinstance(decoded, Err):
         assert decoded.failure()
@@ -71,7 +72,7 @@
         check_lists(heartbeat.held)
 
 
-def check_lists(lists: LookReply) -> None:
+def check_lists(lists: PollReply) -> None:
     for run in lists.running:
         assert type(run.run) is int and type(run.percent) is int and type(run.checkpoint) is str
     for end in lists.ended:
@@ -80,13 +81,13 @@
 
 @SETTINGS
 @given(st.sampled_from(sorted(GOOD)), others)
-def test_a_field_of_another_kind_costs_no_exception(field: str, value: Any) -> None:
+def test_a_field_of_another_type_raises_no_exception(field: str, value: Any) -> None:
     check(msgspec.json.encode({**GOOD, field: value}))
 
 
 @SETTINGS
 @given(st.sets(st.sampled_from(sorted(GOOD))))
-def test_a_heartbeat_without_what_it_needs_names_no_upstream(dropped: set[str]) -> None:
+def test_a_heartbeat_without_a_required_field_registers_no_upstream(dropped: set[str]) -> None:
     body = {field: value for field, value in GOOD.items() if field not in dropped}
     decoded = decode_heartbeat("i-1", msgspec.json.encode(body))
     assert isinstance(decoded, Success) == (not dropped.intersection(NEEDED))
@@ -94,14 +95,14 @@
 
 @SETTINGS
 @given(st.integers(0, 400), st.binary(max_size=20))
-def test_cut_and_damaged_bytes_cost_no_exception(length: int, tail: bytes) -> None:
+def test_cut_and_damaged_bytes_raise_no_exception(length: int, tail: bytes) -> None:
     check(msgspec.json.encode(GOOD)[:length] + tail)
     decode_leave("i-1", tail)
 
 
 @SETTINGS
 @given(st.lists(others, max_size=6))
-def test_rows_of_another_kind_void_the_list_or_are_of_no_task_of_ours(row: list[Any]) -> None:
+def test_malformed_rows_void_the_list_or_belong_to_no_task_of_ours(row: list[Any]) -> None:
     for rows in (
         [row],
         [[TASK, *row]],
@@ -132,8 +133,8 @@
         msgspec.json.encode({**GOOD, "clock_ms": 1 << 60}),
     ],
 )
-def test_one_that_names_no_upstream_is_refused_and_the_others_hold(body: bytes) -> None:
-    """Failed before for an unknown state, an address that is none, and counts left out."""
+def test_an_invalid_heartbeat_is_refused_and_the_others_are_accepted(body: bytes) -> None:
+    """Guards against an unknown state, an invalid address, and counts that were left out."""
     answers: list[tuple[int, list[Call]]] = []
     for each in (msgspec.json.encode(GOOD), body, msgspec.json.encode(GOOD)):
         response, calls = run_control(
@@ -142,7 +143,7 @@
         answers.append((response.status, calls))
     assert [status for status, _ in answers] == [200, 400, 200]
     assert answers[1][1] == []
-    assert all(isinstance(calls[0], Beat) for _, calls in (answers[0], answers[2]))
+    assert all(isinstance(calls[0], ForwardHeartbeat) for _, calls in (answers[0], answers[2]))
 
 
 def test_refused_heartbeats_are_counted_and_do_not_fill_the_log(
@@ -152,8 +153,8 @@
     refused = RefusedHeartbeats(clock=clock)
     with caplog.at_level(logging.WARNING):
         for _ in range(50):
-            refused.note("i-1" * 100, "unknown state " + "x" * 10_000)
-            clock.advance(LINE_EVERY / 20)
+            refused.record("i-1" * 100, "unknown state " + "x" * 10_000)
+            clock.advance(LOG_INTERVAL / 20)
     assert refused.count == 50
     lines = [record for record in caplog.records if "names no upstream" in record.getMessage()]
     assert len(lines) == 3
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -15,16 +15,24 @@
 from ..core.cluster.calls import (
     Answer,
     AskState,
-    Beat,
     Call,
     Cancel,
     Configure,
-    Leave,
+    ForwardHeartbeat,
+    ForwardLeave,
     Outcome,
     Submit,
 )
-from ..core.cluster.model import Capacity, EndKind, JobId, JobState, LookReply, RunNumber, TaskRef
-from ..core.cluster.orders import CallFailure, LookOrder, StartOrder, StartOutcome
+from ..core.cluster.model import (
+    Capacity,
+    JobId,
+    JobState,
+    PollReply,
+    RunEndKind,
+    RunNumber,
+    TaskRef,
+)
+from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools
 from ..net.transport import HttpReply, TransportError
@@ -138,11 +146,11 @@
     assert response.status == 200
     assert msgspec.json.decode(response.body) == {"heartbeat_url": "10.0.0.1:80"}
     beat = calls[0]
-    assert isinstance(beat, Beat)
+    assert isinstance(beat, ForwardHeartbeat)
     assert (beat.heartbeat.info.id, beat.heartbeat.draining) == ("i-1", True)
     assert beat.heartbeat.info.capacity.cpu_millis == 16_000
     _, calls = run_control(ask("DELETE", "/instances/i-1"), done)
-    assert calls == [Leave(upstream=beat.heartbeat.info.id)]
+    assert calls == [ForwardLeave(upstream=beat.heartbeat.info.id)]
 
 
 @pytest.mark.parametrize(
@@ -170,7 +178,7 @@
     response, calls = run_control(ask("PUT", "/instances/i-1", body), done)
     assert response.status == 200
     beat = calls[0]
-    assert isinstance(beat, Beat)
+    assert isinstance(beat, ForwardHeartbeat)
     assert beat.heartbeat.info.capacity == Capacity()
     assert beat.heartbeat.has_no_capacity == (capacity != b"{}")
     assert (beat.heartbeat.sequence, beat.heartbeat.draining) == (4, True)
@@ -286,7 +294,7 @@
 START = StartOrder(
     upstream=build_info("u1"), task=REF, run=RunNumber(2), payload="t", checkpoint="", expires_ms=9
 )
-LOOK = LookOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
+LOOK = PollOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
 
 
 @pytest.mark.parametrize(
@@ -298,7 +306,7 @@
         (409, b'{"clock_ms":5,"reason":"late"}', StartOutcome.LATE),
         (409, b'{"clock_ms":5,"reason":"room"}', StartOutcome.NO_ROOM),
         (503, b"", StartOutcome.UNHEALTHY),
-        (421, b"", StartOutcome.LIFE_ENDED),
+        (421, b"", StartOutcome.INSTANCE_ENDED),
         (400, b"", StartOutcome.INVALID),
         (500, b"", StartOutcome.UNKNOWN),
         (200, b"no json", StartOutcome.STARTED),
@@ -323,15 +331,15 @@
         b'"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}'
     )
     client = FixedClient(Success(HttpReply(status=200, body=body)))
-    reply = asyncio.run(client.look(LOOK, 7))
-    assert isinstance(reply, LookReply)
+    reply = asyncio.run(client.poll(LOOK, 7))
+    assert isinstance(reply, PollReply)
     assert (reply.running[0].task, reply.running[0].percent) == (REF, 41)
-    assert (reply.ended[0].number, reply.ended[0].how) == (58, EndKind.DONE)
+    assert (reply.ended[0].number, reply.ended[0].how) == (58, RunEndKind.DONE)
     assert client.bodies[0]["wait_ms"] == 1_000
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
-    assert asyncio.run(fenced.look(LOOK, 7)) is CallFailure.FENCED
+    assert asyncio.run(fenced.poll(LOOK, 7)) is CallFailure.FENCED
     gone = FixedClient(Success(HttpReply(status=421, body=b"")))
-    assert asyncio.run(gone.look(LOOK, 7)) is CallFailure.LIFE_ENDED
+    assert asyncio.run(gone.poll(LOOK, 7)) is CallFailure.INSTANCE_ENDED
 
 
 def test_templates_name_only_settings_that_exist() -> None:
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -8,10 +8,15 @@
 import pytest
 from returns.result import Success
 
-from ..core.cluster.calls import Answer, Beat, Call, Leave, Outcome
+from ..core.cluster.calls import Answer, Call, ForwardHeartbeat, ForwardLeave, Outcome
 from ..core.cluster.commands import AddUpstream, SetDraining
-from ..core.cluster.identity import find_birth, get_name, is_earlier, name_life
-from ..core.cluster.model import LookReply
+from ..core.cluster.identity import (
+    build_instance_id,
+    find_start_ms,
+    get_upstream_name,
+    is_earlier_instance,
+)
+from ..core.cluster.model import PollReply
 from ..core.cluster.orders import CallFailure
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
@@ -38,15 +43,15 @@
 
 
 def test_ids_of_lives_are_read_as_they_are_written() -> None:
-    life = name_life("i-1", BORN)
-    assert (get_name(life), find_birth(life)) == ("i-1", BORN)
-    plain = name_life("i-1", None)
-    assert (get_name(plain), find_birth(plain)) == ("i-1", None)
-    assert is_earlier(life, name_life("i-1", BORN + 1))
-    assert is_earlier(plain, life)
-    assert not is_earlier(life, life)
-    assert not is_earlier(life, plain)
-    assert not is_earlier(life, name_life("i-2", BORN + 1))
+    instance = build_instance_id("i-1", BORN)
+    assert (get_upstream_name(instance), find_start_ms(instance)) == ("i-1", BORN)
+    plain = build_instance_id("i-1", None)
+    assert (get_upstream_name(plain), find_start_ms(plain)) == ("i-1", None)
+    assert is_earlier_instance(instance, build_instance_id("i-1", BORN + 1))
+    assert is_earlier_instance(plain, instance)
+    assert not is_earlier_instance(instance, instance)
+    assert not is_earlier_instance(instance, plain)
+    assert not is_earlier_instance(instance, build_instance_id("i-2", BORN + 1))
 
 
 def test_each_start_of_an_upstream_is_a_life_of_its_own() -> None:
@@ -56,9 +61,9 @@
         status, calls = send("PUT", write_born(b"%d" % born))
         assert status == 200
         beat = calls[0]
-        assert isinstance(beat, Beat)
+        assert isinstance(beat, ForwardHeartbeat)
         ids.append(beat.heartbeat.info.id)
-    assert ids == [name_life("i-1", BORN), name_life("i-1", BORN + 1)]
+    assert ids == [build_instance_id("i-1", BORN), build_instance_id("i-1", BORN + 1)]
 
 
 @pytest.mark.parametrize(
@@ -77,39 +82,39 @@
 
 
 def test_leaving_names_a_life_where_it_tells_which() -> None:
-    assert send("DELETE", b"")[1] == [Leave(upstream=UpstreamId("i-1"))]
+    assert send("DELETE", b"")[1] == [ForwardLeave(upstream=UpstreamId("i-1"))]
     body = b'{"born":%d}' % BORN
-    assert send("DELETE", body)[1] == [Leave(upstream=name_life("i-1", BORN))]
+    assert send("DELETE", body)[1] == [ForwardLeave(upstream=build_instance_id("i-1", BORN))]
 
 
 def test_whoever_leaves_without_telling_which_life_is_the_one_that_said_so_or_the_newest() -> None:
     records = Records()
-    lives = [name_life("u1", BORN + number) for number in (0, 2, 1)]
-    for life in lives:
-        records.apply(AddUpstream(info=msgspec.structs.replace(build_info("u1"), id=life)))
+    instances = [build_instance_id("u1", BORN + number) for number in (0, 2, 1)]
+    for instance in instances:
+        records.apply(AddUpstream(info=msgspec.structs.replace(build_info("u1"), id=instance)))
     plain = UpstreamId("u1")
     found = records.find_leaving(plain)
-    assert found is not None and found.info.id == lives[1]
-    records.apply(SetDraining(upstream=lives[0]))
+    assert found is not None and found.info.id == instances[1]
+    records.apply(SetDraining(upstream=instances[0]))
     found = records.find_leaving(plain)
-    assert found is not None and found.info.id == lives[0]
-    found = records.find_leaving(lives[2])
-    assert found is not None and found.info.id == lives[2]
-    assert records.find_leaving(name_life("u1", BORN + 9)) is None
+    assert found is not None and found.info.id == instances[0]
+    found = records.find_leaving(instances[2])
+    assert found is not None and found.info.id == instances[2]
+    assert records.find_leaving(build_instance_id("u1", BORN + 9)) is None
     assert records.find_leaving(UpstreamId("u2")) is None
 
 
 def test_a_list_of_another_life_is_not_taken_for_that_of_the_one_asked() -> None:
     """Failed before: both answer under the id that the header names."""
-    info = msgspec.structs.replace(build_info("u1"), id=name_life("u1", BORN))
+    info = msgspec.structs.replace(build_info("u1"), id=build_instance_id("u1", BORN))
     order = LOOK.__class__(upstream=info, last_seen=0, expires_ms=None, wait=LOOK.wait)
-    same = asyncio.run(FixedClient(answer_lists(BORN)).look(order, 7))
-    assert isinstance(same, LookReply)
-    other = asyncio.run(FixedClient(answer_lists(BORN + 1)).look(order, 7))
-    assert other is CallFailure.LIFE_ENDED
+    same = asyncio.run(FixedClient(answer_lists(BORN)).poll(order, 7))
+    assert isinstance(same, PollReply)
+    other = asyncio.run(FixedClient(answer_lists(BORN + 1)).poll(order, 7))
+    assert other is CallFailure.INSTANCE_ENDED
 
 
 # Guards against TWICE on an upgrade: what the log knows by its id alone was taken to have ended.
 def test_a_list_that_tells_a_start_does_not_end_a_life_of_which_none_is_known() -> None:
-    reply = asyncio.run(FixedClient(answer_lists(BORN)).look(LOOK, 7))
+    reply = asyncio.run(FixedClient(answer_lists(BORN)).poll(LOOK, 7))
     assert reply is CallFailure.REFUSED
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""A replica on its disk: late saves, replaced hosts, and a disk that fails for a while."""
+"""A replica and its disk: late saves, replaced hosts, and temporary disk failures."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..config.options import Address
 from ..core.cluster.commands import ForgetJobs, SetDraining, encode_commands
 from ..core.consensus.member import Member
-from ..core.consensus.replacement import find_most_voters, plan_change, plan_removal
+from ..core.consensus.replacement import compute_max_voters, plan_change, plan_removal
 from ..core.consensus.timing import Timing
 from ..core.consensus.types import (
     AppendReply,
@@ -39,12 +39,17 @@
 
 
 def build_leader(*voters: MemberId) -> Member:
-    """Return a member that has just been elected by all voters."""
+    """Return a member that all voters have just elected."""
     members = Members(voters=voters)
     snapshot = Snapshot(index=Index(1), term=Term(0), members=members, data="")
     stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
     member = Member(
-        id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta(), saves_late=True
+        id=A,
+        stored=stored,
+        timing=Timing(),
+        chance=lambda: 0.0,
+        now=timedelta(),
+        saves_after_sending=True,
     )
     member.tick(NOW)
     for pre in (True, False):
@@ -61,16 +66,16 @@
     member.receive(reply, NOW)
 
 
-def test_a_leader_that_saves_late_does_not_count_itself_before() -> None:
+def test_leader_counts_itself_only_after_its_own_sync() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     acknowledge(member, B, last)
-    assert member.commit < last, "one disk of three has it"
-    member.note_saved()
+    assert member.commit < last, "only one disk of three has the entry"
+    member.record_saved()
     assert member.commit == last
 
 
-def test_the_disks_of_the_others_decide_without_the_leaders() -> None:
+def test_entry_commits_without_the_leaders_own_disk() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     acknowledge(member, B, last)
@@ -78,7 +83,7 @@
     assert member.commit == last
 
 
-def test_a_new_host_takes_the_place_of_a_lost_one() -> None:
+def test_new_host_replaces_a_lost_voter() -> None:
     member = build_leader(A, B, C)
     last = member.log.last_index
     for voter in (B, C):
@@ -94,13 +99,15 @@
     planned = plan_change(member, current, lost=[C])
     assert planned is not None
     assert planned.voters == (A, B)
-    assert plan_removal(member, lost=[C]) is None, "three voters are not made two without need"
+    assert plan_removal(member, lost=[C]) is None, "three voters are not reduced to two"
 
 
-def grow(member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()) -> None:
-    """Take every step towards members that are all there, each acknowledged by all."""
+def apply_member_changes(
+    member: Member, hosts: dict[str, MemberId], lost: tuple[MemberId, ...] = ()
+) -> None:
+    """Make all membership changes until all members are reachable; all acknowledge each change."""
     for _ in range(20):
-        most = find_most_voters(member.members, lost)
+        most = compute_max_voters(member.members, lost)
         planned = plan_change(member, hosts, lost, most)
         if planned is None:
             return
@@ -109,8 +116,8 @@
         for each in (*member.members.voters, *member.members.learners):
             if each != A and each not in lost:
                 acknowledge(member, each, last)
-        member.note_saved()
-    raise AssertionError("the members never settle")
+        member.record_saved()
+    raise AssertionError("the membership changes do not end")
 
 
 def name_hosts(first: int, last: int) -> dict[str, MemberId]:
@@ -119,44 +126,44 @@
 
 
 @pytest.mark.parametrize(("hosts", "voters"), [(4, 3), (5, 5), (6, 5), (8, 7), (10, 7)])
-def test_an_odd_number_votes_so_that_a_split_leaves_a_majority(hosts: int, voters: int) -> None:
-    """8 voters were split 4 to 4 for 7 s, and nobody led."""
+def test_voter_count_stays_odd_so_that_a_split_leaves_a_majority(hosts: int, voters: int) -> None:
+    """Eight voters that a network partition splits 4 to 4 had no leader for 7 s."""
     member = build_leader(A, B, C)
     for voter in (B, C):
         acknowledge(member, voter, member.log.last_index)
-    grow(member, name_hosts(4, hosts))
+    apply_member_changes(member, name_hosts(4, hosts))
     assert len(member.members.voters) == voters
     assert len(member.members.learners) == hosts - voters
 
 
-def test_a_host_that_only_learns_takes_the_place_of_a_lost_voter() -> None:
+def test_learner_replaces_a_lost_voter() -> None:
     member = build_leader(A, B, C)
     for voter in (B, C):
         acknowledge(member, voter, member.log.last_index)
-    grow(member, name_hosts(4, 6))
+    apply_member_changes(member, name_hosts(4, 6))
     (learner,) = member.members.learners
     lost = next(voter for voter in member.members.voters if voter not in (A, B))
-    grow(member, name_hosts(4, 6), (lost,))
+    apply_member_changes(member, name_hosts(4, 6), (lost,))
     assert learner in member.members.voters
     assert lost not in member.members.voters
     assert len(member.members.voters) == 5
 
 
-def test_a_fourth_voter_that_is_lost_is_removed() -> None:
+def test_lost_fourth_voter_is_removed() -> None:
     member = build_leader(A, B, C, D)
     planned = plan_removal(member, lost=[D])
     assert planned is not None
     assert planned.voters == (A, B, C)
 
 
-def test_random_late_saves_never_commit_what_one_disk_has() -> None:
+def test_late_saves_never_commit_an_entry_held_by_one_disk() -> None:
     chance = random.Random(1)
     member = build_leader(A, B, C)
     saved, acknowledged = 1, {B: 1, C: 1}
     for _ in range(500):
         member.propose("x", NOW)
         if chance.random() < 0.2:
-            member.note_saved()
+            member.record_saved()
             saved = member.log.last_index
         for voter in (B, C):
             if chance.random() < 0.3:
@@ -184,14 +191,14 @@
     return Replica(
         settings=settings,
         clock=SystemClock(),
-        machine=replicated,
+        state_machine=replicated,
         on_progress=lambda: None,
         on_failure=fail,
     )
 
 
-def test_a_disk_that_fails_for_a_while_loses_nothing(tmp_path: Path) -> None:
-    """Found with a day of `disk_full`: the host stayed out of the quorum until it was restarted."""
+def test_temporary_disk_failure_loses_no_committed_entry(tmp_path: Path) -> None:
+    """After a full disk the host stayed out of the quorum until it was restarted."""
 
     async def play() -> None:
         replicated = ReplicatedRecords()
@@ -226,8 +233,8 @@
     asyncio.run(play())
 
 
-def test_what_is_saved_at_once_counts_at_once(tmp_path: Path) -> None:
-    """Failed before: entries saved beside a vote were not counted until a later save."""
+def test_entries_saved_with_a_vote_count_immediately(tmp_path: Path) -> None:
+    """Entries saved together with a vote were not counted until a later save."""
 
     async def play() -> None:
         replicated = ReplicatedRecords()
@@ -256,19 +263,19 @@
     return Membership(own=Address(f"10.0.0.{own}", 1), seeds=seeds, pools=ConnectionPools())
 
 
-def test_one_host_begins_once_all_seeds_are_there_and_new() -> None:
+def test_only_the_first_seed_bootstraps_once_all_seeds_are_new() -> None:
     first, second, third = (build_hello(number) for number in (1, 2, 3))
-    planned = build_membership(1).plan_beginning(first, [second, third])
+    planned = build_membership(1).plan_bootstrap(first, [second, third])
     assert planned is not None
     assert planned.voters == (first.member, second.member, third.member)
-    assert build_membership(2).plan_beginning(second, [first, third]) is None
-    assert build_membership(1).plan_beginning(first, [second]) is None
+    assert build_membership(2).plan_bootstrap(second, [first, third]) is None
+    assert build_membership(1).plan_bootstrap(first, [second]) is None
     used = build_hello(3, is_empty=False)
-    assert build_membership(1).plan_beginning(first, [second, used]) is None
+    assert build_membership(1).plan_bootstrap(first, [second, used]) is None
 
 
-def test_another_host_begins_where_the_first_one_may_not() -> None:
-    """The first one was restarted before the log began, and its settings say so."""
+def test_next_seed_bootstraps_if_the_first_one_may_not() -> None:
+    """The first seed was restarted before the bootstrap; its settings then forbid it to begin."""
     first, second, third = build_hello(1, may_begin=False), build_hello(2), build_hello(3)
-    assert build_membership(1).plan_beginning(first, [second, third]) is None
-    assert build_membership(2).plan_beginning(second, [first, third]) is not None
+    assert build_membership(1).plan_bootstrap(first, [second, third]) is None
+    assert build_membership(2).plan_bootstrap(second, [first, third]) is not None
--- a/cottonlug/tests/test_upstreams_that_start_again.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under the id that they had, with counts and clocks anew.
+"""Upstreams that restart under the id that they had, with new counters and a new clock.
 
 Load pattern: a third of a site's upstreams go down and come back every few seconds.
 """
@@ -11,20 +11,20 @@
 
 import pytest
 
-from ..core.cluster.lives import choose_terms
+from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from .model_upstreams import World, build_queue, build_spec, milliseconds
 from .wire_site import WireHost, WireLeader, beat_forever, build_hosts
 
-TERMS = choose_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
-"""As on the users' platform: 0.92 s, where upstreams grant 1 s at the most."""
+TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
+"""As on the users' platform: 0.92 s, where upstreams grant 1 s at most."""
 SEEDS = 20
 JOB = "a" * 16
 OTHER = "c" * 16
 EARLIER = "b" * 16
-PATIENT = build_queue(max_attempts=50, target_ms=60_000)
+LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 
 
 def build_leader(
@@ -40,8 +40,8 @@
     )
 
 
-def play_job_given_up(seed: int, *, starts_again: bool) -> WireLeader:
-    """Have two jobs at work at one upstream, and give one of them up."""
+def play_abandoned_job(seed: int, *, starts_again: bool) -> WireLeader:
+    """Have two jobs active at one upstream, and abandon one of them."""
     world = World(random=random.Random(seed))
     run_ms = [60.0]
     hosts = build_hosts(world, 2, run_ms=lambda: run_ms[0], rate=0.98)
@@ -50,7 +50,7 @@
     leader = build_leader(world, hosts, Records())
     beat_forever(first, lambda: leader)
     world.run_until(milliseconds(100))
-    leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
+    leader.submit(EARLIER, build_spec(tasks=8), LENIENT_QUEUE)
     world.run_until(milliseconds(2_000))
     run_ms[0] = 3_000.0
     if starts_again:
@@ -58,7 +58,7 @@
         first.process.clock_began_ms = 1_000_000
     world.run_until(milliseconds(4_000))
     for job in (JOB, OTHER):
-        leader.submit(job, build_spec(tasks=1, run_ms=3_000), PATIENT)
+        leader.submit(job, build_spec(tasks=1, run_ms=3_000), LENIENT_QUEUE)
     world.run_until(milliseconds(4_300))
     assert len(world.running) == 2
     beat_forever(second, lambda: leader)
@@ -69,24 +69,26 @@
     return leader
 
 
-def test_a_job_goes_on_beside_one_that_is_given_up() -> None:
+def test_a_job_continues_beside_an_abandoned_one() -> None:
     for seed in range(SEEDS):
-        leader = play_job_given_up(seed, starts_again=False)
+        leader = play_abandoned_job(seed, starts_again=False)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
         assert leader.world.starts == 10
 
 
-# Guards against TWICE: the lease of an upstream that had started again outlived what was counted.
-def test_a_lease_counts_by_the_clock_of_the_upstream_that_started_again() -> None:
+# Guards against duplicate runs: the lease of an upstream that had restarted outlived the time that
+# was counted.
+def test_a_lease_is_counted_by_the_clock_of_the_restarted_upstream() -> None:
     for seed in range(SEEDS):
-        leader = play_job_given_up(seed, starts_again=True)
+        leader = play_abandoned_job(seed, starts_again=True)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
         assert leader.world.starts == 10
 
 
-# Guards against jobs that never end: ends were counted from 1 again, and so taken for old ones.
-@pytest.mark.parametrize("kept", [False, True])
-def test_ends_of_an_upstream_that_started_again_are_noted(kept: bool) -> None:
+# Guards against jobs that never end: run ends were numbered from 1 again, and so taken for old
+# ones.
+@pytest.mark.parametrize("durable", [False, True])
+def test_run_ends_of_a_restarted_upstream_are_recorded(durable: bool) -> None:
     world = World(random=random.Random(2))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
     (host,) = hosts.values()
@@ -94,32 +96,34 @@
     leader = build_leader(world, hosts, records)
     beat_forever(host, lambda: leader)
     world.run_until(milliseconds(100))
-    leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
+    leader.submit(EARLIER, build_spec(tasks=8), LENIENT_QUEUE)
     world.run_until(milliseconds(2_000))
     host.start_again()
     world.run_until(milliseconds(3_000))
-    leader.submit(JOB, build_spec(tasks=4, kept=kept), PATIENT)
+    leader.submit(JOB, build_spec(tasks=4, durable=durable), LENIENT_QUEUE)
     world.run_until(milliseconds(3_500))
-    ended = records.jobs[JobId(JOB)].state if kept else leader.dispatch.jobs.find_ended(JobId(JOB))
+    ended = (
+        records.jobs[JobId(JOB)].state if durable else leader.dispatch.jobs.find_ended(JobId(JOB))
+    )
     assert ended is JobState.COMPLETED
     assert world.starts == 12
 
 
-# Guards against starts and leases that a later life takes for its own, in runs of chance.
+# Guards against starts and leases that a later instance takes for its own, in random plays.
 @pytest.mark.parametrize("seed", range(12))
-def test_no_task_runs_twice_while_upstreams_start_again(seed: int) -> None:
-    leader, jobs = play_by_chance(seed)
-    kept = leader.records.jobs
+def test_no_task_runs_twice_while_upstreams_restart(seed: int) -> None:
+    leader, jobs = play_at_random(seed)
+    durable = leader.records.jobs
     has_ended = {
-        job: not kept[job].is_open if job in kept else job in leader.ended_at for job in jobs
+        job: not durable[job].is_open if job in durable else job in leader.ended_at for job in jobs
     }
     assert [job for job in jobs if not has_ended[job]] == []
     assert leader.world.starts >= len(jobs)
 
 
 @dataclass(slots=True, kw_only=True)
-class ChancePlay:
-    """Upstreams that start again, lost answers, late orders and leaders in turn, by chance."""
+class RandomPlay:
+    """Upstreams that restart, lost answers, late orders and a succession of leaders, at random."""
 
     chance: random.Random
     world: World
@@ -127,7 +131,7 @@
     records: Records = field(default_factory=Records)
     leaders: list[WireLeader] = field(default_factory=list)
     jobs: dict[JobId, bool] = field(default_factory=dict)
-    """All that were submitted, and whether each must be kept."""
+    """All submitted jobs, and whether each is durable."""
     is_calm: bool = False
 
     @property
@@ -138,7 +142,7 @@
         self.leaders.append(build_leader(self.world, self.hosts, self.records, term=term))
 
     def disturb(self) -> None:
-        """Have an upstream start again, at once or after a while, again and again."""
+        """Restart an upstream, at once or after a while, again and again."""
         if self.is_calm:
             return
         host = self.chance.choice(list(self.hosts.values()))
@@ -155,11 +159,11 @@
         if self.is_calm:
             return
         if not self.leader.is_over:
-            kept = self.chance.random() < 0.4
+            durable = self.chance.random() < 0.4
             job = f"{len(self.jobs):016x}"
-            self.jobs[JobId(job)] = kept
-            spec = build_spec(tasks=self.chance.randint(1, 4), kept=kept)
-            self.leader.submit(job, spec, PATIENT)
+            self.jobs[JobId(job)] = durable
+            spec = build_spec(tasks=self.chance.randint(1, 4), durable=durable)
+            self.leader.submit(job, spec, LENIENT_QUEUE)
         self.world.at(milliseconds(self.chance.expovariate(1 / 120)), self.submit)
 
     def change_leader(self, term: int) -> None:
@@ -172,10 +176,10 @@
         self.lead(term)
         self.leader.ended, self.leader.ended_at = old.ended, old.ended_at
         for job in unfinished:
-            self.leader.submit(job.record.id, job.record.spec, PATIENT, may_have_begun=True)
+            self.leader.submit(job.record.id, job.record.spec, LENIENT_QUEUE, may_have_begun=True)
 
     def calm_down(self) -> None:
-        """Disturb nothing more, and let all that has begun come to its end."""
+        """Stop all faults, and let everything that has started come to its end."""
         self.is_calm = True
         self.world.lost_share = self.world.late_share = 0.0
         for host in self.hosts.values():
@@ -184,15 +188,15 @@
         self.world.run_until(self.world.now + timedelta(seconds=15))
 
 
-def play_by_chance(seed: int) -> tuple[WireLeader, dict[JobId, bool]]:
-    """Play some seconds; return the last leader, and all jobs with whether they must be kept.
+def play_at_random(seed: int) -> tuple[WireLeader, dict[JobId, bool]]:
+    """Play some seconds; return the last leader, and all jobs with whether they are durable.
 
-    Two runs of a task at once stop it, and so does a start after an end that was noted.
+    Two simultaneous runs of a task fail the test, and so does a start after a recorded end.
     """
     chance = random.Random(seed)
     world = World(random=chance, lost_share=0.03, late_share=0.01)
     hosts = build_hosts(world, 6, run_ms=lambda: chance.lognormvariate(4.6, 0.8))
-    play = ChancePlay(chance=chance, world=world, hosts=hosts)
+    play = RandomPlay(chance=chance, world=world, hosts=hosts)
     play.lead(1)
     for host in hosts.values():
         beat_forever(host, lambda: play.leader)
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -16,12 +16,12 @@
 from returns.result import Result, Success
 
 from ..config.options import Address
-from ..core.cluster.calls import Answer, Beat, Call, Leave, Outcome
+from ..core.cluster.calls import Answer, Call, ForwardHeartbeat, ForwardLeave, Outcome
 from ..core.cluster.model import Needs, RunNumber, UpstreamInfo
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
     Order,
+    PollOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -253,14 +253,14 @@
 
     def _take_look(self, body: dict[str, Any], reply: Callable[[WireReply], None]) -> None:
         wait = milliseconds(body.get("wait_ms", 0))
-        order = LookOrder(
+        order = PollOrder(
             upstream=self.info,
             last_seen=body["last_seen"],
             expires_ms=body.get("expires_ms"),
             wait=wait,
         )
         process = self.process
-        if process.hold(order, body["fencing_token"]) is not None:
+        if process.accept_poll(order, body["fencing_token"]) is not None:
             reply(self._write("fence", {}))
             return
         is_answered = [False]
@@ -283,7 +283,7 @@
         self.world.at(wait, answer)
 
     def _list_all(self) -> dict[str, Any]:
-        lists = self.process.report()
+        lists = self.process.build_reply()
         running = [[name_task(run.task), run.run, "", run.percent] for run in lists.running]
         ended = [
             [end.number, name_task(end.task), end.run, end.how.value, ""] for end in lists.ended
@@ -348,10 +348,10 @@
             return
 
         async def answer(call: Call) -> Answer:
-            if isinstance(call, Beat):
-                self.dispatch.take_heartbeat(call.heartbeat, self.world.now)
-            elif isinstance(call, Leave):
-                self.dispatch.take_leave(call.upstream)
+            if isinstance(call, ForwardHeartbeat):
+                self.dispatch.handle_heartbeat(call.heartbeat, self.world.now)
+            elif isinstance(call, ForwardLeave):
+                self.dispatch.handle_leave(call.upstream)
             return Answer(outcome=Outcome.DONE)
 
         _run_at_once(build_control_handler(answer)(request))
@@ -372,8 +372,8 @@
                 self._take(order, end.value, sent_at)
                 self.act()
 
-        wait = order.wait if isinstance(order, LookOrder) else timedelta()
-        world.at(order.patience + wait, lambda: finish(LOST))
+        wait = order.wait if isinstance(order, PollOrder) else timedelta()
+        world.at(order.response_timeout + wait, lambda: finish(LOST))
         self._transmit(order, calling.send(None), finish)
 
     def _transmit(
@@ -403,18 +403,18 @@
             return self.client.start(order, self.token)
         if isinstance(order, StopOrder):
             return self.client.stop(order, self.token)
-        return self.client.look(order, self.token)
+        return self.client.poll(order, self.token)
 
     def _take(self, order: Order, value: Any, sent_at: timedelta) -> None:
         now = self.world.now
         if isinstance(order, StartOrder):
             outcome, clock_ms = value
-            self.dispatch.take_start_answer(order, outcome, clock_ms, now)
+            self.dispatch.handle_start_answer(order, outcome, clock_ms, now)
         elif isinstance(order, StopOrder):
-            self.dispatch.take_stop_answer(order, value, now)
+            self.dispatch.handle_stop_answer(order, value, now)
         else:
             assert isinstance(value, CallFailure) or value is not None
-            self.dispatch.take_look(order, value, sent_at, now)
+            self.dispatch.handle_poll_answer(order, value, sent_at, now)
 
 
 def _run_at_once(coroutine: Coroutine[Any, Any, object]) -> None:
