--- a/bench/leader.py
+++ b/bench/leader.py
@@ -27,7 +27,7 @@
 
 from cottonlug.config.options import Address
 from cottonlug.core.cluster.calls import Answer, Call, KeepAlive, Submit, call_decoder
-from cottonlug.core.cluster.identity import build_instance_id
+from cottonlug.core.cluster.instance_ids import build_instance_id
 from cottonlug.core.cluster.instances import choose_lease_terms
 from cottonlug.core.cluster.model import (
     Capacity,
@@ -46,8 +46,8 @@
 from cottonlug.net.servers import Listener
 from cottonlug.platform.workers import WorkerClient
 from cottonlug.runtime.clocks import SystemClock
-from cottonlug.runtime.gateways import GATEWAY_TIMEOUT
-from cottonlug.runtime.job_lines import JobChannelServer
+from cottonlug.runtime.gateway_registry import GATEWAY_TIMEOUT
+from cottonlug.runtime.job_channel_server import JobChannelServer
 from cottonlug.runtime.leadership import Leadership, LeadershipSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
 from cottonlug.tests.gateway_builders import raise_error
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -11,17 +11,17 @@
     admission,
     backlog,
     capacity_index,
+    crash_tracker,
     crashes,
     forecast,
-    guards,
+    instance_table,
     instances,
-    life_table,
     open_jobs,
     progress,
     response_timeout,
     scheduler,
-    suspicion,
     throughput,
+    upstream_health,
     watcher,
 )
 
@@ -67,7 +67,7 @@
 
 
 def _suspend_without_probation(self: Any, now: timedelta) -> bool:
-    is_new = guards.UpstreamHealth.suspend_unchanged(self, now)  # type: ignore[attr-defined]
+    is_new = upstream_health.UpstreamHealth.suspend_unchanged(self, now)  # type: ignore[attr-defined]
     self.is_on_probation = False
     return bool(is_new)
 
@@ -76,7 +76,7 @@
     return self._pools.setdefault(instance.info.service, {}).setdefault("", capacity_index._Pool())
 
 
-guards.UpstreamHealth.suspend_unchanged = guards.UpstreamHealth._suspend  # type: ignore[attr-defined]
+upstream_health.UpstreamHealth.suspend_unchanged = upstream_health.UpstreamHealth._suspend  # type: ignore[attr-defined]
 backlog.Backlog.add_unchanged = backlog.Backlog.add  # type: ignore[attr-defined]
 
 NO_CHANGE = "as_it_is"
@@ -98,11 +98,11 @@
     "first_fit": replacing((scheduler, "choose_instance", _first_fit)),
     "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
     "no_moves": replacing((watcher, "MAX_MOVES", 0)),
-    "nobody_set_aside": replacing((life_table, "MAX_SUSPENDED_SHARE", -1.0)),
-    "no_trial": replacing((guards.UpstreamHealth, "_suspend", _suspend_without_probation)),
+    "nobody_set_aside": replacing((instance_table, "MAX_SUSPENDED_SHARE", -1.0)),
+    "no_trial": replacing((upstream_health.UpstreamHealth, "_suspend", _suspend_without_probation)),
     "nobody_blamed": replacing(
         (
-            suspicion.CrashTracker,
+            crash_tracker.CrashTracker,
             "find_restriction",
             lambda self, task: crashes.StartRestriction.NONE,
         ),
@@ -116,17 +116,17 @@
 }
 
 FIGURES: dict[str, Variant] = {
-    "failures_in_a_row_2": replacing((guards, "MAX_CONSECUTIVE_FAILURES", 2)),
-    "failures_in_a_row_6": replacing((guards, "MAX_CONSECUTIVE_FAILURES", 6)),
-    "most_set_aside_0.17": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.17)),
-    "most_set_aside_0.68": replacing((life_table, "MAX_SUSPENDED_SHARE", 0.68)),
+    "failures_in_a_row_2": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 2)),
+    "failures_in_a_row_6": replacing((upstream_health, "MAX_CONSECUTIVE_FAILURES", 6)),
+    "most_set_aside_0.17": replacing((instance_table, "MAX_SUSPENDED_SHARE", 0.17)),
+    "most_set_aside_0.68": replacing((instance_table, "MAX_SUSPENDED_SHARE", 0.68)),
     "pause_1_to_3_s": replacing(
-        (guards, "FIRST_SUSPENSION", timedelta(seconds=1)),
-        (guards, "MAX_SUSPENSION", timedelta(seconds=3)),
+        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=1)),
+        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=3)),
     ),
     "pause_4_to_12_s": replacing(
-        (guards, "FIRST_SUSPENSION", timedelta(seconds=4)),
-        (guards, "MAX_SUSPENSION", timedelta(seconds=12)),
+        (upstream_health, "FIRST_SUSPENSION", timedelta(seconds=4)),
+        (upstream_health, "MAX_SUSPENSION", timedelta(seconds=12)),
     ),
     "usable_share_0.43": replacing((admission, "USABLE_SHARE", 0.43)),
     "usable_share_1.7": replacing((admission, "USABLE_SHARE", 1.7)),
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..core.cluster.reports import DEFAULT_REPORT_TERMS, ReportTerms
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.ids import DomainName, HostId
 from .loading import load_settings
 from .logs import LogSettings, read_log_section, read_name
--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -4,8 +4,8 @@
 
 from datetime import timedelta
 
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import Needs, RunReport
 from .open_job import OpenJob, TaskPhase
 from .open_jobs import OpenJobs
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -19,8 +19,8 @@
 from datetime import timedelta
 
 from ..ids import DomainName, UpstreamId
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import ServiceName
 
 _Entry = tuple[int, int, Instance]
--- a/cottonlug/core/cluster/suspicion.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -23,8 +23,8 @@
     assign_blame,
     has_common_cause,
 )
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import JobId, QueueKey, TaskRef
 from .orders import RunPhase
 from .term import Term
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -13,6 +13,7 @@
 from ..ids import DomainName, UpstreamId
 from .admission import Rejection
 from .adoption import RunAdopter
+from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms, find_refusal_backoff
 from .commands import (
     AcceptJob,
     AddUpstream,
@@ -25,9 +26,9 @@
     SetEvacuation,
     UncordonUpstream,
 )
-from .ends import RunEndHandler
+from .crash_tracker import CrashTracker
+from .instance_table import InstanceTable
 from .instances import Instance, LeaseTerms
-from .life_table import InstanceTable
 from .model import (
     Heartbeat,
     JobId,
@@ -47,12 +48,11 @@
     StartOutcome,
     StopOrder,
 )
+from .reconciliation import Reconciliation
 from .records import JobRecord, Records, end_job
 from .registry import Registry
-from .reports import DEFAULT_REPORT_TERMS, ReportTerms, find_refusal_backoff
+from .run_ends import RunEndHandler
 from .scheduler import Scheduler
-from .settlement import Reconciliation
-from .suspicion import CrashTracker
 from .term import DecisionLog, DispatchCounts, Term, WallTime
 from .upstream_timers import UpstreamTimers
 from .watcher import Watcher
--- a/cottonlug/core/cluster/life_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -6,11 +6,11 @@
 
 from ..ids import DomainName, UpstreamId
 from .admission import measure_usable_cores
-from .guards import MAX_SUSPENDED_SHARE, UpstreamHealth
-from .identity import get_upstream_name, is_earlier_instance
+from .instance_ids import get_upstream_name, is_earlier_instance
 from .instances import Instance
 from .model import JobId, RunNumber, ServiceName, TaskRef, UpstreamInfo
 from .term import Term
+from .upstream_health import MAX_SUSPENDED_SHARE, UpstreamHealth
 
 USABLE_CORES_CACHED_FOR = timedelta(milliseconds=20)
 """How long the measured capacity is reused: it only changes as upstreams come and go."""
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -9,13 +9,13 @@
 from ..ids import UpstreamId
 from .admission import Rejection
 from .backlog import Backlog, Batch
+from .crash_tracker import CrashTracker
 from .crashes import StartRestriction
 from .forecast import USEFUL_FACTOR, Forecast
-from .life_table import InstanceTable
+from .instance_table import InstanceTable
 from .model import JobId, JobState, Queue, RunEndKind, RunEndReport, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
-from .suspicion import CrashTracker
 from .term import Term
 from .throughput import Throughput
 
--- a/cottonlug/core/cluster/settlement.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .life_table import InstanceTable
+from .instance_table import InstanceTable
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .term import Term
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -41,7 +41,7 @@
     SuspectRecord,
 )
 from .evacuations import EvacuationRecord, Evacuations
-from .identity import find_start_ms, get_upstream_name
+from .instance_ids import find_start_ms, get_upstream_name
 from .model import (
     Configuration,
     JobId,
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -6,8 +6,8 @@
 
 from ..ids import UpstreamId
 from .commands import AddUpstream, DoubtCapacities, ResizeUpstream, SetDraining
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import Heartbeat
 from .term import Term
 
--- a/cottonlug/core/cluster/ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -7,14 +7,14 @@
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
 from .commands import RecordRunEnds
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import JobId, RunEndKind, RunEndReport
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .orders import Run
+from .reconciliation import Reconciliation
 from .records import JobRecord, record_run_end
-from .settlement import Reconciliation
 from .term import Term
 
 
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -9,8 +9,8 @@
 from .capacity_index import CapacityIndex
 from .crashes import EXCLUSIVE_WAIT, THIRD_START_DELAY, StartRestriction
 from .forecast import USEFUL_FACTOR
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .model import JobSpec, Queue, RunNumber, ServiceName, TaskRef
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs, find_max_wait
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -7,12 +7,12 @@
 from datetime import timedelta
 
 from ..ids import DomainName
+from .capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 from .commands import Command
 from .instances import LeaseTerms
 from .model import JobId, RunNumber
 from .orders import Order
 from .records import Records
-from .reports import DEFAULT_REPORT_TERMS, ReportTerms
 
 DecisionLog = Callable[[str, dict[str, str | int]], None]
 """Called for each decision that is logged, with its name and inputs."""
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -9,8 +9,8 @@
 from ..ids import UpstreamId
 from .commands import CordonUpstreams, RemoveUpstreams, UncordonUpstream
 from .crashes import NO_ACTIVE_TASKS, LostRuns
+from .instance_table import InstanceTable
 from .instances import Instance
-from .life_table import InstanceTable
 from .open_job import OpenJob
 from .open_jobs import OpenJobs
 from .orders import CallFailure, PollOrder, Run, RunPhase, StopOrder
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -13,7 +13,7 @@
 from returns.result import Result, Success
 
 from ..core.cluster.calls import ForwardHeartbeat, ForwardLeave
-from ..core.cluster.identity import SEPARATOR, build_instance_id
+from ..core.cluster.instance_ids import SEPARATOR, build_instance_id
 from ..core.cluster.model import Capacity, Heartbeat, ServiceName, UpstreamInfo
 from ..core.ids import DomainName, UpstreamId
 from ..net.connections import parse_address
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -10,7 +10,7 @@
 from returns.result import Result
 
 from ..core.clock import to_milliseconds
-from ..core.cluster.identity import find_start_ms, get_upstream_name
+from ..core.cluster.instance_ids import find_start_ms, get_upstream_name
 from ..core.cluster.model import (
     PollReply,
     RunEndKind,
--- a/cottonlug/runtime/deputy.py
+++ b/cottonlug/runtime/acting_leader.py
@@ -25,12 +25,12 @@
 
 from ..core.clock import Clock
 from ..core.cluster.calls import FailoverState
+from ..core.cluster.capacity_reports import ReportTerms
 from ..core.cluster.commands import decode_commands
 from ..core.cluster.evacuations import Evacuations
 from ..core.cluster.instances import choose_lease_terms
-from ..core.cluster.reports import ReportTerms
 from ..core.ids import DomainName
-from .gateways import GATEWAY_TIMEOUT
+from .gateway_registry import GATEWAY_TIMEOUT
 from .leadership import Leadership, LeadershipSettings
 from .ports import OnFailure, UpstreamPort
 from .replicated import ReplicatedRecords
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -23,19 +23,19 @@
     answer_decoder,
     call_decoder,
 )
+from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
 from ..core.cluster.forecast import find_latest_useful_start
 from ..core.cluster.instances import LeaseTerms, choose_lease_terms
-from ..core.cluster.reports import MAX_ELECTION_TIME, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools, parse_address
 from .events import Event, log_event
-from .gateways import GATEWAY_TIMEOUT
+from .gateway_registry import GATEWAY_TIMEOUT
 from .heartbeat_port import MAX_DELIVERY_DELAY
 from .heartbeat_responder import HeartbeatResponder
 from .idempotent_calls import IdempotentCalls
-from .job_lines import JobChannelServer
+from .job_channel_server import JobChannelServer
 from .leadership import Leadership, LeadershipSettings
 from .membership import JOIN_PATH, JoinRequest
 from .messenger import MESSAGES_PATH
--- a/cottonlug/runtime/decider.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -21,14 +21,14 @@
 from ..core.cluster.calls import Answer, FailoverState, KeepAlive, Outcome
 from ..core.cluster.failover_state import choose_queried_gateways, find_acting_domain
 from ..core.ids import DomainName
-from .deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE, ActingLeader
+from .acting_leader import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE, ActingLeader
+from .confirmations import Confirmations
 from .events import Event, log_event
-from .gateways import GATEWAY_TIMEOUT
-from .overdue import OVERDUE_AFTER, KeepAliveTracker
+from .failover_store import FailoverStore
+from .gateway_registry import GATEWAY_TIMEOUT
+from .keepalive_tracker import OVERDUE_AFTER, KeepAliveTracker
 from .peer_calls import PeerCalls
 from .ports import OnFailure, UpstreamPort
-from .roster_keeper import FailoverStore
-from .vouching import Confirmations
 
 KEEPALIVE_SECONDS = 0.08
 KEEPALIVE_SECONDS_PER_GATEWAY = 0.0004
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -27,11 +27,11 @@
 from ..core.cluster.forecast import find_declared_objective, find_latest_useful_start
 from ..core.cluster.model import Queue
 from ..net.asgi import HttpRequest, HttpResponse
-from .decider import CoordinatorLink, Via
-from .deputy import ActingLeader
+from .acting_leader import ActingLeader
+from .coordinator_link import CoordinatorLink, Via
 from .events import Event, log_event
-from .job_line import NOT_SENT
-from .job_lines import JobChannelServer
+from .job_channel import NOT_SENT
+from .job_channel_server import JobChannelServer
 from .peer_calls import (
     CALL_PATH,
     FORWARD_TIMEOUT,
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -27,7 +27,7 @@
 from ..core.cluster.records import JobRecord, Records
 from ..core.cluster.validation import JOB_ID_PATTERN, find_job_problem, find_unsupported_feature
 from .events import Event, log_event
-from .gateways import GATEWAY_TIMEOUT, GatewayRegistry
+from .gateway_registry import GATEWAY_TIMEOUT, GatewayRegistry
 from .ports import Authority
 from .replicated import Waiters
 
--- a/cottonlug/runtime/job_lines.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -29,7 +29,7 @@
 from ..core.cluster.calls import Answer, Call, Outcome, Submit
 from ..net.asgi import HttpRequest, HttpResponse
 from .events import Event, log_event
-from .job_line import ANSWER_POLL_WAIT, ANSWERS_PATH, JOBS_PATH
+from .job_channel import ANSWER_POLL_WAIT, ANSWERS_PATH, JOBS_PATH
 
 MAX_STARTS_PER_TURN = 8
 """Jobs started per iteration of the event loop. Each takes some 0.3 ms including the start of its
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -28,6 +28,7 @@
     ReportHeartbeats,
     Submit,
 )
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.cluster.commands import (
     AcceptJob,
     AddUpstream,
@@ -48,12 +49,11 @@
     StartOrder,
     StopOrder,
 )
-from ..core.cluster.reports import DEFAULT_REPORT_TERMS, ReportTerms
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName
 from .decisions import log_decision
 from .events import Event, log_event
-from .gateways import GatewayRegistry
+from .gateway_registry import GatewayRegistry
 from .heartbeat_port import HeartbeatPort
 from .heartbeat_responder import SPREAD_MIN_UPSTREAMS, ResponderDirectory
 from .job_answers import JobAnswers
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -19,9 +19,9 @@
 from .control import Control, LocalControl
 from .entry import EntryHost
 from .events import Event, log_event
-from .follower import VoterClient
 from .rulebook import Rulebook
 from .voter import Voter
+from .voter_client import VoterClient
 
 
 class EntryNode:
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -1,6 +1,6 @@
 """Calls to other hosts of the cluster; calls to a host that counts as lost end immediately.
 
-Best-effort jobs are sent through `job_line`, over few connections. All other calls are short and
+Best-effort jobs are sent through `job_channel`, over few connections. All other calls are short and
 have separate connections to a separate port, so that no keep-alive waits behind jobs: gateways
 whose keep-alives were up to 0.85 s late were abandoned with all their jobs, which then arrived
 again.
@@ -29,7 +29,7 @@
 from ..net.asgi import HttpRequest
 from ..net.connections import ConnectionPools, parse_address
 from ..net.transport import HttpReply, TransportError
-from .job_line import JobChannel
+from .job_channel import JobChannel
 
 CALL_PATH = "/v1/call"
 FORWARD_TIMEOUT = timedelta(seconds=3)
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -24,9 +24,9 @@
 from ..core.cluster.orders import CallFailure, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import DomainName, HostId
-from ..runtime.deputy import ACT_AS_LEADER_AFTER_SILENCE
+from ..runtime.acting_leader import ACT_AS_LEADER_AFTER_SILENCE
 from ..runtime.gateway import Gateway
-from ..runtime.gateways import GatewayRegistry
+from ..runtime.gateway_registry import GatewayRegistry
 from .model_upstreams import SERVICE, build_info, build_queue, build_spec
 
 CALL_TIMEOUT = timedelta(seconds=1)
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -1,9 +1,10 @@
 """A model of a site: gateways, successive leaders, acting leaders by domain, network cuts.
 
-Gateways use the time-outs of `runtime.decider`: they leave a coordinator that has not answered for
-0.35 s and follow an acting leader after 0.52 s (0.9 s if an election is possible). A caller submits
-a job again 1.3 s after its gateway was lost or has abandoned the job. A delayed host processes what
-has arrived, and schedules, only when it continues. `ModelUpstream` fails the test at a second run.
+Gateways use the time-outs of `runtime.coordinator_link`: they leave a coordinator that has not
+answered for 0.35 s and follow an acting leader after 0.52 s (0.9 s if an election is possible). A
+caller submits a job again 1.3 s after its gateway was lost or has abandoned the job. A delayed host
+processes what has arrived, and schedules, only when it continues. `ModelUpstream` fails the test at
+a second run.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 from ..core.cluster.records import JobRecord, Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName, UpstreamId
-from ..runtime.decider import CALLS_LOST_AFTER, KEEPALIVE_TIMEOUT
-from ..runtime.deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
-from ..runtime.gateways import GATEWAY_TIMEOUT
+from ..runtime.acting_leader import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
+from ..runtime.confirmations import ABANDONED_REPORT_PERIOD
+from ..runtime.coordinator_link import CALLS_LOST_AFTER, KEEPALIVE_TIMEOUT
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT
 from ..runtime.leadership import LONG_DECISION_GAP
-from ..runtime.vouching import ABANDONED_REPORT_PERIOD
 from .model_upstreams import (
     Leader,
     ModelUpstream,
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -15,6 +15,7 @@
 
 import msgspec
 
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
 from ..core.cluster.commands import AcceptJob, Command
 from ..core.cluster.dispatch import Dispatch
 from ..core.cluster.instances import LeaseTerms
@@ -38,7 +39,6 @@
 from ..core.cluster.open_job import Submission
 from ..core.cluster.orders import CallFailure, Order, PollOrder, StartOrder, StartOutcome, StopOrder
 from ..core.cluster.records import JobRecord, Records
-from ..core.cluster.reports import DEFAULT_REPORT_TERMS
 from ..core.ids import DomainName, UpstreamId
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
--- a/cottonlug/tests/test_cluster_deputy.py
+++ b/cottonlug/tests/test_cluster_acting_leader.py
@@ -26,9 +26,9 @@
 from ..core.cluster.instances import MIN_LEASE, choose_lease_terms
 from ..core.cluster.records import UpstreamRecord
 from ..core.ids import DomainName
-from ..runtime.decider import ACT_AS_LEADER_AGAIN_AFTER, CALLS_LOST_AFTER, Via
-from ..runtime.deputy import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
-from ..runtime.gateways import GATEWAY_TIMEOUT
+from ..runtime.acting_leader import ACT_AS_LEADER_AFTER, ACT_AS_LEADER_AFTER_SILENCE
+from ..runtime.coordinator_link import ACT_AS_LEADER_AGAIN_AFTER, CALLS_LOST_AFTER, Via
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT
 from .gateway_builders import (
     CALL_TIMEOUT,
     JOB,
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -15,8 +15,9 @@
 import pytest
 
 from ..core.cluster.calls import ForwardHeartbeat, Outcome
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS, find_refusal_backoff
 from ..core.cluster.commands import Command, ResizeUpstream, SetConfiguration
-from ..core.cluster.life_table import InstanceTable
+from ..core.cluster.instance_table import InstanceTable
 from ..core.cluster.model import (
     Capacity,
     Configuration,
@@ -25,7 +26,6 @@
     Service,
 )
 from ..core.cluster.records import Records
-from ..core.cluster.reports import DEFAULT_REPORT_TERMS, find_refusal_backoff
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
 from .gateway_builders import IdlePort
--- a/cottonlug/tests/test_cluster_capacity_index.py
+++ b/cottonlug/tests/test_cluster_capacity_index.py
@@ -8,8 +8,8 @@
 import pytest
 
 from ..core.cluster.capacity_index import CapacityIndex
+from ..core.cluster.instance_table import InstanceTable
 from ..core.cluster.instances import Instance
-from ..core.cluster.life_table import InstanceTable
 from ..core.cluster.model import JobId, JobSpec, Needs, StepSpec
 from ..core.cluster.records import Records
 from ..core.cluster.term import Term
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -32,12 +32,12 @@
 from ..core.cluster.instances import choose_lease_terms
 from ..core.cluster.model import JobId
 from ..core.cluster.records import UpstreamRecord
-from ..runtime.deputy import ACT_AS_LEADER_AFTER_SILENCE, ActingLeaderAuthority
+from ..runtime.acting_leader import ACT_AS_LEADER_AFTER_SILENCE, ActingLeaderAuthority
+from ..runtime.confirmations import MAX_ABANDONED
 from ..runtime.gateway import Gateway
-from ..runtime.gateways import GATEWAY_TIMEOUT, GatewayRegistry
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT, GatewayRegistry
 from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.replicated import ReplicatedRecords
-from ..runtime.vouching import MAX_ABANDONED
 from .gateway_builders import (
     CALL_TIMEOUT,
     JOB,
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -11,9 +11,9 @@
 
 from ..config.cluster import load_control_settings
 from ..core.cluster.calls import Answer, Call, Outcome
-from ..runtime import control_host, decider
+from ..runtime import control_host, coordinator_link
 from ..runtime.control_host import ControlHost
-from ..runtime.decider import RELAY_AFTER, Via
+from ..runtime.coordinator_link import RELAY_AFTER, Via
 from ..runtime.events import Event
 from .gateway_builders import (
     LEADER,
@@ -63,7 +63,7 @@
 def test_gateway_logs_once_that_the_leader_does_not_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    logged = record_events(monkeypatch, decider)
+    logged = record_events(monkeypatch, coordinator_link)
 
     async def play() -> None:
         clock = build_clock()
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -14,7 +14,7 @@
     Outcome,
     Submit,
 )
-from ..runtime.decider import CALLS_LOST_AFTER, RELAY_AFTER, Via
+from ..runtime.coordinator_link import CALLS_LOST_AFTER, RELAY_AFTER, Via
 from ..runtime.gateway import NO_LEADER
 from .gateway_builders import (
     CALL_TIMEOUT,
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -11,12 +11,12 @@
 
 from ..core.cluster.calls import Answer, Contact, Outcome
 from ..core.cluster.records import Records
-from ..runtime import gateways as gateways_module
+from ..runtime import gateway_registry as gateways_module
 from ..runtime import leadership as leading_module
 from ..runtime.cluster_metrics import build_gateway_metrics
-from ..runtime.decider import Via
+from ..runtime.coordinator_link import Via
 from ..runtime.events import Event
-from ..runtime.gateways import GatewayRegistry
+from ..runtime.gateway_registry import GatewayRegistry
 from ..runtime.log_output import LogOutput
 from .gateway_builders import (
     CALL_TIMEOUT,
--- a/cottonlug/tests/test_cluster_orphaned_runs.py
+++ b/cottonlug/tests/test_cluster_orphaned_runs.py
@@ -18,7 +18,7 @@
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.cluster.watcher import SILENT_AFTER
 from ..core.ids import UpstreamId
-from ..runtime.gateways import GATEWAY_TIMEOUT
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT
 from .gateway_builders import JOB
 from .model_site import NORTH, SOUTH, TERMS, Site, build_site
 from .model_upstreams import Leader, build_queue, build_spec, milliseconds
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -11,7 +11,6 @@
 from ..core.cluster.admission import estimate_wait
 from ..core.cluster.backlog import Backlog, Batch, Tier
 from ..core.cluster.forecast import Forecast
-from ..core.cluster.guards import MAX_CONSECUTIVE_FAILURES, MAX_SUSPENSION, UpstreamHealth
 from ..core.cluster.instances import Instance
 from ..core.cluster.model import (
     Configuration,
@@ -30,6 +29,7 @@
 from ..core.cluster.placement import choose_instance
 from ..core.cluster.queues import QueueIndex
 from ..core.cluster.records import JobRecord, Records
+from ..core.cluster.upstream_health import MAX_CONSECUTIVE_FAILURES, MAX_SUSPENSION, UpstreamHealth
 from ..core.cluster.validation import find_configuration_problem, find_job_problem
 from .model_upstreams import (
     SERVICE,
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -26,8 +26,8 @@
 from ..core.ids import UpstreamId
 from ..net.connections import IdleConnections
 from ..runtime import heartbeat_responder
-from ..runtime.decider import MAX_KEEPALIVE_SECONDS
-from ..runtime.gateways import GATEWAY_TIMEOUT, MAX_PARTS_PER_SECOND, GatewayRegistry
+from ..runtime.coordinator_link import MAX_KEEPALIVE_SECONDS
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT, MAX_PARTS_PER_SECOND, GatewayRegistry
 from ..runtime.heartbeat_responder import (
     RESPONDER_TRUST_PERIOD,
     SPREAD_MIN_UPSTREAMS,
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -19,8 +19,8 @@
 from ..core.cluster.orders import CallFailure, PollOrder
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import UpstreamId
-from ..runtime.deputy import ActingLeaderAuthority
-from ..runtime.gateways import GATEWAY_TIMEOUT
+from ..runtime.acting_leader import ActingLeaderAuthority
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT
 from ..runtime.leadership import Leadership, LeadershipSettings
 from ..runtime.replicated import ReplicatedRecords
 from .gateway_builders import (
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -19,11 +19,11 @@
     ForwardHeartbeat,
     Outcome,
 )
+from ..core.cluster.capacity_reports import DEFAULT_REPORT_TERMS
 from ..core.cluster.commands import SetEvacuation, decode_commands, encode_commands
 from ..core.cluster.evacuations import Evacuations
 from ..core.cluster.model import JobId, JobState, OrderId, RunEndKind
 from ..core.cluster.records import Records
-from ..core.cluster.reports import DEFAULT_REPORT_TERMS
 from ..core.cluster.scheduler import ALL_EVACUATED
 from ..core.ids import DomainName
 from ..net.asgi import HttpRequest, HttpResponse
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -11,7 +11,7 @@
 
 from ..core.cluster import instances
 from ..core.cluster.open_job import Task
-from ..core.cluster.settlement import Reconciliation
+from ..core.cluster.reconciliation import Reconciliation
 from ..platform import heartbeats, workers
 from .fault_explorer import Fault, Play, Script, describe, explore
 
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -21,8 +21,8 @@
 )
 from ..core.cluster.records import Records
 from ..core.ids import UpstreamId
-from ..runtime.decider import KEEPALIVE_TIMEOUT
-from ..runtime.gateways import GatewayRegistry
+from ..runtime.coordinator_link import KEEPALIVE_TIMEOUT
+from ..runtime.gateway_registry import GatewayRegistry
 from .gateway_builders import (
     add_upstream,
     build_acting_gateway,
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -10,16 +10,16 @@
 import msgspec
 import pytest
 
-from ..core.cluster import life_table
+from ..core.cluster import instance_table
 from ..core.cluster.commands import AddUpstream, RemoveUpstreams, ResizeUpstream, SetDraining
 from ..core.cluster.failover_state import merge_failover_state
-from ..core.cluster.identity import build_instance_id, is_earlier_instance
+from ..core.cluster.instance_ids import build_instance_id, is_earlier_instance
 from ..core.cluster.model import Capacity, Heartbeat, JobId, JobState, PollReply, UpstreamInfo
 from ..core.cluster.orders import StartOrder
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import UpstreamId
-from ..runtime.gateways import GatewayRegistry
+from ..runtime.gateway_registry import GatewayRegistry
 from .gateway_builders import build_clock, build_keepalive
 from .model_upstreams import World, build_info, build_queue, build_spec, milliseconds
 from .test_cluster_out_of_order import build_dispatch
@@ -148,7 +148,7 @@
         next(compared)
         return is_earlier_instance(instance, other)
 
-    monkeypatch.setattr(life_table, "is_earlier_instance", count)
+    monkeypatch.setattr(instance_table, "is_earlier_instance", count)
     dispatch = build_dispatch([])
     for number in range(2, 500):
         dispatch.handle_heartbeat(
--- a/cottonlug/tests/test_job_lines.py
+++ b/cottonlug/tests/test_job_channels.py
@@ -18,9 +18,9 @@
 from ..net.asgi import HttpRequest, HttpResponse, build_asgi
 from ..net.servers import Listener
 from ..net.transport import HttpReply, TransportError
-from ..runtime import job_line
-from ..runtime.job_line import ANSWERS_PATH, JOBS_PATH, JobChannel
-from ..runtime.job_lines import MAX_STARTS_PER_TURN, JobChannelServer
+from ..runtime import job_channel
+from ..runtime.job_channel import ANSWERS_PATH, JOBS_PATH, JobChannel
+from ..runtime.job_channel_server import MAX_STARTS_PER_TURN, JobChannelServer
 from ..runtime.peer_calls import JOB_CHANNEL_CONNECTIONS, PeerCalls
 from .gateway_builders import build_clock, build_submit
 from .processes import find_base_port
@@ -167,7 +167,7 @@
 
 def test_channel_is_usable_after_any_idle_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """One of its two tasks had ended while idle and the other had not, so nothing was sent."""
-    monkeypatch.setattr(job_line, "IDLE_SECONDS", 0.02)
+    monkeypatch.setattr(job_channel, "IDLE_SECONDS", 0.02)
 
     async def work(host: Host, wire: Wire, channel: JobChannel) -> None:
         for pause in range(40):
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -13,7 +13,7 @@
 from ..core.cluster.calls import Answer, Call, KeepAlive, Outcome, answer_decoder, call_decoder
 from ..net.asgi import HttpRequest, HttpResponse, build_asgi
 from ..net.servers import Listener
-from ..runtime.job_lines import JobChannelServer
+from ..runtime.job_channel_server import JobChannelServer
 from ..runtime.peer_calls import CALL_PATH, PeerCalls
 from .gateway_builders import build_acting_gateway, build_clock, build_keepalive, build_submit
 from .processes import find_base_port
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -10,7 +10,7 @@
 
 from ..core.cluster.calls import Answer, Call, ForwardHeartbeat, ForwardLeave, Outcome
 from ..core.cluster.commands import AddUpstream, SetDraining
-from ..core.cluster.identity import (
+from ..core.cluster.instance_ids import (
     build_instance_id,
     find_start_ms,
     get_upstream_name,
