--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -58,7 +58,7 @@
         build_control_handler(host.answer, refused.note),
         settings.listen.control,
         CONTROL_BODY_BYTES,
-        takes_all=True,
+        accepts_all=True,
     )
     peers = listen_peers(host.handle_peer, settings, PEER_BODY_BYTES, host.answer_at_once)
     shown = build_control_metrics(host, output, pools.idle, refused)
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -10,7 +10,7 @@
 
 from ..config.cluster import ControlSettings, GatewaySettings
 from ..config.options import Address
-from ..net.asgi import AtOnce, Handler, build_asgi
+from ..net.asgi import ImmediateHandler, Handler, build_asgi
 from ..net.servers import Listener
 from ..runtime.cluster_metrics import build_metrics_handler
 from ..runtime.events import Event, log_event, set_up_output
@@ -43,27 +43,29 @@
     handler: Handler,
     address: Address,
     max_body_bytes: int,
-    at_once: AtOnce | None = None,
+    handle_immediately: ImmediateHandler | None = None,
     *,
-    takes_all: bool = False,
+    accepts_all: bool = False,
 ) -> Listener:
     """Return a listener whose requests one handler answers; see `Listener` for `takes_all`."""
-    app: Any = build_asgi(handler, lambda: max_body_bytes, at_once)
-    return Listener(app=app, address=address, takes_all=takes_all)
+    app: Any = build_asgi(handler, lambda: max_body_bytes, handle_immediately)
+    return Listener(app=app, address=address, accepts_all=accepts_all)
 
 
 def listen_peers(
     handler: Handler,
     settings: ControlSettings | GatewaySettings,
     max_body_bytes: int,
-    at_once: AtOnce,
+    handle_immediately: ImmediateHandler,
 ) -> list[Listener]:
     """Return the listeners for other hosts: for jobs, and for what must not wait behind these."""
     address = settings.listen.peers
-    listeners = [listen(handler, address, max_body_bytes, at_once)]
+    listeners = [listen(handler, address, max_body_bytes, handle_immediately)]
     if settings.urgent_port is not None:
         urgent = Address(address.host, settings.urgent_port)
-        listeners.append(listen(handler, urgent, max_body_bytes, at_once, takes_all=True))
+        listeners.append(
+            listen(handler, urgent, max_body_bytes, handle_immediately, accepts_all=True)
+        )
     return listeners
 
 
--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -14,8 +14,8 @@
     EvacuationList,
     OperatorCall,
     OperatorReply,
-    build_list,
-    build_order,
+    build_list_call,
+    build_evacuation_call,
     read_reply,
 )
 from ..platform.operators import read_list as read_evacuations
@@ -31,7 +31,7 @@
 
 def order_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
     """Begin or end the evacuation of a domain, asking one host after another until one says so."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_order(domain, begin=begin)))
+    reply = asyncio.run(_ask_in_turn(hosts, build_evacuation_call(domain, begin=begin)))
     if reply.is_done:
         print(f"{domain} is {'evacuated' if begin else 'used again'}")
         return ExitCode.OK
@@ -41,7 +41,7 @@
 
 def list_evacuations(hosts: list[Address], as_json: bool) -> ExitCode:
     """Print the domains that are evacuated, and since when."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_list()))
+    reply = asyncio.run(_ask_in_turn(hosts, build_list_call()))
     listed = read_evacuations(reply)
     if listed is None:
         print(f"not known: {reply.problem}", file=sys.stderr)
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -23,7 +23,7 @@
     read_list,
     read_path,
     read_section,
-    read_span,
+    read_duration,
 )
 
 
@@ -46,7 +46,7 @@
     metrics: Address | None
 
 
-class OrdersBy(Enum):
+class OrderDelivery(Enum):
     """How upstreams get their orders: by calls to them, or in the answers to their heartbeats."""
 
     CALL = "call"
@@ -66,7 +66,7 @@
     longest_lease: timedelta
     caller_retry: timedelta
     keep_ended: timedelta
-    orders: OrdersBy
+    orders: OrderDelivery
     domains: list[DomainName] = field(default_factory=list)
     """All failure domains, so that one without upstreams at the moment can be evacuated."""
     drain_limit: timedelta
@@ -104,42 +104,42 @@
     "readiness": Option(read_address),
     "metrics": Option(read_address, None),
 }
-_COMMON: Options = {
+_COMMON_OPTIONS: Options = {
     "host": Option(read_name),
     "domain": Option(read_name),
     "seeds": Option(read_list(read_address)),
     "peer_port": Option(read_integer(1, 65_535), None),
     "urgent_port": Option(read_integer(1, 65_535), None),
-    "longest_lease": Option(read_span, timedelta(seconds=1)),
-    "caller_retry": Option(read_span, timedelta(milliseconds=1_300)),
-    "drain_limit": Option(read_span, timedelta(seconds=5)),
-    "heartbeat_every": Option(read_span, USUAL_REPORTS.every),
-    "shrink_borne": Option(read_span, USUAL_REPORTS.borne),
+    "longest_lease": Option(read_duration, timedelta(seconds=1)),
+    "caller_retry": Option(read_duration, timedelta(milliseconds=1_300)),
+    "drain_limit": Option(read_duration, timedelta(seconds=5)),
+    "heartbeat_every": Option(read_duration, USUAL_REPORTS.every),
+    "shrink_borne": Option(read_duration, USUAL_REPORTS.borne),
     "log": Option(read_log_section, LogSettings()),
 }
-_CONTROL: Options = {
-    **_COMMON,
+_CONTROL_OPTIONS: Options = {
+    **_COMMON_OPTIONS,
     "listen": Option(read_section(_CONTROL_LISTENERS, ControlListeners)),
     "may_begin": Option(read_boolean, False),
     "data_folder": Option(read_path),
-    "keep_ended": Option(read_span, timedelta(seconds=150)),
-    "orders": Option(read_choice(OrdersBy), OrdersBy.CALL),
+    "keep_ended": Option(read_duration, timedelta(seconds=150)),
+    "orders": Option(read_choice(OrderDelivery), OrderDelivery.CALL),
     "domains": Option(read_list(read_name), []),
 }
-_GATEWAY: Options = {
-    **_COMMON,
+_GATEWAY_OPTIONS: Options = {
+    **_COMMON_OPTIONS,
     "listen": Option(read_section(_GATEWAY_LISTENERS, GatewayListeners)),
 }
 
 
-def _move_seeds(seeds: list[Address], peer_port: int | None) -> list[Address]:
+def _replace_seed_ports(seeds: list[Address], peer_port: int | None) -> list[Address]:
     """Return the seeds at the port for calls of peers, where it is another one."""
     if peer_port is None:
         return seeds
     return [Address(seed.host, peer_port) for seed in seeds]
 
 
-def _prepare(
+def _build_fields(
     *,
     seeds: list[Address],
     peer_port: int | None,
@@ -149,22 +149,22 @@
 ) -> dict[str, Any]:
     """Return the fields of settings for what the options of both kinds of host say."""
     reports = ReportTerms(every=heartbeat_every, borne=shrink_borne)
-    return {"seeds": _move_seeds(seeds, peer_port), "reports": reports, **rest}
+    return {"seeds": _replace_seed_ports(seeds, peer_port), "reports": reports, **rest}
 
 
 def _build_control(**given: Any) -> ControlSettings:
-    return ControlSettings(**_prepare(**given))
+    return ControlSettings(**_build_fields(**given))
 
 
 def _build_gateway(**given: Any) -> GatewaySettings:
-    return GatewaySettings(**_prepare(**given))
+    return GatewaySettings(**_build_fields(**given))
 
 
 def load_control_settings(file: Path) -> ControlSettings:
     """Return a control host's settings, or raise `SettingsError` naming every problem."""
-    return load_settings(file, read_section(_CONTROL, _build_control))
+    return load_settings(file, read_section(_CONTROL_OPTIONS, _build_control))
 
 
 def load_gateway_settings(file: Path) -> GatewaySettings:
     """Return a gateway's settings, or raise `SettingsError` naming every problem."""
-    return load_settings(file, read_section(_GATEWAY, _build_gateway))
+    return load_settings(file, read_section(_GATEWAY_OPTIONS, _build_gateway))
--- a/cottonlug/config/defaults.py
+++ b/cottonlug/config/defaults.py
@@ -25,7 +25,7 @@
     read_path,
     read_secret,
     read_section,
-    read_span,
+    read_duration,
     read_text,
 )
 
@@ -140,12 +140,12 @@
 
 LIMIT_OPTIONS: Options = {
     "max_queued_tasks": Option(read_integer(1, 10_000_000), _LIMITS.max_queued_tasks),
-    "idle_lease": Option(read_span, _LIMITS.idle_lease),
-    "busy_lease": Option(read_span, _LIMITS.busy_lease),
-    "suspect_grace": Option(read_span, _LIMITS.suspect_grace),
-    "idle_park": Option(read_span, _LIMITS.idle_park),
-    "busy_park": Option(read_span, _LIMITS.busy_park),
-    "unrunnable_grace": Option(read_span, _LIMITS.unrunnable_grace),
+    "idle_lease": Option(read_duration, _LIMITS.idle_lease),
+    "busy_lease": Option(read_duration, _LIMITS.busy_lease),
+    "suspect_grace": Option(read_duration, _LIMITS.suspect_grace),
+    "idle_park": Option(read_duration, _LIMITS.idle_park),
+    "busy_park": Option(read_duration, _LIMITS.busy_park),
+    "unrunnable_grace": Option(read_duration, _LIMITS.unrunnable_grace),
 }
 POLICY_OPTIONS: Options = {
     "placement": Option(read_choice(PlacementOrder), _POLICY.placement),
@@ -171,8 +171,8 @@
     "address": Option(read_address),
 }
 SUBMISSION_OPTIONS: Options = {
-    "id_lifetime": Option(read_span, timedelta(minutes=10)),
-    "retention": Option(read_span, timedelta(minutes=2)),
+    "id_lifetime": Option(read_duration, timedelta(minutes=10)),
+    "retention": Option(read_duration, timedelta(minutes=2)),
 }
 RETRY_OPTIONS: Options = {
     "budget": Option(read_number(0, 1), 0.1),
@@ -198,14 +198,14 @@
     ),
     "retries": Option(read_section(RETRY_OPTIONS, RetrySettings), RetrySettings()),
     "bodies": Option(read_section(BODY_OPTIONS, BodySettings), BodySettings()),
-    "drain_limit": Option(read_span, timedelta(minutes=5)),
-    "drain_linger": Option(read_span, timedelta(seconds=5)),
+    "drain_limit": Option(read_duration, timedelta(minutes=5)),
+    "drain_linger": Option(read_duration, timedelta(seconds=5)),
     "log": Option(read_log_section, LogSettings()),
 }
 DELAY_OPTIONS: Options = {
     "prefetch": Option(read_integer(0, 1024), _DELAYS.prefetch),
-    "coalesce": Option(read_span, _DELAYS.coalesce),
-    "hold": Option(read_span, _DELAYS.hold),
+    "coalesce": Option(read_duration, _DELAYS.coalesce),
+    "hold": Option(read_duration, _DELAYS.hold),
 }
 ENTRY_ADDRESS_OPTIONS: Options = {"host": Option(read_name), "address": Option(read_address)}
 UPSTREAM_OPTIONS: Options = {
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -64,7 +64,7 @@
     ),
 }
 
-_Listener = dict[str, str]
+_Listeners = dict[str, str]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -73,7 +73,7 @@
 
     name: str
     domain: str
-    listen: _Listener
+    listen: _Listeners
     is_voter: bool
 
 
@@ -161,7 +161,7 @@
     }
 
 
-def _list_addresses(base_port: int, number: int) -> _Listener:
+def _list_addresses(base_port: int, number: int) -> _Listeners:
     return {
         kind: f"127.0.0.1:{base_port + 100 * at + number}"
         for at, kind in enumerate(TOKEN_KINDS, start=1)
--- a/cottonlug/config/files.py
+++ b/cottonlug/config/files.py
@@ -10,7 +10,7 @@
     read_entry_settings,
     read_upstream_settings,
 )
-from .loading import get_value, load_file, load_settings, raise_for
+from .loading import get_value, load_file, load_settings, raise_on_problems
 from .options import Problem
 
 _TOKEN_KINDS = 4
@@ -20,7 +20,7 @@
     """Return an entry host's settings, or raise `SettingsError` naming every problem."""
     loaded = load_file(file, read_entry_settings)
     settings = get_value(file, loaded)
-    raise_for(file, _check_entry(settings))
+    raise_on_problems(file, _check_entry(settings))
     return settings
 
 
@@ -29,7 +29,7 @@
     settings = load_settings(file, read_upstream_settings)
     if settings.listen is not None and settings.operator_token is None:
         message = "required when listen is given"
-        raise_for(file, [Problem(path="operator_token", line=1, message=message)])
+        raise_on_problems(file, [Problem(path="operator_token", line=1, message=message)])
     return settings
 
 
--- a/cottonlug/config/loading.py
+++ b/cottonlug/config/loading.py
@@ -6,17 +6,17 @@
 from typing import TypeVar
 
 from ..exceptions import SettingsError
-from .options import Loaded, Problem, Read, load_yaml
+from .options import Loaded, Problem, Reader, load_yaml
 
 T = TypeVar("T")
 
 
-def load_settings(file: Path, read: Read[T]) -> T:
+def load_settings(file: Path, read: Reader[T]) -> T:
     """Return settings read with a reader, or raise `SettingsError` naming every problem."""
     return get_value(file, load_file(file, read))
 
 
-def load_file(file: Path, read: Read[T]) -> Loaded[T]:
+def load_file(file: Path, read: Reader[T]) -> Loaded[T]:
     """Read a YAML file with a reader."""
     try:
         text = file.read_text()
@@ -28,13 +28,13 @@
 
 def get_value(file: Path, loaded: Loaded[T]) -> T:
     """Return what was read, or raise `SettingsError` naming every problem."""
-    raise_for(file, [problem for problem in loaded.problems if not problem.is_warning])
+    raise_on_problems(file, [problem for problem in loaded.problems if not problem.is_warning])
     if loaded.value is None:
         raise SettingsError(f"{file}: no settings")
     return loaded.value
 
 
-def raise_for(file: Path, problems: list[Problem]) -> None:
+def raise_on_problems(file: Path, problems: list[Problem]) -> None:
     """Raise `SettingsError` where there are problems."""
     if problems:
         lines = "\n".join(f"{file}: {problem}" for problem in problems)
--- a/cottonlug/config/options.py
+++ b/cottonlug/config/options.py
@@ -18,7 +18,7 @@
 
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
-_SPAN_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|d)")
+_DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|d)")
 _ADDRESS_PATTERN = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})")
 
 
@@ -59,7 +59,7 @@
         return [problem for problem in self.problems if not problem.is_warning]
 
 
-Read = Callable[[yaml.Node, str, Report], T | None]
+Reader = Callable[[yaml.Node, str, Report], T | None]
 
 
 class _Required(Enum):
@@ -73,7 +73,7 @@
 class Option(Generic[T]):
     """How one key is read, and its default; a key without a default must be given."""
 
-    read: Read[T]
+    read: Reader[T]
     default: T | _Required = REQUIRED
 
 
@@ -81,7 +81,7 @@
 """The declared keys of one section."""
 
 
-def read_text(pattern: str | None = None, hint: str = "") -> Read[str]:
+def read_text(pattern: str | None = None, hint: str = "") -> Reader[str]:
     """Return a reader of a string that matches the whole pattern."""
 
     def read(node: yaml.Node, path: str, report: Report) -> str | None:
@@ -97,7 +97,7 @@
     return read
 
 
-def read_integer(low: int, high: int) -> Read[int]:
+def read_integer(low: int, high: int) -> Reader[int]:
     """Return a reader of a whole number within bounds, both included."""
 
     def read(node: yaml.Node, path: str, report: Report) -> int | None:
@@ -113,7 +113,7 @@
     return read
 
 
-def read_number(low: float, high: float) -> Read[float]:
+def read_number(low: float, high: float) -> Reader[float]:
     """Return a reader of a number within bounds, both included."""
 
     def read(node: yaml.Node, path: str, report: Report) -> float | None:
@@ -140,9 +140,9 @@
     return None
 
 
-def read_span(node: yaml.Node, path: str, report: Report) -> timedelta | None:
+def read_duration(node: yaml.Node, path: str, report: Report) -> timedelta | None:
     """Read a span of time such as 250ms, 4s or 10m."""
-    match = _SPAN_PATTERN.fullmatch(node.value) if isinstance(node, yaml.ScalarNode) else None
+    match = _DURATION_PATTERN.fullmatch(node.value) if isinstance(node, yaml.ScalarNode) else None
     if match is None:
         report.add(node, path, "expected a span of time such as 250ms, 4s or 10m")
         return None
@@ -159,7 +159,7 @@
     return time(int(match[1]), int(match[2]))
 
 
-def read_choice(choices: type[E]) -> Read[E]:
+def read_choice(choices: type[E]) -> Reader[E]:
     """Return a reader of one of the values of an Enum."""
 
     def read(node: yaml.Node, path: str, report: Report) -> E | None:
@@ -218,7 +218,7 @@
     return secret
 
 
-def read_list(read_item: Read[T]) -> Read[list[T]]:
+def read_list(read_item: Reader[T]) -> Reader[list[T]]:
     """Return a reader of a list."""
 
     def read(node: yaml.Node, path: str, report: Report) -> list[T] | None:
@@ -231,7 +231,7 @@
     return read
 
 
-def read_text_or_list(read_item: Read[T]) -> Read[list[T]]:
+def read_item_or_list(read_item: Reader[T]) -> Reader[list[T]]:
     """Return a reader of one item or a list of them."""
     read_items = read_list(read_item)
 
@@ -258,7 +258,7 @@
     return labels
 
 
-def read_section(options: Options, build: Callable[..., T]) -> Read[T]:
+def read_section(options: Options, build: Callable[..., T]) -> Reader[T]:
     """Return a reader of a mapping with declared keys, built into a settings class."""
 
     def read(node: yaml.Node, path: str, report: Report) -> T | None:
@@ -312,7 +312,7 @@
     problems: list[Problem]
 
 
-def load_yaml(text: str, folder: Path, read: Read[T]) -> Loaded[T]:
+def load_yaml(text: str, folder: Path, read: Reader[T]) -> Loaded[T]:
     """Read a YAML text with a reader and return the value with every problem found."""
     report = Report(folder=folder)
     try:
--- a/cottonlug/config/rules.py
+++ b/cottonlug/config/rules.py
@@ -24,9 +24,9 @@
     read_list,
     read_number,
     read_section,
-    read_span,
+    read_duration,
     read_text,
-    read_text_or_list,
+    read_item_or_list,
     read_time_of_day,
 )
 
@@ -70,9 +70,9 @@
 
 
 WHEN_OPTIONS: Options = {
-    "team": Option(read_text_or_list(read_name), []),
-    "kind": Option(read_text_or_list(read_text()), []),
-    "domain": Option(read_text_or_list(read_name), []),
+    "team": Option(read_item_or_list(read_name), []),
+    "kind": Option(read_item_or_list(read_text()), []),
+    "domain": Option(read_item_or_list(read_name), []),
     "labels": Option(read_labels, {}),
     "min_size": Option(read_integer(1, 1_000_000), None),
     "max_size": Option(read_integer(1, 1_000_000), None),
@@ -87,7 +87,7 @@
     "pool": Option(read_labels, {}),
     "priority": Option(read_integer(0, MAX_PRIORITY), None),
     "weight": Option(read_number(0.001, 1000.0), None),
-    "timeout": Option(read_span, None),
+    "timeout": Option(read_duration, None),
     "max_attempts": Option(read_integer(1, 10), None),
 }
 RULE_OPTIONS: Options = {
--- a/cottonlug/net/apps.py
+++ b/cottonlug/net/apps.py
@@ -18,7 +18,7 @@
 from ..core.states import RefusalCode
 from .replies import reply_json, reply_refusal
 
-_CODES = {
+_CODE_BY_STATUS = {
     401: RefusalCode.UNAUTHORIZED,
     404: RefusalCode.NOT_FOUND,
     413: RefusalCode.TOO_LARGE,
@@ -49,7 +49,7 @@
 
 
 def _handle_http_error(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
-    code = _CODES.get(error.status_code, RefusalCode.INVALID)
+    code = _CODE_BY_STATUS.get(error.status_code, RefusalCode.INVALID)
     refusal = Refusal(code=code, message=error.detail or str(error.status_code))
     if error.status_code in (401, 404, 413):
         return reply_refusal(refusal)
--- a/cottonlug/net/asgi.py
+++ b/cottonlug/net/asgi.py
@@ -37,18 +37,20 @@
     """Close the connection after this response."""
 
 
-class _Cut(Exception):  # noqa: N818 - not an error of ours
+class _RequestAborted(Exception):  # noqa: N818 - not an error of ours
     """The other side hung up before its request was whole."""
 
 
 Handler = Callable[[HttpRequest], Coroutine[Any, Any, HttpResponse]]
-AtOnce = Callable[[HttpRequest], HttpResponse | None]
+ImmediateHandler = Callable[[HttpRequest], HttpResponse | None]
 """Answers a request without waiting for anything, or returns None."""
 AsgiApp = Callable[[Any, "Receive", "Send"], Awaitable[None]]
 
 
 def build_asgi(
-    handle: Handler, max_body_bytes: Callable[[], int], at_once: AtOnce | None = None
+    handle: Handler,
+    max_body_bytes: Callable[[], int],
+    handle_immediately: ImmediateHandler | None = None,
 ) -> AsgiApp:
     """Return an ASGI application round a handler, with bounded bodies.
 
@@ -59,7 +61,7 @@
     async def app(scope: Any, receive: Receive, send: Send) -> None:
         try:
             body = await _read_body(receive, max_body_bytes())
-        except _Cut:
+        except _RequestAborted:
             return
         if body is None:
             response = HttpResponse(status=413, body=b'{"error":"the body is too large"}')
@@ -70,7 +72,7 @@
             request = HttpRequest(
                 method=scope["method"], path=scope["path"], headers=headers, body=body
             )
-            answer = at_once(request) if at_once is not None else None
+            answer = handle_immediately(request) if handle_immediately is not None else None
             if answer is None:
                 answer = await _handle_while_connected(handle(request), receive)
             if answer is None:
@@ -86,11 +88,11 @@
 ) -> HttpResponse | None:
     """Return the response, or cancel the handler and return None where the other side hangs up."""
     task = asyncio.ensure_future(handling)
-    hang_up: asyncio.Future[Any] = asyncio.ensure_future(receive())
-    waiting: list[asyncio.Future[Any]] = [task, hang_up]
+    disconnect: asyncio.Future[Any] = asyncio.ensure_future(receive())
+    waiting: list[asyncio.Future[Any]] = [task, disconnect]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     if task.done():
-        hang_up.cancel()
+        disconnect.cancel()
         return task.result()
     task.cancel()
     return None
@@ -102,7 +104,7 @@
     while True:
         message: Any = await receive()
         if message["type"] == "http.disconnect":
-            raise _Cut
+            raise _RequestAborted
         part = message.get("body", b"")
         size += len(part)
         if size > limit:
--- a/cottonlug/net/caller_app.py
+++ b/cottonlug/net/caller_app.py
@@ -48,7 +48,7 @@
     guards = [build_guard(token)]
 
     async def forward(id: SubmissionId | None, request: _Request) -> Response[bytes] | None:
-        home = homes.find_other(id) if homes is not None else None
+        home = homes.find_remote_home(id) if homes is not None else None
         if homes is None or home is None:
             return None
         query = request.url.query
@@ -63,19 +63,19 @@
     @post("/v1/ids", guards=guards)
     async def mint_ids(request: _Request) -> Response[bytes]:
         """Mint submission ids, for submissions that can be sent again safely."""
-        asked = decode(await request.body() or b"{}", MintRequest)
-        if isinstance(asked, Err):
-            return reply_refusal(asked.failure())
-        return _reply(host.mint(asked.unwrap().count))
+        decoded = decode(await request.body() or b"{}", MintRequest)
+        if isinstance(decoded, Err):
+            return reply_refusal(decoded.failure())
+        return _reply(host.mint(decoded.unwrap().count))
 
     @post("/v1/jobs", guards=guards)
     async def submit_job(request: _Request) -> Response[bytes]:
         """Submit a job, or attach to the one that has this id."""
-        asked = decode(await request.body(), SubmitRequest)
-        if isinstance(asked, Err):
-            return reply_refusal(asked.failure())
-        forwarded = await forward(asked.unwrap().id, request)
-        return forwarded or _reply(host.submit(asked.unwrap()), accepted=202)
+        decoded = decode(await request.body(), SubmitRequest)
+        if isinstance(decoded, Err):
+            return reply_refusal(decoded.failure())
+        forwarded = await forward(decoded.unwrap().id, request)
+        return forwarded or _reply(host.submit(decoded.unwrap()), accepted=202)
 
     @get("/v1/jobs/{id:str}", guards=guards)
     async def get_job(id: str, request: _Request) -> Response[bytes]:
@@ -87,9 +87,9 @@
     async def get_answer(id: str, request: _Request) -> Response[bytes]:
         """Wait up to `wait_ms` for the whole answer; 202 with the status until there is one."""
         wait_ms = request.query_params.get("wait_ms", "0")
-        longest = int(MAX_WAIT_SECONDS * 1000)
-        if not wait_ms.isdecimal() or int(wait_ms) > longest:
-            message = f"wait_ms is a whole number from 0 to {longest}"
+        max_wait_ms = int(MAX_WAIT_SECONDS * 1000)
+        if not wait_ms.isdecimal() or int(wait_ms) > max_wait_ms:
+            message = f"wait_ms is a whole number from 0 to {max_wait_ms}"
             refusal = Refusal(code=RefusalCode.INVALID, message=message, path="wait_ms")
             return reply_refusal(refusal)
         forwarded = await forward(SubmissionId(id), request)
@@ -106,10 +106,10 @@
     @post("/v1/requests", guards=guards)
     async def run_request(request: _Request) -> Response[bytes]:
         """Run one task and wait for its answer."""
-        asked = decode(await request.body(), SingleRequest)
-        if isinstance(asked, Err):
-            return reply_refusal(asked.failure())
-        single = asked.unwrap()
+        decoded = decode(await request.body(), SingleRequest)
+        if isinstance(decoded, Err):
+            return reply_refusal(decoded.failure())
+        single = decoded.unwrap()
         forwarded = None if single.idempotent else await forward(single.id, request)
         return forwarded or _reply(await host.run_single(single))
 
--- a/cottonlug/net/clients.py
+++ b/cottonlug/net/clients.py
@@ -61,19 +61,19 @@
         body = encode(message) if message is not None else None
         sent = await self._http.send(method, path, body)
         if isinstance(sent, Err):
-            return Err(_refuse_unreachable(sent.failure().message))
+            return Err(_build_unreachable_refusal(sent.failure().message))
         reply = sent.unwrap()
         if reply.status < 400:
             return decode(reply.body, reply_type)
         refusal = decode(reply.body, Refusal)
         if isinstance(refusal, Success):
             return Err(refusal.unwrap())
-        return Err(_refuse_unreachable(f"status {reply.status}"))
+        return Err(_build_unreachable_refusal(f"status {reply.status}"))
 
     async def close(self) -> None:
         """Close the connection."""
         await self._http.close()
 
 
-def _refuse_unreachable(message: str) -> Refusal:
+def _build_unreachable_refusal(message: str) -> Refusal:
     return Refusal(code=RefusalCode.HOME_UNREACHABLE, message=message)
--- a/cottonlug/net/codec.py
+++ b/cottonlug/net/codec.py
@@ -32,10 +32,10 @@
         return Success(decoder.decode(body))
     except msgspec.ValidationError as error:
         message, _, path = str(error).partition(" - at `")
-        return Err(_refuse(message, path.rstrip("`") or None))
+        return Err(_build_refusal(message, path.rstrip("`") or None))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        return Err(_refuse(f"not valid JSON: {error}", None))
+        return Err(_build_refusal(f"not valid JSON: {error}", None))
 
 
-def _refuse(message: str, path: str | None) -> Refusal:
+def _build_refusal(message: str, path: str | None) -> Refusal:
     return Refusal(code=RefusalCode.INVALID, message=message, path=path)
--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -22,7 +22,7 @@
 DEFAULT_CONNECT_TIMEOUT = timedelta(milliseconds=500)
 """Longer than a lost opening packet on a quiet link, shorter than a caller waits."""
 DEFAULT_MAX_CONNECTIONS = 32
-MOST_IDLE = 1_500
+MAX_IDLE_CONNECTIONS = 1_500
 """Connections without a call that are kept to all addresses; a host has 4,096 descriptors, and
 needs the rest for connections that others open."""
 OK = 200
@@ -55,7 +55,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._waiting: asyncio.Future[HttpReply] | None = None
+        self._reply: asyncio.Future[HttpReply] | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._body: list[bytes] = []
         self._size = 0
@@ -91,8 +91,8 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        parser, waiting = self._parser, self._waiting
-        self._parser, self._waiting = None, None
+        parser, waiting = self._parser, self._reply
+        self._parser, self._reply = None, None
         if parser is None or waiting is None:
             return
         if not parser.should_keep_alive():
@@ -109,9 +109,9 @@
         self._body = []
         self._size = 0
         self._parser = httptools.HttpResponseParser(self)
-        self._waiting = asyncio.get_running_loop().create_future()
+        self._reply = asyncio.get_running_loop().create_future()
         self._transport.write(data)
-        return self._waiting
+        return self._reply
 
     def close(self) -> None:
         """Close at once; a reply that is due is lost."""
@@ -120,7 +120,7 @@
             self._transport.abort()
 
     def _fail(self, message: str) -> None:
-        waiting, self._waiting = self._waiting, None
+        waiting, self._reply = self._reply, None
         if waiting is not None and not waiting.done():
             waiting.set_exception(ConnectionError(message))
 
@@ -137,20 +137,20 @@
 class IdleConnections:
     """Connections without a call, to any address; those not used for the longest are closed."""
 
-    def __init__(self, *, most: int = MOST_IDLE) -> None:
-        self._most = most
+    def __init__(self, *, limit: int = MAX_IDLE_CONNECTIONS) -> None:
+        self._limit = limit
         self._connections: dict[_Connection, None] = {}
-        self.closed = 0
+        self.closed_count = 0
         """How many were closed, since there were too many."""
 
     def add(self, connection: _Connection) -> None:
         """Keep one that has just been used."""
         self._connections[connection] = None
-        while len(self._connections) > self._most:
+        while len(self._connections) > self._limit:
             oldest = next(iter(self._connections))
             del self._connections[oldest]
             oldest.close()
-            self.closed += 1
+            self.closed_count += 1
 
     def discard(self, connection: _Connection) -> None:
         """Count one no more: it is used again, or closed."""
@@ -171,10 +171,10 @@
         self.address = address
         self._all_idle = idle or IdleConnections()
         self.counts = ConnectionCounts()
-        self._connect_seconds = connect_timeout.total_seconds()
+        self._connect_timeout_seconds = connect_timeout.total_seconds()
         self._idle: list[_Connection] = []
         self._busy: set[_Connection] = set()
-        self._room = asyncio.Semaphore(max_connections)
+        self._slots = asyncio.Semaphore(max_connections)
 
     async def call(
         self,
@@ -193,20 +193,20 @@
         """
         self.counts.calls += 1
         try:
-            async with asyncio.timeout(timeout.total_seconds()), self._room:
-                connection = await self._take(handshake.identity if handshake else "")
+            async with asyncio.timeout(timeout.total_seconds()), self._slots:
+                connection = await self._acquire(handshake.identity if handshake else "")
                 if isinstance(connection, TransportError):
                     self.counts.failed += 1
                     return Err(connection)
                 if handshake is not None and handshake.path:
-                    refused = await self._identify(connection, handshake, headers or {})
+                    refused = await self._confirm_identity(connection, handshake, headers or {})
                     if refused is not None:
                         return refused
                 whole = body if isinstance(body, bytes) else body()
                 data = _build_request(self.address, method, path, whole, headers or {})
                 result = await self._exchange(connection, data)
                 if handshake is not None and isinstance(result, Success):
-                    _note_identity(connection, handshake, result.unwrap())
+                    _record_identity(connection, handshake, result.unwrap())
                 self._release(connection)
                 return result
         except TimeoutError:
@@ -226,7 +226,7 @@
         for connection in self._busy:
             connection.close()
 
-    async def _identify(
+    async def _confirm_identity(
         self, connection: _Connection, handshake: Handshake, headers: Mapping[str, str]
     ) -> Result[HttpReply, TransportError] | None:
         """Have the identity confirmed; return what takes the place of the call's own result."""
@@ -241,7 +241,7 @@
         if reply.status != OK:
             self._release(connection)
             return result
-        _note_identity(connection, handshake, reply)
+        _record_identity(connection, handshake, reply)
         if connection.identity == handshake.identity:
             return None
         self._release(connection)
@@ -271,7 +271,7 @@
             self._idle.append(connection)
             self._all_idle.add(connection)
 
-    async def _take(self, identity: str) -> _Connection | TransportError:
+    async def _acquire(self, identity: str) -> _Connection | TransportError:
         """Return an idle connection, or a new one; none whose identity is known to be another."""
         while self._idle:
             connection = self._idle.pop()
@@ -282,7 +282,7 @@
         loop = asyncio.get_running_loop()
         opening = loop.create_connection(_Connection, self.address.host, self.address.port)
         try:
-            async with asyncio.timeout(self._connect_seconds):
+            async with asyncio.timeout(self._connect_timeout_seconds):
                 _, connection = await opening
         except (OSError, TimeoutError) as error:
             reason = str(error) or "no answer in time"
@@ -326,7 +326,7 @@
             self.drop(address)
 
 
-def _note_identity(connection: _Connection, handshake: Handshake, reply: HttpReply) -> None:
+def _record_identity(connection: _Connection, handshake: Handshake, reply: HttpReply) -> None:
     is_new = connection.identity != handshake.identity
     if is_new and reply.status == OK and handshake.confirms(reply):
         connection.identity = handshake.identity
--- a/cottonlug/net/control_handlers.py
+++ b/cottonlug/net/control_handlers.py
@@ -39,7 +39,7 @@
     @post("/v1/control/change", guards=guards)
     async def change_configuration(request: _Request) -> Response[bytes]:
         """Decide on a change; the outcome comes back with status 200, whatever it is."""
-        return await _change(control, request)
+        return await _handle_change(control, request)
 
     handlers: list[HTTPRouteHandler] = [view_configuration, change_configuration]
     if isinstance(control, Voter):
@@ -56,7 +56,7 @@
 
         Every decision comes with status 200; `decision` tells whether it was accepted.
         """
-        return await _change(control, request)
+        return await _handle_change(control, request)
 
     return [apply_rules]
 
@@ -72,19 +72,19 @@
     @post("/v1/consensus", guards=guards)
     async def exchange_messages(request: _Request) -> Response[bytes]:
         """Take in another member's messages and answer them."""
-        asked = decode(await request.body(), ConsensusBatch)
-        if isinstance(asked, Err):
-            return reply_refusal(asked.failure())
-        return reply_json(voter.receive(asked.unwrap()))
+        decoded = decode(await request.body(), ConsensusBatch)
+        if isinstance(decoded, Err):
+            return reply_refusal(decoded.failure())
+        return reply_json(voter.receive(decoded.unwrap()))
 
     return [greet, exchange_messages]
 
 
-async def _change(control: Control, request: _Request) -> Response[bytes]:
-    asked = decode(await request.body(), ChangeCommand)
-    if isinstance(asked, Err):
-        return reply_refusal(asked.failure())
-    decided = await control.change(asked.unwrap())
+async def _handle_change(control: Control, request: _Request) -> Response[bytes]:
+    decoded = decode(await request.body(), ChangeCommand)
+    if isinstance(decoded, Err):
+        return reply_refusal(decoded.failure())
+    decided = await control.change(decoded.unwrap())
     if isinstance(decided, Err):
         return reply_refusal(decided.failure())
     return reply_json(decided.unwrap())
--- a/cottonlug/net/homes.py
+++ b/cottonlug/net/homes.py
@@ -32,7 +32,7 @@
             for peer in settings.peers
         }
 
-    def find_other(self, id: SubmissionId | None) -> HostId | None:
+    def find_remote_home(self, id: SubmissionId | None) -> HostId | None:
         """Return the other host that an id names as its home, or None where it is not one."""
         parsed = parse_id(id) if id is not None else None
         if parsed is None or parsed.host == self._host:
--- a/cottonlug/net/operator_app.py
+++ b/cottonlug/net/operator_app.py
@@ -86,9 +86,9 @@
     @post("/v1/rules/explain", guards=guards)
     async def explain(request: Request[Any, Any, Any]) -> Response[bytes]:
         """Tell which rule a job would meet, and why not the earlier ones."""
-        asked = decode(await request.body(), ExplainRequest)
-        if isinstance(asked, Err):
-            return reply_refusal(asked.failure())
-        return reply_json(explain_rules(host.rulebook.rules, asked.unwrap()))
+        decoded = decode(await request.body(), ExplainRequest)
+        if isinstance(decoded, Err):
+            return reply_refusal(decoded.failure())
+        return reply_json(explain_rules(host.rulebook.rules, decoded.unwrap()))
 
     return [show_rules, explain]
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -43,17 +43,17 @@
     tried: list[ExplainedRule]
 
 
-def explain_rules(listed: list[rules.Rule], asked: ExplainRequest) -> ExplainReply:
+def explain_rules(listed: list[rules.Rule], request: ExplainRequest) -> ExplainReply:
     """Return which rule a job meets and why the earlier ones did not match."""
     question = rules.Question(
-        team=asked.team,
-        kind=asked.kind,
-        domain=asked.domain,
-        labels=asked.labels,
-        size=asked.size,
-        priority=asked.priority,
-        idempotent=asked.idempotent,
-        time_of_day=asked.time_of_day,
+        team=request.team,
+        kind=request.kind,
+        domain=request.domain,
+        labels=request.labels,
+        size=request.size,
+        priority=request.priority,
+        idempotent=request.idempotent,
+        time_of_day=request.time_of_day,
     )
     tried = rules.explain(listed, question)
     matched = next((each.rule for each in tried if each.mismatch is None), None)
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -16,8 +16,8 @@
     from litestar import Litestar
 
 _START_CHECK_SECONDS = 0.005
-_MOST_AT_ONCE = 256
-_WITHOUT_DESCRIPTORS_SECONDS = 0.1
+_MAX_ACCEPTS_PER_TURN = 256
+_DESCRIPTOR_RETRY_SECONDS = 0.1
 
 
 class Acceptor:
@@ -28,16 +28,16 @@
     """
 
     def __init__(
-        self, *, listening: socket.socket, build: Callable[[], asyncio.BaseProtocol]
+        self, *, listening: socket.socket, build_protocol: Callable[[], asyncio.BaseProtocol]
     ) -> None:
         self.sockets = [listening]
         self._listening = listening
-        self._build = build
+        self._build_protocol = build_protocol
         self._loop = asyncio.get_running_loop()
-        self._opening: set[asyncio.Task[Any]] = set()
+        self._open_tasks: set[asyncio.Task[Any]] = set()
         self._is_closed = False
         listening.setblocking(False)
-        self._begin()
+        self._start_accepting()
 
     def close(self) -> None:
         """Take nobody in any more."""
@@ -48,14 +48,14 @@
 
     async def wait_closed(self) -> None:
         """Return once nobody is being taken in."""
-        await asyncio.gather(*self._opening, return_exceptions=True)
+        await asyncio.gather(*self._open_tasks, return_exceptions=True)
 
-    def _begin(self) -> None:
+    def _start_accepting(self) -> None:
         if not self._is_closed:
             self._loop.add_reader(self._listening.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_MOST_AT_ONCE):
+        for _ in range(_MAX_ACCEPTS_PER_TURN):
             try:
                 accepted, _ = self._listening.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
@@ -63,34 +63,34 @@
             except OSError:
                 # Out of descriptors: whoever waits would wake us in each turn.
                 self._loop.remove_reader(self._listening.fileno())
-                self._loop.call_later(_WITHOUT_DESCRIPTORS_SECONDS, self._begin)
+                self._loop.call_later(_DESCRIPTOR_RETRY_SECONDS, self._start_accepting)
                 return
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             opening = self._loop.create_task(self._open(accepted))
-            self._opening.add(opening)
-            opening.add_done_callback(self._opening.discard)
+            self._open_tasks.add(opening)
+            opening.add_done_callback(self._open_tasks.discard)
 
     async def _open(self, accepted: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._build, accepted)
+            await self._loop.connect_accepted_socket(self._build_protocol, accepted)
         except OSError:
             accepted.close()
 
 
-class _QuietServer(uvicorn.Server):
-    def __init__(self, config: uvicorn.Config, *, takes_all: bool) -> None:
+class _EmbeddedServer(uvicorn.Server):
+    def __init__(self, config: uvicorn.Config, *, accepts_all: bool) -> None:
         super().__init__(config)
-        self._takes_all = takes_all
+        self._accepts_all = accepts_all
         self._stopping = asyncio.Event()
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        if not self._takes_all:
+        if not self._accepts_all:
             await super().startup(sockets)
             return
         config = self.config
 
-        def build() -> asyncio.Protocol:
+        def build_protocol() -> asyncio.Protocol:
             return config.http_protocol_class(  # type: ignore[call-arg]
                 config=config, server_state=self.server_state, app_state={}
             )
@@ -101,7 +101,7 @@
             listening = socket.create_server(address, family=family, backlog=config.backlog)
         except OSError as error:
             raise SystemExit(1) from error
-        self.servers = [Acceptor(listening=listening, build=build)]  # type: ignore[list-item]
+        self.servers = [Acceptor(listening=listening, build_protocol=build_protocol)]  # type: ignore[list-item]
         self.started = True
 
     def stop(self) -> None:
@@ -127,7 +127,7 @@
     a long press, 0.51 with one connection a turn).
     """
 
-    def __init__(self, *, app: Litestar | Any, address: Address, takes_all: bool = False) -> None:
+    def __init__(self, *, app: Litestar | Any, address: Address, accepts_all: bool = False) -> None:
         config = uvicorn.Config(
             app,
             host=address.host,
@@ -145,7 +145,7 @@
             timeout_keep_alive=75,
         )
         self._address = address
-        self._server = _QuietServer(config, takes_all=takes_all)
+        self._server = _EmbeddedServer(config, accepts_all=accepts_all)
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> str | None:
--- a/cottonlug/net/upstream_app.py
+++ b/cottonlug/net/upstream_app.py
@@ -35,15 +35,15 @@
         if refusal is not None:
             await _send(send, refusal, STATUS_OF_REFUSAL[refusal.code])
             return
-        asked = await _read_request(receive, max_body_bytes)
-        opened = asked.bind(host.open_exchange)
+        decoded = await _read_request(receive, max_body_bytes)
+        opened = decoded.bind(host.open_exchange)
         if isinstance(opened, Err):
             refusal = opened.failure()
             await _send(send, refusal, STATUS_OF_REFUSAL[refusal.code])
             return
         reply = await _wait_reply(receive, opened.unwrap())
         if reply is None:
-            host.close_exchange(asked.unwrap())
+            host.close_exchange(decoded.unwrap())
             return
         await _send(send, reply, 200)
 
@@ -80,11 +80,11 @@
     receive: Receive, future: asyncio.Future[ExchangeReply]
 ) -> ExchangeReply | None:
     """Return the reply, or None where the upstream hung up first."""
-    hang_up: asyncio.Future[Any] = asyncio.ensure_future(receive())
-    waiting: list[asyncio.Future[Any]] = [future, hang_up]
+    disconnect: asyncio.Future[Any] = asyncio.ensure_future(receive())
+    waiting: list[asyncio.Future[Any]] = [future, disconnect]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
     if future.done():
-        hang_up.cancel()
+        disconnect.cancel()
         return future.result()
     return None
 
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -27,11 +27,11 @@
 from ..net.asgi import Handler, HttpRequest, HttpResponse
 from .configurations import decode_configuration
 from .heartbeats import decode_heartbeat, decode_leave
-from .jobs import name_task
+from .jobs import build_task_name
 
-INSTANCES = "/instances/"
-CONFIGURATION = "/config"
-EVACUATION = "/evacuation"
+INSTANCES_PATH = "/instances/"
+CONFIGURATION_PATH = "/config"
+EVACUATION_PATH = "/evacuation"
 
 STATUS_OF_OUTCOME = {
     Outcome.DONE: 200,
@@ -45,7 +45,7 @@
 
 def build_control_handler(
     answer: Callable[[Call], Awaitable[Answer]],
-    note_refused: Callable[[str, str], None] = lambda name, reason: None,
+    on_refused: Callable[[str, str], None] = lambda name, reason: None,
 ) -> Handler:
     """Return the handler of the platform's control interface.
 
@@ -53,7 +53,7 @@
     """
 
     async def handle(request: HttpRequest) -> HttpResponse:
-        call = _decode_call(request, note_refused)
+        call = _decode_call(request, on_refused)
         if isinstance(call, HttpResponse):
             return call
         return _encode_answer(call, await answer(call))
@@ -62,22 +62,22 @@
 
 
 def _decode_call(
-    request: HttpRequest, note_refused: Callable[[str, str], None]
+    request: HttpRequest, on_refused: Callable[[str, str], None]
 ) -> Call | HttpResponse:
-    if request.path.startswith(INSTANCES):
-        name = request.path[len(INSTANCES) :]
+    if request.path.startswith(INSTANCES_PATH):
+        name = request.path[len(INSTANCES_PATH) :]
         if request.method == "DELETE":
-            return _take_worker(name, decode_leave(name, request.body), note_refused)
+            return _check_decoded(name, decode_leave(name, request.body), on_refused)
         if request.method == "PUT":
-            return _take_worker(name, decode_heartbeat(name, request.body), note_refused)
-    if request.path == CONFIGURATION:
+            return _check_decoded(name, decode_heartbeat(name, request.body), on_refused)
+    if request.path == CONFIGURATION_PATH:
         if request.method == "GET":
             return AskConfiguration()
         if request.method == "PUT":
             return _decode_configure(request.body)
-    if request.path == EVACUATION and request.method == "GET":
+    if request.path == EVACUATION_PATH and request.method == "GET":
         return AskEvacuations()
-    if request.path.startswith(f"{EVACUATION}/") and request.method in ("POST", "DELETE"):
+    if request.path.startswith(f"{EVACUATION_PATH}/") and request.method in ("POST", "DELETE"):
         return _decode_evacuation(request)
     return HttpResponse(status=404)
 
@@ -85,31 +85,31 @@
 def _decode_evacuation(request: HttpRequest) -> Call | HttpResponse:
     """Decode an order about a zone; its whole meaning is in method and path."""
     if request.body.strip():
-        return _refuse("an order about an evacuation has no body; it was not carried out")
-    zone = request.path[len(EVACUATION) + 1 :]
+        return _build_refusal("an order about an evacuation has no body; it was not carried out")
+    zone = request.path[len(EVACUATION_PATH) + 1 :]
     if not zone:
-        return _refuse("the path names no zone")
+        return _build_refusal("the path names no zone")
     return Evacuate(domain=DomainName(zone), is_evacuated=request.method == "POST")
 
 
-def _take_worker(
+def _check_decoded(
     name: str,
     decoded: Result[Beat, str] | Result[Leave, str],
-    note_refused: Callable[[str, str], None],
+    on_refused: Callable[[str, str], None],
 ) -> Call | HttpResponse:
     if isinstance(decoded, Err):
-        note_refused(name, decoded.failure())
-        return _refuse(decoded.failure())
+        on_refused(name, decoded.failure())
+        return _build_refusal(decoded.failure())
     return decoded.unwrap()
 
 
 def _decode_configure(body: bytes) -> Call | HttpResponse:
     decoded = decode_configuration(body)
     if isinstance(decoded, Err):
-        return _refuse(decoded.failure())
+        return _build_refusal(decoded.failure())
     problem = find_configuration_problem(decoded.unwrap())
     if problem is not None:
-        return _refuse(problem)
+        return _build_refusal(problem)
     return Configure(configuration=decoded.unwrap())
 
 
@@ -143,15 +143,15 @@
         body["hold_ms"] = orders.lease_ms
     if orders.starts:
         body["start"] = [
-            [name_task(start.task), start.run, start.payload, start.checkpoint]
+            [build_task_name(start.task), start.run, start.payload, start.checkpoint]
             for start in orders.starts
         ]
     if orders.stops:
-        body["stop"] = [[name_task(task), run] for task, run in orders.stops]
+        body["stop"] = [[build_task_name(task), run] for task, run in orders.stops]
     if orders.next_after_ms is not None:
         body["retry_after_ms"] = orders.next_after_ms
     return body
 
 
-def _refuse(problem: str) -> HttpResponse:
+def _build_refusal(problem: str) -> HttpResponse:
     return HttpResponse(status=400, body=msgspec.json.encode({"error": problem}))
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -14,9 +14,9 @@
 from ..net.asgi import Handler, HttpRequest, HttpResponse
 from .jobs import STATE_WORDS, decode_job
 
-READY = "/ready"
-DEADLINE_HEADER = "x-timeout-ms"
-DEFAULT_PATIENCE = timedelta(milliseconds=1_500)
+READINESS_PATH = "/ready"
+TIMEOUT_HEADER = "x-timeout-ms"
+DEFAULT_WAIT_TIMEOUT = timedelta(milliseconds=1_500)
 ANSWER_MARGIN = timedelta(milliseconds=40)
 """Time that an answer takes to reach the caller, with room for a busy host."""
 RETRY_AFTER_SECONDS = "1"
@@ -41,9 +41,9 @@
 ) -> Handler:
     """Return the handler of the platform's interface for callers."""
 
-    async def _answer(call: Call, patience: timedelta) -> Answer:
+    async def _answer(call: Call, timeout: timedelta) -> Answer:
         try:
-            return await answer(call, patience)
+            return await answer(call, timeout)
         except asyncio.CancelledError:
             # The caller has hung up.
             if isinstance(call, Submit) and call.spec.best_effort:
@@ -55,7 +55,7 @@
         if isinstance(call, HttpResponse):
             response = call
         else:
-            response = _encode_answer(await _answer(call, _read_patience(request)))
+            response = _encode_answer(await _answer(call, _read_wait_timeout(request)))
         response.close = is_stopping()
         return response
 
@@ -66,7 +66,7 @@
     """Return the handler of the balancer's check."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
-        if request.path != READY:
+        if request.path != READINESS_PATH:
             return HttpResponse(status=404)
         return HttpResponse(status=200 if is_ready() else 503)
 
@@ -82,16 +82,16 @@
     if request.method != "POST":
         return HttpResponse(status=405)
     decoded = decode_job(request.body)
-    patience_ms = to_milliseconds(_read_patience(request))
+    patience_ms = to_milliseconds(_read_wait_timeout(request))
     if isinstance(decoded, Err):
         body = msgspec.json.encode({"error": decoded.failure()})
         return HttpResponse(status=400, body=body)
     return Submit(host=host, path=request.path, spec=decoded.unwrap(), patience_ms=patience_ms)
 
 
-def _read_patience(request: HttpRequest) -> timedelta:
-    text = request.headers.get(DEADLINE_HEADER, "")
-    given = timedelta(milliseconds=int(text)) if text.isdecimal() else DEFAULT_PATIENCE
+def _read_wait_timeout(request: HttpRequest) -> timedelta:
+    text = request.headers.get(TIMEOUT_HEADER, "")
+    given = timedelta(milliseconds=int(text)) if text.isdecimal() else DEFAULT_WAIT_TIMEOUT
     return given - ANSWER_MARGIN
 
 
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -17,19 +17,19 @@
 from ..core.cluster.model import Capacity, Heartbeat, ServiceName, UpstreamInfo
 from ..core.ids import DomainName, UpstreamId
 from ..net.connections import parse_address
-from .workers import read_lists
+from .workers import read_run_lists
 
 READY = "ready"
 DRAINING = "draining"
 
 _CAPACITY_FIELDS = ("cpu", "mem_mb", "gpu")  # the first in thousandths of a core
-_MOST_OF_ANYTHING = 1_000_000_000
+_MAX_AMOUNT = 1_000_000_000
 """A million cores, a petabyte: what claims to have more cannot be right."""
-_MOST_COUNT = 1 << 52
+_MAX_COUNT = 1 << 52
 """Of counts and milliseconds: far beyond any, and exact in every reader of JSON."""
-_MOST_TEXT = 256
+_MAX_NAME_CHARS = 256
 """Characters of a name: what is known of an upstream goes into the log and to every gateway."""
-_MOST_LABELS = 64
+_MAX_LABELS = 64
 
 
 class _HeartbeatBody(msgspec.Struct):
@@ -66,7 +66,7 @@
         return Err(problem)
     capacity = _read_capacity(read.capacity)
     info = UpstreamInfo(
-        id=_name_life(name, read.born),
+        id=_build_instance_id(name, read.born),
         service=ServiceName(read.service),
         address=read.address,
         domain=DomainName(read.zone),
@@ -80,7 +80,7 @@
         clock_ms=read.clock_ms,
         has_no_capacity=capacity is None,
         cold_left_ms=_read_cold_left(read.cold_left_ms),
-        held=read_lists(read.clock_ms, read.running, read.finished),
+        held=read_run_lists(read.clock_ms, read.running, read.finished),
     )
     return Success(Beat(heartbeat=heartbeat))
 
@@ -91,40 +91,40 @@
         read = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
-    if not _is_name(name):
+    if not _is_valid_name(name):
         return Err("the path names no worker")
-    if not _is_birth(read.born):
+    if not _is_valid_start_time(read.born):
         return Err("born is out of range")
-    return Success(Leave(upstream=_name_life(name, read.born)))
+    return Success(Leave(upstream=_build_instance_id(name, read.born)))
 
 
 def _find_problem(name: str, read: _HeartbeatBody) -> str | None:
     """Return why what was read cannot be said by a worker, or None."""
-    if not _is_name(name):
+    if not _is_valid_name(name):
         return "the path names no worker"
     if read.state not in (READY, DRAINING):
-        return f"unknown state {read.state[:_MOST_TEXT]}"
+        return f"unknown state {read.state[:_MAX_NAME_CHARS]}"
     if parse_address(read.address) is None:
         return "the address is none"
     texts = (read.service, read.zone, read.address, *read.labels)
-    if not read.service or not read.zone or max(map(len, texts)) > _MOST_TEXT:
+    if not read.service or not read.zone or max(map(len, texts)) > _MAX_NAME_CHARS:
         return "a name is empty or too long"
-    if len(read.labels) > _MOST_LABELS:
+    if len(read.labels) > _MAX_LABELS:
         return "too many labels"
-    if not (0 <= read.seq_no <= _MOST_COUNT and 0 <= (read.clock_ms or 0) <= _MOST_COUNT):
+    if not (0 <= read.seq_no <= _MAX_COUNT and 0 <= (read.clock_ms or 0) <= _MAX_COUNT):
         return "a count is out of range"
-    return None if _is_birth(read.born) else "born is out of range"
+    return None if _is_valid_start_time(read.born) else "born is out of range"
 
 
-def _is_name(name: str) -> bool:
-    return 0 < len(name) <= _MOST_TEXT and SEPARATOR not in name
+def _is_valid_name(name: str) -> bool:
+    return 0 < len(name) <= _MAX_NAME_CHARS and SEPARATOR not in name
 
 
-def _is_birth(born: int | msgspec.UnsetType) -> bool:
-    return isinstance(born, msgspec.UnsetType) or 0 <= born <= _MOST_COUNT
+def _is_valid_start_time(born: int | msgspec.UnsetType) -> bool:
+    return isinstance(born, msgspec.UnsetType) or 0 <= born <= _MAX_COUNT
 
 
-def _name_life(name: str, born: int | msgspec.UnsetType) -> UpstreamId:
+def _build_instance_id(name: str, born: int | msgspec.UnsetType) -> UpstreamId:
     return name_life(name, None if isinstance(born, msgspec.UnsetType) else born)
 
 
@@ -133,7 +133,7 @@
     if not isinstance(body, dict):
         return None
     amounts = [body.get(name, 0) for name in _CAPACITY_FIELDS]
-    if not all(type(amount) is int and 0 <= amount <= _MOST_OF_ANYTHING for amount in amounts):
+    if not all(type(amount) is int and 0 <= amount <= _MAX_AMOUNT for amount in amounts):
         return None
     return Capacity(cpu_millis=amounts[0], memory_mb=amounts[1], gpus=amounts[2])
 
@@ -141,4 +141,4 @@
 def _read_cold_left(value: Any) -> int:
     """Return for how many milliseconds a worker is still slow; 0 where that cannot be read."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    return int(value) if is_number and 0 < value < _MOST_OF_ANYTHING else 0
+    return int(value) if is_number and 0 < value < _MAX_AMOUNT else 0
--- a/cottonlug/platform/jobs.py
+++ b/cottonlug/platform/jobs.py
@@ -91,12 +91,12 @@
     )
 
 
-def name_task(ref: TaskRef) -> str:
+def build_task_name(ref: TaskRef) -> str:
     """Return a task's name, ID.K.STEP.INDEX."""
     return f"{ref.job}.{ref.occurrence}.{ref.step}.{ref.place}"
 
 
-def parse_task(name: str) -> TaskRef | None:
+def parse_task_name(name: str) -> TaskRef | None:
     """Return the task of a name, or None where it is none."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
--- a/cottonlug/platform/operators.py
+++ b/cottonlug/platform/operators.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from .control import EVACUATION
+from .control import EVACUATION_PATH
 
-_FINAL = frozenset({400, 404, 409, 412, 413, 422})
+_FINAL_STATUSES = frozenset({400, 404, 409, 412, 413, 422})
 """Statuses after which the same call has no better chance at another host."""
 
 
@@ -46,15 +46,15 @@
     evacuations: list[EvacuatedDomain]
 
 
-def build_order(domain: str, *, begin: bool) -> OperatorCall:
+def build_evacuation_call(domain: str, *, begin: bool) -> OperatorCall:
     """Return the call that begins or ends the evacuation of a domain."""
     method = "POST" if begin else "DELETE"
-    return OperatorCall(method=method, path=f"{EVACUATION}/{quote(domain, safe='')}")
+    return OperatorCall(method=method, path=f"{EVACUATION_PATH}/{quote(domain, safe='')}")
 
 
-def build_list() -> OperatorCall:
+def build_list_call() -> OperatorCall:
     """Return the call that asks which domains are evacuated."""
-    return OperatorCall(method="GET", path=EVACUATION)
+    return OperatorCall(method="GET", path=EVACUATION_PATH)
 
 
 def read_reply(status: int, body: bytes) -> OperatorReply:
@@ -62,7 +62,7 @@
     if status == 200:
         return OperatorReply(is_done=True, body=body)
     detail = body.decode(errors="replace")
-    return OperatorReply(is_final=status in _FINAL, problem=f"{status} {detail}")
+    return OperatorReply(is_final=status in _FINAL_STATUSES, problem=f"{status} {detail}")
 
 
 def read_list(reply: OperatorReply) -> EvacuationList | None:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -28,22 +28,22 @@
 )
 from ..net.connections import ConnectionPools, Handshake, parse_address
 from ..net.transport import HttpReply, TransportError
-from .jobs import name_task, parse_task
+from .jobs import build_task_name, parse_task_name
 
-START = "/run-start"
-STOP = "/run-stop"
-LOOK = "/hold"
-LIFE_HEADER = "X-Expect-Instance"
-ANOTHER_LIFE = 421
+START_PATH = "/run-start"
+STOP_PATH = "/run-stop"
+POLL_PATH = "/hold"
+INSTANCE_HEADER = "X-Expect-Instance"
+WRONG_INSTANCE_STATUS = 421
 
-FENCED = "fence"
-_REASONS = {
-    FENCED: StartOutcome.FENCED,
+FENCED_REASON = "fence"
+_OUTCOME_BY_REASON = {
+    FENCED_REASON: StartOutcome.FENCED,
     "old": StartOutcome.OUTDATED,
     "late": StartOutcome.LATE,
     "room": StartOutcome.NO_ROOM,
 }
-_END_WORDS = {
+_RUN_END_BY_WORD = {
     "done": EndKind.DONE,
     "failed": EndKind.FAILED,
     "stopped": EndKind.STOPPED,
@@ -73,7 +73,7 @@
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
         """Send a start; return what became of it and the worker's clock where it was told."""
         body: dict[str, Any] = {
-            "task": name_task(order.task),
+            "task": build_task_name(order.task),
             "run_id": order.run,
             "task_spec": order.payload,
             "expires_ms": order.expires_ms,
@@ -81,9 +81,9 @@
         }
         if order.checkpoint:
             body["checkpoint"] = order.checkpoint
-        sent = await self._call(order.upstream, START, body, order.patience)
+        sent = await self._call(order.upstream, START_PATH, body, order.patience)
         if isinstance(sent, Err):
-            return _find_lost_start(sent.failure()), None
+            return _classify_failed_start(sent.failure()), None
         reply = sent.unwrap()
         read = _read_reply(reply)
         clock_ms = read.clock_ms if read is not None else None
@@ -91,10 +91,10 @@
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop."""
-        body = {"task": name_task(order.task), "run_id": order.run, "fencing_token": token}
-        sent = await self._call(order.upstream, STOP, body, order.patience)
+        body = {"task": build_task_name(order.task), "run_id": order.run, "fencing_token": token}
+        sent = await self._call(order.upstream, STOP_PATH, body, order.patience)
         if isinstance(sent, Err):
-            return _find_lost_call(sent.failure())
+            return _classify_failed_call(sent.failure())
         return _find_failure(sent.unwrap())
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
@@ -105,18 +105,22 @@
         wait_ms = to_milliseconds(order.wait)
         if wait_ms:
             body["wait_ms"] = wait_ms
-        sent = await self._call(order.upstream, LOOK, body, order.patience + order.wait)
+        sent = await self._call(order.upstream, POLL_PATH, body, order.patience + order.wait)
         if isinstance(sent, Err):
-            return _find_lost_call(sent.failure())
+            return _classify_failed_call(sent.failure())
         failure = _find_failure(sent.unwrap())
         if failure is not None:
             return failure
         read = _read_reply(sent.unwrap())
-        if read is not None and read.born is not None and not _is_born(order.upstream, read):
+        if (
+            read is not None
+            and read.born is not None
+            and not _is_same_instance(order.upstream, read)
+        ):
             # Known by its id alone, as in logs of earlier versions, it may be this life or not.
             is_known = find_birth(order.upstream.id) is not None
             return CallFailure.LIFE_ENDED if is_known else CallFailure.REFUSED
-        lists = read_lists(read.clock_ms, read.running, read.finished) if read else None
+        lists = read_run_lists(read.clock_ms, read.running, read.finished) if read else None
         return lists if lists is not None else CallFailure.REFUSED
 
     async def _call(
@@ -126,45 +130,45 @@
         if address is None:
             return Err(TransportError(message=f"{upstream.address} is no address", unsent=True))
         pool = self._pools.get(address)
-        headers = {LIFE_HEADER: get_name(upstream.id)}
+        headers = {INSTANCE_HEADER: get_name(upstream.id)}
         data = msgspec.json.encode(body)
         handshake = None
         if find_birth(upstream.id) is not None:
-            changes_nothing = path == LOOK and not body["last_seen"] and "expires_ms" not in body
-            handshake = _build_handshake(upstream, body["fencing_token"], changes_nothing)
+            is_read_only = path == POLL_PATH and not body["last_seen"] and "expires_ms" not in body
+            handshake = _build_handshake(upstream, body["fencing_token"], is_read_only)
         return await pool.call(
             "POST", path, data, timeout=timeout, headers=headers, handshake=handshake
         )
 
 
-def _build_handshake(upstream: UpstreamInfo, token: int, is_call_itself: bool) -> Handshake:
+def _build_handshake(upstream: UpstreamInfo, token: int, is_own_handshake: bool) -> Handshake:
     """Return the handshake by which a worker shows which of its lives answers.
 
     The header names its id alone, and a later life may have the same.
     """
     return Handshake(
         identity=upstream.id,
-        confirms=lambda reply: _is_born(upstream, _read_reply(reply)),
-        path="" if is_call_itself else LOOK,
+        confirms=lambda reply: _is_same_instance(upstream, _read_reply(reply)),
+        path="" if is_own_handshake else POLL_PATH,
         build_body=lambda: msgspec.json.encode({"fencing_token": token, "last_seen": 0}),
     )
 
 
-def _is_born(upstream: UpstreamInfo, read: _ReplyBody | None) -> bool:
+def _is_same_instance(upstream: UpstreamInfo, read: _ReplyBody | None) -> bool:
     return read is not None and read.born == find_birth(upstream.id)
 
 
-def _find_lost_start(error: TransportError) -> StartOutcome:
+def _classify_failed_start(error: TransportError) -> StartOutcome:
     if error.is_identity_mismatch:
         return StartOutcome.LIFE_ENDED
     return StartOutcome.NOT_SENT if error.unsent else StartOutcome.UNKNOWN
 
 
-def _find_lost_call(error: TransportError) -> CallFailure:
+def _classify_failed_call(error: TransportError) -> CallFailure:
     return CallFailure.LIFE_ENDED if error.is_identity_mismatch else CallFailure.NO_ANSWER
 
 
-def read_lists(
+def read_run_lists(
     clock_ms: int | None, running: list[list[Any]], finished: list[list[Any]]
 ) -> LookReply | None:
     """Return what a worker says that it holds, or None where that cannot be read."""
@@ -185,10 +189,10 @@
         return StartOutcome.STARTED
     if status == 409:
         reason = read.reason if read is not None else ""
-        return _REASONS.get(reason, StartOutcome.INVALID)
+        return _OUTCOME_BY_REASON.get(reason, StartOutcome.INVALID)
     if status in (429, 503):
         return StartOutcome.UNHEALTHY
-    if status == ANOTHER_LIFE:
+    if status == WRONG_INSTANCE_STATUS:
         return StartOutcome.LIFE_ENDED
     if status == 400:
         return StartOutcome.INVALID
@@ -198,10 +202,10 @@
 def _find_failure(reply: HttpReply) -> CallFailure | None:
     if reply.status == 200:
         return None
-    if reply.status == ANOTHER_LIFE:
+    if reply.status == WRONG_INSTANCE_STATUS:
         return CallFailure.LIFE_ENDED
     read = _read_reply(reply)
-    is_fenced = reply.status == 409 and read is not None and read.reason == FENCED
+    is_fenced = reply.status == 409 and read is not None and read.reason == FENCED_REASON
     return CallFailure.FENCED if is_fenced else CallFailure.REFUSED
 
 
@@ -214,7 +218,7 @@
 
 def _read_run(row: list[Any]) -> RunReport | None:
     """Return one run that is listed, or None where it is of no task of ours."""
-    ref = parse_task(row[0])
+    ref = parse_task_name(row[0])
     if ref is None:
         return None
     run, saved, percent = row[1:4]
@@ -227,7 +231,7 @@
     """Return one end that is listed, or None where it is of no task of ours."""
     number, name, run, word = row[:4]
     saved = row[4] or ""
-    ref, how = parse_task(name), _END_WORDS.get(word)
+    ref, how = parse_task_name(name), _RUN_END_BY_WORD.get(word)
     if ref is None or how is None:
         return None
     if type(number) is not int or type(run) is not int or type(saved) is not str:
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -33,7 +33,7 @@
         counts.update(dataclasses.asdict(host.replica.counts))
         counts["heartbeats_answered_here"] = host.heartbeats.answered
         counts["heartbeats_refused"] = refused.count
-        counts["idle_connections_closed"] = idle.closed
+        counts["idle_connections_closed"] = idle.closed_count
         counts["log_lines_left_out"] = output.left_out
         return counts
 
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -9,7 +9,7 @@
 import msgspec
 from returns.result import Failure as Err
 
-from ..config.cluster import ControlSettings, OrdersBy
+from ..config.cluster import ControlSettings, OrderDelivery
 from ..core.clock import Clock
 from ..core.cluster.calls import (
     Answer,
@@ -93,7 +93,7 @@
             host=settings.host,
             clock=clock,
             get_records=lambda: self.replicated.records,
-            orders_by_heartbeat=settings.orders is OrdersBy.HEARTBEAT,
+            orders_by_heartbeat=settings.orders is OrderDelivery.HEARTBEAT,
         )
         self.heartbeats = HeartbeatDesk(
             control_address=str(settings.listen.control),
@@ -168,7 +168,7 @@
             answer = await self._pass_on(leader, call, GREETING_PASSED, self._pools)
             # Whoever greets learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
-        if isinstance(call, Beat) and self._settings.orders is OrdersBy.CALL:
+        if isinstance(call, Beat) and self._settings.orders is OrderDelivery.CALL:
             taken = self.heartbeats.take(call.heartbeat)
             if taken is not None:
                 return taken
@@ -252,7 +252,7 @@
     def _choose_terms(self) -> LeaseTerms:
         settings = self._settings
         terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
-        if settings.orders is OrdersBy.HEARTBEAT:
+        if settings.orders is OrderDelivery.HEARTBEAT:
             return LeaseTerms(longest=settings.longest_lease, delivery=DELIVERY)
         return terms
 
@@ -365,7 +365,7 @@
                 on_failure=self._on_failure,
                 settings=LeadingSettings(
                     terms=self._choose_terms(),
-                    orders_by_heartbeat=self._settings.orders is OrdersBy.HEARTBEAT,
+                    orders_by_heartbeat=self._settings.orders is OrderDelivery.HEARTBEAT,
                     keep_ended=self._settings.keep_ended,
                     caller_retry=self._settings.caller_retry,
                     domains=frozenset({*self._settings.domains, self._settings.domain}),
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -20,7 +20,7 @@
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from .model_upstreams import World, build_queue, build_spec, milliseconds
-from .wire_site import Fate, WireHost, WireLeader, beat_forever, build_hosts
+from .wire_site import CallDelivery, WireHost, WireLeader, send_heartbeats, build_hosts
 
 TERMS = choose_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
 JOB = JobId("a" * 16)
@@ -85,7 +85,7 @@
         self.hosts = build_hosts(self.world, 2, run_ms=lambda: RUN / milliseconds(1), rate=0.98)
         for number, host in enumerate(self.hosts.values()):
             host.process.clock_began_ms = 5_000_000 + number
-            self.world.at(NEAR * number, lambda host=host: beat_forever(host, self._find_leader))  # type: ignore[misc]
+            self.world.at(NEAR * number, lambda host=host: send_heartbeats(host, self._find_leader))  # type: ignore[misc]
 
     def run(self) -> Outcome:
         """Play the script to its end."""
@@ -123,7 +123,7 @@
             token=(len(self.leaders) + 1) * TOKENS_PER_TERM,
             terms=TERMS,
             hosts=self.hosts,
-            choose_fate=self._choose_fate,
+            choose_delivery=self._choose_fate,
         )
         if self.leaders:
             leader.cut_off = self.leaders[-1].cut_off
@@ -135,9 +135,9 @@
             for job in (JOB, OTHER):
                 leader.submit(job, SPEC, QUEUE, may_have_begun=may_have_begun)
 
-    def _choose_fate(self, host: WireHost) -> Fate:
+    def _choose_fate(self, host: WireHost) -> CallDelivery:
         """Return what becomes of the next order, and have its fault strike."""
-        usual = Fate(there=NEAR, back=NEAR)
+        usual = CallDelivery(request_delay=NEAR, reply_delay=NEAR)
         if self.world.now > FAULTS_UNTIL or self.world.now < SUBMITTED_AT:
             return usual
         number = self.outcome.orders
@@ -147,14 +147,16 @@
             return usual
         self._tell(f"order {number} to {host.name}: {fault.value}")
         if fault is Fault.ORDER_LOST:
-            return Fate(there=None, back=None)
+            return CallDelivery(request_delay=None, reply_delay=None)
         if fault is Fault.ANSWER_LOST:
-            return Fate(there=NEAR, back=None)
+            return CallDelivery(request_delay=NEAR, reply_delay=None)
         if fault is Fault.HELD:
-            return Fate(there=NEAR, back=None, held=milliseconds(500))
+            return CallDelivery(
+                request_delay=NEAR, reply_delay=None, execution_delay=milliseconds(500)
+            )
         if fault is Fault.STARTS_AGAIN:
             # Its clock begins anew, far below or above.
-            host.start_again()
+            host.restart()
             host.process.clock_began_ms = (1_000_000, 9_000_000)[number % 2]
         elif fault is Fault.CUT:
             self._find_leader().cut_off.add(host.info.id)
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -29,7 +29,7 @@
     ControlSettings,
     GatewayListeners,
     GatewaySettings,
-    OrdersBy,
+    OrderDelivery,
 )
 from ..config.logs import LogSettings
 from ..config.options import Address
@@ -327,7 +327,7 @@
             longest_lease=timedelta(seconds=1),
             caller_retry=timedelta(milliseconds=1_300),
             keep_ended=timedelta(seconds=120),
-            orders=OrdersBy.CALL,
+            orders=OrderDelivery.CALL,
             drain_limit=timedelta(seconds=6),
             log=LogSettings(),
         )
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -639,7 +639,7 @@
 
         address = Address("127.0.0.1", find_base_port())
         app = build_asgi(answer, lambda: 1_000)
-        listener = Listener(app=app, address=address, takes_all=True)
+        listener = Listener(app=app, address=address, accepts_all=True)
         assert await listener.start() is None
         target = (address.host, address.port)
         clients = [socket.create_connection(target) for _ in range(PRESSING)]
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -205,7 +205,7 @@
 
 
 def test_connections_not_used_for_the_longest_are_closed_where_there_are_too_many() -> None:
-    idle = IdleConnections(most=3)
+    idle = IdleConnections(limit=3)
     connections = [_Connection() for _ in range(5)]
     for connection in connections[:3]:
         idle.add(connection)  # type: ignore[arg-type]
@@ -214,7 +214,7 @@
     for connection in connections[3:]:
         idle.add(connection)  # type: ignore[arg-type]
     assert [each.is_open for each in connections] == [True, False, False, True, True]
-    assert idle.closed == 2
+    assert idle.closed_count == 2
 
 
 def test_a_desk_is_named_only_once_it_has_told_something() -> None:
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ..config.cluster import ControlListeners, ControlSettings, OrdersBy
+from ..config.cluster import ControlListeners, ControlSettings, OrderDelivery
 from ..config.logs import LogSettings
 from ..config.options import Address
 from ..core.cluster.calls import Answer, Beat, Call, HeartbeatOrders, Leave, Outcome
@@ -26,7 +26,7 @@
 INFO = build_info("u1")
 
 
-def build_host(orders: OrdersBy, folder: Path) -> ControlHost:
+def build_host(orders: OrderDelivery, folder: Path) -> ControlHost:
     address = Address("10.0.1.1", 7_000)
     settings = ControlSettings(
         host=HostId("c1"),
@@ -71,7 +71,7 @@
 
 
 def play(
-    orders: OrdersBy,
+    orders: OrderDelivery,
     answer_after: float,
     script: Callable[[ControlHost], Awaitable[Answer]],
     folder: Path,
@@ -98,13 +98,13 @@
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
         return await host.answer(beat(draining=True))
 
-    answer, _ = play(OrdersBy.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
+    answer, _ = play(OrderDelivery.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
     assert answer.orders is not None and answer.orders.lease_ms
 
 
-@pytest.mark.parametrize("orders", list(OrdersBy))
+@pytest.mark.parametrize("orders", list(OrderDelivery))
 def test_a_heartbeat_goes_to_the_leader_once(
-    orders: OrdersBy, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    orders: OrderDelivery, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The leader may keep it for 0.7 s; a second one would count as overtaken, and be for nothing.
 
@@ -128,5 +128,5 @@
         assert leaving.outcome is Outcome.DONE
         return await host.answer(beat(draining=True))
 
-    answer, _ = play(OrdersBy.CALL, 10.0, script, tmp_path, monkeypatch)
+    answer, _ = play(OrderDelivery.CALL, 10.0, script, tmp_path, monkeypatch)
     assert answer.outcome is Outcome.DONE
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -45,7 +45,7 @@
 
 def put_back_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
     """A list of any life is taken for that of the one that was asked."""
-    patch.setattr(workers, "_is_born", lambda upstream, read: True)
+    patch.setattr(workers, "_is_same_instance", lambda upstream, read: True)
 
 
 def put_back_fast_clock(patch: pytest.MonkeyPatch) -> None:
--- a/cottonlug/tests/test_handshakes.py
+++ b/cottonlug/tests/test_handshakes.py
@@ -16,11 +16,11 @@
 from ..net.connections import ConnectionPool, Handshake
 from ..net.transport import HttpReply
 
-SECOND = timedelta(seconds=5)
+CALL_TIMEOUT = timedelta(seconds=5)
 """Far more than a call on one machine takes."""
 
 
-class StandIn:
+class StubServer:
     """Answers each request with its name, and remembers the paths."""
 
     def __init__(self, name: str, status: int = 200) -> None:
@@ -67,9 +67,11 @@
     )
 
 
-def play(act: Callable[[StandIn, ConnectionPool], Awaitable[None]], status: int = 200) -> None:
+def run_with_server(
+    act: Callable[[StubServer, ConnectionPool], Awaitable[None]], status: int = 200
+) -> None:
     async def run() -> None:
-        first = StandIn("first", status)
+        first = StubServer("first", status)
         port = await first.start()
         pool = ConnectionPool(address=Address("127.0.0.1", port))
         await act(first, pool)
@@ -80,51 +82,57 @@
 
 
 def test_a_connection_is_identified_once() -> None:
-    async def act(first: StandIn, pool: ConnectionPool) -> None:
+    async def act(first: StubServer, pool: ConnectionPool) -> None:
         for _ in range(3):
             result = await pool.call(
-                "POST", "/do", timeout=SECOND, handshake=build_handshake("first")
+                "POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first")
             )
             assert result == Success(HttpReply(status=200, body=b"first"))
         assert first.paths == ["/who", "/do", "/do", "/do"]
         assert first.connections == 1
 
-    play(act)
+    run_with_server(act)
 
 
 def test_a_call_that_changes_nothing_is_its_own_handshake() -> None:
-    async def act(first: StandIn, pool: ConnectionPool) -> None:
+    async def act(first: StubServer, pool: ConnectionPool) -> None:
         itself = build_handshake("first", path="")
-        await pool.call("POST", "/who", timeout=SECOND, handshake=itself)
-        await pool.call("POST", "/do", timeout=SECOND, handshake=build_handshake("first"))
+        await pool.call("POST", "/who", timeout=CALL_TIMEOUT, handshake=itself)
+        await pool.call("POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first"))
         assert first.paths == ["/who", "/do"]
 
-    play(act)
+    run_with_server(act)
 
 
 # Guards against orders that a later process at the address carries out for the earlier one.
 def test_a_call_for_a_process_that_has_ended_is_not_sent_to_the_next_one() -> None:
-    async def act(first: StandIn, pool: ConnectionPool) -> None:
-        await pool.call("POST", "/do", timeout=SECOND, handshake=build_handshake("first"))
+    async def act(first: StubServer, pool: ConnectionPool) -> None:
+        await pool.call("POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first"))
         await first.stop()
-        second = StandIn("second")
+        second = StubServer("second")
         await second.start(pool.address.port)
-        result = await pool.call("POST", "/do", timeout=SECOND, handshake=build_handshake("first"))
+        result = await pool.call(
+            "POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first")
+        )
         assert isinstance(result, Err)
         assert (result.failure().unsent, result.failure().is_identity_mismatch) == (True, True)
         assert second.paths == ["/who"]
-        result = await pool.call("POST", "/do", timeout=SECOND, handshake=build_handshake("second"))
+        result = await pool.call(
+            "POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("second")
+        )
         assert isinstance(result, Success)
         assert second.paths.count("/do") == 1
         await second.stop()
 
-    play(act)
+    run_with_server(act)
 
 
 def test_a_handshake_that_is_refused_is_the_reply() -> None:
-    async def act(first: StandIn, pool: ConnectionPool) -> None:
-        result = await pool.call("POST", "/do", timeout=SECOND, handshake=build_handshake("first"))
+    async def act(first: StubServer, pool: ConnectionPool) -> None:
+        result = await pool.call(
+            "POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first")
+        )
         assert result == Success(HttpReply(status=409, body=b"first"))
         assert first.paths == ["/who"]
 
-    play(act, status=409)
+    run_with_server(act, status=409)
--- a/cottonlug/tests/test_lives_on_every_path.py
+++ b/cottonlug/tests/test_lives_on_every_path.py
@@ -80,11 +80,11 @@
     world = World(random=random.Random(3))
     hosts = build_hosts(world, 1, run_ms=lambda: 60.0)
     (host,) = hosts.values()
-    earlier = host.born_ms
+    earlier = host.started_ms
     world.run_until(milliseconds(500))
-    host.start_again()
+    host.restart()
     records = Records()
-    for born in (earlier, host.born_ms):
+    for born in (earlier, host.started_ms):
         info = msgspec.structs.replace(host.info, id=name_life(host.name, born))
         records.apply(AddUpstream(info=info))
     deputy = WireLeader(
@@ -99,7 +99,7 @@
     world.run_until(milliseconds(1_500))
     assert deputy.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
     assert world.starts == 4
-    assert list(deputy.dispatch.lives) == [name_life(host.name, host.born_ms)]
+    assert list(deputy.dispatch.lives) == [name_life(host.name, host.started_ms)]
 
 
 def test_a_host_that_does_not_lead_passes_on_the_first_heartbeat_of_a_later_life() -> None:
--- a/cottonlug/tests/test_other_writers.py
+++ b/cottonlug/tests/test_other_writers.py
@@ -20,10 +20,10 @@
 from ..core.cluster.model import LookReply
 from ..net.connections import parse_address
 from ..platform.heartbeats import decode_heartbeat, decode_leave
-from ..platform.workers import read_lists
+from ..platform.workers import read_run_lists
 from ..runtime.refused_heartbeats import LINE_EVERY, RefusedHeartbeats
 from .gateway_builders import build_clock
-from .test_platform import ask, run_control
+from .test_platform import build_request, run_control
 
 SETTINGS = settings(derandomize=True, deadline=None, max_examples=400)
 TASK = "5c0e7a21d94b36f8.0.1.17"
@@ -109,7 +109,7 @@
         [[58, TASK, 1, "done", *row]],
     ):
         for running, finished in ((rows, []), ([], rows)):
-            lists = read_lists(5, running, finished)
+            lists = read_run_lists(5, running, finished)
             if lists is not None:
                 check_lists(lists)
 
@@ -137,7 +137,7 @@
     answers: list[tuple[int, list[Call]]] = []
     for each in (msgspec.json.encode(GOOD), body, msgspec.json.encode(GOOD)):
         response, calls = run_control(
-            ask("PUT", "/instances/i-1", each), Answer(outcome=Outcome.DONE)
+            build_request("PUT", "/instances/i-1", each), Answer(outcome=Outcome.DONE)
         )
         answers.append((response.status, calls))
     assert [status for status, _ in answers] == [200, 400, 200]
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -100,7 +100,7 @@
         urgent = Address("127.0.0.1", find_base_port() + 4)
         listeners = [
             Listener(app=count, address=peers),
-            Listener(app=app, address=urgent, takes_all=True),
+            Listener(app=app, address=urgent, accepts_all=True),
         ]
         for listener in listeners:
             assert await listener.start() is None
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -31,12 +31,12 @@
 from ..platform.configurations import decode_configuration
 from ..platform.control import build_control_handler
 from ..platform.front import build_front_handler, build_readiness_handler
-from ..platform.jobs import decode_job, name_task, parse_task
+from ..platform.jobs import decode_job, build_task_name, parse_task_name
 from ..platform.workers import WorkerClient
 from .model_upstreams import build_info
 
 PACKAGE = Path(__file__).resolve().parent.parent
-NAMES = (
+PLATFORM_NAMES = (
     "run-start", "run-stop", "/hold", "wave-start", "machine-move", "X-Expect-Instance",
     "heartbeat_url", "fencing_token", "task_spec", "path_prefix", "est_runtime_ms",
     "X-Timeout-Ms", "seq_no", "/instances",
@@ -49,7 +49,7 @@
         if file.parts[len(PACKAGE.parts)] in ("platform", "tests"):
             continue
         text = file.read_text()
-        assert not [name for name in NAMES if name.lower() in text.lower()], file
+        assert not [name for name in PLATFORM_NAMES if name.lower() in text.lower()], file
 
 
 def test_a_job_is_decoded_with_all_its_fields() -> None:
@@ -84,10 +84,10 @@
 
 
 def test_task_names_are_read_as_they_are_written() -> None:
-    assert name_task(REF) == "5c0e7a21d94b36f8.0.1.17"
-    assert parse_task(name_task(REF)) == REF
-    assert parse_task("5c0e7a21d94b36f8.0.1") is None
-    assert parse_task("5c0e7a21d94b36f8.0.x.1") is None
+    assert build_task_name(REF) == "5c0e7a21d94b36f8.0.1.17"
+    assert parse_task_name(build_task_name(REF)) == REF
+    assert parse_task_name("5c0e7a21d94b36f8.0.1") is None
+    assert parse_task_name("5c0e7a21d94b36f8.0.x.1") is None
 
 
 CONFIGURATION = {
@@ -112,7 +112,7 @@
     assert (queue.target_latency_ms, queue.priority, queue.stretch) == (60, 2, 1.6)
 
 
-def ask(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
+def build_request(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
     return HttpRequest(method=method, path=path, headers=headers, body=body)
 
 
@@ -134,15 +134,15 @@
 
 def test_heartbeats_and_leaving() -> None:
     done = Answer(outcome=Outcome.DONE, leader_control="10.0.0.1:80")
-    response, calls = run_control(ask("PUT", "/instances/i-1", HEARTBEAT), done)
+    response, calls = run_control(build_request("PUT", "/instances/i-1", HEARTBEAT), done)
     assert response.status == 200
     assert msgspec.json.decode(response.body) == {"heartbeat_url": "10.0.0.1:80"}
-    beat = calls[0]
-    assert isinstance(beat, Beat)
-    assert (beat.heartbeat.info.id, beat.heartbeat.draining) == ("i-1", True)
-    assert beat.heartbeat.info.capacity.cpu_millis == 16_000
-    _, calls = run_control(ask("DELETE", "/instances/i-1"), done)
-    assert calls == [Leave(upstream=beat.heartbeat.info.id)]
+    forwarded = calls[0]
+    assert isinstance(forwarded, Beat)
+    assert (forwarded.heartbeat.info.id, forwarded.heartbeat.draining) == ("i-1", True)
+    assert forwarded.heartbeat.info.capacity.cpu_millis == 16_000
+    _, calls = run_control(build_request("DELETE", "/instances/i-1"), done)
+    assert calls == [Leave(upstream=forwarded.heartbeat.info.id)]
 
 
 @pytest.mark.parametrize(
@@ -167,14 +167,14 @@
     field = b'"capacity":' + capacity + b"," if capacity else b""
     body = HEARTBEAT.replace(b'"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},', field)
     done = Answer(outcome=Outcome.DONE)
-    response, calls = run_control(ask("PUT", "/instances/i-1", body), done)
+    response, calls = run_control(build_request("PUT", "/instances/i-1", body), done)
     assert response.status == 200
-    beat = calls[0]
-    assert isinstance(beat, Beat)
-    assert beat.heartbeat.info.capacity == Capacity()
-    assert beat.heartbeat.has_no_capacity == (capacity != b"{}")
-    assert (beat.heartbeat.sequence, beat.heartbeat.draining) == (4, True)
-    assert beat.heartbeat.info.labels == ("a", "r1-3")
+    forwarded = calls[0]
+    assert isinstance(forwarded, Beat)
+    assert forwarded.heartbeat.info.capacity == Capacity()
+    assert forwarded.heartbeat.has_no_capacity == (capacity != b"{}")
+    assert (forwarded.heartbeat.sequence, forwarded.heartbeat.draining) == (4, True)
+    assert forwarded.heartbeat.info.labels == ("a", "r1-3")
 
 
 def test_invalid_configurations_are_refused_without_asking_anybody() -> None:
@@ -189,9 +189,13 @@
         msgspec.json.encode({**CONFIGURATION, "routes": [{**routes[0], "timeout_ms": 0}]}),
     ]
     for body in bad:
-        response, calls = run_control(ask("PUT", "/config", body), Answer(outcome=Outcome.DONE))
+        response, calls = run_control(
+            build_request("PUT", "/config", body), Answer(outcome=Outcome.DONE)
+        )
         assert (response.status, calls) == (400, [])
-    response, calls = run_control(ask("PUT", "/config", good), Answer(outcome=Outcome.DONE))
+    response, calls = run_control(
+        build_request("PUT", "/config", good), Answer(outcome=Outcome.DONE)
+    )
     assert response.status == 200
     assert isinstance(calls[0], Configure)
 
@@ -202,7 +206,7 @@
 )
 def test_a_configuration_that_is_not_acknowledged(outcome: Outcome, status: int) -> None:
     body = msgspec.json.encode(CONFIGURATION)
-    response, _ = run_control(ask("PUT", "/config", body), Answer(outcome=outcome))
+    response, _ = run_control(build_request("PUT", "/config", body), Answer(outcome=outcome))
     assert response.status == status
 
 
@@ -229,45 +233,55 @@
 )
 def test_answers_to_a_submission(answer: Answer, status: int, retry_after: str | None) -> None:
     body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
-    response, calls = run_front(ask("POST", "/p/0123456789abcdef", body, host="h"), answer)
+    response, calls = run_front(
+        build_request("POST", "/p/0123456789abcdef", body, host="h"), answer
+    )
     assert (response.status, response.headers.get("retry-after")) == (status, retry_after)
     assert isinstance(calls[0], Submit)
 
 
 def test_states_counts_and_cancels() -> None:
     answer = Answer(outcome=Outcome.DONE, state=JobState.RUNNING)
-    response, calls = run_front(ask("GET", "/p/1", host="h"), answer)
+    response, calls = run_front(build_request("GET", "/p/1", host="h"), answer)
     assert response.body == b'{"state":"running"}'
     assert calls == [AskState(host="h", path="/p/1")]
-    response, _ = run_front(ask("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3))
+    response, _ = run_front(build_request("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3))
     assert response.body == b'{"pending":3}'
-    response, calls = run_front(ask("DELETE", "/p/1", host="h"), Answer(outcome=Outcome.NO_JOB))
+    response, calls = run_front(
+        build_request("DELETE", "/p/1", host="h"), Answer(outcome=Outcome.NO_JOB)
+    )
     assert response.status == 410
     assert calls == [Cancel(host="h", path="/p/1")]
 
 
 def test_a_caller_that_hangs_up_gives_its_job_up() -> None:
-    given_up: list[Submit] = []
+    abandoned: list[Submit] = []
 
     async def answer_never(call: Call, patience: timedelta) -> Answer:
         await asyncio.Event().wait()
         raise AssertionError
 
-    async def play() -> None:
-        handler = build_front_handler(answer_never, given_up.append, lambda: False)
+    async def run_scenario() -> None:
+        handler = build_front_handler(answer_never, abandoned.append, lambda: False)
         body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
-        task = asyncio.create_task(handler(ask("POST", "/p/0123456789abcdef", body)))
+        task = asyncio.create_task(handler(build_request("POST", "/p/0123456789abcdef", body)))
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    asyncio.run(play())
-    assert [call.path for call in given_up] == ["/p/0123456789abcdef"]
+    asyncio.run(run_scenario())
+    assert [call.path for call in abandoned] == ["/p/0123456789abcdef"]
 
 
 def test_readiness() -> None:
-    assert asyncio.run(build_readiness_handler(lambda: True)(ask("GET", "/ready"))).status == 200
-    assert asyncio.run(build_readiness_handler(lambda: False)(ask("GET", "/ready"))).status == 503
+    assert (
+        asyncio.run(build_readiness_handler(lambda: True)(build_request("GET", "/ready"))).status
+        == 200
+    )
+    assert (
+        asyncio.run(build_readiness_handler(lambda: False)(build_request("GET", "/ready"))).status
+        == 503
+    )
 
 
 class FixedClient(WorkerClient):
@@ -286,7 +300,7 @@
 START = StartOrder(
     upstream=build_info("u1"), task=REF, run=RunNumber(2), payload="t", checkpoint="", expires_ms=9
 )
-LOOK = LookOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
+POLL = LookOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
 
 
 @pytest.mark.parametrize(
@@ -323,22 +337,22 @@
         b'"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}'
     )
     client = FixedClient(Success(HttpReply(status=200, body=body)))
-    reply = asyncio.run(client.look(LOOK, 7))
+    reply = asyncio.run(client.look(POLL, 7))
     assert isinstance(reply, LookReply)
     assert (reply.running[0].task, reply.running[0].percent) == (REF, 41)
     assert (reply.ended[0].number, reply.ended[0].how) == (58, EndKind.DONE)
     assert client.bodies[0]["wait_ms"] == 1_000
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
-    assert asyncio.run(fenced.look(LOOK, 7)) is CallFailure.FENCED
+    assert asyncio.run(fenced.look(POLL, 7)) is CallFailure.FENCED
     gone = FixedClient(Success(HttpReply(status=421, body=b"")))
-    assert asyncio.run(gone.look(LOOK, 7)) is CallFailure.LIFE_ENDED
+    assert asyncio.run(gone.look(POLL, 7)) is CallFailure.LIFE_ENDED
 
 
 def test_templates_name_only_settings_that_exist() -> None:
-    from ..config.cluster import _CONTROL, _GATEWAY
+    from ..config.cluster import _CONTROL_OPTIONS, _GATEWAY_OPTIONS
 
     folder = PACKAGE.parent / "deploy"
-    for name, options in (("control", _CONTROL), ("gateway", _GATEWAY)):
+    for name, options in (("control", _CONTROL_OPTIONS), ("gateway", _GATEWAY_OPTIONS)):
         text = (folder / f"{name}.yaml.template").read_text()
         keys = re.findall(r"^(\w+):", text, re.MULTILINE)
         assert not set(keys) - set(options), name
--- a/cottonlug/tests/test_upstreams_that_start_again.py
+++ b/cottonlug/tests/test_upstreams_that_start_again.py
@@ -16,7 +16,7 @@
 from ..core.cluster.records import Records
 from ..core.cluster.term import TOKENS_PER_TERM
 from .model_upstreams import World, build_queue, build_spec, milliseconds
-from .wire_site import WireHost, WireLeader, beat_forever, build_hosts
+from .wire_site import WireHost, WireLeader, send_heartbeats, build_hosts
 
 TERMS = choose_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
 """As on the users' platform: 0.92 s, where upstreams grant 1 s at the most."""
@@ -48,20 +48,20 @@
     first, second = hosts.values()
     first.process.clock_began_ms = 5_000_000
     leader = build_leader(world, hosts, Records())
-    beat_forever(first, lambda: leader)
+    send_heartbeats(first, lambda: leader)
     world.run_until(milliseconds(100))
     leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
     world.run_until(milliseconds(2_000))
     run_ms[0] = 3_000.0
     if starts_again:
-        first.start_again()
+        first.restart()
         first.process.clock_began_ms = 1_000_000
     world.run_until(milliseconds(4_000))
     for job in (JOB, OTHER):
         leader.submit(job, build_spec(tasks=1, run_ms=3_000), PATIENT)
     world.run_until(milliseconds(4_300))
     assert len(world.running) == 2
-    beat_forever(second, lambda: leader)
+    send_heartbeats(second, lambda: leader)
     world.run_until(milliseconds(4_500))
     leader.dispatch.abandon(JobId(OTHER), "", world.now)
     leader.act()
@@ -92,11 +92,11 @@
     (host,) = hosts.values()
     records = Records()
     leader = build_leader(world, hosts, records)
-    beat_forever(host, lambda: leader)
+    send_heartbeats(host, lambda: leader)
     world.run_until(milliseconds(100))
     leader.submit(EARLIER, build_spec(tasks=8), PATIENT)
     world.run_until(milliseconds(2_000))
-    host.start_again()
+    host.restart()
     world.run_until(milliseconds(3_000))
     leader.submit(JOB, build_spec(tasks=4, kept=kept), PATIENT)
     world.run_until(milliseconds(3_500))
@@ -143,11 +143,11 @@
             return
         host = self.chance.choice(list(self.hosts.values()))
         if self.chance.random() < 0.5:
-            host.start_again()
+            host.restart()
         else:
             host.crash()
             down = milliseconds(self.chance.uniform(10, 1_500))
-            self.world.at(down, host.start_again)
+            self.world.at(down, host.restart)
         self.world.at(milliseconds(self.chance.expovariate(1 / 150)), self.disturb)
 
     def submit(self) -> None:
@@ -180,7 +180,7 @@
         self.world.lost_share = self.world.late_share = 0.0
         for host in self.hosts.values():
             if not host.process.is_up:
-                host.start_again()
+                host.restart()
         self.world.run_until(self.world.now + timedelta(seconds=15))
 
 
@@ -195,7 +195,7 @@
     play = ChancePlay(chance=chance, world=world, hosts=hosts)
     play.lead(1)
     for host in hosts.values():
-        beat_forever(host, lambda: play.leader)
+        send_heartbeats(host, lambda: play.leader)
     world.run_until(milliseconds(100))
     play.disturb()
     play.submit()
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -30,23 +30,23 @@
 from ..net.connections import ConnectionPools, Handshake
 from ..net.transport import HttpReply, TransportError
 from ..platform.control import build_control_handler
-from ..platform.jobs import name_task, parse_task
-from ..platform.workers import LIFE_HEADER, LOOK, START, STOP, WorkerClient
+from ..platform.jobs import build_task_name, parse_task_name
+from ..platform.workers import INSTANCE_HEADER, POLL_PATH, START_PATH, STOP_PATH, WorkerClient
 from .model_upstreams import TASK_CPU, Leader, ModelUpstream, World, build_info, milliseconds
 
-BEAT_EVERY = milliseconds(500)
+HEARTBEAT_INTERVAL = milliseconds(500)
 EPOCH_MS = 1_790_000_000_000
 """Unix time at which the world begins."""
-REASONS = {
+REASON_BY_OUTCOME = {
     StartOutcome.FENCED: "fence",
     StartOutcome.OUTDATED: "old",
     StartOutcome.LATE: "late",
     StartOutcome.NO_ROOM: "room",
 }
 WireReply = Result[HttpReply, TransportError]
-LOST = Err(TransportError(message="no reply in time", unsent=False))
-BROKEN = Err(TransportError(message="connection lost", unsent=False))
-REFUSED = Err(TransportError(message="cannot connect", unsent=True))
+TIMED_OUT = Err(TransportError(message="no reply in time", unsent=False))
+CONNECTION_LOST = Err(TransportError(message="connection lost", unsent=False))
+CONNECT_FAILED = Err(TransportError(message="cannot connect", unsent=True))
 
 
 @dataclass(slots=True, kw_only=True)
@@ -87,7 +87,7 @@
         headers: Mapping[str, str],
         handshake: Handshake | None,
     ) -> WireReply:
-        connection = self._take(handshake.identity if handshake else "")
+        connection = self._acquire(handshake.identity if handshake else "")
         if handshake and handshake.path and connection.identity != handshake.identity:
             first = await _Exchange(
                 connection=connection,
@@ -114,7 +114,7 @@
                 connection.identity = handshake.identity
         return result
 
-    def _take(self, identity: str) -> _Connection:
+    def _acquire(self, identity: str) -> _Connection:
         """Return an idle connection that is not broken, or a new one."""
         for connection in self.connections:
             process = connection.process
@@ -145,14 +145,14 @@
     info: UpstreamInfo
     run_ms: Callable[[], float]
     rate: float
-    tells_born: bool = True
+    reports_start_time: bool = True
     process: ModelUpstream = field(init=False)
-    born_ms: int = field(init=False)
+    started_ms: int = field(init=False)
     pending: list[Callable[[], None]] = field(default_factory=list)
     """What ends each call that a process has not answered, should it crash."""
 
     def __post_init__(self) -> None:
-        self._begin()
+        self._start_process()
 
     @property
     def name(self) -> str:
@@ -165,13 +165,13 @@
         for end in pending:
             end()
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Begin another process under the same id."""
         if self.process.is_up:
             self.crash()
-        self._begin()
+        self._start_process()
 
-    def _begin(self) -> None:
+    def _start_process(self) -> None:
         self.process = ModelUpstream(
             world=self.world,
             info=self.info,
@@ -179,7 +179,7 @@
             run_times=lambda job: milliseconds(self.run_ms()),
             clock_began_ms=self.world.random.randrange(10_000_000),
         )
-        self.born_ms = EPOCH_MS + int(self.world.now / milliseconds(1))
+        self.started_ms = EPOCH_MS + int(self.world.now / milliseconds(1))
 
     def write_heartbeat(self, *, draining: bool = False) -> bytes:
         """Return the body of the next heartbeat."""
@@ -196,50 +196,50 @@
             "labels": list(self.info.labels),
             "clock_ms": self.process.clock_ms(),
         }
-        return msgspec.json.encode(body | self._tell_born())
+        return msgspec.json.encode(body | self._build_start_time_field())
 
-    def _tell_born(self) -> dict[str, int]:
-        return {"born": self.born_ms} if self.tells_born else {}
+    def _build_start_time_field(self) -> dict[str, int]:
+        return {"born": self.started_ms} if self.reports_start_time else {}
 
-    def take(self, exchange: _Exchange, reply: Callable[[WireReply], None]) -> None:
+    def handle_call(self, exchange: _Exchange, reply: Callable[[WireReply], None]) -> None:
         """Carry out a call and answer it, at once or when a run ends."""
         if not self.process.is_up:
-            reply(REFUSED)
+            reply(CONNECT_FAILED)
             return
         if exchange.connection.process is None:
             exchange.connection.process = self.process
         if exchange.connection.process is not self.process:
-            reply(BROKEN)
+            reply(CONNECTION_LOST)
             return
-        if exchange.headers[LIFE_HEADER] != self.name:
+        if exchange.headers[INSTANCE_HEADER] != self.name:
             reply(Success(HttpReply(status=421, body=b"")))
             return
         body = msgspec.json.decode(exchange.body)
-        if exchange.path == LOOK:
-            self._take_look(body, reply)
+        if exchange.path == POLL_PATH:
+            self._handle_poll(body, reply)
             return
-        failure = self._carry_out(exchange.path, body)
-        reply(self._write(failure, {}))
+        failure = self._execute_order(exchange.path, body)
+        reply(self._build_reply(failure, {}))
 
-    def take_late(self, exchange: _Exchange) -> Callable[[], None]:
+    def accept_delayed_call(self, exchange: _Exchange) -> Callable[[], None]:
         """Accept a call that is carried out later, by this process or by none."""
         process = self.process
 
         def carry_out() -> None:
             if process.is_up and process is self.process:
-                self.take(exchange, lambda reply: None)
+                self.handle_call(exchange, lambda reply: None)
 
         return carry_out
 
-    def _carry_out(self, path: str, body: dict[str, Any]) -> str:
+    def _execute_order(self, path: str, body: dict[str, Any]) -> str:
         """Return why an order was not carried out, empty where it was."""
-        ref = parse_task(body["task"])
+        ref = parse_task_name(body["task"])
         assert ref is not None
         run, token = RunNumber(body["run_id"]), body["fencing_token"]
-        if path == STOP:
+        if path == STOP_PATH:
             stop = StopOrder(upstream=self.info, task=ref, run=run)
             return "fence" if self.process.stop(stop, token) is not None else ""
-        assert path == START
+        assert path == START_PATH
         order = StartOrder(
             upstream=self.info,
             task=ref,
@@ -249,9 +249,9 @@
             expires_ms=body["expires_ms"],
         )
         needs = self.world.needs.get(ref.job, Needs(cpu_millis=TASK_CPU))
-        return REASONS.get(self.process.start(order, token, needs), "")
+        return REASON_BY_OUTCOME.get(self.process.start(order, token, needs), "")
 
-    def _take_look(self, body: dict[str, Any], reply: Callable[[WireReply], None]) -> None:
+    def _handle_poll(self, body: dict[str, Any], reply: Callable[[WireReply], None]) -> None:
         wait = milliseconds(body.get("wait_ms", 0))
         order = LookOrder(
             upstream=self.info,
@@ -261,19 +261,19 @@
         )
         process = self.process
         if process.hold(order, body["fencing_token"]) is not None:
-            reply(self._write("fence", {}))
+            reply(self._build_reply("fence", {}))
             return
         is_answered = [False]
 
         def answer() -> None:
             if not is_answered[0] and process.is_up:
                 is_answered[0] = True
-                reply(self._write("", self._list_all()))
+                reply(self._build_reply("", self._build_lists()))
 
         def end() -> None:
             if not is_answered[0]:
                 is_answered[0] = True
-                reply(BROKEN)
+                reply(CONNECTION_LOST)
 
         if process.ended or not wait:
             answer()
@@ -282,15 +282,16 @@
         self.pending.append(end)
         self.world.at(wait, answer)
 
-    def _list_all(self) -> dict[str, Any]:
+    def _build_lists(self) -> dict[str, Any]:
         lists = self.process.report()
-        running = [[name_task(run.task), run.run, "", run.percent] for run in lists.running]
+        running = [[build_task_name(run.task), run.run, "", run.percent] for run in lists.running]
         ended = [
-            [end.number, name_task(end.task), end.run, end.how.value, ""] for end in lists.ended
+            [end.number, build_task_name(end.task), end.run, end.how.value, ""]
+            for end in lists.ended
         ]
-        return {"running": running, "finished": ended, **self._tell_born()}
+        return {"running": running, "finished": ended, **self._build_start_time_field()}
 
-    def _write(self, reason: str, more: dict[str, Any]) -> WireReply:
+    def _build_reply(self, reason: str, more: dict[str, Any]) -> WireReply:
         body = {"clock_ms": self.process.clock_ms(), **more}
         if reason:
             body["reason"] = reason
@@ -299,25 +300,25 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Fate:
+class CallDelivery:
     """What becomes of one call: its times on the way, None where it is lost there."""
 
-    there: timedelta | None
-    back: timedelta | None
-    held: timedelta | None = None
+    request_delay: timedelta | None
+    reply_delay: timedelta | None
+    execution_delay: timedelta | None = None
     """How much later the upstream carries it out, and does not answer; None where it does."""
 
 
-def draw_fate(world: World) -> Fate:
+def draw_delivery(world: World) -> CallDelivery:
     """Return what chance makes of a call, by the shares of the world."""
     chance = world.random
     drawn = chance.random()
     is_late = drawn < world.late_share
     is_answered = drawn >= world.late_share + world.lost_share
-    return Fate(
-        there=milliseconds(chance.uniform(0.5, 4)),
-        back=milliseconds(chance.uniform(0.5, 4)) if is_answered else None,
-        held=milliseconds(chance.uniform(2_000, 12_000)) if is_late else None,
+    return CallDelivery(
+        request_delay=milliseconds(chance.uniform(0.5, 4)),
+        reply_delay=milliseconds(chance.uniform(0.5, 4)) if is_answered else None,
+        execution_delay=milliseconds(chance.uniform(2_000, 12_000)) if is_late else None,
     )
 
 
@@ -330,20 +331,20 @@
     client: WorkerClient = field(
         default_factory=lambda: WorkerClient(pools=cast(ConnectionPools, _Pools()))
     )
-    choose_fate: Callable[[WireHost], Fate] = lambda host: draw_fate(host.world)
+    choose_delivery: Callable[[WireHost], CallDelivery] = lambda host: draw_delivery(host.world)
     """What becomes of a call, chosen as it is sent."""
 
-    def hear(self, host: WireHost, body: bytes) -> None:
+    def receive_heartbeat(self, host: WireHost, body: bytes) -> None:
         """Take a heartbeat in as a control host does."""
         path = f"/instances/{host.name}"
-        self._take_request(HttpRequest(method="PUT", path=path, headers={}, body=body))
+        self._handle_request(HttpRequest(method="PUT", path=path, headers={}, body=body))
 
-    def hear_leave(self, host: WireHost) -> None:
+    def receive_leave(self, host: WireHost) -> None:
         """Take in that an upstream has left."""
         path = f"/instances/{host.name}"
-        self._take_request(HttpRequest(method="DELETE", path=path, headers={}, body=b""))
+        self._handle_request(HttpRequest(method="DELETE", path=path, headers={}, body=b""))
 
-    def _take_request(self, request: HttpRequest) -> None:
+    def _handle_request(self, request: HttpRequest) -> None:
         if self.is_over:
             return
 
@@ -354,7 +355,7 @@
                 self.dispatch.take_leave(call.upstream)
             return Answer(outcome=Outcome.DONE)
 
-        _run_at_once(build_control_handler(answer)(request))
+        _run_without_waiting(build_control_handler(answer)(request))
         self.act()
 
     def _send(self, order: Order) -> None:
@@ -369,11 +370,11 @@
                 self._transmit(order, calling.send(result), finish)
             except StopIteration as end:
                 is_over[0] = True
-                self._take(order, end.value, sent_at)
+                self._handle_answer(order, end.value, sent_at)
                 self.act()
 
         wait = order.wait if isinstance(order, LookOrder) else timedelta()
-        world.at(order.patience + wait, lambda: finish(LOST))
+        world.at(order.patience + wait, lambda: finish(TIMED_OUT))
         self._transmit(order, calling.send(None), finish)
 
     def _transmit(
@@ -382,21 +383,21 @@
         """Bring one call to its upstream, and its reply back."""
         world = self.world
         host = self.hosts[order.upstream.address]
-        fate = self.choose_fate(host)
-        if host.info.id in self.cut_off or fate.there is None:
+        delivery = self.choose_delivery(host)
+        if host.info.id in self.cut_off or delivery.request_delay is None:
             return
 
         def reply(result: WireReply) -> None:
-            if fate.back is not None and host.info.id not in self.cut_off:
-                world.at(fate.back, lambda: finish(result))
+            if delivery.reply_delay is not None and host.info.id not in self.cut_off:
+                world.at(delivery.reply_delay, lambda: finish(result))
 
         def arrive() -> None:
-            if fate.held is not None and host.process.is_up:
-                world.at(fate.held, host.take_late(exchange))
+            if delivery.execution_delay is not None and host.process.is_up:
+                world.at(delivery.execution_delay, host.accept_delayed_call(exchange))
             else:
-                host.take(exchange, reply)
+                host.handle_call(exchange, reply)
 
-        world.at(fate.there, arrive)
+        world.at(delivery.request_delay, arrive)
 
     def _call(self, order: Order) -> Coroutine[Any, Any, object]:
         if isinstance(order, StartOrder):
@@ -405,7 +406,7 @@
             return self.client.stop(order, self.token)
         return self.client.look(order, self.token)
 
-    def _take(self, order: Order, value: Any, sent_at: timedelta) -> None:
+    def _handle_answer(self, order: Order, value: Any, sent_at: timedelta) -> None:
         now = self.world.now
         if isinstance(order, StartOrder):
             outcome, clock_ms = value
@@ -417,7 +418,7 @@
             self.dispatch.take_look(order, value, sent_at, now)
 
 
-def _run_at_once(coroutine: Coroutine[Any, Any, object]) -> None:
+def _run_without_waiting(coroutine: Coroutine[Any, Any, object]) -> None:
     """Run a coroutine that waits for nothing."""
     try:
         coroutine.send(None)
@@ -442,9 +443,9 @@
     }
 
 
-def beat_forever(host: WireHost, find_leader: Callable[[], WireLeader]) -> None:
+def send_heartbeats(host: WireHost, find_leader: Callable[[], WireLeader]) -> None:
     """Send heartbeats of whatever process is up."""
     leader = find_leader()
     if host.process.is_up and host.info.id not in leader.cut_off:
-        leader.hear(host, host.write_heartbeat())
-    host.world.at(BEAT_EVERY, lambda: beat_forever(host, find_leader))
+        leader.receive_heartbeat(host, host.write_heartbeat())
+    host.world.at(HEARTBEAT_INTERVAL, lambda: send_heartbeats(host, find_leader))
