--- a/cottonlug/net/__init__.py
+++ b/cottonlug/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP servers and clients round the core."""
+"""HTTP servers and clients."""
--- a/cottonlug/net/apps.py
+++ b/cottonlug/net/apps.py
@@ -1,4 +1,4 @@
-"""What every litestar application here shares: tokens, bounded bodies, typed errors."""
+"""Shared setup of the litestar applications: bearer tokens, body limits and typed errors."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def build_guard(token: str) -> Guard:
-    """Return a guard that lets only this bearer token through."""
+    """Return a guard that rejects requests without this bearer token."""
     expected = f"Bearer {token}".encode()
 
     def guard(connection: ASGIConnection[Any, Any, Any, Any], _: BaseRouteHandler) -> None:
@@ -38,7 +38,7 @@
 
 
 def build_app(*, title: str, handlers: Sequence[BaseRouteHandler], max_body_bytes: int) -> Litestar:
-    """Return an application whose errors are typed and whose bodies are bounded."""
+    """Return an application with typed error replies and a limit on request bodies."""
     return Litestar(
         route_handlers=list(handlers),
         exception_handlers={HTTPException: _handle_http_error, Exception: _handle_error},
--- a/cottonlug/net/asgi.py
+++ b/cottonlug/net/asgi.py
@@ -1,6 +1,7 @@
-"""A plain ASGI application for listeners that carry many small calls.
+"""Minimal ASGI application for listeners that receive many small requests.
 
-litestar's request handling would be most of their cost (docs/design/exchange.md).
+litestar's request handling would account for most of the cost of such a request
+(docs/design/exchange.md).
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    # Only its names: to load litestar takes a third of the start of a daemon.
+    # For annotations only: importing litestar takes a third of a daemon's start-up time.
     from litestar.types import Receive, Send
 
 
 @dataclass(slots=True, kw_only=True)
 class HttpRequest:
-    """One whole request."""
+    """A complete HTTP request."""
 
     method: str
     path: str
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class HttpResponse:
-    """One whole response; JSON unless `content_type` says otherwise."""
+    """A complete HTTP response; JSON unless `content_type` says otherwise."""
 
     status: int
     body: bytes = b""
@@ -37,13 +38,13 @@
     """Close the connection after this response."""
 
 
-class _RequestAborted(Exception):  # noqa: N818 - not an error of ours
-    """The other side hung up before its request was whole."""
+class _RequestAborted(Exception):  # noqa: N818 - not an error of this server
+    """The client disconnected before it had sent the complete request."""
 
 
 Handler = Callable[[HttpRequest], Coroutine[Any, Any, HttpResponse]]
 ImmediateHandler = Callable[[HttpRequest], HttpResponse | None]
-"""Answers a request without waiting for anything, or returns None."""
+"""Answers a request without awaiting anything, or returns None."""
 AsgiApp = Callable[[Any, "Receive", "Send"], Awaitable[None]]
 
 
@@ -52,10 +53,10 @@
     max_body_bytes: Callable[[], int],
     handle_immediately: ImmediateHandler | None = None,
 ) -> AsgiApp:
-    """Return an ASGI application round a handler, with bounded bodies.
+    """Return an ASGI application that calls a handler, with a limit on request bodies.
 
-    What `at_once` answers is not handed to the handler, whose task takes two more turns of the
-    loop: on a host with much to do these are long.
+    A request that `handle_immediately` answers is not passed to `handle`, whose task takes two more
+    iterations of the event loop; on a busy host these are long.
     """
 
     async def app(scope: Any, receive: Receive, send: Send) -> None:
@@ -86,7 +87,7 @@
 async def _handle_while_connected(
     handling: Coroutine[Any, Any, HttpResponse], receive: Receive
 ) -> HttpResponse | None:
-    """Return the response, or cancel the handler and return None where the other side hangs up."""
+    """Return the response; if the client disconnects, cancel the handler and return None."""
     task = asyncio.ensure_future(handling)
     disconnect: asyncio.Future[Any] = asyncio.ensure_future(receive())
     waiting: list[asyncio.Future[Any]] = [task, disconnect]
--- a/cottonlug/net/caller_app.py
+++ b/cottonlug/net/caller_app.py
@@ -1,4 +1,4 @@
-"""The HTTP API for callers; the other entry hosts use the same calls to reach a home."""
+"""HTTP API for callers; other entry hosts use it to forward calls to a submission's home."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def build_caller_app(host: EntryHost, homes: Homes) -> Litestar:
-    """Return the application for callers."""
+    """Return the application that serves callers."""
     handlers = build_caller_handlers(host, homes, host.settings.tokens.callers)
     return build_app(
         title="cottonlug callers",
@@ -44,7 +44,7 @@
 def build_caller_handlers(
     host: EntryHost, homes: Homes | None, token: str
 ) -> list[HTTPRouteHandler]:
-    """Return the callers' calls; without `homes` nothing is passed on."""
+    """Return the route handlers for callers; without `homes` no call is forwarded."""
     guards = [build_guard(token)]
 
     async def forward(id: SubmissionId | None, request: _Request) -> Response[bytes] | None:
@@ -62,7 +62,7 @@
 
     @post("/v1/ids", guards=guards)
     async def mint_ids(request: _Request) -> Response[bytes]:
-        """Mint submission ids, for submissions that can be sent again safely."""
+        """Mint submission ids; a submission that has one can be sent again safely."""
         decoded = decode(await request.body() or b"{}", MintRequest)
         if isinstance(decoded, Err):
             return reply_refusal(decoded.failure())
@@ -70,7 +70,7 @@
 
     @post("/v1/jobs", guards=guards)
     async def submit_job(request: _Request) -> Response[bytes]:
-        """Submit a job, or attach to the one that has this id."""
+        """Submit a job, or attach to the existing job with the same id."""
         decoded = decode(await request.body(), SubmitRequest)
         if isinstance(decoded, Err):
             return reply_refusal(decoded.failure())
@@ -79,13 +79,13 @@
 
     @get("/v1/jobs/{id:str}", guards=guards)
     async def get_job(id: str, request: _Request) -> Response[bytes]:
-        """Tell how far a job has come."""
+        """Return the status of a job."""
         forwarded = await forward(SubmissionId(id), request)
         return forwarded or _reply(host.get_status(SubmissionId(id)))
 
     @get("/v1/jobs/{id:str}/answer", guards=guards)
     async def get_answer(id: str, request: _Request) -> Response[bytes]:
-        """Wait up to `wait_ms` for the whole answer; 202 with the status until there is one."""
+        """Wait up to `wait_ms` for the complete answer; 202 and the status until it exists."""
         wait_ms = request.query_params.get("wait_ms", "0")
         max_wait_ms = int(MAX_WAIT_SECONDS * 1000)
         if not wait_ms.isdecimal() or int(wait_ms) > max_wait_ms:
@@ -99,7 +99,7 @@
 
     @post("/v1/jobs/{id:str}/cancel", guards=guards)
     async def cancel_job(id: str, request: _Request) -> Response[bytes]:
-        """Cancel a job; the reply tells its final state."""
+        """Cancel a job and return its final state."""
         forwarded = await forward(SubmissionId(id), request)
         return forwarded or _reply(host.cancel(SubmissionId(id)))
 
@@ -117,16 +117,16 @@
 
 
 def build_health_handlers(host: EntryHost) -> list[HTTPRouteHandler]:
-    """Return the pages for the platform's balancer; they need no token."""
+    """Return the health endpoints for the platform's load balancer; they require no token."""
 
     @get("/health")
     async def get_health() -> Response[bytes]:
-        """Tell that the process lives."""
+        """Report that the process is alive."""
         return reply_json(HealthReply(status=Health.OK))
 
     @get("/ready")
     async def get_ready() -> Response[bytes]:
-        """Tell whether new work should be sent here; 503 where not."""
+        """Report whether new work should be sent here; the status is 503 if not."""
         if host.dispatcher.draining:
             return reply_json(HealthReply(status=Health.DRAINING), 503)
         if not host.control.is_ready():
--- a/cottonlug/net/clients.py
+++ b/cottonlug/net/clients.py
@@ -1,4 +1,4 @@
-"""Small httpx clients: one connection each, since the cost of a client grows with its pool."""
+"""Small httpx clients for one address each: the cost of a client grows with its pool."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HttpClient:
-    """A client of one address with one token."""
+    """HTTP client for one address, with one bearer token."""
 
     def __init__(self, *, address: Address, token: str, timeout_seconds: float) -> None:
         self._client = httpx.AsyncClient(
@@ -26,14 +26,14 @@
             timeout=httpx.Timeout(timeout_seconds, connect=min(timeout_seconds, 2.0)),
             limits=httpx.Limits(max_connections=None, max_keepalive_connections=8),
             trust_env=False,
-            # Plain HTTP between hosts; without this a client loads all root certificates.
+            # Hosts use plain HTTP; without this each client would load all root certificates.
             verify=False,
         )
 
     async def send(
         self, method: str, path: str, body: bytes | None = None
     ) -> Result[HttpReply, TransportError]:
-        """Send one request and return its whole reply."""
+        """Send one request and return the complete reply."""
         try:
             reply = await self._client.request(method, path, content=body)
         except (httpx.ConnectError, httpx.ConnectTimeout) as error:
@@ -49,7 +49,7 @@
 
 
 class ApiClient:
-    """A client that speaks typed messages; transport errors become refusals."""
+    """Client that exchanges typed messages; transport errors become refusals."""
 
     def __init__(self, *, address: Address, token: str, timeout_seconds: float = 30.0) -> None:
         self._http = HttpClient(address=address, token=token, timeout_seconds=timeout_seconds)
--- a/cottonlug/net/codec.py
+++ b/cottonlug/net/codec.py
@@ -18,12 +18,12 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a message as JSON."""
+    """Encode a message as JSON."""
     return _encoder.encode(message)
 
 
 def decode(body: bytes, type: type[T]) -> Result[T, Refusal]:
-    """Return the message in a body, or a refusal that names the wrong field."""
+    """Decode the message in a body, or return a refusal that names the invalid field."""
     decoder = _decoders.get(type)
     if decoder is None:
         decoder = msgspec.json.Decoder(type)
--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -1,7 +1,8 @@
-"""A lean HTTP/1.1 client for many small calls, on asyncio and httptools.
+"""Lightweight HTTP/1.1 client for many small calls, based on asyncio and httptools.
 
-httpx costs about four times as much a call (docs/design/platform.md), which an entry host or a
-leader on a small machine cannot spare. A connection carries one call at a time; idle ones are kept.
+httpx costs about four times as much per call (docs/design/platform.md), which an entry host or a
+leader on a small machine cannot afford. A connection carries one call at a time; idle connections
+are kept for later calls.
 """
 
 from __future__ import annotations
@@ -20,38 +21,39 @@
 from .transport import HttpReply, TransportError
 
 DEFAULT_CONNECT_TIMEOUT = timedelta(milliseconds=500)
-"""Longer than a lost opening packet on a quiet link, shorter than a caller waits."""
+"""Longer than a lost opening packet delays a connection on an idle link, but shorter than a caller
+waits."""
 DEFAULT_MAX_CONNECTIONS = 32
 MAX_IDLE_CONNECTIONS = 1_500
-"""Connections without a call that are kept to all addresses; a host has 4,096 descriptors, and
-needs the rest for connections that others open."""
+"""Idle connections kept open to all addresses together. A host has 4,096 file descriptors and needs
+the others for incoming connections."""
 OK = 200
 MAX_REPLY_BYTES = 32 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Handshake:
-    """The first call on a connection, by which the process at its other side shows its identity.
+    """The first call on a connection, which confirms the identity of the process at the other end.
 
-    A connection ends with that process. So a call on a connection whose identity was confirmed is
-    carried out by the process that it is for or by none, even if another one listens there by now.
+    A connection ends with that process. So a call on a connection with a confirmed identity is
+    executed by the intended process or by none, even if another process listens at the address now.
     """
 
     identity: str
-    """Of the process that calls are for."""
+    """Identity of the process that the call is intended for."""
     confirms: Callable[[HttpReply], bool]
-    """Whether a reply with status 200 came from that process."""
+    """Returns whether a reply with status 200 came from that process."""
     path: str = ""
-    """Of a call that changes nothing at the other side; empty where the call to be made is one."""
+    """Path of a call without side effects; empty if the call itself has none and can confirm."""
     build_body: Callable[[], bytes] = bytes
-    """Called for new connections only: most calls need no handshake."""
+    """Called for unconfirmed connections only, since most calls need no handshake."""
 
 
 class _Connection(asyncio.Protocol):
-    """One connection; `call` sends a request and waits for its reply."""
+    """A connection that carries one request and its reply at a time."""
 
     identity = ""
-    """Of the process at its other side, once that was confirmed."""
+    """Identity of the process at the other end; empty until it is confirmed."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -72,7 +74,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._parser is None:
-            # Nobody asked: the other side is not in step with us.
+            # Data without a request: the two sides are out of sync.
             self.close()
             return
         try:
@@ -81,7 +83,7 @@
             self._fail(f"not HTTP: {error}")
             self.close()
 
-    # Calls of the parser
+    # Callbacks of the parser
 
     def on_body(self, body: bytes) -> None:
         self._size += len(body)
@@ -101,10 +103,10 @@
             reply = HttpReply(status=parser.get_status_code(), body=b"".join(self._body))
             waiting.set_result(reply)
 
-    # Use
+    # Interface for the connection pool
 
     def send(self, data: bytes) -> asyncio.Future[HttpReply]:
-        """Write a whole request and return the future of its reply."""
+        """Write a complete request and return a future for its reply."""
         assert self._transport is not None
         self._body = []
         self._size = 0
@@ -114,7 +116,7 @@
         return self._reply
 
     def close(self) -> None:
-        """Close at once; a reply that is due is lost."""
+        """Close immediately; a pending reply is lost."""
         self.is_open = False
         if self._transport is not None:
             self._transport.abort()
@@ -127,7 +129,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConnectionCounts:
-    """How often connections were opened and calls made or lost."""
+    """Number of connections opened, calls made and calls that failed."""
 
     opened: int = 0
     calls: int = 0
@@ -135,16 +137,16 @@
 
 
 class IdleConnections:
-    """Connections without a call, to any address; those not used for the longest are closed."""
+    """Idle connections to all addresses; above the limit the least recently used is closed."""
 
     def __init__(self, *, limit: int = MAX_IDLE_CONNECTIONS) -> None:
         self._limit = limit
         self._connections: dict[_Connection, None] = {}
         self.closed_count = 0
-        """How many were closed, since there were too many."""
+        """How many connections were closed because of the limit."""
 
     def add(self, connection: _Connection) -> None:
-        """Keep one that has just been used."""
+        """Keep a connection that has just been used."""
         self._connections[connection] = None
         while len(self._connections) > self._limit:
             oldest = next(iter(self._connections))
@@ -153,7 +155,7 @@
             self.closed_count += 1
 
     def discard(self, connection: _Connection) -> None:
-        """Count one no more: it is used again, or closed."""
+        """Stop tracking a connection because it is in use again or closed."""
         self._connections.pop(connection, None)
 
 
@@ -186,10 +188,11 @@
         headers: Mapping[str, str] | None = None,
         handshake: Handshake | None = None,
     ) -> Result[HttpReply, TransportError]:
-        """Make one call; an idle connection that breaks before a reply leaves its fate unknown.
+        """Make one call; if the connection breaks before the reply, the outcome is unknown.
 
-        A body that tells when it was sent is given as a function: there may be no connection free.
-        Where a handshake is refused, the call is not sent, and the refusal is its reply.
+        A body that depends on the time of sending is passed as a function, since the call may wait
+        for a free connection. If the handshake gets another status than 200, the call is not sent
+        and that reply is returned.
         """
         self.counts.calls += 1
         try:
@@ -214,7 +217,7 @@
             return Err(TransportError(message="no reply in time", unsent=False))
 
     def drop_idle(self) -> None:
-        """Close what is not in use: it may have gone silent, as one that brought no answer."""
+        """Close idle connections; they may be dead like one that brought no answer."""
         for connection in self._idle:
             self._all_idle.discard(connection)
             connection.close()
@@ -229,7 +232,7 @@
     async def _confirm_identity(
         self, connection: _Connection, handshake: Handshake, headers: Mapping[str, str]
     ) -> Result[HttpReply, TransportError] | None:
-        """Have the identity confirmed; return what takes the place of the call's own result."""
+        """Confirm the identity; if that fails, return the result to report for the call."""
         if connection.identity == handshake.identity:
             return None
         body = handshake.build_body()
@@ -245,7 +248,7 @@
         if connection.identity == handshake.identity:
             return None
         self._release(connection)
-        message = f"{handshake.identity} does not answer here any more"
+        message = f"{handshake.identity} does not answer at this address any more"
         return Err(TransportError(message=message, unsent=True, is_identity_mismatch=True))
 
     async def _exchange(
@@ -258,7 +261,7 @@
             self.counts.failed += 1
             return Err(TransportError(message=str(error), unsent=False))
         except BaseException:
-            # Timed out or cancelled: the reply may still come, so the connection is of no more use.
+            # Timed out or cancelled: the reply may still arrive, so the connection is unusable.
             connection.close()
             raise
         finally:
@@ -266,13 +269,13 @@
         return Success(reply)
 
     def _release(self, connection: _Connection) -> None:
-        """Keep a connection for a later call."""
+        """Return an open connection to the idle connections."""
         if connection.is_open:
             self._idle.append(connection)
             self._all_idle.add(connection)
 
     async def _acquire(self, identity: str) -> _Connection | TransportError:
-        """Return an idle connection, or a new one; none whose identity is known to be another."""
+        """Return an idle or new connection; close idle ones confirmed for another identity."""
         while self._idle:
             connection = self._idle.pop()
             self._all_idle.discard(connection)
@@ -293,7 +296,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConnectionPools:
-    """One pool for each address, made when it is first needed; `port` takes the place of theirs."""
+    """One pool per address, created on first use; `port` replaces the port of each address."""
 
     max_connections: int = DEFAULT_MAX_CONNECTIONS
     port: int | None = None
@@ -313,7 +316,7 @@
         return pool
 
     def drop(self, address: Address) -> None:
-        """Close the connections to an address that is not used any more."""
+        """Close the connections to an address that is no longer used."""
         if self.port is not None:
             address = Address(address.host, self.port)
         pool = self._pools.pop(address, None)
@@ -333,7 +336,7 @@
 
 
 def parse_address(text: str) -> Address | None:
-    """Return the address in a text such as 10.0.0.4:8080, or None."""
+    """Parse an address such as 10.0.0.4:8080; return None if it is invalid."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65_536:
         return None
--- a/cottonlug/net/control_handlers.py
+++ b/cottonlug/net/control_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP calls about the replicated configuration, for peers and for operators."""
+"""HTTP API of the replicated configuration, for peers and operators."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def build_peer_control_handlers(control: Control, token: str) -> list[HTTPRouteHandler]:
-    """Return the calls that other entry hosts make."""
+    """Return the route handlers for other entry hosts."""
     guards = [build_guard(token)]
 
     @get("/v1/control/view", guards=guards)
     async def view_configuration(request: _Request) -> Response[bytes]:
-        """Return the configuration in force, waiting for one newer than `after`."""
+        """Return the active configuration, waiting for one newer than version `after`."""
         after = request.query_params.get("after", "0")
         wait_ms = request.query_params.get("wait_ms", "0")
         if not after.isdecimal() or not wait_ms.isdecimal() or int(wait_ms) > _MAX_WAIT_MS:
@@ -38,7 +38,7 @@
 
     @post("/v1/control/change", guards=guards)
     async def change_configuration(request: _Request) -> Response[bytes]:
-        """Decide on a change; the outcome comes back with status 200, whatever it is."""
+        """Decide on a change; every outcome is returned with status 200."""
         return await _handle_change(control, request)
 
     handlers: list[HTTPRouteHandler] = [view_configuration, change_configuration]
@@ -48,13 +48,13 @@
 
 
 def build_operator_control_handlers(control: Control, token: str) -> list[HTTPRouteHandler]:
-    """Return the call by which operators change the rules."""
+    """Return the route handler by which operators change the rules."""
 
     @post("/v1/rules", guards=[build_guard(token)])
     async def apply_rules(request: _Request) -> Response[bytes]:
-        """Replace the rules, if their version is still the one that the change starts from.
+        """Replace the rules if their version is still the base version of the change.
 
-        Every decision comes with status 200; `decision` tells whether it was accepted.
+        Every decision is returned with status 200; `decision` says whether it was accepted.
         """
         return await _handle_change(control, request)
 
@@ -66,12 +66,12 @@
 
     @get("/v1/control/hello", guards=guards)
     async def greet() -> Response[bytes]:
-        """Tell the member id of this voter's disk."""
+        """Return the member id stored on this voter's disk."""
         return reply_json(voter.greet())
 
     @post("/v1/consensus", guards=guards)
     async def exchange_messages(request: _Request) -> Response[bytes]:
-        """Take in another member's messages and answer them."""
+        """Receive another member's messages and return the answers."""
         decoded = decode(await request.body(), ConsensusBatch)
         if isinstance(decoded, Err):
             return reply_refusal(decoded.failure())
--- a/cottonlug/net/homes.py
+++ b/cottonlug/net/homes.py
@@ -1,4 +1,4 @@
-"""Finding a submission's home, and passing calls on to it."""
+"""Find a submission's home and forward calls to it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Homes:
-    """Clients to the other entry hosts."""
+    """HTTP clients for the other entry hosts."""
 
     def __init__(self, *, settings: EntrySettings) -> None:
         self._host = settings.host
@@ -33,7 +33,7 @@
         }
 
     def find_remote_home(self, id: SubmissionId | None) -> HostId | None:
-        """Return the other host that an id names as its home, or None where it is not one."""
+        """Return the peer that an id names as its home; None if it names this host or no peer."""
         parsed = parse_id(id) if id is not None else None
         if parsed is None or parsed.host == self._host:
             return None
@@ -44,7 +44,7 @@
     async def forward(
         self, home: HostId, method: str, path: str, body: bytes | None
     ) -> Result[HttpReply, Refusal]:
-        """Pass a call on to a home; without its answer the outcome is unknown."""
+        """Forward a call to a home; if no answer arrives, the outcome is unknown."""
         sent = await self._clients[home].send(method, path, body)
         if isinstance(sent, Success):
             return Success(sent.unwrap())
--- a/cottonlug/net/operator_app.py
+++ b/cottonlug/net/operator_app.py
@@ -1,4 +1,4 @@
-"""The HTTP API for operators: jobs, state dump, metrics and rules."""
+"""HTTP API for operators: jobs, state dump, metrics and rules."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def build_operator_app(
     host: EntryHost, homes: Homes, rule_handlers: Sequence[HTTPRouteHandler]
 ) -> Litestar:
-    """Return the application for operators; `rule_handlers` are the calls that change rules."""
+    """Return the application for operators; `rule_handlers` are the routes that change rules."""
     token = host.settings.tokens.operators
     metrics = Metrics(counters=host.count, gauges=host.gauge)
     handlers = [
@@ -48,7 +48,7 @@
 def build_state_handlers(
     build_dump: Callable[[], Any], metrics: Metrics, token: str
 ) -> list[HTTPRouteHandler]:
-    """Return the pages that show a process's state."""
+    """Return the route handlers that show a process's state."""
     guards = [build_guard(token)]
 
     @get("/v1/dump", guards=guards)
@@ -67,7 +67,7 @@
 def _build_job_list(host: EntryHost, token: str) -> HTTPRouteHandler:
     @get("/v1/jobs", guards=[build_guard(token)])
     async def list_jobs() -> Response[bytes]:
-        """List the jobs of this home, the newest last."""
+        """List the latest jobs whose home is this host, newest last."""
         jobs = list(host.dispatcher.store.jobs.values())[-MAX_LISTED_JOBS:]
         return reply_json([build_status(job) for job in jobs])
 
@@ -79,13 +79,13 @@
 
     @get("/v1/rules", guards=guards)
     async def show_rules() -> Response[bytes]:
-        """Show the rules in force at this host."""
+        """Return the rules that are active at this host."""
         book = host.rulebook
         return reply_json(RulesView(version=book.version, text=book.text))
 
     @post("/v1/rules/explain", guards=guards)
     async def explain(request: Request[Any, Any, Any]) -> Response[bytes]:
-        """Tell which rule a job would meet, and why not the earlier ones."""
+        """Explain which rule a job would match and why the earlier ones do not match."""
         decoded = decode(await request.body(), ExplainRequest)
         if isinstance(decoded, Err):
             return reply_refusal(decoded.failure())
--- a/cottonlug/net/replies.py
+++ b/cottonlug/net/replies.py
@@ -1,4 +1,4 @@
-"""HTTP replies: JSON bodies, and one status for each kind of refusal."""
+"""HTTP replies: JSON bodies and one status code for each kind of refusal."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def reply_json(message: Any, status: int = 200) -> Response[bytes]:
-    """Return a message as an HTTP reply."""
+    """Build an HTTP reply from a message."""
     return Response(encode(message), status_code=status, media_type=MediaType.JSON)
 
 
 def reply_refusal(refusal: Refusal) -> Response[bytes]:
-    """Return a refusal with its status and, where there is one, the time to come back."""
+    """Build the HTTP reply of a refusal, with `Retry-After` if the refusal has a retry time."""
     reply = reply_json(refusal, STATUS_OF_REFUSAL[refusal.code])
     if refusal.retry_after_ms is not None:
         seconds = -(-refusal.retry_after_ms // 1000)
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -10,14 +10,14 @@
 
 
 class RulesView(Message, omit_defaults=False):
-    """The rules in force at one host."""
+    """The rules that are active at one host."""
 
     version: int
     text: str
 
 
 class ExplainRequest(Message):
-    """A job to ask the rules about."""
+    """The attributes of a job to match against the rules."""
 
     team: TeamName
     kind: KindName
@@ -30,21 +30,21 @@
 
 
 class ExplainedRule(Message):
-    """One rule that was tried; without a mismatch it is the one that counts."""
+    """A rule that was tried; `mismatch` is None for the rule that matched."""
 
     rule: str
     mismatch: str | None = None
 
 
 class ExplainReply(Message, omit_defaults=False):
-    """The rule that counts, or None, and every rule that was tried."""
+    """The rule that matched, or None, and every rule that was tried."""
 
     matched: str | None
     tried: list[ExplainedRule]
 
 
 def explain_rules(listed: list[rules.Rule], request: ExplainRequest) -> ExplainReply:
-    """Return which rule a job meets and why the earlier ones did not match."""
+    """Find the rule that a job matches and say why the earlier ones did not match."""
     question = rules.Question(
         team=request.team,
         kind=request.kind,
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -1,4 +1,4 @@
-"""Uvicorn servers that share the loop of the process and leave its signals alone."""
+"""Uvicorn servers that share the event loop of the process and install no signal handlers."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
 
 class Acceptor:
-    """Takes in all that have connected, in each turn of the loop.
+    """Accepts all pending connections in each iteration of the event loop.
 
-    uvloop's own server takes one a turn. Where turns are long that is less than come, and each
-    waits behind others that have given up long since and come again.
+    uvloop's own server accepts one connection per iteration. When iterations are long, connections
+    arrive faster than that, and each one queues behind others whose clients have long since timed
+    out and reconnected.
     """
 
     def __init__(
@@ -40,14 +41,14 @@
         self._start_accepting()
 
     def close(self) -> None:
-        """Take nobody in any more."""
+        """Stop accepting connections."""
         if not self._is_closed:
             self._is_closed = True
             self._loop.remove_reader(self._listening.fileno())
             self._listening.close()
 
     async def wait_closed(self) -> None:
-        """Return once nobody is being taken in."""
+        """Wait until all accepted connections have been opened."""
         await asyncio.gather(*self._open_tasks, return_exceptions=True)
 
     def _start_accepting(self) -> None:
@@ -61,7 +62,7 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Out of descriptors: whoever waits would wake us in each turn.
+                # Out of descriptors: pending connections would wake the loop in each iteration.
                 self._loop.remove_reader(self._listening.fileno())
                 self._loop.call_later(_DESCRIPTOR_RETRY_SECONDS, self._start_accepting)
                 return
@@ -109,7 +110,7 @@
         self._stopping.set()
 
     async def main_loop(self) -> None:
-        # Uvicorn would wake up ten times a second, for limits and dates that are not used here.
+        # Uvicorn would wake up ten times a second for limits and dates that are not used here.
         self.server_state.default_headers = self.config.encoded_headers
         await self._stopping.wait()
 
@@ -121,10 +122,11 @@
 class Listener:
     """One application on one address.
 
-    With `takes_all` nobody waits to be taken in for as many turns of the loop as others came first.
-    That is for those who call seldom and go after a second, operators and upstreams. At a leader
-    that is behind, gateways that are all taken in at once are late at once (0.31 of the worth under
-    a long press, 0.51 with one connection a turn).
+    With `accepts_all` all pending connections are accepted in one iteration of the event loop,
+    instead of one per iteration. It suits clients that call rarely and time out after a second:
+    operators and upstreams. It does not suit gateways: when a leader is behind, connections that
+    are accepted together are also late together (under long overload 0.31 of the worth, against
+    0.51 with one connection per iteration).
     """
 
     def __init__(self, *, app: Litestar | Any, address: Address, accepts_all: bool = False) -> None:
@@ -149,7 +151,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> str | None:
-        """Begin to listen; return why that failed, or None."""
+        """Start listening; return the reason if that fails, otherwise None."""
         self._task = asyncio.create_task(self._serve())
         while not self._server.started:
             if self._task.done():
@@ -158,7 +160,7 @@
         return None
 
     async def stop(self) -> None:
-        """Stop listening and finish what is being answered."""
+        """Stop listening and finish the requests in progress."""
         self._server.stop()
         if self._task is not None:
             await self._task
--- a/cottonlug/net/transport.py
+++ b/cottonlug/net/transport.py
@@ -1,4 +1,4 @@
-"""What a call over HTTP brings, whichever client made it."""
+"""Results of HTTP calls, common to all clients."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HttpReply:
-    """Status and body of an answer."""
+    """Status and body of an HTTP reply."""
 
     status: int
     body: bytes
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransportError:
-    """No answer came; `unsent` is True only where no byte can have reached the other side."""
+    """No reply arrived; `unsent` is True only if no byte can have reached the other side."""
 
     message: str
     unsent: bool
     is_identity_mismatch: bool = False
-    """Whether another process answers at the address than the call is for; it was not sent."""
+    """Whether another process than the intended one answers there; the call was not sent."""
--- a/cottonlug/net/upstream_app.py
+++ b/cottonlug/net/upstream_app.py
@@ -1,7 +1,7 @@
-"""The HTTP API for upstreams: one call, which is parked until there is something to say.
+"""HTTP API for upstreams: a single call, which is parked until there is something to report.
 
 It is a plain ASGI handler within the litestar application: this call carries nearly all traffic,
-and litestar's request handling would be most of its cost (measured in docs/design/exchange.md).
+and litestar's request handling would account for most of its cost (docs/design/exchange.md).
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 def build_upstream_app(host: EntryHost) -> Litestar:
-    """Return the application for upstreams."""
+    """Return the application that serves upstreams."""
     max_body_bytes = host.settings.bodies.max_kb * 1024
     expected = f"Bearer {host.settings.tokens.upstreams}".encode()
 
     @asgi("/v1/exchange")
     async def exchange(scope: Scope, receive: Receive, send: Send) -> None:
-        """Announce, renew the lease, hand in results and wait for starts, all in one."""
+        """Register, renew the lease, deliver results and wait for starts, all in one call."""
         refusal = _check_call(scope, expected)
         if refusal is not None:
             await _send(send, refusal, STATUS_OF_REFUSAL[refusal.code])
@@ -79,7 +79,7 @@
 async def _wait_reply(
     receive: Receive, future: asyncio.Future[ExchangeReply]
 ) -> ExchangeReply | None:
-    """Return the reply, or None where the upstream hung up first."""
+    """Return the reply, or None if the upstream disconnects first."""
     disconnect: asyncio.Future[Any] = asyncio.ensure_future(receive())
     waiting: list[asyncio.Future[Any]] = [future, disconnect]
     await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
--- a/cottonlug/platform/__init__.py
+++ b/cottonlug/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its paths, field names, words and status codes, and nothing that decides."""
+"""Adapter to the users' platform: paths, field names, words and status codes; no decisions."""
--- a/cottonlug/platform/configurations.py
+++ b/cottonlug/platform/configurations.py
@@ -1,4 +1,4 @@
-"""Bodies of configurations as the platform's operator sends them."""
+"""Decoding of configurations in the format of the platform's operators."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     name: str = ""
     route_type: str = ""
     target_latency_ms: int = 0
-    priority: int = 0  # 0 comes first
-    max_attempts: int = 1  # failed runs of a task after which its job has failed
+    priority: int = 0  # 0 is the highest
+    max_attempts: int = 1  # the job fails after so many failed runs of one task
     stretch: float = 1.0
     advice: dict[str, float] | None = None
 
@@ -52,7 +52,7 @@
 
 
 def decode_configuration(body: bytes) -> Result[Configuration, str]:
-    """Return the configuration in a body, or why it cannot be read in full."""
+    """Decode a configuration, or return the reason why the body is not a complete one."""
     try:
         read = _decoder.decode(body)
         document = body.decode()
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -1,4 +1,4 @@
-"""The interface for workers and operators: heartbeats, leaving and configurations."""
+"""HTTP API for workers and operators: heartbeats, leaving, configurations and evacuations."""
 
 from __future__ import annotations
 
@@ -47,9 +47,9 @@
     answer: Callable[[Call], Awaitable[Answer]],
     on_refused: Callable[[str, str], None] = lambda name, reason: None,
 ) -> Handler:
-    """Return the handler of the platform's control interface.
+    """Return the handler of the platform's control API.
 
-    `note_refused` is told of each heartbeat that names no upstream: under which id, and why.
+    `on_refused` is called with the id and the reason for each invalid heartbeat or leave message.
     """
 
     async def handle(request: HttpRequest) -> HttpResponse:
@@ -83,12 +83,14 @@
 
 
 def _decode_evacuation(request: HttpRequest) -> Call | HttpResponse:
-    """Decode an order about a zone; its whole meaning is in method and path."""
+    """Decode an evacuation order, which is defined by method and path alone."""
     if request.body.strip():
-        return _build_refusal("an order about an evacuation has no body; it was not carried out")
+        return _build_refusal(
+            "an evacuation order must not have a body; the order was not executed"
+        )
     zone = request.path[len(EVACUATION_PATH) + 1 :]
     if not zone:
-        return _build_refusal("the path names no zone")
+        return _build_refusal("the path does not name a zone")
     return Evacuate(domain=DomainName(zone), is_evacuated=request.method == "POST")
 
 
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -1,4 +1,4 @@
-"""The interface for callers: jobs, their states, cancels and counts; and the balancer's check."""
+"""HTTP API for callers (jobs, states, cancels, counts) and the load balancer's check."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 TIMEOUT_HEADER = "x-timeout-ms"
 DEFAULT_WAIT_TIMEOUT = timedelta(milliseconds=1_500)
 ANSWER_MARGIN = timedelta(milliseconds=40)
-"""Time that an answer takes to reach the caller, with room for a busy host."""
+"""Time for an answer to reach the caller, with a reserve for a busy host."""
 RETRY_AFTER_SECONDS = "1"
 
 STATUS_OF_OUTCOME = {
@@ -39,13 +39,13 @@
 def build_front_handler(
     answer: AnswerCall, abandon: Callable[[Submit], None], is_stopping: Callable[[], bool]
 ) -> Handler:
-    """Return the handler of the platform's interface for callers."""
+    """Return the handler of the platform's API for callers."""
 
     async def _answer(call: Call, timeout: timedelta) -> Answer:
         try:
             return await answer(call, timeout)
         except asyncio.CancelledError:
-            # The caller has hung up.
+            # The caller has disconnected.
             if isinstance(call, Submit) and call.spec.best_effort:
                 abandon(call)
             raise
@@ -63,7 +63,7 @@
 
 
 def build_readiness_handler(is_ready: Callable[[], bool]) -> Handler:
-    """Return the handler of the balancer's check."""
+    """Return the handler of the load balancer's readiness check."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
         if request.path != READINESS_PATH:
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -1,7 +1,7 @@
-"""What workers say of themselves, decoded once; what cannot be one names no worker to use.
+"""Decoding and validation of workers' heartbeats and leave messages.
 
-Another writer may send or forward a heartbeat: fields may be missing or of another type, the state
-unknown, the bytes unreadable. All that is checked here, so that nothing behind it needs to.
+A heartbeat may be sent or forwarded by other software: fields may be missing or of the wrong type,
+the state unknown or the body undecodable. All of that is checked here, so later code need not.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 READY = "ready"
 DRAINING = "draining"
 
-_CAPACITY_FIELDS = ("cpu", "mem_mb", "gpu")  # the first in thousandths of a core
+_CAPACITY_FIELDS = ("cpu", "mem_mb", "gpu")  # cpu is in thousandths of a core
 _MAX_AMOUNT = 1_000_000_000
-"""A million cores, a petabyte: what claims to have more cannot be right."""
+"""A million cores or a petabyte: a larger amount cannot be right."""
 _MAX_COUNT = 1 << 52
-"""Of counts and milliseconds: far beyond any, and exact in every reader of JSON."""
+"""Limit of counts and milliseconds: beyond any real value, and exact in every JSON parser."""
 _MAX_NAME_CHARS = 256
-"""Characters of a name: what is known of an upstream goes into the log and to every gateway."""
+"""Names are limited because upstream records go into the replicated log and to every gateway."""
 _MAX_LABELS = 64
 
 
@@ -38,12 +38,12 @@
     zone: str
     state: str
     seq_no: int
-    cold_left_ms: Any = 0  # by itself, like the capacity
-    clock_ms: int | None = None  # on the worker's own steady clock
-    born: int | msgspec.UnsetType = msgspec.UNSET  # Unix milliseconds of its start, if it tells
-    capacity: Any = None  # by itself, so that a bad one costs nothing else
+    cold_left_ms: Any = 0  # checked separately, like the capacity
+    clock_ms: int | None = None  # the worker's monotonic clock
+    born: int | msgspec.UnsetType = msgspec.UNSET  # start time in Unix ms, if reported
+    capacity: Any = None  # checked separately: an invalid one must not void the rest
     labels: list[str] = []
-    running: list[list[Any]] = []  # where orders come with the answers: as in a look
+    running: list[list[Any]] = []  # as in a poll reply, if orders come with heartbeat answers
     finished: list[list[Any]] = []
 
 
@@ -56,7 +56,7 @@
 
 
 def decode_heartbeat(name: str, body: bytes) -> Result[Beat, str]:
-    """Decode what the worker with this id says of itself, or tell why it names none."""
+    """Decode the heartbeat of the worker with this id, or return the reason why it is invalid."""
     try:
         read = _heartbeat_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -86,7 +86,7 @@
 
 
 def decode_leave(name: str, body: bytes) -> Result[Leave, str]:
-    """Decode that the worker with this id leaves, or tell why it names none."""
+    """Decode the leave message of the worker with this id, or return why it is invalid."""
     try:
         read = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -99,13 +99,13 @@
 
 
 def _find_problem(name: str, read: _HeartbeatBody) -> str | None:
-    """Return why what was read cannot be said by a worker, or None."""
+    """Return the reason why a heartbeat is invalid, or None."""
     if not _is_valid_name(name):
         return "the path names no worker"
     if read.state not in (READY, DRAINING):
         return f"unknown state {read.state[:_MAX_NAME_CHARS]}"
     if parse_address(read.address) is None:
-        return "the address is none"
+        return "the address is not of the form HOST:PORT"
     texts = (read.service, read.zone, read.address, *read.labels)
     if not read.service or not read.zone or max(map(len, texts)) > _MAX_NAME_CHARS:
         return "a name is empty or too long"
@@ -129,7 +129,7 @@
 
 
 def _read_capacity(body: Any) -> Capacity | None:
-    """Return what a worker has to give, or None where that cannot be read or cannot be."""
+    """Return a worker's capacity, or None if it is malformed or impossible."""
     if not isinstance(body, dict):
         return None
     amounts = [body.get(name, 0) for name in _CAPACITY_FIELDS]
@@ -139,6 +139,6 @@
 
 
 def _read_cold_left(value: Any) -> int:
-    """Return for how many milliseconds a worker is still slow; 0 where that cannot be read."""
+    """Return for how many milliseconds a worker is still slow; 0 if the value is malformed."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return int(value) if is_number and 0 < value < _MAX_AMOUNT else 0
--- a/cottonlug/platform/jobs.py
+++ b/cottonlug/platform/jobs.py
@@ -1,4 +1,4 @@
-"""Bodies of jobs, and names of tasks, as the platform writes them."""
+"""Decoding of jobs, and task names, in the platform's format."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
-    requirements: str = ""  # one label
-    affinity: str = ""  # the rack of the data
-    anti_affinity: int = 0  # tasks of the step on one worker, at most
+    requirements: str = ""  # a label that the worker must have
+    affinity: str = ""  # rack of the data
+    anti_affinity: int = 0  # maximum tasks of the step on one worker
     speculative: bool = False
     best_effort: bool = False
     long_running: bool = False
@@ -41,7 +41,7 @@
 
 class _JobBody(msgspec.Struct):
     steps: list[_StepBody]
-    task_spec: str = ""  # opaque to us
+    task_spec: str = ""  # opaque to the scheduler
     best_effort: bool = False
     long_running: bool = False
     repeat_count: int = 0
@@ -53,7 +53,7 @@
 
 
 def decode_job(body: bytes) -> Result[JobSpec, str]:
-    """Return the job in a body, or what is wrong with it."""
+    """Decode a job, or return the reason why the body is invalid."""
     try:
         job = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -92,12 +92,12 @@
 
 
 def build_task_name(ref: TaskRef) -> str:
-    """Return a task's name, ID.K.STEP.INDEX."""
+    """Return the name of a task: ID.K.STEP.INDEX."""
     return f"{ref.job}.{ref.occurrence}.{ref.step}.{ref.place}"
 
 
 def parse_task_name(name: str) -> TaskRef | None:
-    """Return the task of a name, or None where it is none."""
+    """Return the task that a name refers to, or None if it is not a task name."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdecimal() for part in parts[1:]):
         return None
--- a/cottonlug/platform/operators.py
+++ b/cottonlug/platform/operators.py
@@ -1,4 +1,4 @@
-"""Calls of operators about evacuations, in the platform's words: requests built, replies read."""
+"""Client side of the evacuation API: builds operators' requests and reads the replies."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .control import EVACUATION_PATH
 
 _FINAL_STATUSES = frozenset({400, 404, 409, 412, 413, 422})
-"""Statuses after which the same call has no better chance at another host."""
+"""Statuses after which another host would give the same answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorCall:
-    """One request to a control host."""
+    """A request to a control host."""
 
     method: str
     path: str
@@ -23,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorReply:
-    """What a control host has answered; `problem` is empty where it did what was asked."""
+    """A control host's reply; `problem` is empty if the request succeeded."""
 
     is_done: bool = False
     is_final: bool = False
-    """Whether another host would say the same."""
+    """Whether another host would give the same answer."""
     problem: str = ""
     body: bytes = b""
 
 
 class EvacuatedDomain(msgspec.Struct):
-    """A failure domain that is evacuated, since a wall-clock time."""
+    """An evacuated failure domain; `since_ms` is a wall-clock time."""
 
     domain: str = msgspec.field(name="zone")
     since_ms: int
@@ -41,24 +41,24 @@
 
 
 class EvacuationList(msgspec.Struct):
-    """The failure domains that are evacuated."""
+    """All evacuated failure domains."""
 
     evacuations: list[EvacuatedDomain]
 
 
 def build_evacuation_call(domain: str, *, begin: bool) -> OperatorCall:
-    """Return the call that begins or ends the evacuation of a domain."""
+    """Build the request that begins or ends the evacuation of a domain."""
     method = "POST" if begin else "DELETE"
     return OperatorCall(method=method, path=f"{EVACUATION_PATH}/{quote(domain, safe='')}")
 
 
 def build_list_call() -> OperatorCall:
-    """Return the call that asks which domains are evacuated."""
+    """Build the request that lists the evacuated domains."""
     return OperatorCall(method="GET", path=EVACUATION_PATH)
 
 
 def read_reply(status: int, body: bytes) -> OperatorReply:
-    """Return what a status and a body say."""
+    """Interpret the status and body of a reply."""
     if status == 200:
         return OperatorReply(is_done=True, body=body)
     detail = body.decode(errors="replace")
@@ -66,7 +66,7 @@
 
 
 def read_list(reply: OperatorReply) -> EvacuationList | None:
-    """Return the list in a reply, or None where there is none."""
+    """Decode the list in a reply, or return None if the reply has none."""
     if not reply.is_done:
         return None
     try:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's workers: starts, stops and looks."""
+"""Client for the platform's workers: starts, stops and polls."""
 
 from __future__ import annotations
 
@@ -56,22 +56,22 @@
 class _ReplyBody(msgspec.Struct):
     clock_ms: int | None = None
     reason: str = ""
-    running: list[list[Any]] = []  # [task, run, saved, percent, ...]
-    finished: list[list[Any]] = []  # [number, task, run, how, saved]
-    born: int | None = None  # Unix milliseconds of the worker's start, with its lists
+    running: list[list[Any]] = []  # [task, run, checkpoint, percent, ...]
+    finished: list[list[Any]] = []  # [number, task, run, how, checkpoint]
+    born: int | None = None  # start time of the worker in Unix ms, sent with the lists
 
 
 _decoder = msgspec.json.Decoder(_ReplyBody)
 
 
 class WorkerClient:
-    """The one client of the platform's workers."""
+    """Sends the coordinator's orders to the platform's workers."""
 
     def __init__(self, *, pools: ConnectionPools) -> None:
         self._pools = pools
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
-        """Send a start; return what became of it and the worker's clock where it was told."""
+        """Send a start; return its outcome and the worker's clock in ms, if reported."""
         body: dict[str, Any] = {
             "task": build_task_name(order.task),
             "run_id": order.run,
@@ -90,7 +90,7 @@
         return _find_start_outcome(reply.status, read), clock_ms
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
-        """Send a stop."""
+        """Send a stop; return the failure, or None if the worker accepted it."""
         body = {"task": build_task_name(order.task), "run_id": order.run, "fencing_token": token}
         sent = await self._call(order.upstream, STOP_PATH, body, order.patience)
         if isinstance(sent, Err):
@@ -98,7 +98,7 @@
         return _find_failure(sent.unwrap())
 
     async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
-        """Ask what runs and what has ended, and renew the lease."""
+        """Poll a worker: list its runs and ended runs, and renew its lease."""
         body: dict[str, Any] = {"fencing_token": token, "last_seen": order.last_seen}
         if order.expires_ms is not None:
             body["expires_ms"] = order.expires_ms
@@ -117,7 +117,8 @@
             and read.born is not None
             and not _is_same_instance(order.upstream, read)
         ):
-            # Known by its id alone, as in logs of earlier versions, it may be this life or not.
+            # An upstream recorded without a start time, as in logs of earlier versions, may be this
+            # instance or another.
             is_known = find_birth(order.upstream.id) is not None
             return CallFailure.LIFE_ENDED if is_known else CallFailure.REFUSED
         lists = read_run_lists(read.clock_ms, read.running, read.finished) if read else None
@@ -128,7 +129,9 @@
     ) -> Result[HttpReply, TransportError]:
         address = parse_address(upstream.address)
         if address is None:
-            return Err(TransportError(message=f"{upstream.address} is no address", unsent=True))
+            return Err(
+                TransportError(message=f"{upstream.address} is not a valid address", unsent=True)
+            )
         pool = self._pools.get(address)
         headers = {INSTANCE_HEADER: get_name(upstream.id)}
         data = msgspec.json.encode(body)
@@ -142,9 +145,9 @@
 
 
 def _build_handshake(upstream: UpstreamInfo, token: int, is_own_handshake: bool) -> Handshake:
-    """Return the handshake by which a worker shows which of its lives answers.
+    """Return the handshake by which a worker confirms which of its instances answers.
 
-    The header names its id alone, and a later life may have the same.
+    The header names the id alone, which a later instance may share.
     """
     return Handshake(
         identity=upstream.id,
@@ -171,7 +174,7 @@
 def read_run_lists(
     clock_ms: int | None, running: list[list[Any]], finished: list[list[Any]]
 ) -> LookReply | None:
-    """Return what a worker says that it holds, or None where that cannot be read."""
+    """Decode a worker's lists of runs and ended runs, or return None if they are malformed."""
     if clock_ms is None:
         return None
     try:
@@ -217,7 +220,7 @@
 
 
 def _read_run(row: list[Any]) -> RunReport | None:
-    """Return one run that is listed, or None where it is of no task of ours."""
+    """Decode a listed run, or return None if it belongs to none of this system's tasks."""
     ref = parse_task_name(row[0])
     if ref is None:
         return None
@@ -228,7 +231,7 @@
 
 
 def _read_end(row: list[Any]) -> EndReport | None:
-    """Return one end that is listed, or None where it is of no task of ours."""
+    """Decode a listed run end, or return None if it belongs to none of this system's tasks."""
     number, name, run, word = row[:4]
     saved = row[4] or ""
     ref, how = parse_task_name(name), _RUN_END_BY_WORD.get(word)
