--- a/cottonlug/config/__init__.py
+++ b/cottonlug/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: declared options, defaults and reading of YAML."""
+"""Settings: declared options, their defaults and the YAML reader."""
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -1,4 +1,4 @@
-"""Settings of the cluster's hosts: control hosts, which hold the log, and gateways for callers."""
+"""Settings of cluster hosts: control hosts, which hold the replicated log, and gateways."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlListeners:
-    """Addresses of a control host: for upstreams and operators, for its peers, and for metrics."""
+    """Listen addresses of a control host; `control` serves upstreams and operators."""
 
     control: Address
     peers: Address
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayListeners:
-    """Addresses of a gateway: for callers, the balancer's checks, other gateways, and metrics."""
+    """Listen addresses of a gateway; `peers` serves gateways, `readiness` the load balancer."""
 
     callers: Address
     peers: Address
@@ -47,7 +47,7 @@
 
 
 class OrderDelivery(Enum):
-    """How upstreams get their orders: by calls to them, or in the answers to their heartbeats."""
+    """How upstreams receive orders: by calls to them or in the answers to their heartbeats."""
 
     CALL = "call"
     HEARTBEAT = "heartbeat"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlSettings:
-    """Settings of a control host; `seeds` are addresses for calls of peers."""
+    """Settings of a control host; `seeds` are addresses for calls between peers."""
 
     host: HostId
     domain: DomainName
@@ -68,10 +68,10 @@
     keep_ended: timedelta
     orders: OrderDelivery
     domains: list[DomainName] = field(default_factory=list)
-    """All failure domains, so that one without upstreams at the moment can be evacuated."""
+    """All failure domains, so that one that has no upstreams at present can be evacuated too."""
     drain_limit: timedelta
     urgent_port: int | None = None
-    """Port of all hosts, this one among them, for what must not wait behind jobs."""
+    """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = USUAL_REPORTS
     log: LogSettings
 
@@ -88,7 +88,7 @@
     caller_retry: timedelta
     drain_limit: timedelta
     urgent_port: int | None = None
-    """Port of all hosts, this one among them, for what must not wait behind jobs."""
+    """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = USUAL_REPORTS
     log: LogSettings
 
@@ -133,7 +133,7 @@
 
 
 def _replace_seed_ports(seeds: list[Address], peer_port: int | None) -> list[Address]:
-    """Return the seeds at the port for calls of peers, where it is another one."""
+    """Return the seeds with their port replaced by `peer_port`, if that is given."""
     if peer_port is None:
         return seeds
     return [Address(seed.host, peer_port) for seed in seeds]
@@ -147,7 +147,7 @@
     shrink_borne: timedelta,
     **rest: object,
 ) -> dict[str, Any]:
-    """Return the fields of settings for what the options of both kinds of host say."""
+    """Convert the options that both kinds of host share to fields of the settings classes."""
     reports = ReportTerms(every=heartbeat_every, borne=shrink_borne)
     return {"seeds": _replace_seed_ports(seeds, peer_port), "reports": reports, **rest}
 
@@ -161,10 +161,10 @@
 
 
 def load_control_settings(file: Path) -> ControlSettings:
-    """Return a control host's settings, or raise `SettingsError` naming every problem."""
+    """Load a control host's settings; raise `SettingsError` listing every problem."""
     return load_settings(file, read_section(_CONTROL_OPTIONS, _build_control))
 
 
 def load_gateway_settings(file: Path) -> GatewaySettings:
-    """Return a gateway's settings, or raise `SettingsError` naming every problem."""
+    """Load a gateway's settings; raise `SettingsError` listing every problem."""
     return load_settings(file, read_section(_GATEWAY_OPTIONS, _build_gateway))
--- a/cottonlug/config/defaults.py
+++ b/cottonlug/config/defaults.py
@@ -1,4 +1,4 @@
-"""Every setting: its name, type, bounds and default."""
+"""Settings of entry hosts and upstreams: name, type, bounds and default of each."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Listeners:
-    """One address for each kind of peer."""
+    """One listen address for each kind of client."""
 
     callers: Address
     operators: Address
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tokens:
-    """One bearer token for each kind of peer."""
+    """One bearer token for each kind of client."""
 
     callers: str
     operators: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerSettings:
-    """Another entry host and the address of its listener for peers."""
+    """Another entry host and the address of its peer listener."""
 
     host: HostId
     domain: DomainName
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmissionSettings:
-    """How long ids and answers are kept."""
+    """How long submission ids and answers are kept."""
 
     id_lifetime: timedelta = timedelta(minutes=10)
     retention: timedelta = timedelta(minutes=2)
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetrySettings:
-    """Retries of idempotent requests; `budget` is a share of first attempts."""
+    """Retries of idempotent requests; `budget` is a fraction of the first attempts."""
 
     budget: float = 0.1
     burst: int = 10
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BodySettings:
-    """Largest bodies that are read, in kilobytes."""
+    """Maximum sizes of request bodies and payloads, in kilobytes."""
 
     max_kb: int = 8192
     max_payload_kb: int = 64
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -1,4 +1,4 @@
-"""Example deployments: the settings files of both users, for loopback."""
+"""Example deployments: settings files of both users' sites, for the loopback interface."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DeploymentName(Enum):
-    """The deployments there are examples of."""
+    """Deployments that examples exist for."""
 
     SKYWATCH = "skywatch"
     AL_MIZAN = "al-mizan"
@@ -23,9 +23,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Deployment:
-    """Sizes of one deployment; `hosts` counts the entry hosts of each failure domain.
+    """Sizes of one deployment; `hosts` is the number of entry hosts in each failure domain.
 
-    Starts taken ahead (`prefetch`) save messages and cost response time, see docs/design/policy.md.
+    `prefetch`, starts accepted in advance, saves messages but increases response times; see
+    docs/design/policy.md.
     """
 
     name: str
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class HostPlan:
-    """One entry host: its name, failure domain and addresses."""
+    """Name, failure domain and listen addresses of an entry host."""
 
     name: str
     domain: str
@@ -78,7 +79,7 @@
 
 
 def plan_hosts(deployment: Deployment) -> list[HostPlan]:
-    """Return every entry host; the first of each failure domain has a disk and a vote."""
+    """Return all entry hosts; the first of each failure domain has a disk and is a voter."""
     plans: list[HostPlan] = []
     for domain, count in zip(deployment.domains, deployment.hosts, strict=True):
         for at in range(count):
@@ -94,7 +95,7 @@
 
 
 def build_files(deployment: Deployment) -> dict[str, str]:
-    """Return the name and text of every settings file of a deployment."""
+    """Return the contents of a deployment's settings files by file name."""
     plans = plan_hosts(deployment)
     files = {f"{plan.name}.yaml": _render(_build_entry(plan, plans)) for plan in plans}
     for at in range(deployment.upstreams):
@@ -104,7 +105,7 @@
 
 
 def write_deployment(deployment: Deployment, folder: Path) -> None:
-    """Write a deployment's settings files, and tokens where there are none yet."""
+    """Write a deployment's settings files, and the token files that do not exist yet."""
     folder.mkdir(parents=True, exist_ok=True)
     for name, text in build_files(deployment).items():
         (folder / name).write_text(text)
@@ -112,7 +113,7 @@
 
 
 def write_tokens(folder: Path) -> None:
-    """Write a new secret for each kind of peer that has none."""
+    """Write a new token for each kind of client that has none."""
     folder.mkdir(parents=True, exist_ok=True)
     for kind in TOKEN_KINDS:
         file = folder / kind
--- a/cottonlug/config/files.py
+++ b/cottonlug/config/files.py
@@ -1,4 +1,4 @@
-"""Reading of settings files."""
+"""Loading and checking of the settings files of entry hosts and upstreams."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def load_entry_settings(file: Path) -> EntrySettings:
-    """Return an entry host's settings, or raise `SettingsError` naming every problem."""
+    """Load an entry host's settings; raise `SettingsError` listing every problem."""
     loaded = load_file(file, read_entry_settings)
     settings = get_value(file, loaded)
     raise_on_problems(file, _check_entry(settings))
@@ -25,10 +25,10 @@
 
 
 def load_upstream_settings(file: Path) -> UpstreamSettings:
-    """Return a stand-in upstream's settings, or raise `SettingsError` naming every problem."""
+    """Load a stand-in upstream's settings; raise `SettingsError` listing every problem."""
     settings = load_settings(file, read_upstream_settings)
     if settings.listen is not None and settings.operator_token is None:
-        message = "required when listen is given"
+        message = "required if listen is given"
         raise_on_problems(file, [Problem(path="operator_token", line=1, message=message)])
     return settings
 
@@ -37,14 +37,14 @@
     problems: list[Problem] = []
     hosts = [peer.host for peer in settings.peers]
     if settings.host in hosts or len(set(hosts)) < len(hosts):
-        message = "every host is named once, and this host is not its own peer"
+        message = "a host is listed twice, or this host is listed as its own peer"
         problems.append(Problem(path="peers", line=1, message=message))
     for voter in settings.voters:
         if voter != settings.host and voter not in hosts:
             message = f"{voter!r} is neither this host nor a peer"
             problems.append(Problem(path="voters", line=1, message=message))
     if settings.host in settings.voters and settings.data_folder is None:
-        message = "a voter needs a data folder"
+        message = "a voter requires a data folder"
         problems.append(Problem(path="data_folder", line=1, message=message))
     if settings.voters and settings.rules is not None:
         message = "the voters hold the rules; apply the file with `cottonlug rules apply`"
@@ -52,6 +52,6 @@
     tokens = settings.tokens
     values = {tokens.callers, tokens.operators, tokens.upstreams, tokens.peers}
     if len(values) < _TOKEN_KINDS:
-        message = "each kind of peer needs a token of its own"
+        message = "each kind of client requires a different token"
         problems.append(Problem(path="tokens", line=1, message=message))
     return problems
--- a/cottonlug/config/loading.py
+++ b/cottonlug/config/loading.py
@@ -1,4 +1,4 @@
-"""Reading of a settings file."""
+"""Loading of a settings file, with errors that list every problem."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def load_settings(file: Path, read: Reader[T]) -> T:
-    """Return settings read with a reader, or raise `SettingsError` naming every problem."""
+    """Load settings with a reader; raise `SettingsError` listing every problem."""
     return get_value(file, load_file(file, read))
 
 
 def load_file(file: Path, read: Reader[T]) -> Loaded[T]:
-    """Read a YAML file with a reader."""
+    """Load a YAML file with a reader; an unreadable file is reported as a problem."""
     try:
         text = file.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -27,7 +27,7 @@
 
 
 def get_value(file: Path, loaded: Loaded[T]) -> T:
-    """Return what was read, or raise `SettingsError` naming every problem."""
+    """Return the loaded value, or raise `SettingsError` listing every problem."""
     raise_on_problems(file, [problem for problem in loaded.problems if not problem.is_warning])
     if loaded.value is None:
         raise SettingsError(f"{file}: no settings")
@@ -35,7 +35,7 @@
 
 
 def raise_on_problems(file: Path, problems: list[Problem]) -> None:
-    """Raise `SettingsError` where there are problems."""
+    """Raise `SettingsError` if there are problems."""
     if problems:
         lines = "\n".join(f"{file}: {problem}" for problem in problems)
         raise SettingsError(lines)
--- a/cottonlug/config/logs.py
+++ b/cottonlug/config/logs.py
@@ -1,4 +1,4 @@
-"""Settings that every daemon has: its names and its logs."""
+"""Settings that all daemons share: names and logging."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class LogFormat(Enum):
-    """How log lines look."""
+    """Format of log lines."""
 
     JSON = "json"
     TEXT = "text"
 
 
 class LogLevel(Enum):
-    """The least severe events that are logged."""
+    """Minimum severity of logged events."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LogSettings:
-    """Logging."""
+    """Settings of the log output."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.JSON
--- a/cottonlug/config/options.py
+++ b/cottonlug/config/options.py
@@ -1,4 +1,4 @@
-"""Declared options: each reads one YAML node, and reports every problem with its path and line."""
+"""Declared options: each reads one YAML node and reports problems with path and line."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """One thing wrong with a settings file."""
+    """A problem found in a settings file."""
 
     path: str
     line: int
@@ -32,30 +32,30 @@
     is_warning: bool = False
 
     def __str__(self) -> str:
-        """Return the problem as one line."""
+        """Format the problem as one line."""
         kind = "warning" if self.is_warning else "error"
         return f"line {self.line}: {self.path}: {kind}: {self.message}"
 
 
 @dataclass(slots=True, kw_only=True)
 class Report:
-    """All problems found so far."""
+    """Collects the problems found in a file."""
 
     folder: Path
     problems: list[Problem] = field(default_factory=list)
 
     def add(self, node: yaml.Node, path: str, message: str) -> None:
-        """Note an error at a node."""
+        """Report an error at a node."""
         self.problems.append(Problem(path=path, line=node.start_mark.line + 1, message=message))
 
     def warn(self, node: yaml.Node, path: str, message: str) -> None:
-        """Note a warning at a node."""
+        """Report a warning at a node."""
         line = node.start_mark.line + 1
         self.problems.append(Problem(path=path, line=line, message=message, is_warning=True))
 
     @property
     def errors(self) -> list[Problem]:
-        """Only the problems that make the settings unusable."""
+        """The problems that make the settings unusable, without warnings."""
         return [problem for problem in self.problems if not problem.is_warning]
 
 
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Option(Generic[T]):
-    """How one key is read, and its default; a key without a default must be given."""
+    """Reader and default of one key; a key without a default is required."""
 
     read: Reader[T]
     default: T | _Required = REQUIRED
@@ -82,11 +82,11 @@
 
 
 def read_text(pattern: str | None = None, hint: str = "") -> Reader[str]:
-    """Return a reader of a string that matches the whole pattern."""
+    """Return a reader of a string that must match the pattern in full."""
 
     def read(node: yaml.Node, path: str, report: Report) -> str | None:
         if not isinstance(node, yaml.ScalarNode):
-            report.add(node, path, "expected a text")
+            report.add(node, path, "expected a string")
             return None
         text = str(node.value)
         if pattern is not None and re.fullmatch(pattern, text) is None:
@@ -98,7 +98,7 @@
 
 
 def read_integer(low: int, high: int) -> Reader[int]:
-    """Return a reader of a whole number within bounds, both included."""
+    """Return a reader of an integer between two inclusive bounds."""
 
     def read(node: yaml.Node, path: str, report: Report) -> int | None:
         if not isinstance(node, yaml.ScalarNode) or not re.fullmatch(r"-?\d+", node.value):
@@ -114,7 +114,7 @@
 
 
 def read_number(low: float, high: float) -> Reader[float]:
-    """Return a reader of a number within bounds, both included."""
+    """Return a reader of a number between two inclusive bounds."""
 
     def read(node: yaml.Node, path: str, report: Report) -> float | None:
         try:
@@ -141,10 +141,10 @@
 
 
 def read_duration(node: yaml.Node, path: str, report: Report) -> timedelta | None:
-    """Read a span of time such as 250ms, 4s or 10m."""
+    """Read a duration such as 250ms, 4s or 10m."""
     match = _DURATION_PATTERN.fullmatch(node.value) if isinstance(node, yaml.ScalarNode) else None
     if match is None:
-        report.add(node, path, "expected a span of time such as 250ms, 4s or 10m")
+        report.add(node, path, "expected a duration such as 250ms, 4s or 10m")
         return None
     return timedelta(seconds=float(match[1]) * _UNITS[match[2]])
 
@@ -160,7 +160,7 @@
 
 
 def read_choice(choices: type[E]) -> Reader[E]:
-    """Return a reader of one of the values of an Enum."""
+    """Return a reader of one of the values of an enum."""
 
     def read(node: yaml.Node, path: str, report: Report) -> E | None:
         values = [str(choice.value) for choice in choices]
@@ -175,18 +175,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and port."""
+    """An IP address and port."""
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Return it as host:port."""
+        """Format the address as host:port."""
         return f"{self.host}:{self.port}"
 
 
 def read_address(node: yaml.Node, path: str, report: Report) -> Address | None:
-    """Read an address such as 127.0.0.1:7101; names are not looked up."""
+    """Read an address such as 127.0.0.1:7101; host names are not resolved."""
     match = _ADDRESS_PATTERN.fullmatch(node.value) if isinstance(node, yaml.ScalarNode) else None
     if match is None or int(match[2]) > 65535:
         report.add(node, path, "expected an IP number and port such as 127.0.0.1:7101")
@@ -203,7 +203,7 @@
 
 
 def read_secret(node: yaml.Node, path: str, report: Report) -> str | None:
-    """Read the path of a file and return the secret that the file holds."""
+    """Read the path of a file and return the secret in that file."""
     file = read_path(node, path, report)
     if file is None:
         return None
@@ -232,7 +232,7 @@
 
 
 def read_item_or_list(read_item: Reader[T]) -> Reader[list[T]]:
-    """Return a reader of one item or a list of them."""
+    """Return a reader of a single item or a list of items."""
     read_items = read_list(read_item)
 
     def read(node: yaml.Node, path: str, report: Report) -> list[T] | None:
@@ -245,7 +245,7 @@
 
 
 def read_labels(node: yaml.Node, path: str, report: Report) -> dict[str, str] | None:
-    """Read a mapping of texts to texts."""
+    """Read a mapping of strings to strings."""
     if not isinstance(node, yaml.MappingNode):
         report.add(node, path, "expected a mapping of labels")
         return None
@@ -254,12 +254,12 @@
         if isinstance(key, yaml.ScalarNode) and isinstance(value, yaml.ScalarNode):
             labels[str(key.value)] = str(value.value)
         else:
-            report.add(value, path, "a label is a text")
+            report.add(value, path, "a label must be a string")
     return labels
 
 
 def read_section(options: Options, build: Callable[..., T]) -> Reader[T]:
-    """Return a reader of a mapping with declared keys, built into a settings class."""
+    """Return a reader of a mapping with declared keys, which are passed to `build`."""
 
     def read(node: yaml.Node, path: str, report: Report) -> T | None:
         if not isinstance(node, yaml.MappingNode):
@@ -285,14 +285,14 @@
         if option is None:
             report.add(key_node, key_path, f"unknown key{_suggest(key, options)}")
         elif key in values:
-            report.add(key_node, key_path, "given twice")
+            report.add(key_node, key_path, "duplicate key")
         else:
             values[key] = option.read(value_node, key_path, report)
     for key, option in options.items():
         if key in values:
             continue
         if option.default is REQUIRED:
-            report.add(node, f"{path}.{key}" if path else key, "required, but not given")
+            report.add(node, f"{path}.{key}" if path else key, "required, but missing")
         values[key] = option.default
     return values
 
@@ -306,14 +306,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Loaded(Generic[T]):
-    """What came of reading a file: the value, where there was no error, and all problems."""
+    """Result of loading a file: the value, if there was no error, and all problems."""
 
     value: T | None
     problems: list[Problem]
 
 
 def load_yaml(text: str, folder: Path, read: Reader[T]) -> Loaded[T]:
-    """Read a YAML text with a reader and return the value with every problem found."""
+    """Parse a YAML text with a reader; return the value and every problem."""
     report = Report(folder=folder)
     try:
         node = yaml.compose(text, Loader=_LOADER)
--- a/cottonlug/config/rules.py
+++ b/cottonlug/config/rules.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RulesDocument:
-    """A whole rules document."""
+    """A complete rules document."""
 
     rules: list[Rule]
 
@@ -102,10 +102,10 @@
 
 @functools.lru_cache(maxsize=4)
 def read_rules(text: str) -> Loaded[RulesDocument]:
-    """Return the document of a YAML text with every problem found, warnings included.
+    """Parse a rules document; return it with every problem, warnings included.
 
-    A voter reads each document when it decides on it and again when it takes it into force, so the
-    last few are remembered.
+    A voter parses each document when it decides on it and again when it activates it, so the last
+    few results are cached.
     """
     return load_yaml(text, Path("."), _read_checked)
 
@@ -122,10 +122,10 @@
         seen.add(rule.name)
         _check_timeout(rule.then.timeout, node, where, report)
         if rule.when == When() and at + 1 < len(document.rules):
-            report.warn(node, where, "matches everything; the rules after it are never reached")
+            report.warn(node, where, "matches every job; the rules after it are never reached")
     return document
 
 
 def _check_timeout(timeout: timedelta | None, node: yaml.Node, where: str, report: Report) -> None:
     if timeout is not None and timeout <= timedelta():
-        report.add(node, where, "the timeout must be longer than nothing")
+        report.add(node, where, "the timeout must be longer than 0")
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -65,7 +65,7 @@
 
 
 class WorkerClient:
-    """Sends the coordinator's orders to the platform's workers."""
+    """The only client for the platform's workers; sends them the coordinator's orders."""
 
     def __init__(self, *, pools: ConnectionPools) -> None:
         self._pools = pools
@@ -174,7 +174,7 @@
 def read_run_lists(
     clock_ms: int | None, running: list[list[Any]], finished: list[list[Any]]
 ) -> LookReply | None:
-    """Decode a worker's lists of runs and ended runs, or return None if they are malformed."""
+    """Decode a worker's runs and ended runs; return None if malformed or without a clock."""
     if clock_ms is None:
         return None
     try:
