--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -370,7 +370,7 @@
                 self._transmit(order, calling.send(result), finish)
             except StopIteration as end:
                 is_over[0] = True
-                self._handle_answer(order, end.value, sent_at)
+                self._apply_result(order, end.value, sent_at)
                 self.act()
 
         wait = order.wait if isinstance(order, LookOrder) else timedelta()
@@ -406,7 +406,7 @@
             return self.client.stop(order, self.token)
         return self.client.look(order, self.token)
 
-    def _handle_answer(self, order: Order, value: Any, sent_at: timedelta) -> None:
+    def _apply_result(self, order: Order, value: Any, sent_at: timedelta) -> None:
         now = self.world.now
         if isinstance(order, StartOrder):
             outcome, clock_ms = value
