--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -224,19 +224,19 @@
     ref = parse_task_name(row[0])
     if ref is None:
         return None
-    run, saved, percent = row[1:4]
-    if type(run) is not int or type(saved) is not str or type(percent) not in (int, float):
+    run, checkpoint, percent = row[1:4]
+    if type(run) is not int or type(checkpoint) is not str or type(percent) not in (int, float):
         raise ValueError
-    return RunReport(task=ref, run=RunNumber(run), checkpoint=saved, percent=int(percent))
+    return RunReport(task=ref, run=RunNumber(run), checkpoint=checkpoint, percent=int(percent))
 
 
 def _read_end(row: list[Any]) -> EndReport | None:
     """Decode a listed run end, or return None if it belongs to none of this system's tasks."""
     number, name, run, word = row[:4]
-    saved = row[4] or ""
+    checkpoint = row[4] or ""
     ref, how = parse_task_name(name), _RUN_END_BY_WORD.get(word)
     if ref is None or how is None:
         return None
-    if type(number) is not int or type(run) is not int or type(saved) is not str:
+    if type(number) is not int or type(run) is not int or type(checkpoint) is not str:
         raise ValueError
-    return EndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=saved)
+    return EndReport(number=number, task=ref, run=RunNumber(run), how=how, checkpoint=checkpoint)
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -213,7 +213,7 @@
 def run_front(request: HttpRequest, answer: Answer) -> tuple[HttpResponse, list[Call]]:
     calls: list[Call] = []
 
-    async def answer_call(call: Call, patience: timedelta) -> Answer:
+    async def answer_call(call: Call, timeout: timedelta) -> Answer:
         calls.append(call)
         return answer
 
@@ -257,7 +257,7 @@
 def test_a_caller_that_hangs_up_gives_its_job_up() -> None:
     abandoned: list[Submit] = []
 
-    async def answer_never(call: Call, patience: timedelta) -> Answer:
+    async def answer_never(call: Call, timeout: timedelta) -> Answer:
         await asyncio.Event().wait()
         raise AssertionError
 
