--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -217,7 +217,7 @@
             return Err(TransportError(message="no reply in time", unsent=False))
 
     def drop_idle(self) -> None:
-        """Close idle connections; they may be dead like one that brought no answer."""
+        """Close idle connections; like one that brought no answer, they may be dead."""
         for connection in self._idle:
             self._all_idle.discard(connection)
             connection.close()
--- a/cottonlug/tests/test_cluster_settings.py
+++ b/cottonlug/tests/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""Settings of control hosts and gateways: read whole, with every problem at once."""
+"""Loading of control host and gateway settings, with all problems reported at once."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return file
 
 
-def test_a_control_host_knows_its_peers_by_their_own_port(tmp_path: Path) -> None:
+def test_seeds_of_a_control_host_get_the_peer_port(tmp_path: Path) -> None:
     settings = load_control_settings(write(tmp_path, CONTROL))
     assert settings.seeds == [Address("10.0.0.1", 7720), Address("10.0.0.2", 7720)]
     assert settings.may_begin
@@ -54,19 +54,19 @@
     assert settings.caller_retry == timedelta(milliseconds=1_300)
 
 
-def test_a_gateway_has_a_place_for_metrics(tmp_path: Path) -> None:
+def test_a_gateway_has_a_metrics_address_and_a_default_drain_limit(tmp_path: Path) -> None:
     settings = load_gateway_settings(write(tmp_path, GATEWAY))
     assert settings.listen.metrics == Address("10.0.0.9", 9464)
     assert settings.drain_limit == timedelta(seconds=5)
 
 
-def test_requests_are_answered_until_shortly_before_the_limit_of_a_shutdown() -> None:
-    """A job was cut 1 s before the host had to end."""
+def test_requests_are_answered_until_shortly_before_the_shutdown_limit() -> None:
+    """A job was aborted 1 s before the host had to exit."""
     assert find_drain_seconds(timedelta(seconds=6), 2.5) == pytest.approx(3.1)
     assert find_drain_seconds(timedelta(seconds=2), 2.5) == 0.0
 
 
-def test_all_problems_are_told_at_once_with_their_lines(tmp_path: Path) -> None:
+def test_all_problems_are_reported_at_once_with_their_lines(tmp_path: Path) -> None:
     text = CONTROL.replace("north", "No!").replace("1000ms", "soon").replace("may_begin", "begin")
     with pytest.raises(SettingsError) as caught:
         load_control_settings(write(tmp_path, text))
--- a/cottonlug/tests/test_handshakes.py
+++ b/cottonlug/tests/test_handshakes.py
@@ -1,6 +1,6 @@
-"""Calls that must reach one process at an address and no other, over real connections.
+"""Calls that must reach the intended process at an address or none, over real connections.
 
-A stand-in answers by its name; another one with another name takes its place at the same port.
+A stub server answers with its name; another one with another name replaces it at the same port.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from ..net.transport import HttpReply
 
 CALL_TIMEOUT = timedelta(seconds=5)
-"""Far more than a call on one machine takes."""
+"""Far longer than a call on one machine takes."""
 
 
 class StubServer:
-    """Answers each request with its name, and remembers the paths."""
+    """Answers each request with its name and records the request paths."""
 
     def __init__(self, name: str, status: int = 200) -> None:
         self.name = name
@@ -81,7 +81,7 @@
     asyncio.run(run())
 
 
-def test_a_connection_is_identified_once() -> None:
+def test_the_handshake_is_not_repeated_on_a_connection() -> None:
     async def act(first: StubServer, pool: ConnectionPool) -> None:
         for _ in range(3):
             result = await pool.call(
@@ -94,7 +94,7 @@
     run_with_server(act)
 
 
-def test_a_call_that_changes_nothing_is_its_own_handshake() -> None:
+def test_a_call_without_side_effects_needs_no_extra_handshake() -> None:
     async def act(first: StubServer, pool: ConnectionPool) -> None:
         itself = build_handshake("first", path="")
         await pool.call("POST", "/who", timeout=CALL_TIMEOUT, handshake=itself)
@@ -104,7 +104,7 @@
     run_with_server(act)
 
 
-# Guards against orders that a later process at the address carries out for the earlier one.
+# Guards against orders for an ended process that its successor at the same address executes.
 def test_a_call_for_a_process_that_has_ended_is_not_sent_to_the_next_one() -> None:
     async def act(first: StubServer, pool: ConnectionPool) -> None:
         await pool.call("POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first"))
@@ -127,7 +127,7 @@
     run_with_server(act)
 
 
-def test_a_handshake_that_is_refused_is_the_reply() -> None:
+def test_no_call_is_sent_after_a_refused_handshake() -> None:
     async def act(first: StubServer, pool: ConnectionPool) -> None:
         result = await pool.call(
             "POST", "/do", timeout=CALL_TIMEOUT, handshake=build_handshake("first")
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's formats, decoded once; and nothing of it outside its folder."""
+"""Decoding of the platform's formats; names of the platform stay inside its folder."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 REF = TaskRef(JobId("5c0e7a21d94b36f8"), 0, 1, 17)
 
 
-def test_nothing_outside_its_folder_names_the_platform() -> None:
+def test_platform_names_do_not_leak_out_of_the_platform_folder() -> None:
     for file in PACKAGE.rglob("*.py"):
         if file.parts[len(PACKAGE.parts)] in ("platform", "tests"):
             continue
@@ -52,7 +52,7 @@
         assert not [name for name in PLATFORM_NAMES if name.lower() in text.lower()], file
 
 
-def test_a_job_is_decoded_with_all_its_fields() -> None:
+def test_decoding_a_job_loses_no_field() -> None:
     body = {
         "task_spec": "text",
         "steps": [
@@ -79,11 +79,11 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b'{"steps":3}', b'{"steps":[{"count":"x"}]}', b"\xff"])
-def test_bad_jobs_are_told_what_is_wrong(body: bytes) -> None:
+def test_malformed_jobs_are_refused(body: bytes) -> None:
     assert isinstance(decode_job(body), Err)
 
 
-def test_task_names_are_read_as_they_are_written() -> None:
+def test_task_names_survive_a_round_trip() -> None:
     assert build_task_name(REF) == "5c0e7a21d94b36f8.0.1.17"
     assert parse_task_name(build_task_name(REF)) == REF
     assert parse_task_name("5c0e7a21d94b36f8.0.1") is None
@@ -102,7 +102,7 @@
 }  # fmt: skip
 
 
-def test_a_configuration_is_decoded_and_kept_word_for_word() -> None:
+def test_a_configuration_is_decoded_and_its_document_kept_byte_for_byte() -> None:
     body = msgspec.json.encode(CONFIGURATION)
     configuration = decode_configuration(body).unwrap()
     assert configuration.version == 7
@@ -132,7 +132,7 @@
 )
 
 
-def test_heartbeats_and_leaving() -> None:
+def test_heartbeats_and_leave_messages_are_decoded() -> None:
     done = Answer(outcome=Outcome.DONE, leader_control="10.0.0.1:80")
     response, calls = run_control(build_request("PUT", "/instances/i-1", HEARTBEAT), done)
     assert response.status == 200
@@ -162,8 +162,8 @@
         b"",
     ],
 )
-def test_a_capacity_that_cannot_be_counts_as_none_and_costs_nothing_else(capacity: bytes) -> None:
-    """Failed before: of another type it cost the whole heartbeat, and less than none was taken."""
+def test_an_invalid_capacity_does_not_void_the_rest_of_a_heartbeat(capacity: bytes) -> None:
+    """A capacity of the wrong type voided the whole heartbeat; a negative one was accepted."""
     field = b'"capacity":' + capacity + b"," if capacity else b""
     body = HEARTBEAT.replace(b'"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},', field)
     done = Answer(outcome=Outcome.DONE)
@@ -177,7 +177,7 @@
     assert forwarded.heartbeat.info.labels == ("a", "r1-3")
 
 
-def test_invalid_configurations_are_refused_without_asking_anybody() -> None:
+def test_invalid_configurations_are_refused_without_any_call() -> None:
     good = msgspec.json.encode(CONFIGURATION)
     routes = CONFIGURATION["routes"]
     assert isinstance(routes, list)
@@ -204,7 +204,9 @@
     ("outcome", "status"),
     [(Outcome.UNAVAILABLE, 503), (Outcome.UNKNOWN, 504), (Outcome.INVALID, 400)],
 )
-def test_a_configuration_that_is_not_acknowledged(outcome: Outcome, status: int) -> None:
+def test_a_configuration_that_is_not_acknowledged_gets_an_error_status(
+    outcome: Outcome, status: int
+) -> None:
     body = msgspec.json.encode(CONFIGURATION)
     response, _ = run_control(build_request("PUT", "/config", body), Answer(outcome=outcome))
     assert response.status == status
@@ -231,7 +233,9 @@
         (Answer(outcome=Outcome.NO_QUEUE), 404, None),
     ],
 )
-def test_answers_to_a_submission(answer: Answer, status: int, retry_after: str | None) -> None:
+def test_submissions_get_the_status_and_retry_time_of_their_outcome(
+    answer: Answer, status: int, retry_after: str | None
+) -> None:
     body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
     response, calls = run_front(
         build_request("POST", "/p/0123456789abcdef", body, host="h"), answer
@@ -240,7 +244,7 @@
     assert isinstance(calls[0], Submit)
 
 
-def test_states_counts_and_cancels() -> None:
+def test_state_count_and_cancel_calls_are_translated() -> None:
     answer = Answer(outcome=Outcome.DONE, state=JobState.RUNNING)
     response, calls = run_front(build_request("GET", "/p/1", host="h"), answer)
     assert response.body == b'{"state":"running"}'
@@ -254,7 +258,7 @@
     assert calls == [Cancel(host="h", path="/p/1")]
 
 
-def test_a_caller_that_hangs_up_gives_its_job_up() -> None:
+def test_a_best_effort_job_is_abandoned_when_its_caller_disconnects() -> None:
     abandoned: list[Submit] = []
 
     async def answer_never(call: Call, timeout: timedelta) -> Answer:
@@ -273,7 +277,7 @@
     assert [call.path for call in abandoned] == ["/p/0123456789abcdef"]
 
 
-def test_readiness() -> None:
+def test_the_readiness_check_fails_while_the_host_is_not_ready() -> None:
     assert (
         asyncio.run(build_readiness_handler(lambda: True)(build_request("GET", "/ready"))).status
         == 200
@@ -285,7 +289,7 @@
 
 
 class FixedClient(WorkerClient):
-    """A client whose calls have one result."""
+    """A client whose calls all return one fixed result."""
 
     def __init__(self, result: Result[HttpReply, TransportError]) -> None:
         super().__init__(pools=ConnectionPools())
@@ -318,7 +322,9 @@
         (200, b"no json", StartOutcome.STARTED),
     ],
 )
-def test_answers_to_a_start(status: int, body: bytes, outcome: StartOutcome) -> None:
+def test_start_replies_are_mapped_to_their_outcomes(
+    status: int, body: bytes, outcome: StartOutcome
+) -> None:
     client = FixedClient(Success(HttpReply(status=status, body=body)))
     found, _ = asyncio.run(client.start(START, 7))
     assert found is outcome
@@ -331,7 +337,7 @@
         assert asyncio.run(client.start(START, 7))[0] is outcome
 
 
-def test_answers_to_a_look() -> None:
+def test_poll_replies_are_decoded_and_failures_are_told_apart() -> None:
     body = (
         b'{"clock_ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"saved",41,3]],'
         b'"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}'
@@ -348,7 +354,7 @@
     assert asyncio.run(gone.look(POLL, 7)) is CallFailure.LIFE_ENDED
 
 
-def test_templates_name_only_settings_that_exist() -> None:
+def test_templates_contain_no_unknown_settings() -> None:
     from ..config.cluster import _CONTROL_OPTIONS, _GATEWAY_OPTIONS
 
     folder = PACKAGE.parent / "deploy"
--- a/cottonlug/tests/test_platform_births.py
+++ b/cottonlug/tests/test_platform_births.py
@@ -1,4 +1,4 @@
-"""When an upstream says that it started: decoded once, and never taken from who cannot be one."""
+"""Start times of upstreams, which tell apart the instances that share an id."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     return Success(HttpReply(status=200, body=LISTS % born))
 
 
-def test_ids_of_lives_are_read_as_they_are_written() -> None:
+def test_instance_ids_survive_a_round_trip_and_are_ordered_by_start_time() -> None:
     life = name_life("i-1", STARTED_MS)
     assert (get_name(life), find_birth(life)) == ("i-1", STARTED_MS)
     plain = name_life("i-1", None)
@@ -49,8 +49,8 @@
     assert not is_earlier(life, name_life("i-2", STARTED_MS + 1))
 
 
-def test_each_start_of_an_upstream_is_a_life_of_its_own() -> None:
-    """Failed before: what it said of its start was not read, so that both were one."""
+def test_each_start_of_an_upstream_is_a_separate_instance() -> None:
+    """The reported start time was not read, so both instances were treated as one."""
     ids = []
     for born in (STARTED_MS, STARTED_MS + 1):
         status, calls = send_request("PUT", add_start_time(b"%d" % born))
@@ -65,24 +65,24 @@
     "born",
     [b"null", b'"1790000000000"', b"1790000000000.5", b"true", b"-1", b"[]", b"9" * 30, b"1" * 17],
 )
-def test_a_start_that_cannot_be_names_no_upstream(born: bytes) -> None:
+def test_an_invalid_start_time_is_refused(born: bytes) -> None:
     assert send_request("PUT", add_start_time(born)) == (400, [])
     assert send_request("DELETE", b'{"born":' + born + b"}") == (400, [])
 
 
 @pytest.mark.parametrize("name", ["", "i-1%23", "i-1#1790000000000"])
-def test_a_name_that_would_be_that_of_a_life_is_refused(name: str) -> None:
+def test_a_name_that_could_be_an_instance_id_is_refused(name: str) -> None:
     status, calls = send_request("PUT", HEARTBEAT, name=name.replace("%23", "#"))
     assert (status, calls) == (400, [])
 
 
-def test_leaving_names_a_life_where_it_tells_which() -> None:
+def test_a_leave_message_names_an_instance_if_it_reports_a_start_time() -> None:
     assert send_request("DELETE", b"")[1] == [Leave(upstream=UpstreamId("i-1"))]
     body = b'{"born":%d}' % STARTED_MS
     assert send_request("DELETE", body)[1] == [Leave(upstream=name_life("i-1", STARTED_MS))]
 
 
-def test_whoever_leaves_without_telling_which_life_is_the_one_that_said_so_or_the_newest() -> None:
+def test_a_leave_without_start_time_means_the_draining_or_else_the_newest_instance() -> None:
     records = Records()
     lives = [name_life("u1", STARTED_MS + number) for number in (0, 2, 1)]
     for life in lives:
@@ -99,8 +99,8 @@
     assert records.find_leaving(UpstreamId("u2")) is None
 
 
-def test_a_list_of_another_life_is_not_taken_for_that_of_the_one_asked() -> None:
-    """Failed before: both answer under the id that the header names."""
+def test_a_poll_reply_of_another_instance_is_rejected() -> None:
+    """Both instances answer under the id in the header, so either reply was accepted."""
     info = msgspec.structs.replace(build_info("u1"), id=name_life("u1", STARTED_MS))
     order = POLL.__class__(upstream=info, last_seen=0, expires_ms=None, wait=POLL.wait)
     same = asyncio.run(FixedClient(build_lists_reply(STARTED_MS)).look(order, 7))
@@ -109,7 +109,8 @@
     assert other is CallFailure.LIFE_ENDED
 
 
-# Guards against TWICE on an upgrade: what the log knows by its id alone was taken to have ended.
-def test_a_list_that_tells_a_start_does_not_end_a_life_of_which_none_is_known() -> None:
+# Guards against two runs of a task after an upgrade: an upstream that the log knows by its id
+# alone, without a start time, was taken to have ended.
+def test_a_reported_start_time_does_not_end_an_instance_recorded_without_one() -> None:
     reply = asyncio.run(FixedClient(build_lists_reply(STARTED_MS)).look(POLL, 7))
     assert reply is CallFailure.REFUSED
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -1,7 +1,7 @@
-"""A site whose upstreams speak the platform's wire, byte for byte, and start again under their ids.
+"""Test site whose upstreams use the platform's wire format and restart under the same id.
 
-The model of upstreams stands behind it: a process of an upstream is one `ModelUpstream`. The clock
-is that of the model; the platform's client and decoder are the real ones.
+It is based on the upstream model: each process of an upstream is one `ModelUpstream`. Time is
+simulated; the platform's client and decoder are the real ones.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 HEARTBEAT_INTERVAL = milliseconds(500)
 EPOCH_MS = 1_790_000_000_000
-"""Unix time at which the world begins."""
+"""Unix time at which the simulation starts."""
 REASON_BY_OUTCOME = {
     StartOutcome.FENCED: "fence",
     StartOutcome.OUTDATED: "old",
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Connection:
-    """To the process that is up when the first call on it arrives, and to no other."""
+    """A connection to the process that is up when its first call arrives, and to no other."""
 
     identity: str = ""
     process: ModelUpstream | None = None
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Exchange:
-    """A call that waits for its reply: whoever drives the client sends that in."""
+    """A call that awaits its reply, which the driver of the client coroutine sends in."""
 
     connection: _Connection
     path: str
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Pool:
-    """Connections to one address: each call is handed to the driver."""
+    """Connections to one address; each call is passed to the driver of the client coroutine."""
 
     connections: list[_Connection] = field(default_factory=list)
 
@@ -115,7 +115,7 @@
         return result
 
     def _acquire(self, identity: str) -> _Connection:
-        """Return an idle connection that is not broken, or a new one."""
+        """Return an idle connection that is still open, or a new one."""
         for connection in self.connections:
             process = connection.process
             is_open = process is not None and process.is_up
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Pools:
-    """A pool for each address."""
+    """One pool per address."""
 
     pools: dict[Address, _Pool] = field(default_factory=dict)
 
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class WireHost:
-    """Where an upstream runs: one process at a time, each with counts and a clock of its own."""
+    """Host of an upstream: one process at a time, each with its own counters and clock."""
 
     world: World
     info: UpstreamInfo
@@ -149,7 +149,7 @@
     process: ModelUpstream = field(init=False)
     started_ms: int = field(init=False)
     pending: list[Callable[[], None]] = field(default_factory=list)
-    """What ends each call that a process has not answered, should it crash."""
+    """Callbacks that break the calls the process has not answered, for when it crashes."""
 
     def __post_init__(self) -> None:
         self._start_process()
@@ -159,14 +159,14 @@
         return self.info.id
 
     def crash(self) -> None:
-        """Lose all that the process holds."""
+        """Crash the process, which loses its whole state."""
         self.process.crash()
         pending, self.pending = self.pending, []
         for end in pending:
             end()
 
     def restart(self) -> None:
-        """Begin another process under the same id."""
+        """Start another process under the same id."""
         if self.process.is_up:
             self.crash()
         self._start_process()
@@ -182,7 +182,7 @@
         self.started_ms = EPOCH_MS + int(self.world.now / milliseconds(1))
 
     def write_heartbeat(self, *, draining: bool = False) -> bytes:
-        """Return the body of the next heartbeat."""
+        """Build the body of the next heartbeat."""
         self.process.sequence += 1
         capacity = self.info.capacity
         body = {
@@ -202,7 +202,7 @@
         return {"born": self.started_ms} if self.reports_start_time else {}
 
     def handle_call(self, exchange: _Exchange, reply: Callable[[WireReply], None]) -> None:
-        """Carry out a call and answer it, at once or when a run ends."""
+        """Execute a call and answer it immediately, or when a run ends."""
         if not self.process.is_up:
             reply(CONNECT_FAILED)
             return
@@ -222,7 +222,7 @@
         reply(self._build_reply(failure, {}))
 
     def accept_delayed_call(self, exchange: _Exchange) -> Callable[[], None]:
-        """Accept a call that is carried out later, by this process or by none."""
+        """Accept a call; return a function that executes it later, in this process or in none."""
         process = self.process
 
         def carry_out() -> None:
@@ -232,7 +232,7 @@
         return carry_out
 
     def _execute_order(self, path: str, body: dict[str, Any]) -> str:
-        """Return why an order was not carried out, empty where it was."""
+        """Execute an order; return the reason if it was refused, otherwise an empty string."""
         ref = parse_task_name(body["task"])
         assert ref is not None
         run, token = RunNumber(body["run_id"]), body["fencing_token"]
@@ -301,16 +301,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallDelivery:
-    """What becomes of one call: its times on the way, None where it is lost there."""
+    """Simulated delivery of one call: delays of request and reply, None if that message is lost."""
 
     request_delay: timedelta | None
     reply_delay: timedelta | None
     execution_delay: timedelta | None = None
-    """How much later the upstream carries it out, and does not answer; None where it does."""
+    """Extra delay before the upstream executes the call, without an answer; None if it answers."""
 
 
 def draw_delivery(world: World) -> CallDelivery:
-    """Return what chance makes of a call, by the shares of the world."""
+    """Draw the delivery of a call at random, by the loss and delay rates of the world."""
     chance = world.random
     drawn = chance.random()
     is_late = drawn < world.late_share
@@ -324,23 +324,23 @@
 
 @dataclass(slots=True, kw_only=True)
 class WireLeader(Leader):
-    """A dispatch that calls its upstreams by the platform's client."""
+    """A leader that calls its upstreams through the platform's client."""
 
     hosts: dict[str, WireHost]
-    """By address."""
+    """Hosts by address."""
     client: WorkerClient = field(
         default_factory=lambda: WorkerClient(pools=cast(ConnectionPools, _Pools()))
     )
     choose_delivery: Callable[[WireHost], CallDelivery] = lambda host: draw_delivery(host.world)
-    """What becomes of a call, chosen as it is sent."""
+    """Chooses the delivery of a call when it is sent."""
 
     def receive_heartbeat(self, host: WireHost, body: bytes) -> None:
-        """Take a heartbeat in as a control host does."""
+        """Receive a heartbeat as a control host does."""
         path = f"/instances/{host.name}"
         self._handle_request(HttpRequest(method="PUT", path=path, headers={}, body=body))
 
     def receive_leave(self, host: WireHost) -> None:
-        """Take in that an upstream has left."""
+        """Receive the leave message of an upstream."""
         path = f"/instances/{host.name}"
         self._handle_request(HttpRequest(method="DELETE", path=path, headers={}, body=b""))
 
@@ -380,7 +380,7 @@
     def _transmit(
         self, order: Order, exchange: _Exchange, finish: Callable[[WireReply], None]
     ) -> None:
-        """Bring one call to its upstream, and its reply back."""
+        """Deliver one call to its upstream, and the reply to the client."""
         world = self.world
         host = self.hosts[order.upstream.address]
         delivery = self.choose_delivery(host)
@@ -419,18 +419,18 @@
 
 
 def _run_without_waiting(coroutine: Coroutine[Any, Any, object]) -> None:
-    """Run a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends."""
     try:
         coroutine.send(None)
     except StopIteration:
         return
-    raise AssertionError("a call waits that should not")
+    raise AssertionError("the coroutine suspended")
 
 
 def build_hosts(
     world: World, count: int, *, run_ms: Callable[[], float], rate: float | None = None
 ) -> dict[str, WireHost]:
-    """Return hosts by address, each with a process that has just started."""
+    """Build hosts by address, each with a newly started process."""
     infos = [build_info(f"u{number}") for number in range(1, count + 1)]
     return {
         info.address: WireHost(
@@ -444,7 +444,7 @@
 
 
 def send_heartbeats(host: WireHost, find_leader: Callable[[], WireLeader]) -> None:
-    """Send heartbeats of whatever process is up."""
+    """Send periodic heartbeats of the process that is up."""
     leader = find_leader()
     if host.process.is_up and host.info.id not in leader.cut_off:
         leader.receive_heartbeat(host, host.write_heartbeat())
