--- a/cottonlug/cli.py
+++ b/cottonlug/cli.py
@@ -17,7 +17,7 @@
 from .commands import gateway as gateways
 from .commands.exits import ExitCode
 from .commands.output import print_refusal
-from .commands.workloads import Flavour, build_example_job
+from .commands.workloads import ExampleWorkload, build_example_job
 from .config.deployments import DEPLOYMENTS, DeploymentName, write_deployment
 from .config.options import Address
 from .core.ids import KindName, SubmissionId, TeamName
@@ -94,7 +94,9 @@
     host: HostOption,
     token_file: TokenOption,
     file: Annotated[Path | None, typer.Argument(help="Job in JSON; - is standard input.")] = None,
-    example: Annotated[Flavour | None, typer.Option(help="Submit an example job instead.")] = None,
+    example: Annotated[
+        ExampleWorkload | None, typer.Option(help="Submit an example job instead.")
+    ] = None,
     tasks: Annotated[int, typer.Option(min=1, max=1100, help="Tasks of the example.")] = 1100,
     seed: Annotated[int, typer.Option(help="Seed of the example.")] = 1,
     submission: Annotated[str | None, typer.Option("--id", help="Submission id to use.")] = None,
@@ -185,7 +187,7 @@
     ] = None,
 ) -> None:
     """Print one job's story, in order, from the logs of many processes."""
-    raise typer.Exit(explanation.explain_request(id, files or []))
+    raise typer.Exit(explanation.explain_job(id, files or []))
 
 
 @app.command(epilog="Example: cottonlug dump --host 127.0.0.1:7201 --token-file tokens/operators")
@@ -252,8 +254,8 @@
     as_json: JsonOption = False,
 ) -> None:
     """Tell which rule a job meets, and why not the earlier ones."""
-    labels = _read_labels(label or [])
-    asked = operations.build_question(team, kind, domain, labels, size, idempotent)
+    labels = _parse_labels(label or [])
+    asked = operations.build_explain_request(team, kind, domain, labels, size, idempotent)
     if file is not None:
         raise typer.Exit(operations.explain_file(file, asked, as_json))
     target = _build_target(host, token_file, as_json)
@@ -263,21 +265,21 @@
 @evacuations_app.command("begin", epilog="Example: ... begin ridge-hut --control 10.1.0.16:8166")
 def evacuations_begin(domain: str, control: ControlOption) -> None:
     """Start nothing more at the upstreams of a failure domain; what runs there ends by itself."""
-    hosts = [_read_host(each, "--control") for each in control]
-    raise typer.Exit(evacuations.order_evacuation(hosts, domain, begin=True))
+    hosts = [_parse_address(each, "--control") for each in control]
+    raise typer.Exit(evacuations.set_evacuation(hosts, domain, begin=True))
 
 
 @evacuations_app.command("end", epilog="Example: ... end ridge-hut --control 10.1.0.16:8166")
 def evacuations_end(domain: str, control: ControlOption) -> None:
     """Use the upstreams of a failure domain again."""
-    hosts = [_read_host(each, "--control") for each in control]
-    raise typer.Exit(evacuations.order_evacuation(hosts, domain, begin=False))
+    hosts = [_parse_address(each, "--control") for each in control]
+    raise typer.Exit(evacuations.set_evacuation(hosts, domain, begin=False))
 
 
 @evacuations_app.command("list")
 def evacuations_list(control: ControlOption, as_json: JsonOption = False) -> None:
     """Print which failure domains are evacuated, and since when."""
-    hosts = [_read_host(each, "--control") for each in control]
+    hosts = [_parse_address(each, "--control") for each in control]
     raise typer.Exit(evacuations.list_evacuations(hosts, as_json))
 
 
@@ -297,7 +299,7 @@
 
 
 def _build_target(host: str, token_file: Path, as_json: bool) -> jobs.Target:
-    address = _read_host(host, "--host")
+    address = _parse_address(host, "--host")
     try:
         token = token_file.read_text().strip()
     except OSError as error:
@@ -305,14 +307,14 @@
     return jobs.Target(address=address, token=token, as_json=as_json)
 
 
-def _read_host(host: str, option: str) -> Address:
+def _parse_address(host: str, option: str) -> Address:
     name, _, port = host.rpartition(":")
     if not name or not port.isdecimal():
         raise typer.BadParameter(f"{option} is IP:PORT, not {host!r}")
     return Address(name, int(port))
 
 
-def _read_labels(given: list[str]) -> dict[str, str]:
+def _parse_labels(given: list[str]) -> dict[str, str]:
     labels: dict[str, str] = {}
     for item in given:
         name, separator, value = item.partition("=")
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -18,20 +18,20 @@
 from ..runtime.process import Life, run_loop
 from ..runtime.refused_heartbeats import RefusedHeartbeats
 from .daemons import (
-    CONNECTIONS_PER_UPSTREAM,
-    PEER_BODY_BYTES,
-    begin_logging,
+    MAX_CONNECTIONS_PER_UPSTREAM,
+    MAX_PEER_BODY_BYTES,
+    start_logging,
     find_drain_seconds,
-    listen,
-    listen_metrics,
-    listen_peers,
-    start_all,
+    build_listener,
+    build_metrics_listeners,
+    build_peer_listeners,
+    start_listeners,
     stop_listeners,
 )
 from .exits import ExitCode
 
-CONTROL_BODY_BYTES = 8 * 1024 * 1024
-HANDED_OVER_SECONDS = 1.5
+MAX_CONTROL_BODY_BYTES = 8 * 1024 * 1024
+FORWARDING_GRACE_SECONDS = 1.5
 """Time for another leader to be found before this host stops passing calls on."""
 
 
@@ -42,9 +42,9 @@
 
 async def _serve_control(config: Path) -> int:
     settings = load_control_settings(config)
-    output = begin_logging(settings)
+    output = start_logging(settings)
     life = Life()
-    pools = ConnectionPools(max_connections=CONNECTIONS_PER_UPSTREAM)
+    pools = ConnectionPools(max_connections=MAX_CONNECTIONS_PER_UPSTREAM)
     host = ControlHost(
         settings=settings,
         clock=SystemClock(),
@@ -54,16 +54,18 @@
     refused = RefusedHeartbeats(clock=SystemClock())
     life.watch_signals(lambda: build_control_dump(host))
     life.watch_reload(lambda: None)
-    control = listen(
+    control = build_listener(
         build_control_handler(host.answer, refused.note),
         settings.listen.control,
-        CONTROL_BODY_BYTES,
+        MAX_CONTROL_BODY_BYTES,
         takes_all=True,
     )
-    peers = listen_peers(host.handle_peer, settings, PEER_BODY_BYTES, host.answer_at_once)
+    peers = build_peer_listeners(
+        host.handle_peer, settings, MAX_PEER_BODY_BYTES, host.answer_at_once
+    )
     shown = build_control_metrics(host, output, pools.idle, refused)
-    metrics = listen_metrics(shown, settings.listen.metrics)
-    error = await host.start() or await start_all([*peers, control, *metrics])
+    metrics = build_metrics_listeners(shown, settings.listen.metrics)
+    error = await host.start() or await start_listeners([*peers, control, *metrics])
     if error is not None:
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
@@ -73,8 +75,8 @@
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
     await host.hand_over()
-    await asyncio.sleep(HANDED_OVER_SECONDS)
-    left = find_drain_seconds(settings.drain_limit, HANDED_OVER_SECONDS)
+    await asyncio.sleep(FORWARDING_GRACE_SECONDS)
+    left = find_drain_seconds(settings.drain_limit, FORWARDING_GRACE_SECONDS)
     await stop_listeners([control, *peers, *metrics], left)
     await host.stop()
     pools.close()
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -17,12 +17,12 @@
 from ..runtime.log_output import LogOutput
 from ..runtime.metrics import Metrics
 
-SMALL_BODY_BYTES = 1_024
+MAX_SMALL_BODY_BYTES = 1_024
 """Requests for metrics and readiness have no body."""
-CONNECTIONS_PER_UPSTREAM = 16
+MAX_CONNECTIONS_PER_UPSTREAM = 16
 DRAIN_MARGIN_SECONDS = 0.4
 """What is left of the limit for closing down, once all that was under way is answered or cut."""
-PEER_BODY_BYTES = 64 * 1024 * 1024
+MAX_PEER_BODY_BYTES = 64 * 1024 * 1024
 """A snapshot is one message."""
 
 
@@ -31,7 +31,7 @@
     return max(limit.total_seconds() - gone_seconds - DRAIN_MARGIN_SECONDS, 0.0)
 
 
-def begin_logging(settings: ControlSettings | GatewaySettings) -> LogOutput:
+def start_logging(settings: ControlSettings | GatewaySettings) -> LogOutput:
     """Send logs to standard output and note the start."""
     output = LogOutput(descriptor=sys.stdout.fileno())
     set_up_output(settings.log, output)
@@ -39,7 +39,7 @@
     return output
 
 
-def listen(
+def build_listener(
     handler: Handler,
     address: Address,
     max_body_bytes: int,
@@ -52,7 +52,7 @@
     return Listener(app=app, address=address, takes_all=takes_all)
 
 
-def listen_peers(
+def build_peer_listeners(
     handler: Handler,
     settings: ControlSettings | GatewaySettings,
     max_body_bytes: int,
@@ -60,21 +60,21 @@
 ) -> list[Listener]:
     """Return the listeners for other hosts: for jobs, and for what must not wait behind these."""
     address = settings.listen.peers
-    listeners = [listen(handler, address, max_body_bytes, at_once)]
+    listeners = [build_listener(handler, address, max_body_bytes, at_once)]
     if settings.urgent_port is not None:
         urgent = Address(address.host, settings.urgent_port)
-        listeners.append(listen(handler, urgent, max_body_bytes, at_once, takes_all=True))
+        listeners.append(build_listener(handler, urgent, max_body_bytes, at_once, takes_all=True))
     return listeners
 
 
-def listen_metrics(metrics: Metrics, address: Address | None) -> list[Listener]:
+def build_metrics_listeners(metrics: Metrics, address: Address | None) -> list[Listener]:
     """Return the listener for metrics, where the settings name an address for it."""
     if address is None:
         return []
-    return [listen(build_metrics_handler(metrics), address, SMALL_BODY_BYTES)]
+    return [build_listener(build_metrics_handler(metrics), address, MAX_SMALL_BODY_BYTES)]
 
 
-async def start_all(listeners: list[Listener]) -> str | None:
+async def start_listeners(listeners: list[Listener]) -> str | None:
     """Start listeners in turn; return why one failed, or None."""
     for listener in listeners:
         error = await listener.start()
--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -45,9 +45,9 @@
 from ..runtime.clocks import SystemClock
 from ..runtime.events import set_up_logging
 from ..runtime.node import EntryNode
-from ..upstream.daemon import StandIn
-from ..upstream.work import decide_alert, settle_ticket
-from .workloads import Flavour, build_example_job, sum_run_times
+from ..upstream.daemon import StandInUpstream
+from ..upstream.work import choose_alert_recipients, compute_ticket
+from .workloads import ExampleWorkload, build_example_job, sum_run_times
 
 HOST = HostId("e1")
 DOMAIN = DomainName("town-hall-basement")
@@ -68,7 +68,7 @@
     ideal_seconds: float
     messages: int
     empty_replies: int
-    broken: list[str]
+    violations: list[str]
 
 
 def run_demo() -> int:
@@ -93,8 +93,8 @@
     print(f"entry host {HOST} on {settings.listen.callers}, {UPSTREAMS} upstreams of {SLOTS} slots")
     client = ApiClient(address=settings.listen.callers, token=settings.tokens.callers)
     rows = [
-        await _run_job(Flavour.AURORA, client, node, stand_ins),
-        await _run_job(Flavour.TICKETS, client, node, stand_ins),
+        await _run_job(ExampleWorkload.AURORA, client, node, stand_ins),
+        await _run_job(ExampleWorkload.TICKETS, client, node, stand_ins),
     ]
     rows.append(await _run_payment(client, node, stand_ins))
     await client.close()
@@ -104,45 +104,47 @@
         await stand_in.stop()
     await node.stop()
     _print_table(rows)
-    broken = [f"{row.name}: {promise}" for row in rows for promise in row.broken]
-    broken += [f"invariant: {failure}" for failure in failures]
-    for line in broken:
+    violations = [f"{row.name}: {promise}" for row in rows for promise in row.violations]
+    violations += [f"invariant: {failure}" for failure in failures]
+    for line in violations:
         print(f"BROKEN {line}", file=sys.stderr)
-    print("every promise held" if not broken else f"{len(broken)} promises broken")
-    return 1 if broken else 0
+    print("every promise held" if not violations else f"{len(violations)} promises broken")
+    return 1 if violations else 0
 
 
 async def _run_job(
-    flavour: Flavour, client: ApiClient, node: EntryNode, stand_ins: list[StandIn]
+    workload: ExampleWorkload, client: ApiClient, node: EntryNode, stand_ins: list[StandInUpstream]
 ) -> DemoRow:
-    request = build_example_job(flavour, TASKS, SEED)
+    request = build_example_job(workload, TASKS, SEED)
     id = await _mint(client)
     request.id = id
     counters = node.host.dispatcher.counters
     exchanges, empty = counters.exchanges, counters.empty_replies
     began = time.monotonic()
     accepted = await client.call("POST", "/v1/jobs", JobStatus, request)
-    broken = [] if not isinstance(accepted, Err) else [f"refused: {accepted.failure().message}"]
-    answer = await _follow(client, id) if not broken else None
+    violations = [] if not isinstance(accepted, Err) else [f"refused: {accepted.failure().message}"]
+    answer = await _wait_for_answer(client, id) if not violations else None
     seconds = time.monotonic() - began
     again = await client.call("POST", "/v1/jobs", JobStatus, request)
     if isinstance(again, Err) or again.unwrap().state is not JobState.COMPLETE:
-        broken.append("a resend did not attach to the job")
+        violations.append("a resend did not attach to the job")
     starts = sum(each.start_log.by_submission.get(id, 0) for each in stand_ins)
-    broken += _check_answer(flavour, request, answer, starts, stand_ins)
+    violations += _check_answer(workload, request, answer, starts, stand_ins)
     return DemoRow(
-        name=flavour.value,
+        name=workload.value,
         tasks=TASKS,
         starts=starts,
         response_seconds=seconds,
-        ideal_seconds=_compute_ideal(sum_run_times(request)),
+        ideal_seconds=_compute_ideal_seconds(sum_run_times(request)),
         messages=2 * (counters.exchanges - exchanges),
         empty_replies=counters.empty_replies - empty,
-        broken=broken,
+        violations=violations,
     )
 
 
-async def _run_payment(client: ApiClient, node: EntryNode, stand_ins: list[StandIn]) -> DemoRow:
+async def _run_payment(
+    client: ApiClient, node: EntryNode, stand_ins: list[StandInUpstream]
+) -> DemoRow:
     """Send one non-idempotent request twice with its id; it must run once."""
     counters = node.host.dispatcher.counters
     exchanges, empty = counters.exchanges, counters.empty_replies
@@ -159,9 +161,9 @@
     seconds = time.monotonic() - began
     second = await client.call("POST", "/v1/requests", JobAnswer, request)
     starts = sum(each.start_log.by_submission.get(id, 0) for each in stand_ins)
-    broken = [] if starts == 1 else [f"a payment started {starts} times"]
+    violations = [] if starts == 1 else [f"a payment started {starts} times"]
     if first != second:
-        broken.append("two callers of one payment got different answers")
+        violations.append("two callers of one payment got different answers")
     return DemoRow(
         name="payment",
         tasks=1,
@@ -170,7 +172,7 @@
         ideal_seconds=0.05,
         messages=2 * (counters.exchanges - exchanges),
         empty_replies=counters.empty_replies - empty,
-        broken=broken,
+        violations=violations,
     )
 
 
@@ -180,7 +182,7 @@
     return reply.ids[0]
 
 
-async def _follow(client: ApiClient, id: SubmissionId) -> JobAnswer | None:
+async def _wait_for_answer(client: ApiClient, id: SubmissionId) -> JobAnswer | None:
     while True:
         path = f"/v1/jobs/{id}/answer?wait_ms=250"
         reply = await client.call("GET", path, JobView)
@@ -193,27 +195,27 @@
 
 
 def _check_answer(
-    flavour: Flavour,
+    workload: ExampleWorkload,
     request: SubmitRequest,
     answer: JobAnswer | None,
     starts: int,
-    stand_ins: list[StandIn],
+    stand_ins: list[StandInUpstream],
 ) -> list[str]:
-    broken: list[str] = []
+    violations: list[str] = []
     if answer is None or answer.state is not JobState.COMPLETE or answer.results is None:
         return [f"no complete answer: {answer}"]
     if starts != len(request.tasks):
-        broken.append(f"{starts} starts for {len(request.tasks)} tasks")
+        violations.append(f"{starts} starts for {len(request.tasks)} tasks")
     if any(each.start_log.duplicates for each in stand_ins):
-        broken.append("a task started twice")
-    work = decide_alert if flavour is Flavour.AURORA else settle_ticket
+        violations.append("a task started twice")
+    work = choose_alert_recipients if workload is ExampleWorkload.AURORA else compute_ticket
     expected = [work(json.loads(bytes(task))).unwrap() for task in request.tasks]
     if [json.loads(bytes(result)) for result in answer.results] != expected:
-        broken.append("the answer is not the caller's own whole answer")
-    return broken
+        violations.append("the answer is not the caller's own whole answer")
+    return violations
 
 
-def _compute_ideal(run_times_ms: list[int]) -> float:
+def _compute_ideal_seconds(run_times_ms: list[int]) -> float:
     """Return how long the tasks take on all slots with no overhead, longest first."""
     slots = [0.0] * (UPSTREAMS * SLOTS)
     for run_time in sorted(run_times_ms, reverse=True):
@@ -270,7 +272,7 @@
     )
 
 
-def _build_stand_in(entry: EntrySettings, number: int) -> StandIn:
+def _build_stand_in(entry: EntrySettings, number: int) -> StandInUpstream:
     settings = UpstreamSettings(
         upstream=UpstreamId(f"w{number}"),
         domain=entry.domain,
@@ -287,7 +289,7 @@
         delays=Delays(),
         log=LogSettings(),
     )
-    return StandIn(settings=settings, incarnation=Incarnation(secrets.token_hex(8)))
+    return StandInUpstream(settings=settings, incarnation=Incarnation(secrets.token_hex(8)))
 
 
 def _find_ports(count: int) -> list[int]:
--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -22,16 +22,16 @@
 from .exits import ExitCode
 from .output import print_json
 
-PATIENCE = timedelta(seconds=1)
+RESPONSE_TIMEOUT = timedelta(seconds=1)
 """A control host that has not answered by then is taken for lost, and the next one is asked."""
-KEEP_TRYING = timedelta(seconds=20)
+RETRY_PERIOD = timedelta(seconds=20)
 """Longer than an election and a restart of all control hosts take."""
-PAUSE = timedelta(milliseconds=200)
+RETRY_PAUSE = timedelta(milliseconds=200)
 
 
-def order_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
+def set_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
     """Begin or end the evacuation of a domain, asking one host after another until one says so."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_order(domain, begin=begin)))
+    reply = asyncio.run(_call_hosts_in_turn(hosts, build_order(domain, begin=begin)))
     if reply.is_done:
         print(f"{domain} is {'evacuated' if begin else 'used again'}")
         return ExitCode.OK
@@ -41,7 +41,7 @@
 
 def list_evacuations(hosts: list[Address], as_json: bool) -> ExitCode:
     """Print the domains that are evacuated, and since when."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_list()))
+    reply = asyncio.run(_call_hosts_in_turn(hosts, build_list()))
     listed = read_evacuations(reply)
     if listed is None:
         print(f"not known: {reply.problem}", file=sys.stderr)
@@ -61,21 +61,21 @@
         print(f"{each.domain} since {since.isoformat(timespec='seconds')}")
 
 
-async def _ask_in_turn(hosts: list[Address], call: OperatorCall) -> OperatorReply:
+async def _call_hosts_in_turn(hosts: list[Address], call: OperatorCall) -> OperatorReply:
     """Return the first clear answer, or the last one where none came in time."""
-    give_up_at = time.monotonic() + KEEP_TRYING.total_seconds()
-    async with httpx.AsyncClient(timeout=PATIENCE.total_seconds()) as client:
+    deadline = time.monotonic() + RETRY_PERIOD.total_seconds()
+    async with httpx.AsyncClient(timeout=RESPONSE_TIMEOUT.total_seconds()) as client:
         while True:
             for host in hosts:
-                reply = await _ask(client, host, call)
+                reply = await _call_host(client, host, call)
                 if reply.is_done or reply.is_final:
                     return reply
-            if time.monotonic() >= give_up_at:
+            if time.monotonic() >= deadline:
                 return reply
-            await asyncio.sleep(PAUSE.total_seconds())
+            await asyncio.sleep(RETRY_PAUSE.total_seconds())
 
 
-async def _ask(client: httpx.AsyncClient, host: Address, call: OperatorCall) -> OperatorReply:
+async def _call_host(client: httpx.AsyncClient, host: Address, call: OperatorCall) -> OperatorReply:
     try:
         response = await client.request(call.method, f"http://{host}{call.path}")
     except httpx.HTTPError as error:
--- a/cottonlug/commands/explanation.py
+++ b/cottonlug/commands/explanation.py
@@ -11,29 +11,29 @@
 
 from .exits import ExitCode
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 
 
-def explain_request(id: str, files: list[Path]) -> ExitCode:
+def explain_job(id: str, files: list[Path]) -> ExitCode:
     """Print, in order, every log line that names an id; without files, from standard input."""
     found = sorted(_find_lines(id, files), key=lambda line: str(line.get("time", "")))
     if not found:
         print(f"no line names {id}; routine lines are written for one job in 16", file=sys.stderr)
         return ExitCode.JOB_FAILED
     for line in found:
-        print(format_line(line))
+        print(format_log_line(line))
     return ExitCode.OK
 
 
-def format_line(line: Line) -> str:
+def format_log_line(line: LogLine) -> str:
     """Return a log line as time, what happened, and the inputs that decided it."""
-    rest = {key: value for key, value in line.items() if key not in _SHOWN}
+    rest = {key: value for key, value in line.items() if key not in _HEADER_FIELDS}
     what = line.get("decision") or line.get("message", "")
     details = " ".join(f"{key}={value}" for key, value in rest.items())
     return f"{line.get('time', '?')} {line.get('event', '')} {what}: {details}"
 
 
-def read_lines(texts: Iterable[str]) -> Iterator[Line]:
+def read_log_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Yield the JSON objects in lines of text; what stands before the object is left out."""
     for text in texts:
         start = text.find("{")
@@ -47,19 +47,19 @@
             yield line
 
 
-def _find_lines(id: str, files: list[Path]) -> Iterator[Line]:
+def _find_lines(id: str, files: list[Path]) -> Iterator[LogLine]:
     if not files:
-        yield from (line for line in read_lines(sys.stdin) if _names(line, id))
+        yield from (line for line in read_log_lines(sys.stdin) if _mentions(line, id))
         return
     for file in files:
         with file.open(errors="replace") as texts:
-            for line in read_lines(texts):
-                if _names(line, id):
+            for line in read_log_lines(texts):
+                if _mentions(line, id):
                     yield line | {"file": file.name}
 
 
-def _names(line: Line, id: str) -> bool:
+def _mentions(line: LogLine, id: str) -> bool:
     return any(isinstance(value, str) and id in value for value in line.values())
 
 
-_SHOWN = ("time", "level", "event", "message", "decision")
+_HEADER_FIELDS = ("time", "level", "event", "message", "decision")
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -20,21 +20,21 @@
 from ..runtime.gateway import Gateway
 from ..runtime.process import Life, run_loop
 from .daemons import (
-    CONNECTIONS_PER_UPSTREAM,
+    MAX_CONNECTIONS_PER_UPSTREAM,
     DRAIN_MARGIN_SECONDS,
-    PEER_BODY_BYTES,
-    SMALL_BODY_BYTES,
-    begin_logging,
+    MAX_PEER_BODY_BYTES,
+    MAX_SMALL_BODY_BYTES,
+    start_logging,
     find_drain_seconds,
-    listen,
-    listen_metrics,
-    listen_peers,
-    start_all,
+    build_listener,
+    build_metrics_listeners,
+    build_peer_listeners,
+    start_listeners,
     stop_listeners,
 )
 from .exits import ExitCode
 
-BALANCER_SECONDS = 2.5
+BALANCER_REMOVAL_SECONDS = 2.5
 """The balancer asks once a second and takes a host out after two misses."""
 
 
@@ -45,9 +45,9 @@
 
 async def _serve_gateway(config: Path) -> int:
     settings = load_gateway_settings(config)
-    output = begin_logging(settings)
+    output = start_logging(settings)
     life = Life()
-    pools = ConnectionPools(max_connections=CONNECTIONS_PER_UPSTREAM)
+    pools = ConnectionPools(max_connections=MAX_CONNECTIONS_PER_UPSTREAM)
     gateway = Gateway(
         settings=settings,
         clock=SystemClock(),
@@ -60,13 +60,17 @@
     callers = Listener(
         app=build_asgi(handler, lambda: gateway.max_body_bytes), address=settings.listen.callers
     )
-    readiness = listen(
-        build_readiness_handler(gateway.is_ready), settings.listen.readiness, SMALL_BODY_BYTES
+    readiness = build_listener(
+        build_readiness_handler(gateway.is_ready), settings.listen.readiness, MAX_SMALL_BODY_BYTES
+    )
+    peers = build_peer_listeners(
+        gateway.handle_peer, settings, MAX_PEER_BODY_BYTES, gateway.answer_at_once
     )
-    peers = listen_peers(gateway.handle_peer, settings, PEER_BODY_BYTES, gateway.answer_at_once)
     gateway.start()
-    metrics = listen_metrics(build_gateway_metrics(gateway, output), settings.listen.metrics)
-    error = await start_all([*peers, callers, readiness, *metrics])
+    metrics = build_metrics_listeners(
+        build_gateway_metrics(gateway, output), settings.listen.metrics
+    )
+    error = await start_listeners([*peers, callers, readiness, *metrics])
     if error is not None:
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
@@ -76,8 +80,8 @@
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
     gateway.begin_stopping()
-    await asyncio.sleep(BALANCER_SECONDS)
-    left = find_drain_seconds(settings.drain_limit, BALANCER_SECONDS)
+    await asyncio.sleep(BALANCER_REMOVAL_SECONDS)
+    left = find_drain_seconds(settings.drain_limit, BALANCER_REMOVAL_SECONDS)
     await stop_listeners([callers, readiness, *metrics], left)
     gateway.stop()
     await stop_listeners(peers, DRAIN_MARGIN_SECONDS / 2)
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -80,7 +80,7 @@
     return decode(body, SubmitRequest)
 
 
-async def call_patiently(
+async def call_with_retries(
     client: ApiClient, method: str, path: str, reply_type: Any, message: Any
 ) -> Result[Any, Refusal]:
     """Call again while the refusal says to come back; a resend has its id and is safe."""
@@ -103,7 +103,7 @@
             request.id = minted.unwrap().ids[0]
         if not target.as_json:
             print(f"submission {request.id}", file=sys.stderr)
-        accepted = await call_patiently(client, "POST", "/v1/jobs", JobView, request)
+        accepted = await call_with_retries(client, "POST", "/v1/jobs", JobView, request)
         if isinstance(accepted, Err):
             return print_refusal(accepted.failure(), target.as_json)
         view = accepted.unwrap()
@@ -117,7 +117,7 @@
 async def _follow(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
     path = f"/v1/jobs/{id}/answer?wait_ms={POLL_MS}"
     while True:
-        reply = await call_patiently(client, "GET", path, JobView, None)
+        reply = await call_with_retries(client, "GET", path, JobView, None)
         if isinstance(reply, Err):
             return print_refusal(reply.failure(), target.as_json)
         view = reply.unwrap()
@@ -135,7 +135,7 @@
             if isinstance(minted, Err):
                 return print_refusal(minted.failure(), target.as_json)
             request.id = minted.unwrap().ids[0]
-        reply = await call_patiently(client, "POST", "/v1/requests", JobView, request)
+        reply = await call_with_retries(client, "POST", "/v1/requests", JobView, request)
         if isinstance(reply, Err):
             return print_refusal(reply.failure(), target.as_json)
         return print_view(reply.unwrap(), target.as_json)
@@ -144,7 +144,7 @@
 
 
 async def _mint(client: ApiClient) -> Result[MintReply, Refusal]:
-    return await call_patiently(client, "POST", "/v1/ids", MintReply, MintRequest(count=1))
+    return await call_with_retries(client, "POST", "/v1/ids", MintReply, MintRequest(count=1))
 
 
 async def _mint_and_print(target: Target, count: int) -> ExitCode:
--- a/cottonlug/commands/operations.py
+++ b/cottonlug/commands/operations.py
@@ -110,24 +110,24 @@
     return loaded.value
 
 
-def explain_file(file: Path, asked: ExplainRequest, as_json: bool) -> ExitCode:
+def explain_file(file: Path, request: ExplainRequest, as_json: bool) -> ExitCode:
     """Tell which rule of a file a job would meet."""
     document = read_rules_file(file)
     if document is None:
         return ExitCode.SETTINGS
-    return _print_explanation(explain_rules(document.rules, asked), as_json)
+    return _print_explanation(explain_rules(document.rules, request), as_json)
 
 
-def explain_remote(target: Target, asked: ExplainRequest) -> ExitCode:
+def explain_remote(target: Target, request: ExplainRequest) -> ExitCode:
     """Tell which rule in force at a host a job would meet."""
     path = "/v1/rules/explain"
-    reply = asyncio.run(call_once(target, "POST", path, ExplainReply, asked))
+    reply = asyncio.run(call_once(target, "POST", path, ExplainReply, request))
     if isinstance(reply, Err):
         return print_refusal(reply.failure(), target.as_json)
     return _print_explanation(reply.unwrap(), target.as_json)
 
 
-def build_question(
+def build_explain_request(
     team: str, kind: str, domain: str, labels: dict[str, str], size: int, idempotent: bool
 ) -> ExplainRequest:
     """Return the question to the rules that the options ask."""
--- a/cottonlug/commands/serve.py
+++ b/cottonlug/commands/serve.py
@@ -20,10 +20,10 @@
 from ..runtime.metrics import Metrics
 from ..runtime.node import EntryNode
 from ..runtime.process import Life, run_loop
-from ..upstream.daemon import StandIn
+from ..upstream.daemon import StandInUpstream
 from .exits import ExitCode
 
-_LEAVE_LIMIT = timedelta(minutes=5)
+_LEAVE_TIMEOUT = timedelta(minutes=5)
 _STATE_BODY_BYTES = 65_536
 
 
@@ -62,7 +62,7 @@
     set_up_logging(settings.log)
     log_event(Event.STARTED, upstream=settings.upstream, domain=settings.domain, pid=os.getpid())
     life = Life()
-    stand_in = StandIn(settings=settings, incarnation=Incarnation(secrets.token_hex(8)))
+    stand_in = StandInUpstream(settings=settings, incarnation=Incarnation(secrets.token_hex(8)))
     life.watch_signals(stand_in.build_dump)
     listener = _build_state_listener(settings, stand_in)
     error = await listener.start() if listener is not None else None
@@ -73,7 +73,7 @@
     log_event(Event.READY, upstream=settings.upstream)
     await life.wait_stop()
     log_event(Event.DRAINING, upstream=settings.upstream)
-    await stand_in.leave(_LEAVE_LIMIT)
+    await stand_in.leave(_LEAVE_TIMEOUT)
     await stand_in.stop()
     if listener is not None:
         await listener.stop()
@@ -81,10 +81,10 @@
     return ExitCode.OK
 
 
-def _build_state_listener(settings: UpstreamSettings, stand_in: StandIn) -> Listener | None:
+def _build_state_listener(settings: UpstreamSettings, stand_in: StandInUpstream) -> Listener | None:
     if settings.listen is None or settings.operator_token is None:
         return None
-    metrics = Metrics(counters=stand_in.count, gauges=stand_in.gauge)
+    metrics = Metrics(counters=stand_in.get_counters, gauges=stand_in.get_gauges)
     handlers = build_state_handlers(stand_in.build_dump, metrics, settings.operator_token)
     app = build_app(title="cottonlug upstream", handlers=handlers, max_body_bytes=_STATE_BODY_BYTES)
     return Listener(app=app, address=settings.listen)
--- a/cottonlug/commands/workloads.py
+++ b/cottonlug/commands/workloads.py
@@ -16,17 +16,17 @@
 _SLOW_MS = 1_500
 
 
-class Flavour(Enum):
+class ExampleWorkload(Enum):
     """Whose work a job looks like."""
 
     AURORA = "aurora"
     TICKETS = "tickets"
 
 
-def build_example_job(flavour: Flavour, count: int, seed: int) -> SubmitRequest:
+def build_example_job(workload: ExampleWorkload, count: int, seed: int) -> SubmitRequest:
     """Return a job of that many tasks; the same seed gives the same job."""
     chance = random.Random(seed)
-    is_alert = flavour is Flavour.AURORA
+    is_alert = workload is ExampleWorkload.AURORA
     build = _build_alert if is_alert else _build_ticket
     tasks = [Raw(json.dumps(build(chance, index)).encode()) for index in range(count)]
     return SubmitRequest(
--- a/cottonlug/tests/test_cluster_logs.py
+++ b/cottonlug/tests/test_cluster_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ..commands.exits import ExitCode
-from ..commands.explanation import explain_request, read_lines
+from ..commands.explanation import explain_job, read_log_lines
 from ..runtime.decisions import SAMPLE_ONE_IN, is_sampled
 from ..runtime.log_output import BUFFER_BYTES, LogOutput
 from ..runtime.metrics import Metrics
@@ -39,7 +39,7 @@
             text += os.read(reading, 1 << 20)
         except BlockingIOError:
             break
-    told = [line for line in read_lines(text.decode().splitlines()) if "lines" in line]
+    told = [line for line in read_log_lines(text.decode().splitlines()) if "lines" in line]
     assert sum(line["lines"] for line in told) == output.left_out
     os.close(reading)
     os.close(writing)
@@ -73,10 +73,10 @@
         '{"time": "2026-01-01T00:00:01", "event": 6001, "decision": "job_taken", "job": "abc"}\n'
         '{"time": "2026-01-01T00:00:02", "event": 6001, "decision": "run_ended", "job": "abc"}\n'
     )
-    assert explain_request("abc", [first, second]) is ExitCode.OK
+    assert explain_job("abc", [first, second]) is ExitCode.OK
     lines = capsys.readouterr().out.splitlines()
     assert [line.split()[2].rstrip(":") for line in lines] == ["job_taken", "run_ended", "failed"]
-    assert explain_request("nobody", [first, second]) is not ExitCode.OK
+    assert explain_job("nobody", [first, second]) is not ExitCode.OK
 
 
 def test_histograms_are_shown_in_the_usual_text_format() -> None:
--- a/cottonlug/upstream/daemon.py
+++ b/cottonlug/upstream/daemon.py
@@ -32,11 +32,11 @@
 _TIMEOUT_SECONDS = 60.0
 _FIRST_BACKOFF_SECONDS = 0.05
 _MAX_BACKOFF_SECONDS = 1.0
-_HAND_IN_SECONDS = 10.0
+_FINAL_RESULTS_TIMEOUT_SECONDS = 10.0
 """How long a leaving upstream tries to hand in its last results."""
-_GOODBYE_SECONDS = 2.0
-_CHECK_SECONDS = 0.02
-_QUIET_PAUSE_SECONDS = 0.5
+_SESSION_CLOSE_TIMEOUT_SECONDS = 2.0
+_CHECK_INTERVAL_SECONDS = 0.02
+_DRAINING_PAUSE_SECONDS = 0.5
 """Pause between requests while the host is draining or this upstream leaves."""
 
 
@@ -67,7 +67,7 @@
             self.by_submission.pop(oldest.submission, None)
 
 
-class StandIn:
+class StandInUpstream:
     """State of one stand-in upstream; all of it on one loop."""
 
     def __init__(self, *, settings: UpstreamSettings, incarnation: Incarnation) -> None:
@@ -87,7 +87,7 @@
             hosts=[entry.host for entry in settings.hosts],
             delays=settings.delays,
         )
-        self._news = {entry.host: asyncio.Event() for entry in settings.hosts}
+        self._updates = {entry.host: asyncio.Event() for entry in settings.hosts}
         self._loops: list[asyncio.Task[None]] = []
         self._running: dict[TaskKey, asyncio.Task[None]] = {}
 
@@ -103,16 +103,16 @@
                 )
                 for _ in range(MAX_OPEN_REQUESTS)
             ]
-            self._loops.append(asyncio.create_task(self._keep_link(link, clients)))
+            self._loops.append(asyncio.create_task(self._maintain_link(link, clients)))
 
     async def leave(self, limit: timedelta) -> None:
         """Take no new work, finish what runs, hand in all results and say goodbye."""
         self.executor.leave()
-        for host in self._news:
-            self._wake(host)
+        for host in self._updates:
+            self._signal_update(host)
         await _wait_until(lambda: not self.executor.running, limit.total_seconds())
-        await _wait_until(self.executor.is_done, _HAND_IN_SECONDS)
-        await _wait_until(self._is_goodbye_said, _GOODBYE_SECONDS)
+        await _wait_until(self.executor.is_done, _FINAL_RESULTS_TIMEOUT_SECONDS)
+        await _wait_until(self._are_sessions_closed, _SESSION_CLOSE_TIMEOUT_SECONDS)
 
     async def stop(self) -> None:
         """Stop at once."""
@@ -136,22 +136,22 @@
             started_by_submission=dict(self.start_log.by_submission),
         )
 
-    def count(self) -> dict[str, float]:
+    def get_counters(self) -> dict[str, float]:
         """Return all counters."""
         log = self.start_log
         return {"started": log.started, "duplicate_starts": log.duplicates}
 
-    def gauge(self) -> dict[str, float]:
+    def get_gauges(self) -> dict[str, float]:
         """Return the current sizes."""
         executor = self.executor
         return {"running": len(executor.running), "waiting": len(executor.waiting)}
 
     # Links
 
-    def _is_goodbye_said(self) -> bool:
+    def _are_sessions_closed(self) -> bool:
         return all(link.closed for link in self.executor.links.values())
 
-    async def _keep_link(self, link: Link, clients: list[HttpClient]) -> None:
+    async def _maintain_link(self, link: Link, clients: list[HttpClient]) -> None:
         backoff = _FIRST_BACKOFF_SECONDS
         while True:
             self.executor.begin_session(link)
@@ -171,17 +171,17 @@
         """Exchange messages until something goes wrong, and return what did; None after goodbye."""
         free = list(clients)
         calls: dict[asyncio.Task[str | None], HttpClient] = {}
-        news = self._news[link.host]
+        updates = self._updates[link.host]
         try:
             while not link.closed:
                 if free and await self._is_request_due(link):
                     client = free.pop()
                     call = asyncio.create_task(self._exchange(link, client))
                     calls[call] = client
-                waiter = asyncio.ensure_future(news.wait())
+                waiter = asyncio.ensure_future(updates.wait())
                 await asyncio.wait([*calls, waiter], return_when=asyncio.FIRST_COMPLETED)
                 waiter.cancel()
-                news.clear()
+                updates.clear()
                 for call in [call for call in calls if call.done()]:
                     error = call.result()
                     if error is not None:
@@ -195,10 +195,10 @@
 
     async def _is_request_due(self, link: Link) -> bool:
         if link.open_requests == 0:
-            is_quiet = link.draining or self.executor.leaving
-            if is_quiet and not self.executor.has_news(link):
+            is_draining = link.draining or self.executor.leaving
+            if is_draining and not self.executor.has_news(link):
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(self._news[link.host].wait(), _QUIET_PAUSE_SECONDS)
+                    await asyncio.wait_for(self._updates[link.host].wait(), _DRAINING_PAUSE_SECONDS)
             return True
         due = self.executor.find_due(link)
         if due is None:
@@ -207,7 +207,7 @@
         if wait <= 0:
             return True
         # Woken early where a later result changes what may wait.
-        asyncio.get_running_loop().call_later(wait, self._wake, link.host)
+        asyncio.get_running_loop().call_later(wait, self._signal_update, link.host)
         return False
 
     async def _exchange(self, link: Link, client: HttpClient) -> str | None:
@@ -222,8 +222,8 @@
         self._stop_tasks()
         return None
 
-    def _wake(self, host: HostId) -> None:
-        self._news[host].set()
+    def _signal_update(self, host: HostId) -> None:
+        self._updates[host].set()
 
     # Tasks
 
@@ -231,7 +231,7 @@
         while (assignment := self.executor.start_next()) is not None:
             self.start_log.record(assignment.key)
             task = asyncio.create_task(self._run_task(assignment))
-            task.add_done_callback(self._build_settle(assignment.key))
+            task.add_done_callback(self._build_done_callback(assignment.key))
             self._running[assignment.key] = task
 
     def _stop_tasks(self) -> None:
@@ -243,22 +243,24 @@
 
     async def _run_task(self, assignment: Assignment) -> None:
         began = time.monotonic()
-        status, value = await self._run_bounded(assignment)
+        status, value = await self._run_with_timeout(assignment)
         ran_us = int((time.monotonic() - began) * 1e6)
         del self._running[assignment.key]
         host = self.executor.finish(assignment.key, status, value, ran_us, _read_clock())
-        self._wake(host)
+        self._signal_update(host)
         self._start_tasks()
 
-    def _build_settle(self, key: TaskKey) -> Callable[[asyncio.Task[None]], None]:
-        return lambda _: self._settle(key)
+    def _build_done_callback(self, key: TaskKey) -> Callable[[asyncio.Task[None]], None]:
+        return lambda _: self._report_if_never_run(key)
 
-    def _settle(self, key: TaskKey) -> None:
+    def _report_if_never_run(self, key: TaskKey) -> None:
         """Report a task that was stopped before its first step."""
         if self._running.pop(key, None) is not None:
-            self._wake(self.executor.finish(key, ResultStatus.STOPPED, NULL, 0, _read_clock()))
+            self._signal_update(
+                self.executor.finish(key, ResultStatus.STOPPED, NULL, 0, _read_clock())
+            )
 
-    async def _run_bounded(self, assignment: Assignment) -> tuple[ResultStatus, Raw]:
+    async def _run_with_timeout(self, assignment: Assignment) -> tuple[ResultStatus, Raw]:
         try:
             async with asyncio.timeout(assignment.timeout_ms / 1000):
                 result = await run_work(assignment.kind, assignment.payload)
@@ -278,7 +280,7 @@
 async def _wait_until(is_true: Callable[[], bool], seconds: float) -> None:
     deadline = time.monotonic() + seconds
     while not is_true() and time.monotonic() < deadline:
-        await asyncio.sleep(_CHECK_SECONDS)
+        await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
 
 
 def _read_reply(sent: Result[HttpReply, TransportError]) -> Result[ExchangeReply, str]:
--- a/cottonlug/upstream/work.py
+++ b/cottonlug/upstream/work.py
@@ -22,7 +22,7 @@
 _MAX_CLOUD_SHARE = 0.7
 _PRICES_PER_KG = {"ferrous": 0.35, "non-ferrous": 4.2}
 
-Work = Callable[[dict[str, Any]], Result[Any, str]]
+TaskFunction = Callable[[dict[str, Any]], Result[Any, str]]
 
 
 async def run_work(kind: str, payload: Raw) -> Result[Raw, str]:
@@ -35,8 +35,8 @@
     milliseconds = fields.get("ms", 0)
     if not isinstance(milliseconds, int | float) or milliseconds < 0:
         return Failure("ms must be a number that is not negative")
-    work = _KINDS.get(kind)
-    if work is None:
+    compute = _TASK_FUNCTIONS.get(kind)
+    if compute is None:
         return Failure(f"unknown kind {kind!r}")
     if kind == "crash":
         os._exit(_CRASH_EXIT_CODE)
@@ -44,10 +44,10 @@
         await asyncio.sleep(_HANG_SECONDS)
     if milliseconds:
         await asyncio.sleep(milliseconds / 1000)
-    return work(fields).map(lambda value: Raw(msgspec.json.encode(value)))
+    return compute(fields).map(lambda value: Raw(msgspec.json.encode(value)))
 
 
-def decide_alert(fields: dict[str, Any]) -> Result[Any, str]:
+def choose_alert_recipients(fields: dict[str, Any]) -> Result[Any, str]:
     """Return whom to wake for a magnetometer index and a cloud share."""
     index = fields.get("k_index")
     clouds = fields.get("clouds", 0.0)
@@ -58,7 +58,7 @@
     return Success({"subscriber": fields.get("subscriber"), "wake": wake})
 
 
-def settle_ticket(fields: dict[str, Any]) -> Result[Any, str]:
+def compute_ticket(fields: dict[str, Any]) -> Result[Any, str]:
     """Return net weight and price of one load."""
     gross = fields.get("gross_kg")
     tare = fields.get("tare_kg")
@@ -83,9 +83,9 @@
     return Failure(str(fields.get("why", "told to fail")))
 
 
-_KINDS: dict[str, Work] = {
-    "aurora.alert": decide_alert,
-    "weigh.ticket": settle_ticket,
+_TASK_FUNCTIONS: dict[str, TaskFunction] = {
+    "aurora.alert": choose_alert_recipients,
+    "weigh.ticket": compute_ticket,
     "sleep": _do_nothing,
     "echo": _echo,
     "fail": _fail,
