--- a/bench/callers.py
+++ b/bench/callers.py
@@ -33,10 +33,10 @@
     ("middle", 0.711, 2, 200, 2_400),
 )
 """Shares, widths, run times and sizes of the users' largest sheet."""
-CPU_MILLIS = 16_000
-SPREAD = 0.4
-PATIENCE = timedelta(milliseconds=1_500)
-SETTLE_SECONDS = 1.0
+TASK_CPU_MILLIS = 16_000
+LOG_SIGMA = 0.4
+CALL_TIMEOUT = timedelta(milliseconds=1_500)
+WARM_UP_SECONDS = 1.0
 
 
 def build_gateway(number: int, leader: Address) -> Gateway:
@@ -60,25 +60,25 @@
     kinds = [kind[0] for kind in KINDS]
     name = chance.choices(kinds, [kind[1] for kind in KINDS])[0]
     _, _, tasks, run_ms, size = KINDS[kinds.index(name)]
-    real_ms = min(run_ms * chance.lognormvariate(-SPREAD * SPREAD / 2, SPREAD), 4 * run_ms)
-    step = StepSpec(count=tasks, needs=Needs(cpu_millis=CPU_MILLIS), estimate_ms=int(real_ms))
+    real_ms = min(run_ms * chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA), 4 * run_ms)
+    step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU_MILLIS), estimate_ms=int(real_ms))
     payload = f"{real_ms:.0f} ".ljust(size, "x")
     spec = JobSpec(payload=payload, steps=(step,), best_effort=True)
     return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, patience_ms=1_500)
 
 
-async def call_all(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
+async def submit_jobs(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
     """Submit jobs at a rate, through gateways in turn, and count how they were answered."""
     gateways = [build_gateway(number, leader) for number in range(count)]
     for gateway in gateways:
         gateway.start()
-    await asyncio.sleep(SETTLE_SECONDS)
+    await asyncio.sleep(WARM_UP_SECONDS)
     chance = random.Random(1)
     counts: dict[str, int] = {}
 
     async def submit(number: int) -> None:
         call = draw_job(chance, number)
-        answer = await gateways[number % count].call(call, PATIENCE)
+        answer = await gateways[number % count].call(call, CALL_TIMEOUT)
         counts[answer.outcome.value] = counts.get(answer.outcome.value, 0) + 1
 
     loop = asyncio.get_running_loop()
@@ -99,4 +99,4 @@
     address = parse_address(sys.argv[1])
     assert address is not None, "LEADER is an address"
     arguments = int(sys.argv[2]), float(sys.argv[3]), float(sys.argv[4])
-    print(json.dumps(uvloop.run(call_all(address, *arguments))))
+    print(json.dumps(uvloop.run(submit_jobs(address, *arguments))))
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -20,7 +20,7 @@
 from msgspec import Raw
 
 from bench.capacity_page import render_page
-from bench.sessions import measure_all
+from bench.sessions import measure_session_costs
 from cottonlug.config.options import Address
 from cottonlug.core.ids import DomainName, KindName, SubmissionId, TeamName, UpstreamId
 from cottonlug.core.jobs import record_success, send_next_task
@@ -52,11 +52,11 @@
     """Return the bytes of memory that one of `count` built things takes."""
     gc.collect()
     tracemalloc.start()
-    kept = build(count)
+    built = build(count)
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert kept is not None
+    assert built is not None
     return size / count
 
 
@@ -83,7 +83,7 @@
     return dispatcher
 
 
-def build_kept_answers(count: int) -> object:
+def build_retained_answers(count: int) -> object:
     jobs = []
     store = build_dispatcher().store
     for _ in range(count // 1_100):
@@ -155,8 +155,8 @@
         ]
         match = compile_rules(rules)
         costs[str(count)] = {
-            "compiled_us": time_call(lambda match=match: match(question)),
-            "naive_us": time_call(
+            "compiled_us": measure_call_us(lambda match=match: match(question)),
+            "naive_us": measure_call_us(
                 lambda rules=rules: next(
                     (rule for rule in rules if find_mismatch(rule.when, question) is None), None
                 )
@@ -165,7 +165,7 @@
     return costs
 
 
-def time_call(call: Callable[[], Any]) -> float:
+def measure_call_us(call: Callable[[], Any]) -> float:
     """Return the microseconds of one call, the best of five rounds."""
     rounds = []
     for _ in range(5):
@@ -206,10 +206,10 @@
         "processor": fit_cost(cost),
         "bytes_per_session": measure_memory(build_sessions, 1_000),
         "bytes_per_queued_task": measure_memory(build_queued_tasks, 55_000),
-        "bytes_per_kept_result": measure_memory(build_kept_answers, 55_000),
+        "bytes_per_kept_result": measure_memory(build_retained_answers, 55_000),
         "wire_bytes": measure_messages(),
         "rules": measure_rules(),
-        "sessions": measure_all(),
+        "sessions": measure_session_costs(),
     }
     file = RESULTS / "consensus.json"
     slopes["consensus"] = json.loads(file.read_text()) if file.exists() else None
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .sweeps import find_newest, render_sweeps
+from .sweeps import find_newest_sweeps, render_sweeps
 
 WORKERS = 4_400
 ACCELERATORS = 6_900
@@ -38,11 +38,11 @@
     idle_bytes: float
     peak_bytes: float
     session_mb: float
-    queue_mb: float
-    kept_mb: float
+    queued_mb: float
+    retained_mb: float
 
 
-def work_out(cost: dict[str, Any], slopes: dict[str, Any]) -> Sizing:
+def size_deployment(cost: dict[str, Any], slopes: dict[str, Any]) -> Sizing:
     """Return the sizing; every figure comes from a measured slope or a stated size."""
     load = cost["jobs_1100_50ms_tasks_24x8_slots"]
     processor = slopes["processor"]
@@ -68,21 +68,21 @@
         idle_bytes=renewals * wire["idle_renewal"],
         peak_bytes=starts_per_host * (wire["task"] + exchange_bytes / tasks_per_exchange),
         session_mb=sessions * slopes["bytes_per_session"] / 2**20,
-        queue_mb=starts_per_host * QUEUED_SECONDS * slopes["bytes_per_queued_task"] / 2**20,
-        kept_mb=starts_per_host * RETENTION_SECONDS * slopes["bytes_per_kept_result"] / 2**20,
+        queued_mb=starts_per_host * QUEUED_SECONDS * slopes["bytes_per_queued_task"] / 2**20,
+        retained_mb=starts_per_host * RETENTION_SECONDS * slopes["bytes_per_kept_result"] / 2**20,
     )
 
 
 def render_page(cost: dict[str, Any], slopes: dict[str, Any]) -> str:
     """Return the whole page."""
-    size = work_out(cost, slopes)
+    size = size_deployment(cost, slopes)
     return "\n".join(
         [
             _render_head(),
             _render_slopes(cost, slopes),
             _render_roles(cost, slopes, size),
             _render_limits(cost, slopes, size),
-            render_sweeps(find_newest()),
+            render_sweeps(find_newest_sweeps()),
             _render_gaps(),
         ]
     )
@@ -170,7 +170,7 @@
 | role | state | messages | processor | memory | mechanism |
 |---|---|---|---|---|---|
 | entry host, no task moving | {size.sessions} sessions | {size.sessions / IDLE_PARK_SECONDS:.0f} renewals/s, {size.idle_bytes / 1000:.1f} KB/s | {size.idle_share:.2%} of a core | {size.session_mb:.1f} MB over the process itself | parked exchange every {IDLE_PARK_SECONDS} s as lease renewal |
-| entry host at the peak | {size.starts_per_host * RETENTION_SECONDS:,.0f} kept results, {size.starts_per_host * QUEUED_SECONDS:,.0f} queued tasks ({QUEUED_SECONDS} s of work) | {size.starts_per_host / size.tasks_per_exchange:,.0f} exchanges/s, {size.peak_bytes / 1e6:.1f} MB/s | {size.starts_per_host * size.task_us / 1e6:.0%} of a core | {size.kept_mb + size.queue_mb + size.session_mb:.0f} MB over the process itself | results and starts batched in one exchange; answers kept {RETENTION_SECONDS} s |
+| entry host at the peak | {size.starts_per_host * RETENTION_SECONDS:,.0f} kept results, {size.starts_per_host * QUEUED_SECONDS:,.0f} queued tasks ({QUEUED_SECONDS} s of work) | {size.starts_per_host / size.tasks_per_exchange:,.0f} exchanges/s, {size.peak_bytes / 1e6:.1f} MB/s | {size.starts_per_host * size.task_us / 1e6:.0%} of a core | {size.retained_mb + size.queued_mb + size.session_mb:.0f} MB over the process itself | results and starts batched in one exchange; answers kept {RETENTION_SECONDS} s |
 | voter (3 to 5 entry hosts with a disk) | rules document, log since the last snapshot | heartbeats, {CHANGES_PER_DAY / 86_400:.2f} changes/s | {voter} | within the entry host | quorum log; synced before it counts |
 | host without a vote | rules document | one parked long poll | see slopes | within the entry host | long poll at a voter |
 | upstream host | nothing of ours | {size.hosts_per_domain} parked requests | theirs | theirs | it dials us and splits its slots as credit |
@@ -243,4 +243,4 @@
 """
 
 
-__all__ = ["render_page", "work_out"]
+__all__ = ["render_page", "size_deployment"]
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -20,7 +20,7 @@
 import typer
 
 from .load import Run
-from .measures import Measures, compare, measure, summarise
+from .measures import Measures, compute_gain, measure, compute_means
 from .scenarios import SCENARIOS
 from .variants import NO_CHANGE, VARIANTS
 
@@ -31,7 +31,7 @@
 )
 
 
-class Play(NamedTuple):
+class RunKey(NamedTuple):
     """One run: a scenario, a variant and a seed."""
 
     scenario: str
@@ -39,52 +39,52 @@
     seed: int
 
 
-def play(each: Play) -> Measures:
+def run_one(key: RunKey) -> Measures:
     """Play one run and return what it was worth."""
-    scenario = SCENARIOS[each.scenario]
-    with VARIANTS[each.variant]():
+    scenario = SCENARIOS[key.scenario]
+    with VARIANTS[key.variant]():
         run = Run(
-            seed=each.seed,
+            seed=key.seed,
             upstream_count=scenario.upstream_count,
             rate_factor=scenario.rate_factor,
         )
-        scenario.trouble(run)
-        run.play()
+        scenario.inject_fault(run)
+        run.run_to_end()
     return measure(run, scenario)
 
 
-def play_all(
+def run_all(
     scenarios: Sequence[str], variants: Sequence[str], seeds: int, processes: int
 ) -> dict[str, dict[str, Any]]:
     """Play every scenario with every variant and seed; compare each variant with no change."""
     names = list(dict.fromkeys([NO_CHANGE, *variants]))
-    plays = [
-        Play(scenario, variant, seed)
+    keys = [
+        RunKey(scenario, variant, seed)
         for scenario in scenarios
         for variant in names
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(processes) as pool:
-        measured = dict(zip(plays, pool.map(play, plays), strict=True))
+        measured = dict(zip(keys, pool.map(run_one, keys), strict=True))
     results: dict[str, dict[str, Any]] = {}
     for scenario in scenarios:
         rows = {
-            variant: [measured[Play(scenario, variant, seed)] for seed in range(1, seeds + 1)]
+            variant: [measured[RunKey(scenario, variant, seed)] for seed in range(1, seeds + 1)]
             for variant in names
         }
-        results[scenario] = {variant: _describe(rows, variant) for variant in names}
+        results[scenario] = {variant: _summarise_variant(rows, variant) for variant in names}
         print(scenario, "done", file=sys.stderr)
     return results
 
 
-def _describe(rows: dict[str, list[Measures]], variant: str) -> dict[str, Any]:
-    described: dict[str, Any] = {"means": summarise(rows[variant])}
+def _summarise_variant(rows: dict[str, list[Measures]], variant: str) -> dict[str, Any]:
+    described: dict[str, Any] = {"means": compute_means(rows[variant])}
     if variant != NO_CHANGE:
-        described["gain"] = asdict(compare(rows[variant], rows[NO_CHANGE]))
+        described["gain"] = asdict(compute_gain(rows[variant], rows[NO_CHANGE]))
     return described
 
 
-def _check(names: Sequence[str] | None, known: Sequence[str]) -> list[str]:
+def _check_names(names: Sequence[str] | None, known: Sequence[str]) -> list[str]:
     chosen = list(names or known)
     unknown = [name for name in chosen if name not in known]
     if unknown:
@@ -100,9 +100,9 @@
     processes: Annotated[int, typer.Option(min=1, help="How many runs at a time.")] = 2,
 ) -> None:
     """Print JSON: for each scenario and variant the means, and the gain with its 95% interval."""
-    scenarios = _check(scenario, list(SCENARIOS))
-    variants = _check(variant, list(VARIANTS))
-    print(json.dumps(play_all(scenarios, variants, seeds, processes), indent=1))
+    scenarios = _check_names(scenario, list(SCENARIOS))
+    variants = _check_names(variant, list(VARIANTS))
+    print(json.dumps(run_all(scenarios, variants, seeds, processes), indent=1))
 
 
 @app.command()
@@ -113,11 +113,11 @@
     print("| variant |", " | ".join(scenarios), "|")
     print("|---|" + "---|" * len(scenarios))
     for name in results[scenarios[0]]:
-        cells = [_format(results[scenario][name]) for scenario in scenarios]
+        cells = [_format_cell(results[scenario][name]) for scenario in scenarios]
         print(f"| {name} |", " | ".join(cells), "|")
 
 
-def _format(described: dict[str, Any]) -> str:
+def _format_cell(described: dict[str, Any]) -> str:
     """Return a cell; a gain whose interval holds zero is in brackets."""
     if "gain" not in described:
         return f"{described['means']['worth']:.3f}"
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -49,7 +49,7 @@
     ]
     version = 0
     latencies: list[float] = []
-    in_force: list[float] = []
+    activation_times: list[float] = []
     for number in range(CHANGES):
         command = ChangeCommand(
             request_id=f"change-{number}", base_version=version, text=build_rules(number)
@@ -60,20 +60,20 @@
         version = decided.unwrap().version
         assert version == number + 1
         latencies.append(accepted - began)
-        await asyncio.gather(*(wait_version(client, version) for client in clients))
-        in_force.append(time.perf_counter() - accepted)
+        await asyncio.gather(*(wait_for_version(client, version) for client in clients))
+        activation_times.append(time.perf_counter() - accepted)
     for client in clients:
         await client.close()
     return {
         "apply_median_ms": statistics.median(latencies) * 1000,
         "apply_worst_ms": max(latencies) * 1000,
         "applies_per_second": 1 / statistics.median(latencies),
-        "in_force_median_ms": statistics.median(in_force) * 1000,
-        "in_force_worst_ms": max(in_force) * 1000,
+        "in_force_median_ms": statistics.median(activation_times) * 1000,
+        "in_force_worst_ms": max(activation_times) * 1000,
     }
 
 
-async def wait_version(client: ApiClient, version: int) -> None:
+async def wait_for_version(client: ApiClient, version: int) -> None:
     while (await client.call("GET", "/v1/rules", RulesView, None)).unwrap().version < version:
         await asyncio.sleep(0.002)
 
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -32,7 +32,7 @@
     start_fleet,
 )
 
-LONE_TASKS = 60
+SINGLE_TASKS = 60
 JOBS = 30
 TASKS = 1_100
 TASK_MS = 50
@@ -56,7 +56,7 @@
     return SubmitRequest(team="bench", kind=kind, tasks=[payload] * count, run_time_ms=ms)
 
 
-async def measure_lone(fleet: Fleet, direct_url: str) -> dict[str, float]:
+async def measure_single_task(fleet: Fleet, direct_url: str) -> dict[str, float]:
     """Time one 50 ms request through the dispatcher against a direct call, in turns."""
     host = fleet.hosts[0]
     payload = {"ms": TASK_MS}
@@ -68,7 +68,7 @@
     )
     single = {"team": "bench", "kind": "sleep", "payload": payload}
     times: dict[str, list[float]] = {"direct": [], "dispatched": []}
-    for _ in range(LONE_TASKS):
+    for _ in range(SINGLE_TASKS):
         began = time.perf_counter()
         (await direct.post("/run", json={"kind": "sleep", "payload": payload})).raise_for_status()
         between = time.perf_counter()
@@ -76,9 +76,9 @@
         times["direct"].append(between - began)
         times["dispatched"].append(time.perf_counter() - between)
     began = time.perf_counter()
-    for _ in range(LONE_TASKS):
+    for _ in range(SINGLE_TASKS):
         (await ours.get("/health")).raise_for_status()
-    round_trip = (time.perf_counter() - began) / LONE_TASKS
+    round_trip = (time.perf_counter() - began) / SINGLE_TASKS
     await direct.aclose()
     await ours.aclose()
     direct_ms = statistics.median(times["direct"]) * 1000
@@ -177,7 +177,7 @@
             fleet = start_fleet(build_deployment(4, 8), Path(folder))
             idle_mb = read_resident_mb(fleet.processes["e1"].pid)
             try:
-                results["lone_50_ms_task"] = asyncio.run(measure_lone(fleet, urls[0]))
+                results["lone_50_ms_task"] = asyncio.run(measure_single_task(fleet, urls[0]))
                 results["resident_mb_idle"] = idle_mb
             finally:
                 fleet.stop()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -20,20 +20,20 @@
 
 from . import load
 from .load import Run
-from .variants import replace as replacing
+from .variants import replace_attribute as replacing
 
 SIZES = (24, 176, 700)
 RATE_FACTORS = (1.0, 2.0)
 """Of the usual load, which takes two thirds of the room: twice as much makes a backlog."""
-SECONDS = 3
+DURATION_SECONDS = 3
 SEED = 1
-ENTRIES = ("tick", "submit", "take_look", "take_start_answer", "take_stop_answer", "take_heartbeat")
+METHODS = ("tick", "submit", "take_look", "take_start_answer", "take_stop_answer", "take_heartbeat")
 
 
 @contextmanager
-def measure_entries(spent: dict[str, float]) -> Iterator[None]:
+def measure_methods(spent: dict[str, float]) -> Iterator[None]:
     """Add up the seconds spent in each of the calls by which events come to a dispatch."""
-    originals = {name: getattr(Dispatch, name) for name in ENTRIES}
+    originals = {name: getattr(Dispatch, name) for name in METHODS}
 
     def wrap(name: str) -> Any:
         def measured(*args: Any, **rest: Any) -> Any:
@@ -45,7 +45,7 @@
 
         return measured
 
-    for name in ENTRIES:
+    for name in METHODS:
         setattr(Dispatch, name, wrap(name))
     try:
         yield
@@ -57,9 +57,9 @@
 def measure(upstreams: int, rate_factor: float) -> dict[str, float]:
     """Return microseconds for each start and looks for each start, at one size and load."""
     spent: dict[str, float] = {}
-    with replacing(load, "SECONDS", SECONDS), measure_entries(spent):
+    with replacing(load, "DURATION_SECONDS", DURATION_SECONDS), measure_methods(spent):
         run = Run(seed=SEED, upstream_count=upstreams, rate_factor=rate_factor)
-        run.play()
+        run.run_to_end()
     starts = run.world.starts
     looks = run.leader.dispatch.counts.looks
     return {
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -55,15 +55,15 @@
 from cottonlug.tests.test_cluster_waiting import OwnOffice
 
 from .callers import KINDS
-from .standin import BORN_MS, build_address
+from .standin import STARTED_MS, build_address
 
 UPSTREAMS = 40
 GATEWAYS = 15
-JOBS_A_SECOND = 95.0
+JOBS_PER_SECOND = 95.0
 """What 40 upstreams of 32 to 48 cores get on the users' largest sheet: 0.56 of their room."""
-SECONDS = 8.0
+DURATION_SECONDS = 8.0
 SERVICE = ServiceName("service")
-SIZES_MILLIS = (32_000, 32_000, 48_000)
+UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
 CALLER_RETRY = timedelta(milliseconds=1_300)
 
 
@@ -95,19 +95,19 @@
     """Return what the stand-ins would say of themselves."""
     return [
         UpstreamInfo(
-            id=name_life(f"u{number}", BORN_MS),
+            id=name_life(f"u{number}", STARTED_MS),
             service=SERVICE,
             address=f"{build_address(number)}:{port}",
             domain=DomainName("domain"),
             capacity=Capacity(
-                cpu_millis=SIZES_MILLIS[number % len(SIZES_MILLIS)], memory_mb=100_000
+                cpu_millis=UPSTREAM_CPU_MILLIS[number % len(UPSTREAM_CPU_MILLIS)], memory_mb=100_000
             ),
         )
         for number in range(count)
     ]
 
 
-class Host:
+class LeaderHost:
     """A leader with the listener that its gateways reach."""
 
     def __init__(self, *, address: Address, infos: list[UpstreamInfo]) -> None:
@@ -176,18 +176,18 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
-async def play_round(profile: cProfile.Profile | None) -> dict[str, Any]:
+async def measure_round(profile: cProfile.Profile | None) -> dict[str, Any]:
     """Lead for one load; return what that has cost."""
     port = find_base_port()
     address = Address("127.0.0.1", port + 1)
     upstreams = _spawn("standin", port, UPSTREAMS)
     assert upstreams.stdout is not None
     upstreams.stdout.readline()
-    host = Host(address=address, infos=build_infos(port, UPSTREAMS))
+    host = LeaderHost(address=address, infos=build_infos(port, UPSTREAMS))
     error = await host.listener.start()
     assert error is None, error
     await asyncio.sleep(0.5)
-    callers = _spawn("callers", address, GATEWAYS, JOBS_A_SECOND, SECONDS)
+    callers = _spawn("callers", address, GATEWAYS, JOBS_PER_SECOND, DURATION_SECONDS)
     began = time.thread_time()
     if profile is not None:
         profile.enable()
@@ -218,18 +218,18 @@
     """Print the processor time of a leader for each start."""
     if profile:
         profiled = cProfile.Profile()
-        print(uvloop.run(play_round(profiled)))
+        print(uvloop.run(measure_round(profiled)))
         pstats.Stats(profiled).sort_stats("tottime").print_stats(45)
         return
-    played = [uvloop.run(play_round(None)) for _ in range(rounds)]
-    costs = [each["us_a_start"] for each in played]
+    measured = [uvloop.run(measure_round(None)) for _ in range(rounds)]
+    costs = [each["us_a_start"] for each in measured]
     results = {
         "us_a_start": {
             "median": statistics.median(costs),
             "least": min(costs),
             "most": max(costs),
         },
-        "rounds": played,
+        "rounds": measured,
     }
     print(json.dumps(results, indent=1))
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -27,27 +27,27 @@
     milliseconds,
 )
 
-SPREAD = 0.4
+LOG_SIGMA = 0.4
 """Of widths, run times and declared times, on a logarithmic scale."""
-CPU_MILLIS = 14_000
-CPU_SPREAD = 0.2
-SIZES_MILLIS = (32_000, 32_000, 48_000)
+TASK_CPU_MILLIS = 14_000
+CPU_LOG_SIGMA = 0.2
+UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
 """Rooms of upstreams, in turn."""
-LATE_WORTH = 0.2
+LATE_WORTH_SHARE = 0.2
 """Of an answer between one and three times the objective."""
 LATE_FACTOR = 3
 STRETCH = 1.6
 TARGET_MS = 60
-SECONDS = 20
-AFTER_SECONDS = 6
+DURATION_SECONDS = 20
+DRAIN_SECONDS = 6
 """How long jobs may still end after the last has come."""
-BACK_AFTER = timedelta(seconds=3)
+RESTART_DELAY = timedelta(seconds=3)
 """An upstream that a task has crashed is back after some seconds."""
 RESEND_AFTER = timedelta(milliseconds=1_300)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
+class JobKind:
     """One kind of job: how many a second, of how many tasks, each of how long, and its worth."""
 
     name: str
@@ -58,9 +58,9 @@
 
 
 KINDS = (
-    Kind(name="short", rate=17.2, tasks=8, run_ms=60, worth=0.0291),
-    Kind(name="middle", rate=50.0, tasks=2, run_ms=200, worth=0.010),
-    Kind(name="long", rate=3.12, tasks=4, run_ms=900, worth=0.160),
+    JobKind(name="short", rate=17.2, tasks=8, run_ms=60, worth=0.0291),
+    JobKind(name="middle", rate=50.0, tasks=2, run_ms=200, worth=0.010),
+    JobKind(name="long", rate=3.12, tasks=4, run_ms=900, worth=0.160),
 )
 QUEUES = {
     kind.name: msgspec.structs.replace(
@@ -68,15 +68,15 @@
     )
     for kind in KINDS
 }
-USUAL_UPSTREAMS = 28
+DEFAULT_UPSTREAMS = 28
 """For the rates above: two thirds of their room."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Submitted:
+class SubmittedJob:
     """A job of the load, and what became of it."""
 
-    kind: Kind
+    kind: JobKind
     spec: JobSpec
     worth: float
     objective: timedelta
@@ -96,7 +96,7 @@
         taken = self.ended_at - self.at
         if taken <= self.objective:
             return self.worth
-        return self.worth * LATE_WORTH if taken <= self.objective * LATE_FACTOR else 0.0
+        return self.worth * LATE_WORTH_SHARE if taken <= self.objective * LATE_FACTOR else 0.0
 
 
 @dataclass(slots=True, kw_only=True)
@@ -104,10 +104,10 @@
     """One load on one set of upstreams, led by one leader after the other."""
 
     seed: int
-    upstream_count: int = USUAL_UPSTREAMS
+    upstream_count: int = DEFAULT_UPSTREAMS
     rate_factor: float = 1.0
     """Of the usual rates, which are for the usual number of upstreams."""
-    jobs: dict[JobId, Submitted] = field(default_factory=dict)
+    jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
     real_ms: dict[JobId, float] = field(default_factory=dict)
     slowness: dict[UpstreamId, float] = field(default_factory=dict)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
@@ -117,7 +117,7 @@
     """Of the jobs, those with a task that crashes upstreams."""
     is_frozen: bool = False
     token: int = 0
-    life: int = 0
+    restart_count: int = 0
     chance: random.Random = field(init=False)
     world: World = field(init=False)
     upstreams: dict[UpstreamId, ModelUpstream] = field(init=False)
@@ -126,21 +126,23 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
         self.world = World(random=random.Random(self.seed + 1))
-        self.world.on_crash = self._come_back
+        self.world.on_crash = self._restart_after_crash
         self.upstreams = {}
         for number in range(self.upstream_count):
-            self._add_upstream(f"u{number + 1}", SIZES_MILLIS[number % len(SIZES_MILLIS)])
-        self.elect()
+            self._add_upstream(
+                f"u{number + 1}", UPSTREAM_CPU_MILLIS[number % len(UPSTREAM_CPU_MILLIS)]
+            )
+        self.elect_leader()
 
-    def play(self) -> None:
+    def run_to_end(self) -> None:
         """Submit the load and let it end."""
         self._plan_arrivals()
-        self.world.run_until(timedelta(seconds=SECONDS + AFTER_SECONDS))
-        self._collect()
+        self.world.run_until(timedelta(seconds=DURATION_SECONDS + DRAIN_SECONDS))
+        self._record_ended()
 
     # Faults
 
-    def elect(self) -> None:
+    def elect_leader(self) -> None:
         """Have a new leader take over, to which open jobs are submitted again."""
         self.token += TOKENS_PER_TERM
         self.leader = Leader(
@@ -152,14 +154,14 @@
         for job, submitted in self.jobs.items():
             is_open = submitted.ended_at is None and submitted.refused_at is None
             if is_open and self.world.now - submitted.at < submitted.objective * LATE_FACTOR:
-                self._hand_in(job)
+                self._submit_to_leader(job)
 
     def lose_leader(self, *, is_frozen: bool = False) -> None:
         """End the leader's term; nobody decides until the next is elected.
 
         A frozen one takes calls in and answers none, so that they may have begun.
         """
-        self._collect()
+        self._record_ended()
         self.is_frozen = is_frozen
         self.leader.is_over = True
 
@@ -168,37 +170,37 @@
         for upstream in list(self.upstreams.values())[:count]:
             upstream.crash()
 
-    def restart(self) -> None:
+    def restart_crashed(self) -> None:
         """Begin a new life of each upstream that has crashed."""
-        self.life += 1
+        self.restart_count += 1
         for id, upstream in list(self.upstreams.items()):
             if not upstream.is_up:
-                name = f"{id}v{self.life}"
+                name = f"{id}v{self.restart_count}"
                 fresh = self._add_upstream(name, upstream.info.capacity.cpu_millis)
                 self.leader.beat(fresh, 1)
 
-    def _come_back(self, crashed: ModelUpstream) -> None:
+    def _restart_after_crash(self, crashed: ModelUpstream) -> None:
         """Have an upstream that a task has crashed begin another life."""
         if not self.poisoned_share:
             return
 
         def begin() -> None:
-            self.life += 1
-            name = f"{crashed.info.id}v{self.life}"
+            self.restart_count += 1
+            name = f"{crashed.info.id}v{self.restart_count}"
             fresh = self._add_upstream(name, crashed.info.capacity.cpu_millis)
             fresh.info = msgspec.structs.replace(fresh.info, address=crashed.info.address)
             crashed.is_replaced = True
             if not self.leader.is_over:
                 self.leader.beat(fresh, 1)
 
-        self.world.at(BACK_AFTER, begin)
+        self.world.at(RESTART_DELAY, begin)
 
-    def slow(self, count: int, factor: float) -> None:
+    def slow_down(self, count: int, factor: float) -> None:
         """Have tasks on the first upstreams take that many times as long."""
         for id in list(self.upstreams)[:count]:
             self.slowness[id] = factor
 
-    def fail(self, count: int) -> None:
+    def fail_tasks(self, count: int) -> None:
         """Have the first upstreams fail at once all that they start from now on."""
         for number, upstream in enumerate(self.upstreams.values()):
             upstream.fails_all = number < count
@@ -217,28 +219,28 @@
         return upstream
 
     def _plan_arrivals(self) -> None:
-        scale = self.rate_factor * self.upstream_count / USUAL_UPSTREAMS
+        scale = self.rate_factor * self.upstream_count / DEFAULT_UPSTREAMS
         for kind in KINDS:
             at = 0.2
-            while at < SECONDS:
-                at += self.chance.expovariate(kind.rate * scale * self._find_burst(at))
-                self.world.at(timedelta(seconds=at), lambda kind=kind: self._submit(kind))  # type: ignore[misc]
+            while at < DURATION_SECONDS:
+                at += self.chance.expovariate(kind.rate * scale * self._find_burst_factor(at))
+                self.world.at(timedelta(seconds=at), lambda kind=kind: self._create_job(kind))  # type: ignore[misc]
 
-    def _find_burst(self, at: float) -> float:
+    def _find_burst_factor(self, at: float) -> float:
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
-    def _draw(self, mean: float, most: float) -> float:
+    def _draw_around(self, mean: float, most: float) -> float:
         """Return a number that scatters round a mean."""
-        drawn = self.chance.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
+        drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
         return min(mean * drawn, most)
 
-    def _submit(self, kind: Kind) -> None:
+    def _create_job(self, kind: JobKind) -> None:
         job = JobId(f"{len(self.jobs):016x}")
-        real_ms = self._draw(kind.run_ms, kind.run_ms * 4)
-        count = max(1, round(self._draw(kind.tasks, kind.tasks * 4)))
-        cpu_millis = int(CPU_MILLIS * self.chance.lognormvariate(0, CPU_SPREAD))
+        real_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
+        count = max(1, round(self._draw_around(kind.tasks, kind.tasks * 4)))
+        cpu_millis = int(TASK_CPU_MILLIS * self.chance.lognormvariate(0, CPU_LOG_SIGMA))
         needs = Needs(cpu_millis=min(cpu_millis, 20_000))
-        declared = max(1, int(real_ms * self.chance.lognormvariate(0, SPREAD)))
+        declared = max(1, int(real_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
         step = StepSpec(count=count, needs=needs, estimate_ms=declared)
         work = real_ms * count / (kind.run_ms * kind.tasks)
         self.world.needs[job] = needs
@@ -246,7 +248,7 @@
         is_poisoned = self.chance.random() < self.poisoned_share if self.poisoned_share else False
         if is_poisoned:
             self.world.poison.add(TaskRef(job, 0, 0, 0))
-        self.jobs[job] = Submitted(
+        self.jobs[job] = SubmittedJob(
             kind=kind,
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
             worth=kind.worth * min(0.3 + 0.7 * work, 4.0),
@@ -254,10 +256,10 @@
             at=self.world.now,
             is_poisoned=is_poisoned,
         )
-        self._hand_in(job)
+        self._submit_to_leader(job)
 
-    def _hand_in(self, job: JobId) -> None:
-        self._collect()
+    def _submit_to_leader(self, job: JobId) -> None:
+        self._record_ended()
         submitted = self.jobs[job]
         if self.leader.is_over:
             submitted.was_sent = submitted.was_sent or self.is_frozen
@@ -280,7 +282,7 @@
             waited=waited,
         )
 
-    def _collect(self) -> None:
+    def _record_ended(self) -> None:
         """Note which jobs have ended, and how."""
         jobs = self.leader.dispatch.jobs
         for job, at in self.leader.ended_at.items():
@@ -292,7 +294,7 @@
         self.leader.ended_at.clear()
 
 
-def iterate_arrived(run: Run, first: float, last: float) -> Iterator[Submitted]:
+def iterate_submitted(run: Run, first: float, last: float) -> Iterator[SubmittedJob]:
     """Yield the jobs that came within some seconds, but those that cannot be done."""
     for submitted in run.jobs.values():
         if not submitted.is_poisoned and timedelta(seconds=first) <= submitted.at < timedelta(
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -16,7 +16,7 @@
 import msgspec
 import typer
 
-LEAST_LOSS = 0.2
+MIN_LOSS_PERCENT = 0.2
 """Percent of the day's requests; smaller losses are left out."""
 AFTERMATH_SECONDS = 4.0
 """How long after its end a trouble is still named beside a loss."""
@@ -34,7 +34,7 @@
     worth: float
 
 
-class Trouble(msgspec.Struct):
+class Incident(msgspec.Struct):
     """Something that went wrong, and when, in seconds."""
 
     at_s: float
@@ -49,7 +49,7 @@
     classes: list[Group]
     zones: list[Group]
     windows: list[Group]
-    events: list[Trouble]
+    events: list[Incident]
     prices: list[tuple[str, float, float]]
 
 
@@ -69,24 +69,24 @@
 def _iterate_windows(report: Report) -> Iterator[tuple[Group, str]]:
     starts = [float(each.name) for each in report.windows]
     for group, start, end in zip(report.windows, starts, [*starts[1:], 1e9], strict=True):
-        kinds = _name_troubles(report.events, start, end)
+        kinds = _list_incident_kinds(report.events, start, end)
         yield group, ", ".join(kinds)
 
 
-def _name_troubles(troubles: Sequence[Trouble], start: float, end: float) -> list[str]:
+def _list_incident_kinds(incidents: Sequence[Incident], start: float, end: float) -> list[str]:
     return [
-        each.kind for each in troubles if each.at_s < end and each.to_s + AFTERMATH_SECONDS > start
+        each.kind for each in incidents if each.at_s < end and each.to_s + AFTERMATH_SECONDS > start
     ]
 
 
 def _print_groups(title: str, groups: Iterator[tuple[Group, str]], total: int) -> None:
     print(f"\n| {title} | worth | loss % | late | refused | failed | troubles |")
     print("|---|---|---|---|---|---|---|")
-    for group, troubles in groups:
+    for group, incidents in groups:
         loss = 100 * group.n * (1 - group.worth) / total
-        if loss >= LEAST_LOSS:
+        if loss >= MIN_LOSS_PERCENT:
             counts = f"{group.late} | {group.refused} | {group.failed}"
-            print(f"| {group.name} | {group.worth:.2f} | {loss:.1f} | {counts} | {troubles} |")
+            print(f"| {group.name} | {group.worth:.2f} | {loss:.1f} | {counts} | {incidents} |")
 
 
 def main(file: Annotated[Path, typer.Argument(help="Report of a played day, in JSON.")]) -> None:
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -7,11 +7,11 @@
 from collections.abc import Sequence
 from dataclasses import asdict, dataclass
 
-from .load import Run, Submitted, iterate_arrived
+from .load import Run, SubmittedJob, iterate_submitted
 from .scenarios import Scenario
 
 RESAMPLES = 2_000
-EARLY_SHARE = 0.25
+EARLY_REFUSAL_SHARE = 0.25
 """Of the objective: a refusal within it lets the caller act in time."""
 
 
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Spread:
+class ConfidenceInterval:
     """A mean and the interval that holds it with 95 percent confidence."""
 
     mean: float
@@ -44,7 +44,7 @@
 def measure(run: Run, scenario: Scenario) -> Measures:
     """Return what a run that has ended was worth."""
     day = [each for each in run.jobs.values() if not each.is_poisoned]
-    part = list(iterate_arrived(run, scenario.first, scenario.last))
+    part = list(iterate_submitted(run, scenario.first_second, scenario.last_second))
     waits = [
         (each.refused_at - each.at) / each.objective
         for each in part
@@ -57,7 +57,7 @@
         in_time=sum(each.earned == each.worth for each in part) / len(part),
         served=sum(each.ended_at is not None for each in part) / len(part),
         refused=len(waits) / len(part),
-        refused_early=sum(wait <= EARLY_SHARE for wait in waits) / max(len(waits), 1),
+        refused_early=sum(wait <= EARLY_REFUSAL_SHARE for wait in waits) / max(len(waits), 1),
         refusal_over_objective=statistics.median(waits) if waits else 0.0,
         worst_kind=min(
             _share_of_worth([each for each in part if each.kind.name == kind]) for kind in kinds
@@ -65,22 +65,22 @@
     )
 
 
-def _share_of_worth(jobs: Sequence[Submitted]) -> float:
+def _share_of_worth(jobs: Sequence[SubmittedJob]) -> float:
     return sum(each.earned for each in jobs) / sum(each.worth for each in jobs)
 
 
-def summarise(measured: Sequence[Measures]) -> dict[str, float]:
+def compute_means(measured: Sequence[Measures]) -> dict[str, float]:
     """Return the means over all seeds."""
     rows = [asdict(each) for each in measured]
     return {key: round(statistics.mean(row[key] for row in rows), 4) for key in rows[0]}
 
 
-def compare(ours: Sequence[Measures], others: Sequence[Measures]) -> Spread:
+def compute_gain(ours: Sequence[Measures], others: Sequence[Measures]) -> ConfidenceInterval:
     """Return what a variant changes in worth against another, in pairs of the same seed."""
     gains = [one.worth - other.worth for one, other in zip(ours, others, strict=True)]
     chance = random.Random(1)
     means = sorted(statistics.mean(chance.choices(gains, k=len(gains))) for _ in range(RESAMPLES))
-    return Spread(
+    return ConfidenceInterval(
         mean=round(statistics.mean(gains), 4),
         low=round(means[int(0.025 * RESAMPLES)], 4),
         high=round(means[int(0.975 * RESAMPLES)], 4),
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -48,9 +48,9 @@
 SLOTS = 8
 ONE_WAY = milliseconds(0.5)
 DURATION = timedelta(seconds=30)
-LOAD = 0.6
+LOAD_SHARE = 0.6
 SEEDS = 5
-SWEEP = milliseconds(250)
+SCAN_INTERVAL = milliseconds(250)
 TEAMS = 6
 BURST_AT = timedelta(seconds=10)
 BURST_SECONDS = 2.0
@@ -119,8 +119,8 @@
         for executor in self.executors:
             for link in executor.links.values():
                 executor.begin_session(link)
-                self.consider(executor, link)
-        self.schedule(SWEEP, self.sweep)
+                self.send_if_due(executor, link)
+        self.schedule(SCAN_INTERVAL, self.scan_hosts)
         if fault == "killed":
             self.schedule(BURST_AT, lambda: self.dead.add(self.executors[0].upstream))
 
@@ -149,14 +149,14 @@
             delays=self.variant.delays,
         )
 
-    def schedule(self, at: timedelta, act: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (at, next(self.order), act))
+    def schedule(self, at: timedelta, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (at, next(self.order), action))
 
     def run(self) -> None:
         limit = DURATION + timedelta(seconds=90)
         while self.events and self.now < limit:
-            self.now, _, act = heapq.heappop(self.events)
-            act()
+            self.now, _, action = heapq.heappop(self.events)
+            action()
             if self.now > DURATION and all(s.job and s.job.ended for s in self.submissions):
                 return
 
@@ -194,11 +194,11 @@
                 executor.take_reply(link, delivery.session, delivery.reply, self.now)  # type: ignore[attr-defined]
                 self.start_tasks(executor)
                 self.stop_tasks(executor)
-                self.consider(executor, link)
+                self.send_if_due(executor, link)
 
             self.schedule(self.now + ONE_WAY, arrive)
 
-    def consider(self, executor: Executor, link: Link) -> None:
+    def send_if_due(self, executor: Executor, link: Link) -> None:
         """Send a request if one is due, after waiting for company where that is the policy."""
         if executor.upstream in self.dead:
             return
@@ -207,27 +207,27 @@
             return
         if due > self.now:
             # Looked at again then, or earlier where a later result changes what may wait.
-            self.schedule(due, lambda: self.consider(executor, link))
+            self.schedule(due, lambda: self.send_if_due(executor, link))
             return
         request = executor.build_request(link)
         host = self.hosts[link.host]
-        self.schedule(self.now + ONE_WAY, lambda: self.take_request(host, request))
+        self.schedule(self.now + ONE_WAY, lambda: self.deliver_request(host, request))
 
-    def take_request(self, host: Dispatcher, request: ExchangeRequest) -> None:
+    def deliver_request(self, host: Dispatcher, request: ExchangeRequest) -> None:
         assert host.exchange(request, self.now) is None
         self.dispatch(host)
 
-    def sweep(self) -> None:
+    def scan_hosts(self) -> None:
         for host in self.hosts.values():
             host.tick(self.now)
             self.dispatch(host)
-        self.schedule(self.now + SWEEP, self.sweep)
+        self.schedule(self.now + SCAN_INTERVAL, self.scan_hosts)
 
     # Upstreams
 
     def start_tasks(self, executor: Executor) -> None:
         while (assignment := executor.start_next()) is not None:
-            run_time, status = self.decide(executor, assignment)
+            run_time, status = self.find_run_end(executor, assignment)
             key = assignment.key
 
             def end(key: TaskKey = key, status: ResultStatus = status) -> None:
@@ -235,7 +235,9 @@
 
             self.schedule(self.now + run_time, end)
 
-    def decide(self, executor: Executor, assignment: Assignment) -> tuple[timedelta, ResultStatus]:
+    def find_run_end(
+        self, executor: Executor, assignment: Assignment
+    ) -> tuple[timedelta, ResultStatus]:
         run_time = self.run_times[(assignment.key.submission, assignment.key.task)]
         if executor is self.executors[0]:
             if self.fault == "black hole":
@@ -256,12 +258,12 @@
             key, status, Raw(b"1"), int(run_time.total_seconds() * 1e6), self.now
         )
         self.start_tasks(executor)
-        self.consider(executor, executor.links[host])
+        self.send_if_due(executor, executor.links[host])
 
 
 def build_workload(chance: random.Random, fault: str) -> list[Submission]:
     """Return jobs of 1 to 1,100 tasks at the stated load, most of 50 ms to 1 s."""
-    work_per_second = LOAD * UPSTREAMS * SLOTS
+    work_per_second = LOAD_SHARE * UPSTREAMS * SLOTS
     submissions: list[Submission] = []
     at = 0.0
     while at < DURATION.total_seconds():
@@ -269,8 +271,8 @@
         run_times = [draw_run_time(chance) for _ in range(size)]
         work = sum(run_times, timedelta()).total_seconds()
         submissions.append(Submission(timedelta(seconds=at), draw_team(chance), run_times))
-        begins = BURST_AT.total_seconds()
-        is_burst = fault == "burst" and begins <= at < begins + BURST_SECONDS
+        burst_start = BURST_AT.total_seconds()
+        is_burst = fault == "burst" and burst_start <= at < burst_start + BURST_SECONDS
         rate = work_per_second * (10 if is_burst else 1)
         at += chance.expovariate(1.0) * work / rate
     return submissions
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -6,27 +6,27 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-from .load import SECONDS, Run
+from .load import DURATION_SECONDS, Run
 
-Trouble = Callable[[Run], None]
+Fault = Callable[[Run], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
     """One kind of day; `first` to `last` are the seconds that its trouble concerns."""
 
-    first: float
-    last: float
-    trouble: Trouble
+    first_second: float
+    last_second: float
+    inject_fault: Fault
     upstream_count: int = 28
     rate_factor: float = 1.0
 
 
-def _at(run: Run, seconds: float, act: Callable[[], None]) -> None:
-    run.world.at(timedelta(seconds=seconds), act)
+def _schedule(run: Run, seconds: float, action: Callable[[], None]) -> None:
+    run.world.at(timedelta(seconds=seconds), action)
 
 
-def _nothing(run: Run) -> None:
+def _no_fault(run: Run) -> None:
     pass
 
 
@@ -42,29 +42,29 @@
 def _lost_upstreams(run: Run) -> None:
     """A burst while a quarter of the upstreams is gone."""
     run.bursts.append((5.0, 9.0, 1.2))
-    _at(run, 5.0, lambda: run.crash(7))
-    _at(run, 9.0, run.restart)
+    _schedule(run, 5.0, lambda: run.crash(7))
+    _schedule(run, 9.0, run.restart_crashed)
 
 
 def _cut_domain(run: Run) -> None:
     """One failure domain alone, with a stand-in after 0.65 s: little room, and a backlog."""
-    _at(run, 5.0, run.lose_leader)
-    _at(run, 5.65, run.elect)
+    _schedule(run, 5.0, run.lose_leader)
+    _schedule(run, 5.65, run.elect_leader)
 
 
 def _lost_leader(run: Run) -> None:
-    _at(run, 5.0, run.lose_leader)
-    _at(run, 5.4, run.elect)
+    _schedule(run, 5.0, run.lose_leader)
+    _schedule(run, 5.4, run.elect_leader)
 
 
 def _frozen_leader(run: Run) -> None:
-    _at(run, 5.0, lambda: run.lose_leader(is_frozen=True))
-    _at(run, 5.4, run.elect)
+    _schedule(run, 5.0, lambda: run.lose_leader(is_frozen=True))
+    _schedule(run, 5.4, run.elect_leader)
 
 
 def _frozen_leader_and_lost_upstream(run: Run) -> None:
     """One upstream is gone for good when the leader freezes."""
-    _at(run, 3.0, lambda: run.crash(1))
+    _schedule(run, 3.0, lambda: run.crash(1))
     _frozen_leader(run)
 
 
@@ -75,8 +75,8 @@
 
 def _all_off(run: Run) -> None:
     """All hosts of the cluster lose power, and upstreams run on."""
-    _at(run, 5.0, run.lose_leader)
-    _at(run, 7.4, run.elect)
+    _schedule(run, 5.0, run.lose_leader)
+    _schedule(run, 7.4, run.elect_leader)
 
 
 def _late_orders(run: Run) -> None:
@@ -86,54 +86,64 @@
     def end() -> None:
         run.world.late_share = 0.0
 
-    _at(run, 5.0, begin)
-    _at(run, 11.0, end)
+    _schedule(run, 5.0, begin)
+    _schedule(run, 11.0, end)
 
 
 def _hanging_tasks(run: Run) -> None:
-    _at(run, 5.0, lambda: run.slow(3, 100.0))
-    _at(run, 11.0, lambda: run.slow(3, 1.0))
+    _schedule(run, 5.0, lambda: run.slow_down(3, 100.0))
+    _schedule(run, 11.0, lambda: run.slow_down(3, 1.0))
 
 
 def _slow_upstreams(run: Run) -> None:
-    _at(run, 5.0, lambda: run.slow(5, 5.0))
-    _at(run, 12.0, lambda: run.slow(5, 1.0))
+    _schedule(run, 5.0, lambda: run.slow_down(5, 5.0))
+    _schedule(run, 12.0, lambda: run.slow_down(5, 1.0))
 
 
 def _failing_upstreams(run: Run) -> None:
     """Three upstreams fail all they start, at once, while their heartbeats are good."""
-    _at(run, 5.0, lambda: run.fail(3))
-    _at(run, 12.0, lambda: run.fail(0))
+    _schedule(run, 5.0, lambda: run.fail_tasks(3))
+    _schedule(run, 12.0, lambda: run.fail_tasks(0))
 
 
-def _poison(share: float) -> Trouble:
+def _poison(share: float) -> Fault:
     """Return the trouble in which so many jobs have a task that crashes upstreams."""
 
-    def trouble(run: Run) -> None:
+    def inject_fault(run: Run) -> None:
         run.poisoned_share = share
 
-    return trouble
+    return inject_fault
 
 
 SCENARIOS: dict[str, Scenario] = {
-    "calm": Scenario(first=0, last=SECONDS, trouble=_nothing),
-    "burst": Scenario(first=5, last=10, trouble=_burst),
-    "flood": Scenario(first=5, last=10, trouble=_flood),
-    "lost_upstreams": Scenario(first=5, last=10, trouble=_lost_upstreams),
+    "calm": Scenario(first_second=0, last_second=DURATION_SECONDS, inject_fault=_no_fault),
+    "burst": Scenario(first_second=5, last_second=10, inject_fault=_burst),
+    "flood": Scenario(first_second=5, last_second=10, inject_fault=_flood),
+    "lost_upstreams": Scenario(first_second=5, last_second=10, inject_fault=_lost_upstreams),
     "cut_domain": Scenario(
-        first=4.5, last=11, trouble=_cut_domain, upstream_count=6, rate_factor=1.2
+        first_second=4.5,
+        last_second=11,
+        inject_fault=_cut_domain,
+        upstream_count=6,
+        rate_factor=1.2,
     ),
-    "lost_leader": Scenario(first=4.5, last=6.5, trouble=_lost_leader),
-    "frozen_leader": Scenario(first=4.5, last=6.5, trouble=_frozen_leader),
+    "lost_leader": Scenario(first_second=4.5, last_second=6.5, inject_fault=_lost_leader),
+    "frozen_leader": Scenario(first_second=4.5, last_second=6.5, inject_fault=_frozen_leader),
     "frozen_leader_and_lost_upstream": Scenario(
-        first=4.5, last=6.5, trouble=_frozen_leader_and_lost_upstream
+        first_second=4.5, last_second=6.5, inject_fault=_frozen_leader_and_lost_upstream
+    ),
+    "frozen_leader_and_burst": Scenario(
+        first_second=4, last_second=9, inject_fault=_frozen_leader_and_burst
+    ),
+    "all_off": Scenario(first_second=4.5, last_second=9, inject_fault=_all_off),
+    "late_orders": Scenario(first_second=5, last_second=11, inject_fault=_late_orders),
+    "hanging_tasks": Scenario(first_second=5, last_second=11, inject_fault=_hanging_tasks),
+    "slow_upstreams": Scenario(first_second=5, last_second=12, inject_fault=_slow_upstreams),
+    "failing_upstreams": Scenario(first_second=5, last_second=12, inject_fault=_failing_upstreams),
+    "poison_0.1_percent": Scenario(
+        first_second=0, last_second=DURATION_SECONDS, inject_fault=_poison(0.001)
+    ),
+    "poison_1_percent": Scenario(
+        first_second=0, last_second=DURATION_SECONDS, inject_fault=_poison(0.01)
     ),
-    "frozen_leader_and_burst": Scenario(first=4, last=9, trouble=_frozen_leader_and_burst),
-    "all_off": Scenario(first=4.5, last=9, trouble=_all_off),
-    "late_orders": Scenario(first=5, last=11, trouble=_late_orders),
-    "hanging_tasks": Scenario(first=5, last=11, trouble=_hanging_tasks),
-    "slow_upstreams": Scenario(first=5, last=12, trouble=_slow_upstreams),
-    "failing_upstreams": Scenario(first=5, last=12, trouble=_failing_upstreams),
-    "poison_0.1_percent": Scenario(first=0, last=SECONDS, trouble=_poison(0.001)),
-    "poison_1_percent": Scenario(first=0, last=SECONDS, trouble=_poison(0.01)),
 }
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -75,7 +75,7 @@
     """Return microseconds to place one lone task among idle sessions."""
     dispatcher = build_dispatcher()
     now = timedelta()
-    fill(dispatcher, sessions, now)
+    open_sessions(dispatcher, sessions, now)
     jobs = [build_test_job(dispatcher.store.mint(now), 1, now) for _ in range(sessions)]
     began = time.perf_counter()
     for job in jobs:
@@ -84,7 +84,7 @@
     return (time.perf_counter() - began) / sessions * 1e6
 
 
-def fill(dispatcher: Dispatcher, sessions: int, now: timedelta) -> None:
+def open_sessions(dispatcher: Dispatcher, sessions: int, now: timedelta) -> None:
     for at in range(sessions):
         request = ExchangeRequest(
             upstream=UpstreamId(f"w{at}"),
@@ -97,7 +97,7 @@
         assert dispatcher.exchange(request, now) is None
 
 
-def measure_all() -> dict[str, dict[str, float]]:
+def measure_session_costs() -> dict[str, dict[str, float]]:
     return {
         str(count): {"exchange_us": measure_exchange(count), "lone_us": measure_lone_start(count)}
         for count in (24, 100, 629)
@@ -105,4 +105,4 @@
 
 
 if __name__ == "__main__":
-    print(json.dumps(measure_all(), indent=2))
+    print(json.dumps(measure_session_costs(), indent=2))
--- a/bench/shortage.py
+++ b/bench/shortage.py
@@ -23,26 +23,26 @@
 from cottonlug.core.cluster.filler import Filler
 
 from . import load
-from .load import Kind, Run, Submitted, build_queue, iterate_arrived
-from .variants import replace
+from .load import JobKind, Run, SubmittedJob, build_queue, iterate_submitted
+from .variants import replace_attribute
 
 KINDS = (
-    Kind(name="short", rate=6.16, tasks=8, run_ms=60, worth=0.00485),
-    Kind(name="long", rate=1.95, tasks=4, run_ms=900, worth=0.0267),
-    Kind(name="middle", rate=18.0, tasks=2, run_ms=200, worth=0.00167),
+    JobKind(name="short", rate=6.16, tasks=8, run_ms=60, worth=0.00485),
+    JobKind(name="long", rate=1.95, tasks=4, run_ms=900, worth=0.0267),
+    JobKind(name="middle", rate=18.0, tasks=2, run_ms=200, worth=0.00167),
 )
-CPU_MILLIS = 16_000
-SECONDS = 12
-FIRST, LAST = 4.0, 9.0
-FACTORS = (3.0, 4.0, 6.0, 8.0)
+TASK_CPU_MILLIS = 16_000
+DURATION_SECONDS = 12
+FIRST_SECOND, LAST_SECOND = 4.0, 9.0
+LOAD_FACTORS = (3.0, 4.0, 6.0, 8.0)
 SEEDS = (1, 2, 3)
-SOON = 0.25
+EARLY_REFUSAL_SHARE = 0.25
 """Share of its objective within which a caller that is refused can still act."""
 
 
 def _reject_late(self: Filler, now: timedelta) -> None:
     """Reject what can no longer be in time at once, while something waits that can."""
-    shed(self, now)
+    shed_unchanged(self, now)
     waiting = self._jobs.backlog
     if not waiting.list_tier(Tier.ON_TIME):
         return
@@ -53,7 +53,7 @@
             self._jobs.reject(job, "cannot be in time", wait, now)
 
 
-shed = Filler._shed
+shed_unchanged = Filler._shed
 
 
 def _by_newest(batch: Batch) -> timedelta:
@@ -97,7 +97,7 @@
     results: dict[str, dict[str, dict[str, float]]] = {}
     for name, changes in VARIANTS.items():
         results[name] = {}
-        for factor in FACTORS:
+        for factor in LOAD_FACTORS:
             results[name][f"{factor:g} times the usual"] = _measure(changes, factor)
             print(name, factor, results[name][f"{factor:g} times the usual"], file=sys.stderr)
     json.dump(results, sys.stdout, indent=1)
@@ -105,11 +105,11 @@
 
 
 def _measure(changes: tuple[Change, ...], factor: float) -> dict[str, float]:
-    rows = [_play(changes, factor, seed) for seed in SEEDS]
+    rows = [_run_load(changes, factor, seed) for seed in SEEDS]
     return {name: round(sum(row[name] for row in rows) / len(rows), 3) for name in rows[0]}
 
 
-def _play(changes: tuple[Change, ...], factor: float, seed: int) -> dict[str, float]:
+def _run_load(changes: tuple[Change, ...], factor: float, seed: int) -> dict[str, float]:
     queues = {
         kind.name: msgspec.structs.replace(
             build_queue(target_ms=load.TARGET_MS), name=kind.name, prefix=f"/{kind.name}/"
@@ -119,28 +119,28 @@
     settings: tuple[Change, ...] = (
         (load, "KINDS", KINDS),
         (load, "QUEUES", queues),
-        (load, "CPU_MILLIS", CPU_MILLIS),
-        (load, "SECONDS", SECONDS),
+        (load, "TASK_CPU_MILLIS", TASK_CPU_MILLIS),
+        (load, "DURATION_SECONDS", DURATION_SECONDS),
     )
     with ExitStack() as stack:
         for owner, name, value in (*settings, *changes):
-            stack.enter_context(replace(owner, name, value))
+            stack.enter_context(replace_attribute(owner, name, value))
         run = Run(seed=seed)
-        run.bursts.append((FIRST - 1.0, LAST, factor))
-        run.play()
-    return _judge(list(iterate_arrived(run, FIRST, LAST)))
+        run.bursts.append((FIRST_SECOND - 1.0, LAST_SECOND, factor))
+        run.run_to_end()
+    return _compute_shares(list(iterate_submitted(run, FIRST_SECOND, LAST_SECOND)))
 
 
-def _judge(jobs: list[Submitted]) -> dict[str, float]:
-    def share(holds: Callable[[Submitted], bool], of: list[Submitted]) -> float:
-        return sum(map(holds, of)) / len(of) if of else 0.0
+def _compute_shares(jobs: list[SubmittedJob]) -> dict[str, float]:
+    def share(predicate: Callable[[SubmittedJob], bool], of: list[SubmittedJob]) -> float:
+        return sum(map(predicate, of)) / len(of) if of else 0.0
 
     refused = [each for each in jobs if each.ended_at is None and each.refused_at is not None]
     shares = {
         "worth": sum(each.earned for each in jobs) / sum(each.worth for each in jobs),
         "in time": share(_is_in_time, jobs),
         "refused": len(refused) / len(jobs),
-        "refused soon": share(_is_refused_soon, refused),
+        "refused soon": share(_is_refused_early, refused),
     }
     for kind in KINDS:
         own = [each for each in jobs if each.kind is kind]
@@ -148,12 +148,15 @@
     return shares
 
 
-def _is_in_time(job: Submitted) -> bool:
+def _is_in_time(job: SubmittedJob) -> bool:
     return job.ended_at is not None and job.ended_at - job.at <= job.objective
 
 
-def _is_refused_soon(job: Submitted) -> bool:
-    return job.refused_at is not None and job.refused_at - job.at <= job.objective * SOON
+def _is_refused_early(job: SubmittedJob) -> bool:
+    return (
+        job.refused_at is not None
+        and job.refused_at - job.at <= job.objective * EARLY_REFUSAL_SHARE
+    )
 
 
 if __name__ == "__main__":
--- a/bench/site_variants.py
+++ b/bench/site_variants.py
@@ -40,7 +40,7 @@
     return lambda text: pattern.sub(rf"\g<1>{value}", text)
 
 
-def make_variant(text: str, changes: list[Change]) -> str:
+def apply_changes(text: str, changes: list[Change]) -> str:
     """Return a site file with changes; each must change something."""
     for change in changes:
         changed = change(text)
@@ -75,7 +75,7 @@
     if resend_ms:
         changes.append(set_number("resend_ms", resend_ms))
     out.parent.mkdir(parents=True, exist_ok=True)
-    out.write_text(make_variant(site.read_text(), changes))
+    out.write_text(apply_changes(site.read_text(), changes))
     shutil.copyfile(site.parent / "wire.json", out.parent / "wire.json")
     typer.echo(f"{out}: {len(changes)} changes")
 
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -21,7 +21,7 @@
 
 FIRST_ADDRESS = (127, 0, 1, 1)
 READY_LINE = "ready"
-BORN_MS = 1_790_000_000_000
+STARTED_MS = 1_790_000_000_000
 """When all of them say that they started, in Unix milliseconds; they do so once."""
 
 
@@ -36,46 +36,46 @@
 
     runs: dict[str, tuple[int, float, float]] = field(default_factory=dict)
     ended: list[list[Any]] = field(default_factory=list)
-    number: int = 0
-    news: asyncio.Event = field(default_factory=asyncio.Event)
+    last_end_number: int = 0
+    run_ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     def start(self, body: dict[str, Any]) -> dict[str, Any]:
         """Begin a run."""
-        lasts = float(body["task_spec"].split(" ", 1)[0]) / 1000
+        duration = float(body["task_spec"].split(" ", 1)[0]) / 1000
         now = time.monotonic()
         task, run = body["task"], body["run_id"]
-        self.runs[task] = (run, now, lasts)
-        asyncio.get_running_loop().call_later(lasts, self._end, task, run)
+        self.runs[task] = (run, now, duration)
+        asyncio.get_running_loop().call_later(duration, self._end_run, task, run)
         return {"clock_ms": _read_clock()}
 
-    async def look(self, body: dict[str, Any]) -> dict[str, Any]:
+    async def poll(self, body: dict[str, Any]) -> dict[str, Any]:
         """List what runs and has ended, at once or as soon as something ends."""
         self.ended = [end for end in self.ended if end[0] > body["last_seen"]]
         wait_ms = body.get("wait_ms", 0)
         if wait_ms and not self.ended:
-            self.news.clear()
+            self.run_ended.clear()
             try:
                 async with asyncio.timeout(wait_ms / 1000):
-                    await self.news.wait()
+                    await self.run_ended.wait()
             except TimeoutError:
                 pass
         now = time.monotonic()
         running = [
-            [task, run, "", int(100 * (now - began) / lasts)]
-            for task, (run, began, lasts) in self.runs.items()
+            [task, run, "", int(100 * (now - began) / duration)]
+            for task, (run, began, duration) in self.runs.items()
         ]
         return {
             "clock_ms": _read_clock(),
             "running": running,
             "finished": self.ended,
-            "born": BORN_MS,
+            "born": STARTED_MS,
         }
 
-    def _end(self, task: str, run: int) -> None:
+    def _end_run(self, task: str, run: int) -> None:
         if self.runs.pop(task, None) is not None:
-            self.number += 1
-            self.ended.append([self.number, task, run, "done", ""])
-            self.news.set()
+            self.last_end_number += 1
+            self.ended.append([self.last_end_number, task, run, "done", ""])
+            self.run_ended.set()
 
 
 class Connection(asyncio.Protocol):
@@ -105,12 +105,12 @@
         if self._path == b"/run-start":
             self._reply(self._upstream.start(body))
         elif self._path == b"/hold":
-            asyncio.get_running_loop().create_task(self._look(body))
+            asyncio.get_running_loop().create_task(self._answer_poll(body))
         else:
             self._reply({"clock_ms": _read_clock()})
 
-    async def _look(self, body: dict[str, Any]) -> None:
-        self._reply(await self._upstream.look(body))
+    async def _answer_poll(self, body: dict[str, Any]) -> None:
+        self._reply(await self._upstream.poll(body))
 
     def _reply(self, body: dict[str, Any]) -> None:
         data = msgspec.json.encode(body)
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -15,7 +15,7 @@
 sweep of each deployment in `journal/`. Of two figures the first is that of the middle host, the
 second that of the busiest; then come the power of the number of machines with which the busiest
 grows, and where that leads at the size to design for."""
-_ROWS_AFTER = "middle / busiest or longest, by own machines"
+_TABLE_TITLE = "middle / busiest or longest, by own machines"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -30,7 +30,7 @@
     """Middle and busiest host by size, the power of their growth, and where that leads."""
 
 
-def find_newest() -> list[Sweep]:
+def find_newest_sweeps() -> list[Sweep]:
     """Return the newest sweep of each deployment."""
     newest: dict[str, Sweep] = {}
     for sweep in sorted(_read_all(), key=lambda each: each.at):
@@ -53,7 +53,7 @@
 
 
 def _read_rows(digest: str) -> Iterator[str]:
-    _, _, table = digest.partition(_ROWS_AFTER)
+    _, _, table = digest.partition(_TABLE_TITLE)
     for line in table.splitlines():
         if line.startswith("power"):
             return
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -30,24 +30,24 @@
 
 
 @contextmanager
-def replace(owner: Any, name: str, value: object) -> Iterator[None]:
+def replace_attribute(owner: Any, name: str, value: object) -> Iterator[None]:
     """Replace an attribute for a while."""
-    kept = getattr(owner, name)
+    original = getattr(owner, name)
     setattr(owner, name, value)
     try:
         yield
     finally:
-        setattr(owner, name, kept)
+        setattr(owner, name, original)
 
 
-def replacing(*changes: tuple[Any, str, object]) -> Variant:
+def build_variant(*changes: tuple[Any, str, object]) -> Variant:
     """Return the variant in which some attributes have other values."""
 
     @contextmanager
     def variant() -> Iterator[None]:
         with ExitStack() as stack:
             for owner, name, value in changes:
-                stack.enter_context(replace(owner, name, value))
+                stack.enter_context(replace_attribute(owner, name, value))
             yield
 
     return variant
@@ -58,7 +58,7 @@
     backlog.Backlog.add_unchanged(self, batch)  # type: ignore[attr-defined]
 
 
-def _spread_nothing(self: Any, tasks: int) -> timedelta:
+def _return_no_delay(self: Any, tasks: int) -> timedelta:
     return NO_TIME
 
 
@@ -66,8 +66,8 @@
     return next((life for life in choice if life.has_room(batch.needs)), None)
 
 
-def _set_aside_without_trial(self: Any, now: timedelta) -> bool:
-    is_new = guards.Health.set_aside_unchanged(self, now)  # type: ignore[attr-defined]
+def _suspend_without_probation(self: Any, now: timedelta) -> bool:
+    is_new = guards.Health.suspend_unchanged(self, now)  # type: ignore[attr-defined]
     self.is_on_trial = False
     return bool(is_new)
 
@@ -76,64 +76,64 @@
     return self._pools.setdefault(life.info.service, {}).setdefault("", rooms._Pool())
 
 
-guards.Health.set_aside_unchanged = guards.Health._set_aside  # type: ignore[attr-defined]
+guards.Health.suspend_unchanged = guards.Health._set_aside  # type: ignore[attr-defined]
 backlog.Backlog.add_unchanged = backlog.Backlog.add  # type: ignore[attr-defined]
 
 NO_CHANGE = "as_it_is"
 
 SWITCHED_OFF: dict[str, Variant] = {
-    "in_order_of_arrival": replacing(
+    "in_order_of_arrival": build_variant(
         (backlog.Backlog, "add", _add_by_arrival),
         (backlog.Backlog, "demote", lambda self, now: []),
         (backlog, "_by_latest_start", lambda batch: batch.job.id),
     ),
-    "no_start_margin": replacing((open_jobs, "START_MARGIN", 0.0)),
-    "no_spread_of_wide_jobs": replacing((tempo.Tempo, "spread", _spread_nothing)),
-    "no_shedding": replacing((filler.Filler, "_shed", lambda self, now: None)),
-    "no_rejection_at_the_door": replacing(
+    "no_start_margin": build_variant((open_jobs, "START_MARGIN", 0.0)),
+    "no_spread_of_wide_jobs": build_variant((tempo.Tempo, "spread", _return_no_delay)),
+    "no_shedding": build_variant((filler.Filler, "_shed", lambda self, now: None)),
+    "no_rejection_at_the_door": build_variant(
         (filler.Filler, "find_rejection", lambda self, *rest: None)
     ),
-    "first_fit": replacing((filler, "choose_life", _first_fit)),
-    "run_times_not_learnt": replacing((forecast, "LEARNING_RATE", 0.0)),
-    "no_moves": replacing((watcher, "MOST_MOVES", 0)),
-    "nobody_set_aside": replacing((life_table, "MOST_SET_ASIDE", -1.0)),
-    "no_trial": replacing((guards.Health, "_set_aside", _set_aside_without_trial)),
-    "nobody_blamed": replacing(
+    "first_fit": build_variant((filler, "choose_life", _first_fit)),
+    "run_times_not_learnt": build_variant((forecast, "LEARNING_RATE", 0.0)),
+    "no_moves": build_variant((watcher, "MOST_MOVES", 0)),
+    "nobody_set_aside": build_variant((life_table, "MOST_SET_ASIDE", -1.0)),
+    "no_trial": build_variant((guards.Health, "_set_aside", _suspend_without_probation)),
+    "nobody_blamed": build_variant(
         (suspicion.Suspicion, "find_care", lambda self, task: crashes.Care.NONE),
         (crashes.CrashCounts, "is_given_up", False),
     ),
-    "in_any_domain": replacing((rooms.Rooms, "_find_pool", _find_one_pool)),
-    "no_cordon": replacing((watcher.Watcher, "cordon", lambda self, now: None)),
-    "patience_not_learnt": replacing((patience, "SHORTEST", patience.LONGEST)),
+    "in_any_domain": build_variant((rooms.Rooms, "_find_pool", _find_one_pool)),
+    "no_cordon": build_variant((watcher.Watcher, "cordon", lambda self, now: None)),
+    "patience_not_learnt": build_variant((patience, "SHORTEST", patience.LONGEST)),
 }
 
-FIGURES: dict[str, Variant] = {
-    "failures_in_a_row_2": replacing((guards, "FAILURES_IN_A_ROW", 2)),
-    "failures_in_a_row_6": replacing((guards, "FAILURES_IN_A_ROW", 6)),
-    "most_set_aside_0.17": replacing((life_table, "MOST_SET_ASIDE", 0.17)),
-    "most_set_aside_0.68": replacing((life_table, "MOST_SET_ASIDE", 0.68)),
-    "pause_1_to_3_s": replacing(
+CHANGED_CONSTANTS: dict[str, Variant] = {
+    "failures_in_a_row_2": build_variant((guards, "FAILURES_IN_A_ROW", 2)),
+    "failures_in_a_row_6": build_variant((guards, "FAILURES_IN_A_ROW", 6)),
+    "most_set_aside_0.17": build_variant((life_table, "MOST_SET_ASIDE", 0.17)),
+    "most_set_aside_0.68": build_variant((life_table, "MOST_SET_ASIDE", 0.68)),
+    "pause_1_to_3_s": build_variant(
         (guards, "FIRST_PAUSE", timedelta(seconds=1)),
         (guards, "LONGEST_PAUSE", timedelta(seconds=3)),
     ),
-    "pause_4_to_12_s": replacing(
+    "pause_4_to_12_s": build_variant(
         (guards, "FIRST_PAUSE", timedelta(seconds=4)),
         (guards, "LONGEST_PAUSE", timedelta(seconds=12)),
     ),
-    "usable_share_0.43": replacing((admission, "USABLE_SHARE", 0.43)),
-    "usable_share_1.7": replacing((admission, "USABLE_SHARE", 1.7)),
-    "start_margin_0.2": replacing((open_jobs, "START_MARGIN", 0.2)),
-    "start_margin_0.8": replacing((open_jobs, "START_MARGIN", 0.8)),
-    "stands_still_after_0.25": replacing((progress, "STANDS_STILL_AFTER", 0.25)),
-    "stands_still_after_1.0": replacing((progress, "STANDS_STILL_AFTER", 1.0)),
-    "patience_12_to_40_ms": replacing(
+    "usable_share_0.43": build_variant((admission, "USABLE_SHARE", 0.43)),
+    "usable_share_1.7": build_variant((admission, "USABLE_SHARE", 1.7)),
+    "start_margin_0.2": build_variant((open_jobs, "START_MARGIN", 0.2)),
+    "start_margin_0.8": build_variant((open_jobs, "START_MARGIN", 0.8)),
+    "stands_still_after_0.25": build_variant((progress, "STANDS_STILL_AFTER", 0.25)),
+    "stands_still_after_1.0": build_variant((progress, "STANDS_STILL_AFTER", 1.0)),
+    "patience_12_to_40_ms": build_variant(
         (patience, "SHORTEST", timedelta(milliseconds=12)),
         (patience, "LONGEST", timedelta(milliseconds=40)),
     ),
-    "patience_50_to_160_ms": replacing(
+    "patience_50_to_160_ms": build_variant(
         (patience, "SHORTEST", timedelta(milliseconds=50)),
         (patience, "LONGEST", timedelta(milliseconds=160)),
     ),
 }
 
-VARIANTS: dict[str, Variant] = {NO_CHANGE: replacing(), **SWITCHED_OFF, **FIGURES}
+VARIANTS: dict[str, Variant] = {NO_CHANGE: build_variant(), **SWITCHED_OFF, **CHANGED_CONSTANTS}
