--- a/cottonlug/__init__.py
+++ b/cottonlug/__init__.py
@@ -1,4 +1,4 @@
-"""Cottonlug dispatches short tasks: each starts at most once, each answer is whole."""
+"""Dispatcher for short tasks: each starts at most once, and each job gets a complete answer."""
 
 from __future__ import annotations
 
--- a/cottonlug/__main__.py
+++ b/cottonlug/__main__.py
@@ -1,4 +1,4 @@
-"""Run cottonlug as ``python -m cottonlug`` or by its installed command."""
+"""Entry point of ``python -m cottonlug`` and of the installed command."""
 
 from __future__ import annotations
 
--- a/cottonlug/cli.py
+++ b/cottonlug/cli.py
@@ -1,4 +1,4 @@
-"""The command line: it only declares commands and options; the work is in `commands/`."""
+"""Declarations of commands and options; the commands are implemented in `commands/`."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 app = typer.Typer(
-    help="Dispatch short tasks: each starts at most once, each answer is whole.",
+    help="Dispatch short tasks: each starts at most once, and each job gets a complete answer.",
     epilog=EXIT_HELP,
     no_args_is_help=True,
     add_completion=False,
@@ -39,7 +39,7 @@
 rules_app = typer.Typer(help="Check, apply, show and explain the rules.", no_args_is_help=True)
 app.add_typer(rules_app, name="rules")
 evacuations_app = typer.Typer(
-    help="Evacuate a failure domain, take it back, list them.", no_args_is_help=True
+    help="Begin, end and list evacuations of failure domains.", no_args_is_help=True
 )
 app.add_typer(evacuations_app, name="evacuations")
 
@@ -73,19 +73,19 @@
 
 @app.command(epilog="Example: cottonlug control --config control.yaml")
 def control(config: ConfigOption) -> None:
-    """Run a control host of a cluster: it keeps the log and, as leader, decides."""
+    """Run a control host of a cluster: it keeps the log and, as leader, schedules jobs."""
     raise typer.Exit(control_hosts.serve_control(config))
 
 
 @app.command(epilog="Example: cottonlug gateway --config gateway.yaml")
 def gateway(config: ConfigOption) -> None:
-    """Run a gateway of a cluster: it passes callers' requests to the leader."""
+    """Run a gateway of a cluster: it forwards callers' requests to the leader."""
     raise typer.Exit(gateways.serve_gateway(config))
 
 
 @app.command(name="demo")
 def demo_() -> None:
-    """Run one entry host, five stand-in upstreams and a job of each user's, and check them."""
+    """Run an entry host, five stand-in upstreams and an example job per workload; check them."""
     raise typer.Exit(demo.run_demo())
 
 
@@ -100,10 +100,10 @@
     tasks: Annotated[int, typer.Option(min=1, max=1100, help="Tasks of the example.")] = 1100,
     seed: Annotated[int, typer.Option(help="Seed of the example.")] = 1,
     submission: Annotated[str | None, typer.Option("--id", help="Submission id to use.")] = None,
-    wait: Annotated[bool, typer.Option(help="Wait for the whole answer.")] = True,
+    wait: Annotated[bool, typer.Option(help="Wait for the complete answer.")] = True,
     as_json: JsonOption = False,
 ) -> None:
-    """Submit a job and print its whole answer, one result a line."""
+    """Submit a job and print its answer, one result per line."""
     target = _build_target(host, token_file, as_json)
     if example is not None:
         request = build_example_job(example, tasks, seed)
@@ -128,7 +128,7 @@
     wait_ms: Annotated[int, typer.Option(min=0, max=60_000, help="Wait for the answer.")] = 0,
     as_json: JsonOption = False,
 ) -> None:
-    """Print how far a job has come, or its whole answer."""
+    """Print the progress of a job, or its answer once it has ended."""
     target = _build_target(host, token_file, as_json)
     raise typer.Exit(jobs.show_status(target, submission, wait_ms))
 
@@ -140,19 +140,19 @@
     token_file: TokenOption,
     as_json: JsonOption = False,
 ) -> None:
-    """Cancel a job; one that has ended keeps its end."""
+    """Cancel a job; a job that has already ended stays as it is."""
     raise typer.Exit(jobs.cancel_job(_build_target(host, token_file, as_json), submission))
 
 
 @app.command(epilog="Example: cottonlug request --team al-mizan --kind weigh.ticket '{...}'")
 def request(
     payload: Annotated[str, typer.Argument(help="Payload in JSON.")],
-    team: Annotated[str, typer.Option(help="Team that asks.")],
+    team: Annotated[str, typer.Option(help="Team that sends the request.")],
     kind: Annotated[str, typer.Option(help="Kind of task.")],
     host: HostOption,
     token_file: TokenOption,
     idempotent: Annotated[bool, typer.Option(help="The task may run more than once.")] = False,
-    deadline_ms: Annotated[int, typer.Option(min=1, help="When to give up.")] = 10_000,
+    deadline_ms: Annotated[int, typer.Option(min=1, help="Fail after this time.")] = 10_000,
     submission: Annotated[str | None, typer.Option("--id", help="Submission id to use.")] = None,
     as_json: JsonOption = False,
 ) -> None:
@@ -172,7 +172,7 @@
 def ids(
     host: HostOption,
     token_file: TokenOption,
-    count: Annotated[int, typer.Option(min=1, max=1000, help="How many.")] = 1,
+    count: Annotated[int, typer.Option(min=1, max=1000, help="Number of ids.")] = 1,
     as_json: JsonOption = False,
 ) -> None:
     """Mint submission ids."""
@@ -183,16 +183,16 @@
 def explain(
     id: Annotated[str, typer.Argument(metavar="ID", help="Id of a job.")],
     files: Annotated[
-        list[Path] | None, typer.Argument(help="Log files; none: standard input.")
+        list[Path] | None, typer.Argument(help="Log files; standard input if none are given.")
     ] = None,
 ) -> None:
-    """Print one job's story, in order, from the logs of many processes."""
+    """Print the history of one job, ordered by time, from the logs of several processes."""
     raise typer.Exit(explanation.explain_job(id, files or []))
 
 
 @app.command(epilog="Example: cottonlug dump --host 127.0.0.1:7201 --token-file tokens/operators")
 def dump(host: HostOption, token_file: TokenOption, as_json: JsonOption = False) -> None:
-    """Print the state of a process (its operators' listener)."""
+    """Print the state of a process, read from its listener for operators."""
     raise typer.Exit(operations.show_dump(_build_target(host, token_file, as_json)))
 
 
@@ -223,20 +223,20 @@
     file: Path,
     host: HostOption,
     token_file: TokenOption,
-    base: Annotated[int | None, typer.Option(help="Version that the change starts from.")] = None,
+    base: Annotated[int | None, typer.Option(help="Version that the change is based on.")] = None,
     request_id: Annotated[
-        str | None, typer.Option(help="Repeat it to learn a lost answer.")
+        str | None, typer.Option(help="Repeat it to get the outcome of a lost answer.")
     ] = None,
     as_json: JsonOption = False,
 ) -> None:
-    """Replace the rules everywhere, if the version is still the one you started from."""
+    """Replace the rules of all hosts, if the active version is still the base version."""
     target = _build_target(host, token_file, as_json)
     raise typer.Exit(operations.apply_rules(target, file, base, request_id))
 
 
 @rules_app.command("show")
 def rules_show(host: HostOption, token_file: TokenOption, as_json: JsonOption = False) -> None:
-    """Print the rules in force at a host."""
+    """Print the active rules of a host."""
     raise typer.Exit(operations.show_rules(_build_target(host, token_file, as_json)))
 
 
@@ -248,12 +248,12 @@
     label: Annotated[list[str] | None, typer.Option(help="Label as NAME=VALUE.")] = None,
     size: Annotated[int, typer.Option(min=1, help="Number of tasks.")] = 1,
     idempotent: Annotated[bool, typer.Option(help="Whether it is an idempotent request.")] = False,
-    file: Annotated[Path | None, typer.Option(help="Ask this file instead of a host.")] = None,
+    file: Annotated[Path | None, typer.Option(help="Use this file instead of a host.")] = None,
     host: HostOption = "",
     token_file: TokenOption = Path(),
     as_json: JsonOption = False,
 ) -> None:
-    """Tell which rule a job meets, and why not the earlier ones."""
+    """Print which rule a job matches, and why the earlier ones do not match."""
     labels = _parse_labels(label or [])
     asked = operations.build_explain_request(team, kind, domain, labels, size, idempotent)
     if file is not None:
@@ -264,7 +264,7 @@
 
 @evacuations_app.command("begin", epilog="Example: ... begin ridge-hut --control 10.1.0.16:8166")
 def evacuations_begin(domain: str, control: ControlOption) -> None:
-    """Start nothing more at the upstreams of a failure domain; what runs there ends by itself."""
+    """Start no more tasks at the upstreams of a failure domain; running tasks finish there."""
     hosts = [_parse_address(each, "--control") for each in control]
     raise typer.Exit(evacuations.set_evacuation(hosts, domain, begin=True))
 
@@ -278,13 +278,17 @@
 
 @evacuations_app.command("list")
 def evacuations_list(control: ControlOption, as_json: JsonOption = False) -> None:
-    """Print which failure domains are evacuated, and since when."""
+    """Print the evacuated failure domains, and since when each is evacuated."""
     hosts = [_parse_address(each, "--control") for each in control]
     raise typer.Exit(evacuations.list_evacuations(hosts, as_json))
 
 
 def main() -> None:
-    """Run the command line; settings errors are printed whole, broken invariants stop it."""
+    """Run the command line.
+
+    A settings error is printed with all its problems. A broken invariant ends the process with an
+    exit code of its own. A closed output pipe is no error.
+    """
     try:
         app()
     except SettingsError as error:
@@ -310,7 +314,7 @@
 def _parse_address(host: str, option: str) -> Address:
     name, _, port = host.rpartition(":")
     if not name or not port.isdecimal():
-        raise typer.BadParameter(f"{option} is IP:PORT, not {host!r}")
+        raise typer.BadParameter(f"{option} must be IP:PORT, not {host!r}")
     return Address(name, int(port))
 
 
@@ -319,6 +323,6 @@
     for item in given:
         name, separator, value = item.partition("=")
         if not separator:
-            raise typer.BadParameter(f"--label is NAME=VALUE, not {item!r}")
+            raise typer.BadParameter(f"--label must be NAME=VALUE, not {item!r}")
         labels[name] = value
     return labels
--- a/cottonlug/commands/__init__.py
+++ b/cottonlug/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The work behind each command of the command line."""
+"""Implementation of the commands that `cli` declares."""
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -1,4 +1,4 @@
-"""`cottonlug control`: a host that keeps the replicated log and, as leader, decides."""
+"""`cottonlug control`: a host that keeps the replicated log and, as leader, schedules jobs."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 MAX_CONTROL_BODY_BYTES = 8 * 1024 * 1024
 FORWARDING_GRACE_SECONDS = 1.5
-"""Time for another leader to be found before this host stops passing calls on."""
+"""How long a stopping host still forwards calls, so that callers can find the new leader."""
 
 
 def serve_control(config: Path) -> int:
-    """Run a control host until it is told to stop."""
+    """Run a control host until a stop signal and return the exit code."""
     return run_loop(_serve_control(config))
 
 
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -1,4 +1,4 @@
-"""What the daemons of a cluster share: logs, listeners, and how they close down."""
+"""Code that the cluster daemons share: logging, listeners and shutdown."""
 
 from __future__ import annotations
 
@@ -18,21 +18,24 @@
 from ..runtime.metrics import Metrics
 
 MAX_SMALL_BODY_BYTES = 1_024
-"""Requests for metrics and readiness have no body."""
+"""Limit of listeners for metrics and readiness, whose requests have no body."""
 MAX_CONNECTIONS_PER_UPSTREAM = 16
 DRAIN_MARGIN_SECONDS = 0.4
-"""What is left of the limit for closing down, once all that was under way is answered or cut."""
+"""Part of the shutdown limit that is kept for the time after open requests are answered or cut."""
 MAX_PEER_BODY_BYTES = 64 * 1024 * 1024
-"""A snapshot is one message."""
+"""Large, as a whole snapshot is sent in one message."""
 
 
 def find_drain_seconds(limit: timedelta, gone_seconds: float) -> float:
-    """Return for how many seconds requests under way may still be answered."""
+    """Return for how many seconds open requests may still be answered.
+
+    `limit` is the time allowed for the whole shutdown, `gone_seconds` the part already used.
+    """
     return max(limit.total_seconds() - gone_seconds - DRAIN_MARGIN_SECONDS, 0.0)
 
 
 def start_logging(settings: ControlSettings | GatewaySettings) -> LogOutput:
-    """Send logs to standard output and note the start."""
+    """Send logs to standard output and log the start of the daemon."""
     output = LogOutput(descriptor=sys.stdout.fileno())
     set_up_output(settings.log, output)
     log_event(Event.STARTED, host=settings.host, domain=settings.domain, pid=os.getpid())
@@ -47,7 +50,10 @@
     *,
     takes_all: bool = False,
 ) -> Listener:
-    """Return a listener whose requests one handler answers; see `Listener` for `takes_all`."""
+    """Return a listener whose requests are answered by one handler.
+
+    See `Listener` for `takes_all`.
+    """
     app: Any = build_asgi(handler, lambda: max_body_bytes, at_once)
     return Listener(app=app, address=address, takes_all=takes_all)
 
@@ -58,7 +64,11 @@
     max_body_bytes: int,
     at_once: AtOnce,
 ) -> list[Listener]:
-    """Return the listeners for other hosts: for jobs, and for what must not wait behind these."""
+    """Return the listeners for other hosts of the cluster.
+
+    The first one serves all calls; where the settings have an urgent port, a second one serves
+    calls that must not queue behind jobs.
+    """
     address = settings.listen.peers
     listeners = [build_listener(handler, address, max_body_bytes, at_once)]
     if settings.urgent_port is not None:
@@ -68,14 +78,14 @@
 
 
 def build_metrics_listeners(metrics: Metrics, address: Address | None) -> list[Listener]:
-    """Return the listener for metrics, where the settings name an address for it."""
+    """Return the listener for metrics in a list, which is empty where no address is set."""
     if address is None:
         return []
     return [build_listener(build_metrics_handler(metrics), address, MAX_SMALL_BODY_BYTES)]
 
 
 async def start_listeners(listeners: list[Listener]) -> str | None:
-    """Start listeners in turn; return why one failed, or None."""
+    """Start the listeners in order; return the first error message, or None."""
     for listener in listeners:
         error = await listener.start()
         if error is not None:
@@ -84,7 +94,10 @@
 
 
 async def stop_listeners(listeners: list[Listener], seconds: float) -> None:
-    """Finish what is being answered, but no longer than a while."""
+    """Stop the listeners, waiting up to `seconds` for open requests to be answered.
+
+    Logs `DRAIN_CUT_SHORT` with the number of listeners that were not done by then.
+    """
     stopping = [asyncio.create_task(listener.stop()) for listener in listeners]
     _, late = await asyncio.wait(stopping, timeout=seconds)
     if late:
--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -1,4 +1,4 @@
-"""One entry host and a handful of stand-in upstreams in one process, and one real job each."""
+"""`cottonlug demo`: one entry host and five stand-in upstreams in one process, run on real jobs."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoRow:
-    """What one job measured, and every promise that it broke."""
+    """Figures of one job, and the guarantees that were violated."""
 
     name: str
     tasks: int
@@ -72,7 +72,7 @@
 
 
 def run_demo() -> int:
-    """Run the whole path once and return 0 if every promise held."""
+    """Run the jobs from submission to answer; return 0 if no guarantee was violated, else 1."""
     return asyncio.run(_run_demo())
 
 
@@ -104,11 +104,11 @@
         await stand_in.stop()
     await node.stop()
     _print_table(rows)
-    violations = [f"{row.name}: {promise}" for row in rows for promise in row.violations]
+    violations = [f"{row.name}: {violation}" for row in rows for violation in row.violations]
     violations += [f"invariant: {failure}" for failure in failures]
     for line in violations:
-        print(f"BROKEN {line}", file=sys.stderr)
-    print("every promise held" if not violations else f"{len(violations)} promises broken")
+        print(f"VIOLATED {line}", file=sys.stderr)
+    print("every guarantee held" if not violations else f"{len(violations)} guarantees violated")
     return 1 if violations else 0
 
 
@@ -127,7 +127,7 @@
     seconds = time.monotonic() - began
     again = await client.call("POST", "/v1/jobs", JobStatus, request)
     if isinstance(again, Err) or again.unwrap().state is not JobState.COMPLETE:
-        violations.append("a resend did not attach to the job")
+        violations.append("resending the job did not attach to it")
     starts = sum(each.start_log.by_submission.get(id, 0) for each in stand_ins)
     violations += _check_answer(workload, request, answer, starts, stand_ins)
     return DemoRow(
@@ -145,7 +145,7 @@
 async def _run_payment(
     client: ApiClient, node: EntryNode, stand_ins: list[StandInUpstream]
 ) -> DemoRow:
-    """Send one non-idempotent request twice with its id; it must run once."""
+    """Send one non-idempotent request twice under one id, and check that it runs once."""
     counters = node.host.dispatcher.counters
     exchanges, empty = counters.exchanges, counters.empty_replies
     id = await _mint(client)
@@ -163,7 +163,7 @@
     starts = sum(each.start_log.by_submission.get(id, 0) for each in stand_ins)
     violations = [] if starts == 1 else [f"a payment started {starts} times"]
     if first != second:
-        violations.append("two callers of one payment got different answers")
+        violations.append("two requests for one payment got different answers")
     return DemoRow(
         name="payment",
         tasks=1,
@@ -211,12 +211,12 @@
     work = choose_alert_recipients if workload is ExampleWorkload.AURORA else compute_ticket
     expected = [work(json.loads(bytes(task))).unwrap() for task in request.tasks]
     if [json.loads(bytes(result)) for result in answer.results] != expected:
-        violations.append("the answer is not the caller's own whole answer")
+        violations.append("the answer differs from the expected results")
     return violations
 
 
 def _compute_ideal_seconds(run_times_ms: list[int]) -> float:
-    """Return how long the tasks take on all slots with no overhead, longest first."""
+    """Return how long the tasks take on all slots without overhead, started longest first."""
     slots = [0.0] * (UPSTREAMS * SLOTS)
     for run_time in sorted(run_times_ms, reverse=True):
         heapq.heappush(slots, heapq.heappop(slots) + run_time / 1000)
--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -1,4 +1,4 @@
-"""`cottonlug evacuations`: empty a failure domain, take it back, list what is evacuated."""
+"""`cottonlug evacuations`: begin, end and list evacuations of failure domains."""
 
 from __future__ import annotations
 
@@ -23,28 +23,28 @@
 from .output import print_json
 
 RESPONSE_TIMEOUT = timedelta(seconds=1)
-"""A control host that has not answered by then is taken for lost, and the next one is asked."""
+"""A control host that does not answer within this time is skipped, and the next one is called."""
 RETRY_PERIOD = timedelta(seconds=20)
-"""Longer than an election and a restart of all control hosts take."""
+"""Longer than an election, and than a restart of all control hosts."""
 RETRY_PAUSE = timedelta(milliseconds=200)
 
 
 def set_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
-    """Begin or end the evacuation of a domain, asking one host after another until one says so."""
+    """Begin or end the evacuation of a domain, calling the hosts in turn until one confirms it."""
     reply = asyncio.run(_call_hosts_in_turn(hosts, build_order(domain, begin=begin)))
     if reply.is_done:
         print(f"{domain} is {'evacuated' if begin else 'used again'}")
         return ExitCode.OK
-    print(f"not known to be in force: {reply.problem}", file=sys.stderr)
+    print(f"not confirmed: {reply.problem}", file=sys.stderr)
     return ExitCode.REFUSED if reply.is_final else ExitCode.UNAVAILABLE
 
 
 def list_evacuations(hosts: list[Address], as_json: bool) -> ExitCode:
-    """Print the domains that are evacuated, and since when."""
+    """Print the evacuated domains and the time since when they are."""
     reply = asyncio.run(_call_hosts_in_turn(hosts, build_list()))
     listed = read_evacuations(reply)
     if listed is None:
-        print(f"not known: {reply.problem}", file=sys.stderr)
+        print(f"evacuations could not be read: {reply.problem}", file=sys.stderr)
         return ExitCode.UNAVAILABLE
     if as_json:
         print_json(listed)
@@ -62,7 +62,10 @@
 
 
 async def _call_hosts_in_turn(hosts: list[Address], call: OperatorCall) -> OperatorReply:
-    """Return the first clear answer, or the last one where none came in time."""
+    """Call the hosts in turn until one gives a definite answer or the retry period is over.
+
+    Returns that answer, or else the last one.
+    """
     deadline = time.monotonic() + RETRY_PERIOD.total_seconds()
     async with httpx.AsyncClient(timeout=RESPONSE_TIMEOUT.total_seconds()) as client:
         while True:
--- a/cottonlug/commands/exits.py
+++ b/cottonlug/commands/exits.py
@@ -9,7 +9,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the command line's exit status means."""
+    """Exit status of the command line."""
 
     OK = 0
     JOB_FAILED = 1
@@ -21,7 +21,7 @@
 
 
 def choose_exit(refusal: Refusal) -> ExitCode:
-    """Return the exit code of a refusal."""
+    """Return the exit code for a refusal."""
     if refusal.code is RefusalCode.HOME_UNREACHABLE:
         return ExitCode.UNAVAILABLE
     return ExitCode.REFUSED
--- a/cottonlug/commands/explanation.py
+++ b/cottonlug/commands/explanation.py
@@ -1,4 +1,4 @@
-"""`cottonlug explain`: one request's story from the logs of many processes."""
+"""`cottonlug explain`: the history of one job, collected from the logs of several processes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,16 @@
 
 
 def explain_job(id: str, files: list[Path]) -> ExitCode:
-    """Print, in order, every log line that names an id; without files, from standard input."""
+    """Print every log line that contains an id, ordered by time.
+
+    Reads standard input if no files are given.
+    """
     found = sorted(_find_lines(id, files), key=lambda line: str(line.get("time", "")))
     if not found:
-        print(f"no line names {id}; routine lines are written for one job in 16", file=sys.stderr)
+        print(
+            f"no log line contains {id}; routine decisions are logged for 1 job in 16",
+            file=sys.stderr,
+        )
         return ExitCode.JOB_FAILED
     for line in found:
         print(format_log_line(line))
@@ -26,7 +32,7 @@
 
 
 def format_log_line(line: LogLine) -> str:
-    """Return a log line as time, what happened, and the inputs that decided it."""
+    """Return a log line as time, event, decision or message, and the remaining fields."""
     rest = {key: value for key, value in line.items() if key not in _HEADER_FIELDS}
     what = line.get("decision") or line.get("message", "")
     details = " ".join(f"{key}={value}" for key, value in rest.items())
@@ -34,7 +40,10 @@
 
 
 def read_log_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the JSON objects in lines of text; what stands before the object is left out."""
+    """Yield the JSON object of each line of text.
+
+    A prefix before the object is skipped, and so are lines without a JSON object.
+    """
     for text in texts:
         start = text.find("{")
         if start < 0:
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -1,4 +1,4 @@
-"""`cottonlug gateway`: a host that passes callers' requests to whoever decides."""
+"""`cottonlug gateway`: a host that forwards callers' requests to the coordinator."""
 
 from __future__ import annotations
 
@@ -35,11 +35,14 @@
 from .exits import ExitCode
 
 BALANCER_REMOVAL_SECONDS = 2.5
-"""The balancer asks once a second and takes a host out after two misses."""
+"""How long a stopping gateway serves on while it reports that it is not ready.
+
+The load balancer checks readiness once a second and removes a host after two failed checks.
+"""
 
 
 def serve_gateway(config: Path) -> int:
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until a stop signal and return the exit code."""
     return run_loop(_serve_gateway(config))
 
 
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -1,4 +1,4 @@
-"""`submit`, `status`, `cancel`, `request` and `ids`: the callers' commands."""
+"""Commands for callers: `submit`, `status`, `cancel`, `request` and `ids`."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """Which host to talk to, with which token, and how to print."""
+    """The host to call, the token to send, and the output format."""
 
     address: Address
     token: str
@@ -45,18 +45,18 @@
 
 
 def submit_job(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
-    """Submit a job with an id of its own, and wait for the whole answer if told to."""
+    """Submit a job, under a new id if it has none, and optionally wait for its answer."""
     return asyncio.run(_submit(target, request, wait))
 
 
 def show_status(target: Target, id: str, wait_ms: int) -> ExitCode:
-    """Print a job's status, or its answer."""
+    """Print the answer of a job, or its status if it has not ended after `wait_ms`."""
     path = f"/v1/jobs/{id}/answer?wait_ms={wait_ms}"
     return asyncio.run(_call_and_print(target, "GET", path, None))
 
 
 def cancel_job(target: Target, id: str) -> ExitCode:
-    """Cancel a job and print its final state."""
+    """Cancel a job and print the state that it ended in."""
     return asyncio.run(_call_and_print(target, "POST", f"/v1/jobs/{id}/cancel", None))
 
 
@@ -66,12 +66,12 @@
 
 
 def mint_ids(target: Target, count: int) -> ExitCode:
-    """Print fresh submission ids."""
+    """Mint submission ids and print them."""
     return asyncio.run(_mint_and_print(target, count))
 
 
 def read_job_file(file: Path) -> Result[SubmitRequest, Refusal]:
-    """Return the job in a JSON file; `-` is standard input."""
+    """Return the job in a JSON file, where `-` is standard input, or why it cannot be read."""
     try:
         body = sys.stdin.buffer.read() if str(file) == "-" else file.read_bytes()
     except OSError as error:
@@ -83,7 +83,11 @@
 async def call_with_retries(
     client: ApiClient, method: str, path: str, reply_type: Any, message: Any
 ) -> Result[Any, Refusal]:
-    """Call again while the refusal says to come back; a resend has its id and is safe."""
+    """Send a call, and send it again while it is refused with a code that may be retried.
+
+    Waits as long as the refusal says, and returns the last refusal after `MAX_RETRIES` calls.
+    Retries are safe: they carry the same id, or the request is idempotent.
+    """
     for _ in range(MAX_RETRIES):
         reply = await client.call(method, path, reply_type, message)
         if isinstance(reply, Success) or reply.failure().code not in RETRY_CODES:
--- a/cottonlug/commands/operations.py
+++ b/cottonlug/commands/operations.py
@@ -1,4 +1,4 @@
-"""`dump` and `rules`: the operators' commands."""
+"""Commands for operators: `dump` and `rules`."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def show_rules(target: Target) -> ExitCode:
-    """Print the rules in force at a host."""
+    """Print the active rules of a host."""
     reply = asyncio.run(call_once(target, "GET", "/v1/rules", RulesView, None))
     if isinstance(reply, Err):
         return print_refusal(reply.failure(), target.as_json)
@@ -51,7 +51,11 @@
 def apply_rules(
     target: Target, file: Path, base_version: int | None, request_id: str | None
 ) -> ExitCode:
-    """Replace the rules everywhere; the same request id always gets the same answer."""
+    """Replace the rules of all hosts.
+
+    Without `base_version`, the change starts from the version that the host has now. A repeated
+    request id gets the same outcome again.
+    """
     if read_rules_file(file) is None:
         return ExitCode.SETTINGS
     return asyncio.run(_apply(target, file.read_text(), base_version, request_id))
@@ -84,13 +88,13 @@
     else:
         print(f"not accepted ({outcome.decision.value}): {outcome.detail}", file=sys.stderr)
         if outcome.winner:
-            print(f"version {outcome.version} is of request {outcome.winner}", file=sys.stderr)
+            print(f"version {outcome.version} was set by request {outcome.winner}", file=sys.stderr)
     is_accepted = outcome.decision is Decision.ACCEPTED
     return ExitCode.OK if is_accepted else ExitCode.REFUSED
 
 
 def check_rules(file: Path) -> ExitCode:
-    """Print every problem of a rules document."""
+    """Print every problem of a rules file."""
     document = read_rules_file(file)
     if document is None:
         return ExitCode.SETTINGS
@@ -99,7 +103,7 @@
 
 
 def read_rules_file(file: Path) -> RulesDocument | None:
-    """Return the rules in a file; print every problem found."""
+    """Print every problem of a rules file; return its rules, or None if there are errors."""
     try:
         loaded = read_rules(file.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -111,7 +115,7 @@
 
 
 def explain_file(file: Path, request: ExplainRequest, as_json: bool) -> ExitCode:
-    """Tell which rule of a file a job would meet."""
+    """Print which rule of a file a job would match."""
     document = read_rules_file(file)
     if document is None:
         return ExitCode.SETTINGS
@@ -119,7 +123,7 @@
 
 
 def explain_remote(target: Target, request: ExplainRequest) -> ExitCode:
-    """Tell which rule in force at a host a job would meet."""
+    """Print which active rule of a host a job would match."""
     path = "/v1/rules/explain"
     reply = asyncio.run(call_once(target, "POST", path, ExplainReply, request))
     if isinstance(reply, Err):
@@ -130,7 +134,7 @@
 def build_explain_request(
     team: str, kind: str, domain: str, labels: dict[str, str], size: int, idempotent: bool
 ) -> ExplainRequest:
-    """Return the question to the rules that the options ask."""
+    """Return the request to explain the rules for a job with these attributes."""
     return ExplainRequest(
         team=TeamName(team),
         kind=KindName(kind),
@@ -142,7 +146,7 @@
 
 
 async def call_once(target: Target, method: str, path: str, reply_type: Any, message: Any) -> Any:
-    """Send one call and return its result."""
+    """Send one call through a new client and return its result."""
     client = ApiClient(address=target.address, token=target.token)
     try:
         return await client.call(method, path, reply_type, message)
@@ -155,8 +159,8 @@
         print_json(reply)
         return ExitCode.OK
     for tried in reply.tried:
-        why = f"no: {tried.mismatch} differs" if tried.mismatch else "yes: this rule counts"
+        why = f"no: {tried.mismatch} differs" if tried.mismatch else "yes: this rule applies"
         print(f"{tried.rule}: {why}")
     if reply.matched is None:
-        print("no rule matches; the defaults count")
+        print("no rule matches; the defaults apply")
     return ExitCode.OK
--- a/cottonlug/commands/output.py
+++ b/cottonlug/commands/output.py
@@ -1,4 +1,4 @@
-"""What commands print: for people, or JSON for scripts."""
+"""Output of commands: text for people, or JSON for scripts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def print_refusal(refusal: Refusal, as_json: bool) -> ExitCode:
-    """Print a refusal and return its exit code."""
+    """Print a refusal, on standard error unless as JSON, and return its exit code."""
     if as_json:
         print_json(refusal)
         return choose_exit(refusal)
@@ -31,12 +31,12 @@
     if refusal.outcome is not None:
         print(f"outcome: {refusal.outcome.value}", file=sys.stderr)
     if refusal.retry_after_ms is not None:
-        print(f"come back in {refusal.retry_after_ms} ms", file=sys.stderr)
+        print(f"retry after {refusal.retry_after_ms} ms", file=sys.stderr)
     return choose_exit(refusal)
 
 
 def print_view(view: JobStatus | JobAnswer, as_json: bool) -> ExitCode:
-    """Print a job's status or answer and return the exit code."""
+    """Print the status or the answer of a job and return the exit code."""
     if as_json:
         print_json(view)
     elif isinstance(view, JobStatus):
--- a/cottonlug/commands/serve.py
+++ b/cottonlug/commands/serve.py
@@ -1,4 +1,4 @@
-"""`cottonlug serve` and `cottonlug upstream`: the daemons."""
+"""`cottonlug serve` and `cottonlug upstream`: daemons of an entry host and a stand-in upstream."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def serve_entry(config: Path) -> int:
-    """Run an entry host until it is told to stop."""
+    """Run an entry host until a stop signal and return the exit code."""
     return run_loop(_serve_entry(config))
 
 
 def serve_upstream(config: Path) -> int:
-    """Run a stand-in upstream until it is told to stop."""
+    """Run a stand-in upstream until a stop signal and return the exit code."""
     return run_loop(_serve_upstream(config))
 
 
--- a/cottonlug/commands/workloads.py
+++ b/cottonlug/commands/workloads.py
@@ -1,4 +1,4 @@
-"""Jobs shaped like each user's, from a seed."""
+"""Seeded example jobs that resemble the users' workloads."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class ExampleWorkload(Enum):
-    """Whose work a job looks like."""
+    """The workload that an example job resembles."""
 
     AURORA = "aurora"
     TICKETS = "tickets"
 
 
 def build_example_job(workload: ExampleWorkload, count: int, seed: int) -> SubmitRequest:
-    """Return a job of that many tasks; the same seed gives the same job."""
+    """Return a job of `count` tasks; the same seed always gives the same job."""
     chance = random.Random(seed)
     is_alert = workload is ExampleWorkload.AURORA
     build = _build_alert if is_alert else _build_ticket
@@ -38,7 +38,7 @@
 
 
 def sum_run_times(request: SubmitRequest) -> list[int]:
-    """Return the run time of each task in milliseconds, as its payload asks for."""
+    """Return the run time of each task in milliseconds, as stated in its payload."""
     return [int(json.loads(bytes(task)).get("ms", 0)) for task in request.tasks]
 
 
--- a/cottonlug/daemon.py
+++ b/cottonlug/daemon.py
@@ -1,7 +1,8 @@
-"""Start a daemon of a cluster by `python -m cottonlug.daemon NAME --config FILE`.
+"""Fast entry point of the cluster daemons: `python -m cottonlug.daemon NAME --config FILE`.
 
-`cottonlug control` and `cottonlug gateway` do the same through the command line, which loads every
-command first. A host that comes back, or that all others wait for, serves that much sooner.
+`cottonlug control` and `cottonlug gateway` start the same daemons through the command line, which
+imports every command first. Skipping these imports shortens the start of a host that restarts, and
+of a host that all others wait for.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 USAGE = "usage: python -m cottonlug.daemon control|gateway --config FILE"
 USAGE_EXIT, SETTINGS_EXIT, INVARIANT_EXIT = 2, 3, 6
-"""Those of `commands.exits.ExitCode`, which is not loaded before they may be needed."""
+"""Copies of `commands.exits.ExitCode`, which may not be imported yet when they are needed."""
 
 
 def main(arguments: list[str]) -> int:
-    """Run the daemon that the arguments name; return the exit code of the process."""
+    """Run the daemon named in the arguments and return the exit code of the process."""
     match arguments:
         case ["control" | "gateway" as name, "--config", file]:
             return _serve(name, Path(file))
@@ -29,8 +30,8 @@
 
 def _serve(name: str, config: Path) -> int:
     lean.leave_out_unused()
-    # What is loaded stays for the life of the process: to search it for garbage, while it is loaded
-    # and at each full collection later, finds nothing.
+    # Imported modules live as long as the process, so garbage collection is off while they are
+    # imported, and their objects are excluded from every later full collection.
     gc.disable()
     try:
         if name == "control":
--- a/cottonlug/tests/test_evacuation_commands.py
+++ b/cottonlug/tests/test_evacuation_commands.py
@@ -1,4 +1,4 @@
-"""What operators are told by `cottonlug evacuations`."""
+"""Output and exit codes of `cottonlug evacuations`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 @pytest.fixture(name="asked")
 def _asked(monkeypatch: pytest.MonkeyPatch) -> list[str]:
-    """Have one host refuse connections, and the other one know the domain `north` alone."""
+    """Return the list of requests sent to two fake control hosts.
+
+    One refuses connections; the other one knows only the domain `north`.
+    """
     asked: list[str] = []
 
     async def request(self: httpx.AsyncClient, method: str, url: str) -> httpx.Response:
@@ -32,7 +35,7 @@
     return asked
 
 
-def test_the_next_host_is_asked_where_one_does_not_answer(asked: list[str]) -> None:
+def test_next_control_host_is_called_if_one_is_unreachable(asked: list[str]) -> None:
     arguments = ["evacuations", "begin", "north", "--control", LOST, "--control", SOUND]
     result = CliRunner().invoke(app, arguments)
     assert result.exit_code == ExitCode.OK, result.output
@@ -40,23 +43,23 @@
     assert asked == [f"POST http://{host}/evacuation/north" for host in (LOST, SOUND)]
 
 
-def test_an_unknown_domain_is_refused_once(asked: list[str]) -> None:
+def test_unknown_domain_is_refused_without_retries(asked: list[str]) -> None:
     result = CliRunner().invoke(app, ["evacuations", "end", "nowhere", "--control", SOUND])
     assert result.exit_code == ExitCode.REFUSED
     assert asked == [f"DELETE http://{SOUND}/evacuation/nowhere"]
 
 
-def test_evacuated_domains_are_printed(asked: list[str]) -> None:
+def test_evacuated_domains_are_listed_with_start_time(asked: list[str]) -> None:
     result = CliRunner().invoke(app, ["evacuations", "list", "--control", SOUND])
     assert result.output == "north since 1970-01-01T00:00:00+00:00\n"
 
 
-def test_a_bad_address_is_a_usage_error() -> None:
+def test_malformed_control_address_is_a_usage_error() -> None:
     result = CliRunner().invoke(app, ["evacuations", "list", "--control", "nonsense"])
     assert result.exit_code == ExitCode.USAGE
     assert "IP:PORT" in result.output
 
 
-def test_the_example_settings_name_all_domains() -> None:
+def test_settings_template_lists_all_domains() -> None:
     template = Path(__file__).parents[2] / "deploy" / "control.yaml.template"
     assert 'domains: [{{#zones}}"{{@}}"' in template.read_text()
--- a/cottonlug/tests/test_known_red.py
+++ b/cottonlug/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: short, and each line gives a test and why it fails."""
+"""KNOWN-RED.txt, the list of known failures: one test and reason per line, three lines at most."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from . import conftest
 
 
-def test_a_line_gives_a_test_and_why_it_fails(
+def test_each_line_is_read_as_test_and_reason(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     listed = tmp_path / "KNOWN-RED.txt"
@@ -19,7 +19,9 @@
     assert conftest.read_known_red() == {"tests/test_a.py::test_b": "late: always; issue 3"}
 
 
-def test_more_than_three_lines_are_refused(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_list_of_more_than_three_lines_is_rejected(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     listed = tmp_path / "KNOWN-RED.txt"
     monkeypatch.setattr(conftest, "KNOWN_RED", listed)
     listed.write_text("".join(f"t{number}: why\n" for number in range(4)))
--- a/cottonlug/tests/test_pages.py
+++ b/cottonlug/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The docs, the examples and the shape of the code are what they say."""
+"""Docs pages, committed examples and import rules agree with the code."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("name", list(DEPLOYMENTS))
-def test_committed_examples_are_what_the_command_writes(name: object, tmp_path: Path) -> None:
+def test_committed_examples_equal_the_output_of_the_command(name: object, tmp_path: Path) -> None:
     deployment = next(each for key, each in DEPLOYMENTS.items() if key is name)
     folder = ROOT / "examples" / deployment.name
     files = build_files(deployment)
--- a/cottonlug/upstream/__init__.py
+++ b/cottonlug/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-in upstream used for tests and first runs."""
+"""Stand-in upstream for tests and first runs."""
--- a/cottonlug/upstream/daemon.py
+++ b/cottonlug/upstream/daemon.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream: links to the entry hosts of its failure domain, and slots that run tasks."""
+"""Stand-in upstream: links to the entry hosts of its failure domain, and slots that run tasks."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 _FIRST_BACKOFF_SECONDS = 0.05
 _MAX_BACKOFF_SECONDS = 1.0
 _FINAL_RESULTS_TIMEOUT_SECONDS = 10.0
-"""How long a leaving upstream tries to hand in its last results."""
+"""How long a leaving upstream tries to report its last results."""
 _SESSION_CLOSE_TIMEOUT_SECONDS = 2.0
 _CHECK_INTERVAL_SECONDS = 0.02
 _DRAINING_PAUSE_SECONDS = 0.5
-"""Pause between requests while the host is draining or this upstream leaves."""
+"""Pause between requests while the entry host is draining or this upstream is leaving."""
 
 
 class _TaskId(NamedTuple):
@@ -46,7 +46,10 @@
 
 
 class StartLog:
-    """What was ever started here, to prove that nothing starts twice."""
+    """Record of all starts at this upstream, which shows whether a task started twice.
+
+    Only the last `MAX_REMEMBERED_STARTS` tasks are compared.
+    """
 
     def __init__(self) -> None:
         self.started = 0
@@ -55,7 +58,7 @@
         self._seen: OrderedDict[_TaskId, None] = OrderedDict()
 
     def record(self, key: TaskKey) -> None:
-        """Count one start."""
+        """Count one start of a task."""
         self.started += 1
         task = _TaskId(key.submission, key.task)
         if task in self._seen:
@@ -68,7 +71,7 @@
 
 
 class StandInUpstream:
-    """State of one stand-in upstream; all of it on one loop."""
+    """One stand-in upstream, with all of its state on one event loop."""
 
     def __init__(self, *, settings: UpstreamSettings, incarnation: Incarnation) -> None:
         self.settings = settings
@@ -92,7 +95,7 @@
         self._running: dict[TaskKey, asyncio.Task[None]] = {}
 
     def start(self) -> None:
-        """Open a link to every entry host."""
+        """Start a link to every entry host."""
         for entry in self.settings.hosts:
             link = self.executor.links[entry.host]
             clients = [
@@ -106,7 +109,10 @@
             self._loops.append(asyncio.create_task(self._maintain_link(link, clients)))
 
     async def leave(self, limit: timedelta) -> None:
-        """Take no new work, finish what runs, hand in all results and say goodbye."""
+        """Accept no new tasks, finish running ones, report all results and close the sessions.
+
+        `limit` is how long running tasks are waited for.
+        """
         self.executor.leave()
         for host in self._updates:
             self._signal_update(host)
@@ -115,7 +121,7 @@
         await _wait_until(self._are_sessions_closed, _SESSION_CLOSE_TIMEOUT_SECONDS)
 
     async def stop(self) -> None:
-        """Stop at once."""
+        """Cancel all links and running tasks."""
         tasks = [*self._loops, *self._running.values()]
         for task in tasks:
             task.cancel()
@@ -168,7 +174,7 @@
             await asyncio.sleep(backoff)
 
     async def _run_session(self, link: Link, clients: list[HttpClient]) -> str | None:
-        """Exchange messages until something goes wrong, and return what did; None after goodbye."""
+        """Exchange messages until an error; return it, or None once the session is closed."""
         free = list(clients)
         calls: dict[asyncio.Task[str | None], HttpClient] = {}
         updates = self._updates[link.host]
@@ -206,7 +212,7 @@
         wait = (due - _read_clock()).total_seconds()
         if wait <= 0:
             return True
-        # Woken early where a later result changes what may wait.
+        # A result that comes earlier signals too, and the due time is then computed again.
         asyncio.get_running_loop().call_later(wait, self._signal_update, link.host)
         return False
 
@@ -254,7 +260,7 @@
         return lambda _: self._report_if_never_run(key)
 
     def _report_if_never_run(self, key: TaskKey) -> None:
-        """Report a task that was stopped before its first step."""
+        """Report a task as stopped if it was cancelled before its coroutine began to run."""
         if self._running.pop(key, None) is not None:
             self._signal_update(
                 self.executor.finish(key, ResultStatus.STOPPED, NULL, 0, _read_clock())
--- a/cottonlug/upstream/work.py
+++ b/cottonlug/upstream/work.py
@@ -1,8 +1,8 @@
-"""The work that the stand-in does: both users' kinds of task, and plain ones for tests.
+"""Tasks that the stand-in upstream can run: one kind for each user, and simple ones for tests.
 
-A payload is a JSON object; `ms` is how long the task takes. Kinds: `aurora.alert` decides whom to
-wake, `weigh.ticket` settles tare against gross, `sleep` only waits, `echo` returns its payload,
-`fail` fails, `hang` never ends by itself, `crash` ends the process.
+A payload is a JSON object, in which `ms` is the run time of the task. Kinds: `aurora.alert` chooses
+whom to alert, `weigh.ticket` computes net weight and price, `sleep` only waits, `echo` returns its
+payload, `fail` fails, `hang` never ends by itself, `crash` ends the process.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 async def run_work(kind: str, payload: Raw) -> Result[Raw, str]:
-    """Run one task and return its result as JSON, or why it failed."""
+    """Run one task; return its result as JSON, or an error message."""
     try:
         content = msgspec.json.decode(payload)
     except msgspec.DecodeError as error:
@@ -48,7 +48,10 @@
 
 
 def choose_alert_recipients(fields: dict[str, Any]) -> Result[Any, str]:
-    """Return whom to wake for a magnetometer index and a cloud share."""
+    """Return which recipients to alert for a K-index and a cloud cover between 0 and 1.
+
+    Nobody is alerted under more than 70 percent of clouds.
+    """
     index = fields.get("k_index")
     clouds = fields.get("clouds", 0.0)
     if not isinstance(index, int | float) or not isinstance(clouds, int | float):
@@ -59,7 +62,7 @@
 
 
 def compute_ticket(fields: dict[str, Any]) -> Result[Any, str]:
-    """Return net weight and price of one load."""
+    """Return the net weight in kilograms and the price of one load."""
     gross = fields.get("gross_kg")
     tare = fields.get("tare_kg")
     price = _PRICES_PER_KG.get(str(fields.get("material")))
