--- a/cottonlug/cli.py
+++ b/cottonlug/cli.py
@@ -255,11 +255,11 @@
 ) -> None:
     """Print which rule a job matches, and why the earlier ones do not match."""
     labels = _parse_labels(label or [])
-    asked = operations.build_explain_request(team, kind, domain, labels, size, idempotent)
+    explain_request = operations.build_explain_request(team, kind, domain, labels, size, idempotent)
     if file is not None:
-        raise typer.Exit(operations.explain_file(file, asked, as_json))
+        raise typer.Exit(operations.explain_file(file, explain_request, as_json))
     target = _build_target(host, token_file, as_json)
-    raise typer.Exit(operations.explain_remote(target, asked))
+    raise typer.Exit(operations.explain_remote(target, explain_request))
 
 
 @evacuations_app.command("begin", epilog="Example: ... begin ridge-hut --control 10.1.0.16:8166")
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -46,7 +46,7 @@
 
 def submit_job(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
     """Submit a job, under a new id if it has none, and optionally wait for its answer."""
-    return asyncio.run(_submit(target, request, wait))
+    return asyncio.run(_submit_job(target, request, wait))
 
 
 def show_status(target: Target, id: str, wait_ms: int) -> ExitCode:
@@ -62,7 +62,7 @@
 
 def run_request(target: Target, request: SingleRequest) -> ExitCode:
     """Run one task and print its answer."""
-    return asyncio.run(_request(target, request))
+    return asyncio.run(_run_request(target, request))
 
 
 def mint_ids(target: Target, count: int) -> ExitCode:
@@ -97,7 +97,7 @@
     return reply
 
 
-async def _submit(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
+async def _submit_job(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
     client = ApiClient(address=target.address, token=target.token)
     try:
         if request.id is None:
@@ -112,13 +112,13 @@
             return print_refusal(accepted.failure(), target.as_json)
         view = accepted.unwrap()
         if wait and isinstance(view, JobStatus):
-            return await _follow(target, client, request.id)
+            return await _wait_for_answer(target, client, request.id)
         return print_view(view, target.as_json)
     finally:
         await client.close()
 
 
-async def _follow(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
+async def _wait_for_answer(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
     path = f"/v1/jobs/{id}/answer?wait_ms={POLL_MS}"
     while True:
         reply = await call_with_retries(client, "GET", path, JobView, None)
@@ -131,7 +131,7 @@
             print(f"{view.succeeded} of {view.total} tasks done", file=sys.stderr)
 
 
-async def _request(target: Target, request: SingleRequest) -> ExitCode:
+async def _run_request(target: Target, request: SingleRequest) -> ExitCode:
     client = ApiClient(address=target.address, token=target.token, timeout_seconds=90.0)
     try:
         if request.id is None and not request.idempotent:
--- a/cottonlug/tests/test_evacuation_commands.py
+++ b/cottonlug/tests/test_evacuation_commands.py
@@ -11,20 +11,20 @@
 from ..cli import app
 from ..commands.exits import ExitCode
 
-LOST, SOUND = "127.0.0.1:1", "127.0.0.1:2"
+UNREACHABLE, REACHABLE = "127.0.0.1:1", "127.0.0.1:2"
 
 
-@pytest.fixture(name="asked")
-def _asked(monkeypatch: pytest.MonkeyPatch) -> list[str]:
+@pytest.fixture(name="sent_requests")
+def _sent_requests(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """Return the list of requests sent to two fake control hosts.
 
     One refuses connections; the other one knows only the domain `north`.
     """
-    asked: list[str] = []
+    sent_requests: list[str] = []
 
     async def request(self: httpx.AsyncClient, method: str, url: str) -> httpx.Response:
-        asked.append(f"{method} {url}")
-        if LOST in url:
+        sent_requests.append(f"{method} {url}")
+        if UNREACHABLE in url:
             raise httpx.ConnectError("refused")
         if method == "GET":
             rows = b'{"evacuations":[{"zone":"north","since_ms":0,"revision":3}]}'
@@ -32,25 +32,27 @@
         return httpx.Response(200 if url.endswith("/north") else 404, content=b"{}")
 
     monkeypatch.setattr(httpx.AsyncClient, "request", request)
-    return asked
+    return sent_requests
 
 
-def test_next_control_host_is_called_if_one_is_unreachable(asked: list[str]) -> None:
-    arguments = ["evacuations", "begin", "north", "--control", LOST, "--control", SOUND]
+def test_next_control_host_is_called_if_one_is_unreachable(sent_requests: list[str]) -> None:
+    arguments = ["evacuations", "begin", "north", "--control", UNREACHABLE, "--control", REACHABLE]
     result = CliRunner().invoke(app, arguments)
     assert result.exit_code == ExitCode.OK, result.output
     assert result.output == "north is evacuated\n"
-    assert asked == [f"POST http://{host}/evacuation/north" for host in (LOST, SOUND)]
+    assert sent_requests == [
+        f"POST http://{host}/evacuation/north" for host in (UNREACHABLE, REACHABLE)
+    ]
 
 
-def test_unknown_domain_is_refused_without_retries(asked: list[str]) -> None:
-    result = CliRunner().invoke(app, ["evacuations", "end", "nowhere", "--control", SOUND])
+def test_unknown_domain_is_refused_without_retries(sent_requests: list[str]) -> None:
+    result = CliRunner().invoke(app, ["evacuations", "end", "nowhere", "--control", REACHABLE])
     assert result.exit_code == ExitCode.REFUSED
-    assert asked == [f"DELETE http://{SOUND}/evacuation/nowhere"]
+    assert sent_requests == [f"DELETE http://{REACHABLE}/evacuation/nowhere"]
 
 
-def test_evacuated_domains_are_listed_with_start_time(asked: list[str]) -> None:
-    result = CliRunner().invoke(app, ["evacuations", "list", "--control", SOUND])
+def test_evacuated_domains_are_listed_with_start_time(sent_requests: list[str]) -> None:
+    result = CliRunner().invoke(app, ["evacuations", "list", "--control", REACHABLE])
     assert result.output == "north since 1970-01-01T00:00:00+00:00\n"
 
 
