--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks against real processes on loopback; each prints JSON."""
+"""Benchmarks on real processes on loopback and on models; each prints JSON."""
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,8 +1,9 @@
-"""Gateways with callers, as one process: what submits jobs to the leader that is measured.
+"""Gateways and callers in one process, which submit jobs to the leader measured by `bench.leader`.
 
     python -m bench.callers LEADER GATEWAYS RATE SECONDS
 
-Real gateways, without their listeners. Prints how many jobs were answered as done, as JSON.
+The gateways are real ones without listeners. RATE is in jobs per second. Prints as JSON how many
+jobs were submitted, and how many of them were done.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 from cottonlug.tests.gateway_builders import IdlePort, fail
 
 KINDS = (
-    # name, share of the jobs, tasks, milliseconds of a task, bytes of its payload
+    # Name, share of all jobs, tasks per job, mean run time of a task in ms, payload size in bytes.
     ("short", 0.245, 8, 60, 1_000),
     ("long", 0.044, 4, 900, 300),
     ("middle", 0.711, 2, 200, 2_400),
 )
-"""Shares, widths, run times and sizes of the users' largest sheet."""
+"""Job kinds with the shares, widths, run times and sizes of the users' largest workload."""
 TASK_CPU_MILLIS = 16_000
 LOG_SIGMA = 0.4
 CALL_TIMEOUT = timedelta(milliseconds=1_500)
@@ -40,7 +41,7 @@
 
 
 def build_gateway(number: int, leader: Address) -> Gateway:
-    """Return a gateway that finds the leader as its only control host."""
+    """Return a gateway whose only control host is the leader."""
     own = Address(f"127.0.200.{number + 1}", 7_000)
     settings = GatewaySettings(
         host=HostId(f"gateway-{number}"),
@@ -56,7 +57,7 @@
 
 
 def draw_job(chance: random.Random, number: int) -> Submit:
-    """Return a job of one of the kinds."""
+    """Return a job of a randomly chosen kind, with a log-normally distributed run time."""
     kinds = [kind[0] for kind in KINDS]
     name = chance.choices(kinds, [kind[1] for kind in KINDS])[0]
     _, _, tasks, run_ms, size = KINDS[kinds.index(name)]
@@ -68,7 +69,7 @@
 
 
 async def submit_jobs(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
-    """Submit jobs at a rate, through gateways in turn, and count how they were answered."""
+    """Submit jobs at `rate` per second through the gateways in turn; return how many were done."""
     gateways = [build_gateway(number, leader) for number in range(count)]
     for gateway in gateways:
         gateway.start()
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,7 @@
-"""Slopes of state, messages and processor time, and docs/CAPACITY.md worked out from them.
+"""Measure the cost of state, messages and processor time per unit, and write docs/CAPACITY.md.
 
-Run with `make capacity`, after `make bench`, whose figures it uses. The page is written whole.
+Run with `make capacity`, after `make bench`, whose results are an input. The page is replaced as a
+whole.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 
 
 def measure_memory(build: Callable[[int], object], count: int) -> float:
-    """Return the bytes of memory that one of `count` built things takes."""
+    """Return the mean memory of one of `count` built objects, in bytes."""
     gc.collect()
     tracemalloc.start()
     built = build(count)
@@ -95,7 +96,7 @@
 
 
 async def measure_request_head() -> int:
-    """Return the bytes of an exchange's HTTP request besides its body."""
+    """Return the size of an exchange's HTTP request without its body, in bytes."""
     seen = asyncio.get_running_loop().create_future()
 
     async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -114,7 +115,7 @@
 
 
 def measure_messages() -> dict[str, float]:
-    """Return bytes on the wire for an idle renewal, and for each further start and result."""
+    """Return bytes on the wire for an idle lease renewal, and for each further start and result."""
     head = asyncio.run(measure_request_head())
     idle = ExchangeRequest(upstream="w0001", incarnation="0" * 16, session=1, seq=100, credit=2)
     reply = ExchangeReply(seq=100, lease_ms=4000)
@@ -133,7 +134,7 @@
 
 
 def measure_rules() -> dict[str, dict[str, float]]:
-    """Return microseconds for one match, compiled and naive, by number of rules."""
+    """Return the time of one match in microseconds, compiled and naive, by number of rules."""
     question = Question(
         team=TeamName("team-72"),
         kind=KindName("k"),
@@ -166,7 +167,7 @@
 
 
 def measure_call_us(call: Callable[[], Any]) -> float:
-    """Return the microseconds of one call, the best of five rounds."""
+    """Return the time of one call in microseconds: the best of five rounds of 200 calls."""
     rounds = []
     for _ in range(5):
         began = time.perf_counter()
@@ -177,7 +178,11 @@
 
 
 def fit_cost(cost: dict[str, Any]) -> dict[str, float]:
-    """Solve processor time = a * tasks + b * exchanges from two loads; check with a third."""
+    """Return the processor time per task and per exchange, fitted to two measured loads.
+
+    Solves time = a * tasks + b * exchanges. `check` is the prediction for a third load, divided by
+    what was measured there.
+    """
     loads = [
         cost["jobs_1100_empty_tasks_4x64_slots"],
         cost["jobs_1100_50ms_tasks_24x8_slots"],
@@ -194,7 +199,7 @@
 
 
 def write_page() -> None:
-    """Write the page from what was measured before."""
+    """Write the page from the results of earlier measurements."""
     cost = json.loads((RESULTS / "cost.json").read_text())
     slopes = json.loads((RESULTS / "slopes.json").read_text())
     PAGE.write_text(render_page(cost, slopes))
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""The text of docs/CAPACITY.md, worked out from measured slopes."""
+"""Text of docs/CAPACITY.md, computed from measured costs per unit."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sizing:
-    """What follows from the slopes at the size to design for."""
+    """Figures that follow from the measured costs at the design size."""
 
     tasks_per_exchange: float
     task_us: float
@@ -43,13 +43,13 @@
 
 
 def size_deployment(cost: dict[str, Any], slopes: dict[str, Any]) -> Sizing:
-    """Return the sizing; every figure comes from a measured slope or a stated size."""
+    """Return the sizing; every figure comes from a measured cost or a stated size."""
     load = cost["jobs_1100_50ms_tasks_24x8_slots"]
     processor = slopes["processor"]
     tasks_per_exchange = 2 / load["messages_per_task"]
     task_us = processor["task_us"] + processor["exchange_us"] / tasks_per_exchange
     starts_per_core = 1e6 / task_us
-    # One failure domain may be gone, its load then falls on the others.
+    # When one failure domain is down, the other ones carry its load.
     share = STARTS_PER_SECOND / (DOMAINS - 1)
     hosts_per_domain = math.ceil(share / (starts_per_core * TARGET_LOAD))
     sessions = math.ceil(WORKERS / DOMAINS)
@@ -74,7 +74,7 @@
 
 
 def render_page(cost: dict[str, Any], slopes: dict[str, Any]) -> str:
-    """Return the whole page."""
+    """Return the text of the whole page."""
     size = size_deployment(cost, slopes)
     return "\n".join(
         [
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,10 +1,11 @@
-"""What each mechanism of the cluster's policy earns, on the model of upstreams, in seeded pairs.
+"""Measure the gain of each mechanism of the cluster's policy on modelled upstreams.
 
     python -m bench.cluster run > bench/results/cluster.json
     python -m bench.cluster plot bench/results/cluster.json worth.png
 
-Loads are shaped like the users' (`load`), troubles are those of `scenarios`, and a variant is the
-product's code with one mechanism changed (`variants`). The model charges no processor time.
+The load resembles the users' (`load`), faults are injected by `scenarios`, and a variant is the
+product's code with one mechanism changed (`variants`). Variants are compared in pairs of the same
+seed. The model charges no processor time.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class RunKey(NamedTuple):
-    """One run: a scenario, a variant and a seed."""
+    """Identifies one run: scenario, variant and seed."""
 
     scenario: str
     variant: str
@@ -40,7 +41,7 @@
 
 
 def run_one(key: RunKey) -> Measures:
-    """Play one run and return what it was worth."""
+    """Simulate one run and return its measures."""
     scenario = SCENARIOS[key.scenario]
     with VARIANTS[key.variant]():
         run = Run(
@@ -56,7 +57,7 @@
 def run_all(
     scenarios: Sequence[str], variants: Sequence[str], seeds: int, processes: int
 ) -> dict[str, dict[str, Any]]:
-    """Play every scenario with every variant and seed; compare each variant with no change."""
+    """Simulate every scenario with every variant and seed; compare variants with the baseline."""
     names = list(dict.fromkeys([NO_CHANGE, *variants]))
     keys = [
         RunKey(scenario, variant, seed)
@@ -94,12 +95,12 @@
 
 @app.command()
 def run(
-    scenario: Annotated[list[str] | None, typer.Option(help="Scenarios; none: all.")] = None,
-    variant: Annotated[list[str] | None, typer.Option(help="Variants; none: all.")] = None,
-    seeds: Annotated[int, typer.Option(min=1, help="How many seeds.")] = 6,
-    processes: Annotated[int, typer.Option(min=1, help="How many runs at a time.")] = 2,
+    scenario: Annotated[list[str] | None, typer.Option(help="Scenarios; default: all.")] = None,
+    variant: Annotated[list[str] | None, typer.Option(help="Variants; default: all.")] = None,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of seeds.")] = 6,
+    processes: Annotated[int, typer.Option(min=1, help="Number of parallel runs.")] = 2,
 ) -> None:
-    """Print JSON: for each scenario and variant the means, and the gain with its 95% interval."""
+    """Print the means of each scenario and variant, and its gain with a 95% interval, as JSON."""
     scenarios = _check_names(scenario, list(SCENARIOS))
     variants = _check_names(variant, list(VARIANTS))
     print(json.dumps(run_all(scenarios, variants, seeds, processes), indent=1))
@@ -107,7 +108,7 @@
 
 @app.command()
 def table(file: Annotated[Path, typer.Argument(help="Results in JSON.")]) -> None:
-    """Print results as a Markdown table: worth as it is, then each variant's gain."""
+    """Print results as a Markdown table: the baseline's worth, then the gain of each variant."""
     results = json.loads(file.read_text())
     scenarios = list(results)
     print("| variant |", " | ".join(scenarios), "|")
@@ -118,7 +119,7 @@
 
 
 def _format_cell(described: dict[str, Any]) -> str:
-    """Return a cell; a gain whose interval holds zero is in brackets."""
+    """Return a table cell; a gain whose confidence interval contains zero is put in brackets."""
     if "gain" not in described:
         return f"{described['means']['worth']:.3f}"
     gain = described["gain"]
@@ -132,7 +133,7 @@
     file: Annotated[Path, typer.Argument(help="Results in JSON.")],
     image: Annotated[Path, typer.Argument(help="Image to write, as PNG or SVG.")],
 ) -> None:
-    """Draw the gains of all variants with their intervals, a panel a scenario."""
+    """Plot the gains of all variants with their confidence intervals, one panel per scenario."""
     from matplotlib import pyplot
 
     results = json.loads(file.read_text())
--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -1,6 +1,6 @@
-"""Cost of the replicated configuration: applies, time until in force everywhere, idle cost.
+"""Cost of the replicated configuration: changes, time until active on all hosts, idle cost.
 
-Nine entry hosts as real processes on loopback, three of them voters. Prints JSON.
+Runs nine entry hosts as real processes on loopback, three of them voters. Prints JSON.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def measure_sync(folder: Path, size: int) -> float:
-    """Return the median seconds of one write and sync of that many bytes on the same disk."""
+    """Return the median time of writing and syncing `size` bytes to the same disk, in seconds."""
     times = []
     with (folder / "raw").open("wb", buffering=0) as file:
         for _ in range(CHANGES):
@@ -90,7 +90,7 @@
 
 
 def measure_idle(fleet: Fleet, roles: dict[str, str]) -> dict[str, float]:
-    """Return the share of a core that each role uses when nothing happens."""
+    """Return the share of a core that an idle host uses: the highest of each consensus role."""
     before = {name: read_cpu_seconds(fleet.processes[name].pid) for name in roles}
     time.sleep(IDLE_SECONDS)
     shares: dict[str, list[float]] = {}
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,7 +1,8 @@
-"""What dispatching costs: added time, starts for each core, memory and messages, as ratios.
+"""Cost of dispatching: added latency, starts per core, memory, and messages per task.
 
-Run with `make bench`. Everything runs as real processes on loopback; the naive version and the
-direct call are measured in the same run. Prints JSON.
+Run with `make bench`. Everything runs as real processes on loopback. The naive dispatcher and the
+direct call are measured in the same run, so that the results can be given as ratios to them. Prints
+JSON.
 """
 
 from __future__ import annotations
@@ -57,7 +58,10 @@
 
 
 async def measure_single_task(fleet: Fleet, direct_url: str) -> dict[str, float]:
-    """Time one 50 ms request through the dispatcher against a direct call, in turns."""
+    """Measure the latency that the dispatcher adds to a single 50 ms task.
+
+    Dispatched requests and direct calls to an upstream alternate.
+    """
     host = fleet.hosts[0]
     payload = {"ms": TASK_MS}
     direct = httpx.AsyncClient(base_url=direct_url, trust_env=False)
@@ -93,7 +97,7 @@
 
 
 async def measure_jobs(fleet: Fleet, jobs: int, ms: int) -> dict[str, float]:
-    """Run jobs of 1,100 tasks, two at a time, and return starts for each processor second."""
+    """Run jobs of 1,100 tasks, two at a time; return throughput, processor time and messages."""
     host = fleet.hosts[0]
     pid = fleet.processes[host.name].pid
     address = fleet.get_address(host, "callers")
@@ -133,7 +137,7 @@
 
 
 async def measure_naive(url: str, pid: int, jobs: int) -> dict[str, float]:
-    """Run the same jobs through the naive version."""
+    """Run jobs of empty tasks through the naive dispatcher, one at a time."""
     client = httpx.AsyncClient(base_url=url, trust_env=False, timeout=120)
     cpu = read_cpu_seconds(pid)
     began = time.perf_counter()
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,9 +1,10 @@
-"""What the decisions of a cluster's leader cost for each start, by the number of upstreams.
+"""Processor time that a leader's scheduling decisions take per start, by number of upstreams.
 
     python -m bench.decisions > bench/results/decisions.json
 
-The model of upstreams of the tests, loaded in proportion to its size; only the processor time spent
-inside the decisions counts. The cost at the smallest size is the baseline of the same run.
+Runs on the modelled upstreams of the tests, with a load in proportion to their number. Only the
+processor time spent inside the decisions counts. Costs are also given as multiples of the one at
+the smallest size, measured in the same run.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 SIZES = (24, 176, 700)
 RATE_FACTORS = (1.0, 2.0)
-"""Of the usual load, which takes two thirds of the room: twice as much makes a backlog."""
+"""Factors on the default load, which takes two thirds of the capacity: 2.0 causes a backlog."""
 DURATION_SECONDS = 3
 SEED = 1
 METHODS = ("tick", "submit", "take_look", "take_start_answer", "take_stop_answer", "take_heartbeat")
@@ -32,7 +33,7 @@
 
 @contextmanager
 def measure_methods(spent: dict[str, float]) -> Iterator[None]:
-    """Add up the seconds spent in each of the calls by which events come to a dispatch."""
+    """Add up the processor time in seconds that each event handler of `Dispatch` takes."""
     originals = {name: getattr(Dispatch, name) for name in METHODS}
 
     def wrap(name: str) -> Any:
@@ -55,7 +56,7 @@
 
 
 def measure(upstreams: int, rate_factor: float) -> dict[str, float]:
-    """Return microseconds for each start and looks for each start, at one size and load."""
+    """Return the processor time per start, in microseconds, and polls per start, of one load."""
     spent: dict[str, float] = {}
     with replacing(load, "DURATION_SECONDS", DURATION_SECONDS), measure_methods(spent):
         run = Run(seed=SEED, upstream_count=upstreams, rate_factor=rate_factor)
@@ -71,7 +72,7 @@
 
 
 def main() -> None:
-    """Print the figures of all sizes and loads, and each as a multiple of the first."""
+    """Print the figures of all sizes and loads, and their cost as multiples of the first one."""
     results: dict[str, dict[str, float]] = {}
     for upstreams, rate_factor in itertools.product(SIZES, RATE_FACTORS):
         name = f"{upstreams} upstreams, {rate_factor} of the usual load"
--- a/bench/direct.py
+++ b/bench/direct.py
@@ -1,4 +1,4 @@
-"""Baselines: an upstream called directly over HTTP, and a naive dispatcher, one call per task."""
+"""Baselines: an upstream that is called directly, and a naive dispatcher with one call per task."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DirectTask(msgspec.Struct):
-    """One task for a directly called upstream."""
+    """Body of a direct call: one task."""
 
     kind: str
     payload: Raw
@@ -33,7 +33,7 @@
 
 
 def build_naive(urls: list[str], slots: int) -> Litestar:
-    """A dispatcher that sends one HTTP call for each task to the first free upstream."""
+    """Return a dispatcher that sends each task in a call of its own to the first free upstream."""
     clients = [httpx.AsyncClient(base_url=url, trust_env=False, timeout=60) for url in urls]
     free: asyncio.Queue[httpx.AsyncClient] = asyncio.Queue()
     for client in clients * slots:
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -1,11 +1,12 @@
-"""What a leader spends on each start, calls and gateways included.
+"""Processor time that a leader takes per start, including its calls to upstreams and gateways.
 
     python -m bench.leader > bench/results/leader.json
     python -m bench.leader --profile
 
-Three processes on loopback: stand-in upstreams (`standin`), real gateways with callers (`callers`)
-and, in this one, what a control host does while it leads, without the log's other members. Only
-the processor time of this process counts. Rounds are repeated, and their spread is printed.
+Runs three processes on loopback: stand-in upstreams (`standin`), real gateways with callers
+(`callers`) and, in this process, what a control host does as leader, without the other members of
+the log. Only the processor time of this process counts. Rounds are repeated; the median and the
+range are printed.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 UPSTREAMS = 40
 GATEWAYS = 15
 JOBS_PER_SECOND = 95.0
-"""What 40 upstreams of 32 to 48 cores get on the users' largest sheet: 0.56 of their room."""
+"""Load of 40 upstreams of 32 to 48 cores in the users' largest workload: 0.56 of their capacity."""
 DURATION_SECONDS = 8.0
 SERVICE = ServiceName("service")
 UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
@@ -68,7 +69,7 @@
 
 
 def build_configuration() -> Configuration:
-    """Return a queue for each kind of job."""
+    """Return a configuration with one queue for each kind of job."""
     queues = tuple(
         Queue(
             name=name,
@@ -92,7 +93,7 @@
 
 
 def build_infos(port: int, count: int) -> list[UpstreamInfo]:
-    """Return what the stand-ins would say of themselves."""
+    """Return the descriptions that the stand-in upstreams would report of themselves."""
     return [
         UpstreamInfo(
             id=name_life(f"u{number}", STARTED_MS),
@@ -108,7 +109,7 @@
 
 
 class LeaderHost:
-    """A leader with the listener that its gateways reach."""
+    """A leader with the listener that the gateways call."""
 
     def __init__(self, *, address: Address, infos: list[UpstreamInfo]) -> None:
         replicated = ReplicatedRecords()
@@ -141,7 +142,7 @@
         self.listener = Listener(app=app, address=address)
 
     def stop(self) -> None:
-        """Decide nothing more."""
+        """Stop scheduling and close the connections to upstreams."""
         self.leading.stop()
         self._pools.close()
 
@@ -152,14 +153,14 @@
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
-        assert isinstance(call, Greet), "its tag says so"
+        assert isinstance(call, Greet), "the tag was checked"
         return _reply(self._add_host(self.leading.answer_greeting(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         if self._lines.handles(request.path):
             return await self._lines.handle(request)
         call: Call = call_decoder.decode(request.body)
-        assert not isinstance(call, Submit), "jobs come in batches"
+        assert not isinstance(call, Submit), "jobs arrive in batches"
         return _reply(await self.leading.answer(call))
 
     def _add_host(self, answer: Answer) -> Answer:
@@ -177,7 +178,10 @@
 
 
 async def measure_round(profile: cProfile.Profile | None) -> dict[str, Any]:
-    """Lead for one load; return what that has cost."""
+    """Act as leader for one run of the load; return the processor time and polls per start.
+
+    A profile, if given, records the calls of this process during the load.
+    """
     port = find_base_port()
     address = Address("127.0.0.1", port + 1)
     upstreams = _spawn("standin", port, UPSTREAMS)
@@ -212,10 +216,10 @@
 
 
 def main(
-    rounds: Annotated[int, typer.Option(min=1, help="How often it is measured.")] = 5,
-    profile: Annotated[bool, typer.Option(help="Print where the time goes instead.")] = False,
+    rounds: Annotated[int, typer.Option(min=1, help="Number of measured rounds.")] = 5,
+    profile: Annotated[bool, typer.Option(help="Print a profile instead.")] = False,
 ) -> None:
-    """Print the processor time of a leader for each start."""
+    """Print the processor time that a leader takes per start."""
     if profile:
         profiled = cProfile.Profile()
         print(uvloop.run(measure_round(profiled)))
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,8 @@
-"""A seeded load of jobs on model upstreams, shaped like that of the users' vans.
+"""Seeded load of jobs on modelled upstreams, which resembles the load of the users' vans.
 
-Three kinds of jobs, each a third of the worth; widths, run times, sizes and declared times scatter
-as on the users' sheets. The model charges no processor time and no network but delays.
+There are three kinds of jobs, each with a third of the total worth, which is the value of the
+answers to their callers. Widths, run times, sizes and declared run times vary as in the users'
+workloads. The model charges delays, but neither processor time nor other costs of the network.
 """
 
 from __future__ import annotations
@@ -28,27 +29,27 @@
 )
 
 LOG_SIGMA = 0.4
-"""Of widths, run times and declared times, on a logarithmic scale."""
+"""Standard deviation of the logarithm of widths, run times and declared run times."""
 TASK_CPU_MILLIS = 14_000
 CPU_LOG_SIGMA = 0.2
 UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
-"""Rooms of upstreams, in turn."""
+"""Capacities of the upstreams, assigned in turn."""
 LATE_WORTH_SHARE = 0.2
-"""Of an answer between one and three times the objective."""
+"""Share of its worth that an answer keeps between one and three times the objective."""
 LATE_FACTOR = 3
 STRETCH = 1.6
 TARGET_MS = 60
 DURATION_SECONDS = 20
 DRAIN_SECONDS = 6
-"""How long jobs may still end after the last has come."""
+"""How long the simulation runs on after the last job was submitted, so that jobs can end."""
 RESTART_DELAY = timedelta(seconds=3)
-"""An upstream that a task has crashed is back after some seconds."""
+"""Time after which an upstream that was crashed by a task starts again."""
 RESEND_AFTER = timedelta(milliseconds=1_300)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobKind:
-    """One kind of job: how many a second, of how many tasks, each of how long, and its worth."""
+    """One kind of job: jobs per second, tasks per job, run time of a task, and worth of a job."""
 
     name: str
     rate: float
@@ -69,12 +70,12 @@
     for kind in KINDS
 }
 DEFAULT_UPSTREAMS = 28
-"""For the rates above: two thirds of their room."""
+"""Number of upstreams for the rates above, which take two thirds of their capacity."""
 
 
 @dataclass(slots=True, kw_only=True)
 class SubmittedJob:
-    """A job of the load, and what became of it."""
+    """A job of the load and its outcome."""
 
     kind: JobKind
     spec: JobSpec
@@ -82,15 +83,15 @@
     objective: timedelta
     at: timedelta
     is_poisoned: bool = False
-    """Whether one of its tasks crashes each upstream that starts it: it is worth nothing."""
+    """Whether one of its tasks crashes every upstream that starts it. Such a job is not counted."""
     was_sent: bool = False
-    """Whether a leader that was lost may have begun it."""
+    """Whether it was sent to a leader, which may have begun it even if it was lost since."""
     ended_at: timedelta | None = None
     refused_at: timedelta | None = None
 
     @property
     def earned(self) -> float:
-        """What its caller got of its worth."""
+        """Part of the worth that the caller got, by the time of the answer."""
         if self.ended_at is None:
             return 0.0
         taken = self.ended_at - self.at
@@ -101,20 +102,20 @@
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """One load on one set of upstreams, led by one leader after the other."""
+    """Simulation of one load on one set of upstreams, under one leader at a time."""
 
     seed: int
     upstream_count: int = DEFAULT_UPSTREAMS
     rate_factor: float = 1.0
-    """Of the usual rates, which are for the usual number of upstreams."""
+    """Factor on the rates of `KINDS`, which are first scaled to the number of upstreams."""
     jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
     real_ms: dict[JobId, float] = field(default_factory=dict)
     slowness: dict[UpstreamId, float] = field(default_factory=dict)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
-    """From when to when, in seconds, how many times as many jobs come."""
+    """Bursts as start and end in seconds, and the factor on the rate of jobs between them."""
     records: Records = field(default_factory=Records)
     poisoned_share: float = 0.0
-    """Of the jobs, those with a task that crashes upstreams."""
+    """Share of the jobs that have a task that crashes upstreams."""
     is_frozen: bool = False
     token: int = 0
     restart_count: int = 0
@@ -135,7 +136,7 @@
         self.elect_leader()
 
     def run_to_end(self) -> None:
-        """Submit the load and let it end."""
+        """Simulate the whole load, and the time in which its last jobs can end."""
         self._plan_arrivals()
         self.world.run_until(timedelta(seconds=DURATION_SECONDS + DRAIN_SECONDS))
         self._record_ended()
@@ -143,7 +144,7 @@
     # Faults
 
     def elect_leader(self) -> None:
-        """Have a new leader take over, to which open jobs are submitted again."""
+        """Start a new leader and submit to it again the open jobs that still have worth."""
         self.token += TOKENS_PER_TERM
         self.leader = Leader(
             world=self.world, upstreams=self.upstreams, records=self.records, token=self.token
@@ -157,21 +158,21 @@
                 self._submit_to_leader(job)
 
     def lose_leader(self, *, is_frozen: bool = False) -> None:
-        """End the leader's term; nobody decides until the next is elected.
+        """End the leader's term; nothing is scheduled until the next leader is elected.
 
-        A frozen one takes calls in and answers none, so that they may have begun.
+        A frozen leader still receives calls but answers none, so its jobs may have begun.
         """
         self._record_ended()
         self.is_frozen = is_frozen
         self.leader.is_over = True
 
     def crash(self, count: int) -> None:
-        """Have the first upstreams lose all they run, and answer no more."""
+        """Crash the first `count` upstreams: they lose their runs and answer no more."""
         for upstream in list(self.upstreams.values())[:count]:
             upstream.crash()
 
     def restart_crashed(self) -> None:
-        """Begin a new life of each upstream that has crashed."""
+        """Start a new instance of each crashed upstream."""
         self.restart_count += 1
         for id, upstream in list(self.upstreams.items()):
             if not upstream.is_up:
@@ -180,7 +181,7 @@
                 self.leader.beat(fresh, 1)
 
     def _restart_after_crash(self, crashed: ModelUpstream) -> None:
-        """Have an upstream that a task has crashed begin another life."""
+        """Start a new instance, after a delay, of an upstream that was crashed by a task."""
         if not self.poisoned_share:
             return
 
@@ -196,12 +197,12 @@
         self.world.at(RESTART_DELAY, begin)
 
     def slow_down(self, count: int, factor: float) -> None:
-        """Have tasks on the first upstreams take that many times as long."""
+        """Multiply the run times of tasks on the first `count` upstreams by `factor`."""
         for id in list(self.upstreams)[:count]:
             self.slowness[id] = factor
 
     def fail_tasks(self, count: int) -> None:
-        """Have the first upstreams fail at once all that they start from now on."""
+        """Make the first `count` upstreams, and no others, fail all tasks at once from now on."""
         for number, upstream in enumerate(self.upstreams.values()):
             upstream.fails_all = number < count
 
@@ -230,7 +231,7 @@
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
     def _draw_around(self, mean: float, most: float) -> float:
-        """Return a number that scatters round a mean."""
+        """Return a log-normally distributed number with the given mean, limited to `most`."""
         drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
         return min(mean * drawn, most)
 
@@ -277,13 +278,13 @@
             submitted.spec,
             queue,
             may_have_begun=may_have_begun,
-            # Its caller has sent it but once, so that nothing of a new job can be at work.
+            # A job that was sent for the first time cannot have active runs yet.
             settle_after=SETTLE_AFTER if may_have_begun else timedelta(),
             waited=waited,
         )
 
     def _record_ended(self) -> None:
-        """Note which jobs have ended, and how."""
+        """Record the jobs that the leader has ended, as completed or as refused."""
         jobs = self.leader.dispatch.jobs
         for job, at in self.leader.ended_at.items():
             submitted = self.jobs[job]
@@ -295,7 +296,7 @@
 
 
 def iterate_submitted(run: Run, first: float, last: float) -> Iterator[SubmittedJob]:
-    """Yield the jobs that came within some seconds, but those that cannot be done."""
+    """Yield the jobs submitted from second `first` to `last`, except those that crash upstreams."""
     for submitted in run.jobs.values():
         if not submitted.is_poisoned and timedelta(seconds=first) <= submitted.at < timedelta(
             seconds=last
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,8 +1,8 @@
-"""Where a day's worth goes: by seconds and what went wrong in them, by kind of request, by domain.
+"""Where the worth of a simulated day is lost: by time window and incident, request kind and domain.
 
     python -m bench.losses REPORT.json
 
-Reads the report of one played day and prints Markdown tables. A loss is the number of requests
+Reads the report of one simulated day and prints Markdown tables. A loss is the number of requests
 times the share of their worth that was not earned, in percent of all requests of the day.
 """
 
@@ -17,13 +17,13 @@
 import typer
 
 MIN_LOSS_PERCENT = 0.2
-"""Percent of the day's requests; smaller losses are left out."""
+"""Smaller losses are not listed, in percent of the requests of the day."""
 AFTERMATH_SECONDS = 4.0
-"""How long after its end a trouble is still named beside a loss."""
+"""How long after its end an incident is still listed beside a loss."""
 
 
 class Group(msgspec.Struct):
-    """Requests that have something in common."""
+    """Counts of a group of requests, such as those of one kind or time window."""
 
     name: str
     n: int
@@ -35,7 +35,7 @@
 
 
 class Incident(msgspec.Struct):
-    """Something that went wrong, and when, in seconds."""
+    """An incident of the day, with its start and end in seconds."""
 
     at_s: float
     to_s: float
@@ -43,7 +43,7 @@
 
 
 class Report(msgspec.Struct):
-    """What is read of a report."""
+    """The fields that are read from a report."""
 
     all: Group
     classes: list[Group]
@@ -54,7 +54,7 @@
 
 
 def print_losses(report: Report) -> None:
-    """Print all tables."""
+    """Print the tables of losses by window, kind and domain, and the prices."""
     total = report.all.n
     print(f"Requests: {total}; worth: {report.all.worth:.3f}")
     _print_groups("from second", _iterate_windows(report), total)
@@ -89,8 +89,8 @@
             print(f"| {group.name} | {group.worth:.2f} | {loss:.1f} | {counts} | {incidents} |")
 
 
-def main(file: Annotated[Path, typer.Argument(help="Report of a played day, in JSON.")]) -> None:
-    """Print where the worth of a day went."""
+def main(file: Annotated[Path, typer.Argument(help="Report of a day, in JSON.")]) -> None:
+    """Print where the worth of a simulated day was lost."""
     print_losses(msgspec.convert(json.loads(file.read_text()), Report))
 
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""What a run was worth to its callers, and how far two variants differ beyond chance."""
+"""Measures of a run as its callers see it, and confidence intervals of gains between variants."""
 
 from __future__ import annotations
 
@@ -12,12 +12,16 @@
 
 RESAMPLES = 2_000
 EARLY_REFUSAL_SHARE = 0.25
-"""Of the objective: a refusal within it lets the caller act in time."""
+"""A refusal within this share of the objective leaves the caller time to act."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Measures:
-    """Shares of all jobs that came in the seconds of the trouble, weighed by worth or not."""
+    """Shares of the jobs submitted in the seconds that a scenario's fault concerns.
+
+    `worth`, `worth_of_day` and `worst_kind` are weighted by worth, the others are not;
+    `worth_of_day` is that of all jobs of the run.
+    """
 
     worth: float
     worth_of_day: float
@@ -25,16 +29,16 @@
     served: float
     refused: float
     refused_early: float
-    """Of those refused, the share told within a quarter of their objective."""
+    """Share of the refused jobs that were refused within a quarter of their objective."""
     refusal_over_objective: float
-    """Median time to refusal."""
+    """Median time to refusal, as a multiple of the objective."""
     worst_kind: float
-    """Worth of the kind of job that fares worst."""
+    """Lowest worth among the kinds of jobs."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfidenceInterval:
-    """A mean and the interval that holds it with 95 percent confidence."""
+    """A mean and its 95 percent confidence interval."""
 
     mean: float
     low: float
@@ -42,7 +46,7 @@
 
 
 def measure(run: Run, scenario: Scenario) -> Measures:
-    """Return what a run that has ended was worth."""
+    """Return the measures of a run that has ended."""
     day = [each for each in run.jobs.values() if not each.is_poisoned]
     part = list(iterate_submitted(run, scenario.first_second, scenario.last_second))
     waits = [
@@ -70,13 +74,16 @@
 
 
 def compute_means(measured: Sequence[Measures]) -> dict[str, float]:
-    """Return the means over all seeds."""
+    """Return the mean of each measure over all seeds."""
     rows = [asdict(each) for each in measured]
     return {key: round(statistics.mean(row[key] for row in rows), 4) for key in rows[0]}
 
 
 def compute_gain(ours: Sequence[Measures], others: Sequence[Measures]) -> ConfidenceInterval:
-    """Return what a variant changes in worth against another, in pairs of the same seed."""
+    """Return the gain in worth of one variant over another, in pairs of the same seed.
+
+    The confidence interval is computed by resampling the pairs (bootstrap).
+    """
     gains = [one.worth - other.worth for one, other in zip(ours, others, strict=True)]
     chance = random.Random(1)
     means = sorted(statistics.mean(chance.choices(gains, k=len(gains))) for _ in range(RESAMPLES))
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,8 @@
-"""Dispatch policy on seeded workloads: the real cores, a passed-in clock, fakes for the network.
+"""Dispatch policy on seeded workloads: the real core logic with a simulated clock and network.
 
-One failure domain at today's size: 3 entry hosts, 8 upstreams of 8 slots, 0.5 ms one way. Each
-variant switches one mechanism off, or is the naive version with all of them off. Prints JSON.
+Simulates one failure domain: 3 entry hosts, 8 upstreams of 8 slots, 0.5 ms of network delay one
+way. Each variant changes one mechanism of the policy or of the delays; the naive one has all
+mechanisms off. Writes bench/results/policy.json, unless variants are named as arguments.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Variant:
-    """One way to dispatch."""
+    """A dispatch policy and the delays of upstreams' requests."""
 
     policy: Policy = field(default_factory=Policy)
     delays: Delays = DELAYS
@@ -91,7 +92,7 @@
 
 @dataclass(slots=True)
 class Submission:
-    """One job of the workload and what became of it."""
+    """One job of the workload, with its submission time and run times."""
 
     at: timedelta
     team: str
@@ -100,7 +101,7 @@
 
 
 class Run:
-    """One seed, one variant, one fault."""
+    """Simulation of one seed with one variant and one fault."""
 
     def __init__(self, seed: int, variant: Variant, fault: str) -> None:
         self.now = timedelta()
@@ -199,14 +200,17 @@
             self.schedule(self.now + ONE_WAY, arrive)
 
     def send_if_due(self, executor: Executor, link: Link) -> None:
-        """Send a request if one is due, after waiting for company where that is the policy."""
+        """Send a request if one is due, or schedule the next check for when one is due.
+
+        The due time includes the delay for coalescing results.
+        """
         if executor.upstream in self.dead:
             return
         due = executor.find_due(link)
         if due is None:
             return
         if due > self.now:
-            # Looked at again then, or earlier where a later result changes what may wait.
+            # A result that comes earlier leads to an earlier check, as it may change the due time.
             self.schedule(due, lambda: self.send_if_due(executor, link))
             return
         request = executor.build_request(link)
@@ -262,7 +266,7 @@
 
 
 def build_workload(chance: random.Random, fault: str) -> list[Submission]:
-    """Return jobs of 1 to 1,100 tasks at the stated load, most of 50 ms to 1 s."""
+    """Return jobs of 1 to 1,100 tasks at a load of `LOAD_SHARE`; most tasks take 50 ms to 1 s."""
     work_per_second = LOAD_SHARE * UPSTREAMS * SLOTS
     submissions: list[Submission] = []
     at = 0.0
@@ -298,13 +302,16 @@
 
 
 def compute_ideal(run_times: list[timedelta]) -> float:
-    """Return a lower bound: the longest task, or all work spread over all slots."""
+    """Return a lower bound of the response time in seconds.
+
+    It is the longest task, or all work spread evenly over all slots, whichever is longer.
+    """
     seconds = [run_time.total_seconds() for run_time in run_times]
     return max(max(seconds), sum(seconds) / (UPSTREAMS * SLOTS))
 
 
 def measure(run: Run) -> dict[str, object]:
-    """Return what one run measured."""
+    """Return the figures of one run."""
     ratios: list[float] = []
     by_team: dict[str, list[float]] = {}
     failed = 0
@@ -332,7 +339,7 @@
 
 
 def summarise(parts: list[dict[str, object]]) -> dict[str, float]:
-    """Return the figures of all seeds together."""
+    """Return the figures of the runs of all seeds, taken together."""
     ratios = sorted(ratio for part in parts for ratio in part["ratios"])  # type: ignore[attr-defined]
     starts = sum(part["starts"] for part in parts)  # type: ignore[misc]
     return {
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run of the model, and when."""
+"""Scenarios of simulated runs: which faults are injected, and when."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """One kind of day; `first` to `last` are the seconds that its trouble concerns."""
+    """A fault and the load it meets; it concerns the seconds `first_second` to `last_second`."""
 
     first_second: float
     last_second: float
@@ -35,19 +35,22 @@
 
 
 def _flood(run: Run) -> None:
-    """Four times as many jobs as usual, which is two and a half times the room."""
+    """Submit four times as many jobs as usual, which is two and a half times the capacity."""
     run.bursts.append((5.0, 9.0, 4.0))
 
 
 def _lost_upstreams(run: Run) -> None:
-    """A burst while a quarter of the upstreams is gone."""
+    """Crash a quarter of the upstreams for four seconds, during a burst of jobs."""
     run.bursts.append((5.0, 9.0, 1.2))
     _schedule(run, 5.0, lambda: run.crash(7))
     _schedule(run, 9.0, run.restart_crashed)
 
 
 def _cut_domain(run: Run) -> None:
-    """One failure domain alone, with a stand-in after 0.65 s: little room, and a backlog."""
+    """Cut off one failure domain, which gets an acting leader after 0.65 s.
+
+    It has little capacity of its own, so a backlog builds up.
+    """
     _schedule(run, 5.0, run.lose_leader)
     _schedule(run, 5.65, run.elect_leader)
 
@@ -63,7 +66,7 @@
 
 
 def _frozen_leader_and_lost_upstream(run: Run) -> None:
-    """One upstream is gone for good when the leader freezes."""
+    """Crash one upstream for good, two seconds before the leader freezes."""
     _schedule(run, 3.0, lambda: run.crash(1))
     _frozen_leader(run)
 
@@ -74,7 +77,7 @@
 
 
 def _all_off(run: Run) -> None:
-    """All hosts of the cluster lose power, and upstreams run on."""
+    """Power off all hosts of the cluster for 2.4 s, while the upstreams run on."""
     _schedule(run, 5.0, run.lose_leader)
     _schedule(run, 7.4, run.elect_leader)
 
@@ -101,13 +104,13 @@
 
 
 def _failing_upstreams(run: Run) -> None:
-    """Three upstreams fail all they start, at once, while their heartbeats are good."""
+    """Make three upstreams fail every task immediately, while their heartbeats stay healthy."""
     _schedule(run, 5.0, lambda: run.fail_tasks(3))
     _schedule(run, 12.0, lambda: run.fail_tasks(0))
 
 
 def _poison(share: float) -> Fault:
-    """Return the trouble in which so many jobs have a task that crashes upstreams."""
+    """Return the fault in which a share of the jobs has a task that crashes upstreams."""
 
     def inject_fault(run: Run) -> None:
         run.poisoned_share = share
--- a/bench/sessions.py
+++ b/bench/sessions.py
@@ -1,4 +1,4 @@
-"""Core cost of one exchange against the number of sessions at one entry host."""
+"""Processor time of one exchange in the core logic, by number of sessions at one entry host."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def measure_exchange(sessions: int) -> float:
-    """Return microseconds for one exchange that hands in results and takes starts."""
+    """Return the time of one exchange that reports results and gets starts, in microseconds."""
     dispatcher = build_dispatcher()
     now = timedelta()
     seqs = dict.fromkeys(range(sessions), 0)
@@ -72,7 +72,7 @@
 
 
 def measure_lone_start(sessions: int) -> float:
-    """Return microseconds to place one lone task among idle sessions."""
+    """Return the time of placing a single task among idle sessions, in microseconds."""
     dispatcher = build_dispatcher()
     now = timedelta()
     open_sessions(dispatcher, sessions, now)
--- a/bench/shortage.py
+++ b/bench/shortage.py
@@ -1,10 +1,10 @@
-"""What callers are served when there is more work than room, by the order in which it is served.
+"""Share of jobs served under overload, by the order in which the backlog is served.
 
     python -m bench.shortage > bench/results/shortage.json
 
-Jobs of three kinds, each task on half of an upstream, so that two tasks above the mean do not fit
-together. For six of twelve seconds so many times the usual load comes, which takes a quarter of all
-cores; what fits beside splinters is about 0.75 of them.
+There are three kinds of jobs. Each task takes half of an upstream, so that two tasks above the mean
+do not fit together. The usual load takes a quarter of all cores; for six of twelve seconds it is
+multiplied by a factor. Because of fragmentation, about 0.75 of the cores can be used.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 LOAD_FACTORS = (3.0, 4.0, 6.0, 8.0)
 SEEDS = (1, 2, 3)
 EARLY_REFUSAL_SHARE = 0.25
-"""Share of its objective within which a caller that is refused can still act."""
+"""A refusal within this share of the objective leaves the caller time to act."""
 
 
 def _reject_late(self: Filler, now: timedelta) -> None:
-    """Reject what can no longer be in time at once, while something waits that can."""
+    """Reject jobs as soon as they can no longer be in time, while jobs wait that still can."""
     shed_unchanged(self, now)
     waiting = self._jobs.backlog
     if not waiting.list_tier(Tier.ON_TIME):
@@ -61,7 +61,7 @@
 
 
 def _demote_all(self: backlog.Backlog, now: timedelta) -> list[Batch]:
-    """Move what is too late, wherever in the order it stands."""
+    """Move late batches to a lower tier, at any position in the order."""
     on_time, late = self._tiers[Tier.ON_TIME], self._tiers[Tier.LATE]
     moved = [each for each in on_time if _is_too_late(each, now)]
     if moved:
@@ -93,7 +93,7 @@
 
 
 def main() -> None:
-    """Print the shares of each variant at each load, as means over the seeds."""
+    """Print the shares of each variant at each load as JSON, as means over the seeds."""
     results: dict[str, dict[str, dict[str, float]]] = {}
     for name, changes in VARIANTS.items():
         results[name] = {}
--- a/bench/site_variants.py
+++ b/bench/site_variants.py
@@ -1,9 +1,10 @@
-"""Write a variant of a site file, to play days under terms that its own sheet does not have.
+"""Write a variant of a site file, to simulate days under conditions that the site does not have.
 
     python -m bench.site_variants SITE OUT [--core-share F] [--front-share F] [--no-guards] [--kept]
         [--resend-ms N] [--by-heartbeat]
 
-OUT is a file outside this repository; what the site file refers to is copied beside it.
+OUT is a file outside this repository; the file `wire.json`, which site files refer to, is copied
+beside it.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 def scale_share(machine_class: str, factor: float) -> Change:
-    """Return the change that gives machines of a class that share of their processor time."""
+    """Return the change that multiplies the processor share of the machines of one class."""
     pattern = re.compile(rf'(\{{[^{{}}]*class = "{machine_class}"[^{{}}]*?cpu_share = )([\d.]+)')
 
     def change(text: str) -> str:
@@ -30,22 +31,22 @@
 
 
 def replace_all(old: str, new: str) -> Change:
-    """Return the change of one text into another, wherever it stands."""
+    """Return the change that replaces every occurrence of a text."""
     return lambda text: text.replace(old, new)
 
 
 def set_number(name: str, value: float) -> Change:
-    """Return the change of a number, wherever it stands."""
+    """Return the change that sets a number on every line `name = NUMBER`."""
     pattern = re.compile(rf"^({name} = )[\d.]+$", re.MULTILINE)
     return lambda text: pattern.sub(rf"\g<1>{value}", text)
 
 
 def apply_changes(text: str, changes: list[Change]) -> str:
-    """Return a site file with changes; each must change something."""
+    """Apply changes to the text of a site file; a change without effect is an error."""
     for change in changes:
         changed = change(text)
         if changed == text:
-            raise typer.BadParameter("one of the changes finds nothing to change in this site file")
+            raise typer.BadParameter("one of the changes has no effect on this site file")
         text = changed
     return text
 
@@ -53,14 +54,14 @@
 def main(
     site: Path,
     out: Path,
-    core_share: Annotated[float, typer.Option(help="Factor on the control hosts' share")] = 1.0,
-    front_share: Annotated[float, typer.Option(help="Factor on the entry hosts' share")] = 1.0,
-    no_guards: Annotated[bool, typer.Option(help="Upstreams start whatever they are told")] = False,
-    kept: Annotated[bool, typer.Option(help="All jobs must be kept")] = False,
-    by_heartbeat: Annotated[bool, typer.Option(help="Orders come with heartbeats")] = False,
-    resend_ms: Annotated[float, typer.Option(help="When callers send a lost job again")] = 0.0,
+    core_share: Annotated[float, typer.Option(help="Factor on control hosts' CPU share")] = 1.0,
+    front_share: Annotated[float, typer.Option(help="Factor on entry hosts' CPU share")] = 1.0,
+    no_guards: Annotated[bool, typer.Option(help="Upstreams start all that they are sent")] = False,
+    kept: Annotated[bool, typer.Option(help="All jobs are durable")] = False,
+    by_heartbeat: Annotated[bool, typer.Option(help="Orders go out with heartbeats")] = False,
+    resend_ms: Annotated[float, typer.Option(help="Time until callers resend a lost job")] = 0.0,
 ) -> None:
-    """Write the variant and say where it is."""
+    """Write the variant and print its path and the number of changes."""
     changes: list[Change] = []
     if core_share != 1.0:
         changes.append(scale_share("core", core_share))
--- a/bench/standin.py
+++ b/bench/standin.py
@@ -1,9 +1,10 @@
-"""Stand-in upstreams that take orders over HTTP, as one process: what a leader's calls are made to.
+"""Stand-in upstreams in one process, which serve the HTTP calls of a leader.
 
     python -m bench.standin PORT COUNT
 
-Each has an address of its own, 127.0.1.1 and on, and speaks what `platform/workers` calls; tasks
-last as long as their payload says. Nothing is checked: `tests/model_upstreams` does that.
+Each upstream has an address of its own, from 127.0.1.1 on, and serves the calls that
+`platform/workers` sends. A task runs as long as its payload says. Orders are not checked: the
+upstreams of `tests/model_upstreams` do that.
 """
 
 from __future__ import annotations
@@ -22,17 +23,17 @@
 FIRST_ADDRESS = (127, 0, 1, 1)
 READY_LINE = "ready"
 STARTED_MS = 1_790_000_000_000
-"""When all of them say that they started, in Unix milliseconds; they do so once."""
+"""Start time that all of them report, in Unix milliseconds; they never restart."""
 
 
 def build_address(number: int) -> str:
-    """Return the address of an upstream, which are numbered from 0."""
+    """Return the address of an upstream; upstreams are numbered from 0."""
     return f"127.0.{1 + number // 250}.{1 + number % 250}"
 
 
 @dataclass(slots=True)
 class Upstream:
-    """What one upstream runs and has to tell."""
+    """State of one upstream: its runs, by task, and the ended runs that it still reports."""
 
     runs: dict[str, tuple[int, float, float]] = field(default_factory=dict)
     ended: list[list[Any]] = field(default_factory=list)
@@ -40,7 +41,7 @@
     run_ended: asyncio.Event = field(default_factory=asyncio.Event)
 
     def start(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Begin a run."""
+        """Start a run."""
         duration = float(body["task_spec"].split(" ", 1)[0]) / 1000
         now = time.monotonic()
         task, run = body["task"], body["run_id"]
@@ -49,7 +50,11 @@
         return {"clock_ms": _read_clock()}
 
     async def poll(self, body: dict[str, Any]) -> dict[str, Any]:
-        """List what runs and has ended, at once or as soon as something ends."""
+        """List active and ended runs, at once if any have ended, else when one ends.
+
+        Ended runs up to the caller's `last_seen` are forgotten. The answer is given after `wait_ms`
+        at the latest.
+        """
         self.ended = [end for end in self.ended if end[0] > body["last_seen"]]
         wait_ms = body.get("wait_ms", 0)
         if wait_ms and not self.ended:
@@ -79,7 +84,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection to one upstream."""
+    """HTTP connection to one upstream."""
 
     def __init__(self, upstream: Upstream) -> None:
         self._upstream = upstream
@@ -123,7 +128,7 @@
 
 
 async def serve(port: int, count: int) -> None:
-    """Serve all upstreams until the process is ended."""
+    """Serve all upstreams until the process is terminated."""
     loop = asyncio.get_running_loop()
     for number in range(count):
         upstream = Upstream()
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -1,4 +1,4 @@
-"""What sweeps of whole deployments have shown, from their entries in `journal/`."""
+"""Results of load sweeps over whole deployments, read from the entries in `journal/`."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sweep:
-    """One sweep: the same work at several sizes."""
+    """One sweep: the same load on one deployment at several sizes."""
 
     id: str
     site: str
     at: str
     days: tuple[dict[str, Any], ...]
     rows: tuple[str, ...]
-    """Middle and busiest host by size, the power of their growth, and where that leads."""
+    """Figures of the median and the busiest host by size, their growth, and its extrapolation."""
 
 
 def find_newest_sweeps() -> list[Sweep]:
@@ -62,7 +62,7 @@
 
 
 def render_sweeps(sweeps: list[Sweep]) -> str:
-    """Return the section of the capacity page."""
+    """Return the section about sweeps of the capacity page."""
     lines = [_HEAD]
     for sweep in sweeps:
         lines += ["", f"### {sweep.site} (`{sweep.id}`)", "", *_render_days(sweep), ""]
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -1,4 +1,4 @@
-"""The product's code with one mechanism switched off, or one of its figures halved or doubled."""
+"""Variants of the product's code: one mechanism switched off, or one constant halved or doubled."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @contextmanager
 def replace_attribute(owner: Any, name: str, value: object) -> Iterator[None]:
-    """Replace an attribute for a while."""
+    """Replace an attribute within the context, and restore it afterwards."""
     original = getattr(owner, name)
     setattr(owner, name, value)
     try:
@@ -41,7 +41,7 @@
 
 
 def build_variant(*changes: tuple[Any, str, object]) -> Variant:
-    """Return the variant in which some attributes have other values."""
+    """Return the variant in which the given attributes have other values."""
 
     @contextmanager
     def variant() -> Iterator[None]:
