--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -40,7 +40,7 @@
 
 
 def list_evacuations(hosts: list[Address], as_json: bool) -> ExitCode:
-    """Print the evacuated domains and the time since when they are."""
+    """Print each evacuated domain with the start time of its evacuation."""
     reply = asyncio.run(_call_hosts_in_turn(hosts, build_list()))
     listed = read_evacuations(reply)
     if listed is None:
