--- a/bench/consensus.py
+++ b/bench/consensus.py
@@ -1,6 +1,6 @@
-"""Cost of the replicated configuration: applies, time until in force everywhere, idle cost.
+"""Cost of the replicated configuration: changes, time until active on all hosts, idle cost.
 
-Nine entry hosts as real processes on loopback, three of them voters. Prints JSON.
+Runs nine entry hosts as real processes on loopback, three of them voters. Prints JSON.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def measure_sync(folder: Path, size: int) -> float:
-    """Return the median seconds of one write and sync of that many bytes on the same disk."""
+    """Return the median time of writing and syncing `size` bytes to the same disk, in seconds."""
     times = []
     with (folder / "raw").open("wb", buffering=0) as file:
         for _ in range(CHANGES):
@@ -49,7 +49,7 @@
     ]
     version = 0
     latencies: list[float] = []
-    in_force: list[float] = []
+    activation_times: list[float] = []
     for number in range(CHANGES):
         command = ChangeCommand(
             request_id=f"change-{number}", base_version=version, text=build_rules(number)
@@ -60,20 +60,20 @@
         version = decided.unwrap().version
         assert version == number + 1
         latencies.append(accepted - began)
-        await asyncio.gather(*(wait_version(client, version) for client in clients))
-        in_force.append(time.perf_counter() - accepted)
+        await asyncio.gather(*(wait_for_version(client, version) for client in clients))
+        activation_times.append(time.perf_counter() - accepted)
     for client in clients:
         await client.close()
     return {
         "apply_median_ms": statistics.median(latencies) * 1000,
         "apply_worst_ms": max(latencies) * 1000,
         "applies_per_second": 1 / statistics.median(latencies),
-        "in_force_median_ms": statistics.median(in_force) * 1000,
-        "in_force_worst_ms": max(in_force) * 1000,
+        "in_force_median_ms": statistics.median(activation_times) * 1000,
+        "in_force_worst_ms": max(activation_times) * 1000,
     }
 
 
-async def wait_version(client: ApiClient, version: int) -> None:
+async def wait_for_version(client: ApiClient, version: int) -> None:
     while (await client.call("GET", "/v1/rules", RulesView, None)).unwrap().version < version:
         await asyncio.sleep(0.002)
 
@@ -90,7 +90,7 @@
 
 
 def measure_idle(fleet: Fleet, roles: dict[str, str]) -> dict[str, float]:
-    """Return the share of a core that each role uses when nothing happens."""
+    """Return the share of a core that an idle host uses: the highest of each consensus role."""
     before = {name: read_cpu_seconds(fleet.processes[name].pid) for name in roles}
     time.sleep(IDLE_SECONDS)
     shares: dict[str, list[float]] = {}
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,7 +1,8 @@
-"""What dispatching costs: added time, starts for each core, memory and messages, as ratios.
+"""Cost of dispatching: added latency, starts per core, memory, and messages per task.
 
-Run with `make bench`. Everything runs as real processes on loopback; the naive version and the
-direct call are measured in the same run. Prints JSON.
+Run with `make bench`. Everything runs as real processes on loopback. The naive dispatcher and the
+direct call are measured in the same run, so that the results can be given as ratios to them. Prints
+JSON.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
     start_fleet,
 )
 
-LONE_TASKS = 60
+SINGLE_TASKS = 60
 JOBS = 30
 TASKS = 1_100
 TASK_MS = 50
@@ -56,8 +57,11 @@
     return SubmitRequest(team="bench", kind=kind, tasks=[payload] * count, run_time_ms=ms)
 
 
-async def measure_lone(fleet: Fleet, direct_url: str) -> dict[str, float]:
-    """Time one 50 ms request through the dispatcher against a direct call, in turns."""
+async def measure_single_task(fleet: Fleet, direct_url: str) -> dict[str, float]:
+    """Measure the latency that the dispatcher adds to a single 50 ms task.
+
+    Dispatched requests and direct calls to an upstream alternate.
+    """
     host = fleet.hosts[0]
     payload = {"ms": TASK_MS}
     direct = httpx.AsyncClient(base_url=direct_url, trust_env=False)
@@ -68,7 +72,7 @@
     )
     single = {"team": "bench", "kind": "sleep", "payload": payload}
     times: dict[str, list[float]] = {"direct": [], "dispatched": []}
-    for _ in range(LONE_TASKS):
+    for _ in range(SINGLE_TASKS):
         began = time.perf_counter()
         (await direct.post("/run", json={"kind": "sleep", "payload": payload})).raise_for_status()
         between = time.perf_counter()
@@ -76,9 +80,9 @@
         times["direct"].append(between - began)
         times["dispatched"].append(time.perf_counter() - between)
     began = time.perf_counter()
-    for _ in range(LONE_TASKS):
+    for _ in range(SINGLE_TASKS):
         (await ours.get("/health")).raise_for_status()
-    round_trip = (time.perf_counter() - began) / LONE_TASKS
+    round_trip = (time.perf_counter() - began) / SINGLE_TASKS
     await direct.aclose()
     await ours.aclose()
     direct_ms = statistics.median(times["direct"]) * 1000
@@ -93,7 +97,7 @@
 
 
 async def measure_jobs(fleet: Fleet, jobs: int, ms: int) -> dict[str, float]:
-    """Run jobs of 1,100 tasks, two at a time, and return starts for each processor second."""
+    """Run jobs of 1,100 tasks, two at a time; return throughput, processor time and messages."""
     host = fleet.hosts[0]
     pid = fleet.processes[host.name].pid
     address = fleet.get_address(host, "callers")
@@ -133,7 +137,7 @@
 
 
 async def measure_naive(url: str, pid: int, jobs: int) -> dict[str, float]:
-    """Run the same jobs through the naive version."""
+    """Run jobs of empty tasks through the naive dispatcher, one at a time."""
     client = httpx.AsyncClient(base_url=url, trust_env=False, timeout=120)
     cpu = read_cpu_seconds(pid)
     began = time.perf_counter()
@@ -177,7 +181,7 @@
             fleet = start_fleet(build_deployment(4, 8), Path(folder))
             idle_mb = read_resident_mb(fleet.processes["e1"].pid)
             try:
-                results["lone_50_ms_task"] = asyncio.run(measure_lone(fleet, urls[0]))
+                results["lone_50_ms_task"] = asyncio.run(measure_single_task(fleet, urls[0]))
                 results["resident_mb_idle"] = idle_mb
             finally:
                 fleet.stop()
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -1,11 +1,12 @@
-"""What a leader spends on each start, calls and gateways included.
+"""Processor time that a leader takes per start, including its calls to upstreams and gateways.
 
     python -m bench.leader > bench/results/leader.json
     python -m bench.leader --profile
 
-Three processes on loopback: stand-in upstreams (`standin`), real gateways with callers (`callers`)
-and, in this one, what a control host does while it leads, without the log's other members. Only
-the processor time of this process counts. Rounds are repeated, and their spread is printed.
+Runs three processes on loopback: stand-in upstreams (`standin`), real gateways with callers
+(`callers`) and, in this process, what a control host does as leader, without the other members of
+the log. Only the processor time of this process counts. Rounds are repeated; the median and the
+range are printed.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 import uvloop
 
 from cottonlug.config.options import Address
-from cottonlug.core.cluster.calls import Answer, Call, Greet, Submit, call_decoder
-from cottonlug.core.cluster.identity import name_life
-from cottonlug.core.cluster.lives import choose_terms
+from cottonlug.core.cluster.calls import Answer, Call, KeepAlive, Submit, call_decoder
+from cottonlug.core.cluster.identity import build_instance_id
+from cottonlug.core.cluster.instances import choose_lease_terms
 from cottonlug.core.cluster.model import (
     Capacity,
     Configuration,
@@ -46,29 +47,29 @@
 from cottonlug.net.servers import Listener
 from cottonlug.platform.workers import WorkerClient
 from cottonlug.runtime.clocks import SystemClock
-from cottonlug.runtime.gateways import GATEWAY_SILENT
-from cottonlug.runtime.job_lines import JobLines
-from cottonlug.runtime.leading import Leading, LeadingSettings
+from cottonlug.runtime.gateways import GATEWAY_TIMEOUT
+from cottonlug.runtime.job_lines import JobChannelServer
+from cottonlug.runtime.leadership import Leadership, LeadershipSettings
 from cottonlug.runtime.replicated import ReplicatedRecords
-from cottonlug.tests.gateway_builders import fail
+from cottonlug.tests.gateway_builders import raise_error
 from cottonlug.tests.processes import find_base_port
 from cottonlug.tests.test_cluster_waiting import OwnOffice
 
 from .callers import KINDS
-from .standin import BORN_MS, build_address
+from .standin import STARTED_MS, build_address
 
 UPSTREAMS = 40
 GATEWAYS = 15
-JOBS_A_SECOND = 95.0
-"""What 40 upstreams of 32 to 48 cores get on the users' largest sheet: 0.56 of their room."""
-SECONDS = 8.0
+JOBS_PER_SECOND = 95.0
+"""Load of 40 upstreams of 32 to 48 cores in the users' largest workload: 0.56 of their capacity."""
+DURATION_SECONDS = 8.0
 SERVICE = ServiceName("service")
-SIZES_MILLIS = (32_000, 32_000, 48_000)
+UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
 CALLER_RETRY = timedelta(milliseconds=1_300)
 
 
 def build_configuration() -> Configuration:
-    """Return a queue for each kind of job."""
+    """Return a configuration with one queue for each kind of job."""
     queues = tuple(
         Queue(
             name=name,
@@ -92,40 +93,40 @@
 
 
 def build_infos(port: int, count: int) -> list[UpstreamInfo]:
-    """Return what the stand-ins would say of themselves."""
+    """Return the descriptions that the stand-in upstreams would report of themselves."""
     return [
         UpstreamInfo(
-            id=name_life(f"u{number}", BORN_MS),
+            id=build_instance_id(f"u{number}", STARTED_MS),
             service=SERVICE,
             address=f"{build_address(number)}:{port}",
             domain=DomainName("domain"),
             capacity=Capacity(
-                cpu_millis=SIZES_MILLIS[number % len(SIZES_MILLIS)], memory_mb=100_000
+                cpu_millis=UPSTREAM_CPU_MILLIS[number % len(UPSTREAM_CPU_MILLIS)], memory_mb=100_000
             ),
         )
         for number in range(count)
     ]
 
 
-class Host:
-    """A leader with the listener that its gateways reach."""
+class LeaderHost:
+    """A leader with the listener that the gateways call."""
 
     def __init__(self, *, address: Address, infos: list[UpstreamInfo]) -> None:
         replicated = ReplicatedRecords()
-        replicated.records.put_in_force(build_configuration())
+        replicated.records.activate_configuration(build_configuration())
         for info in infos:
             replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
         self._address = address
         self._pools = ConnectionPools(max_connections=16)
         clock = SystemClock()
-        self.leading = Leading(
+        self.leadership = Leadership(
             authority=OwnOffice(),
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
-            on_failure=fail,
-            settings=LeadingSettings(
-                terms=choose_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_SILENT),
+            on_failure=raise_error,
+            settings=LeadershipSettings(
+                lease_terms=choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT),
                 keep_ended=timedelta(seconds=120),
                 caller_retry=CALLER_RETRY,
                 control_address=None,
@@ -133,16 +134,16 @@
         )
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
-            self.leading.dispatch.take_heartbeat(heartbeat, clock.monotonic())
-        self._lines = JobLines(
-            answer=self.leading.answer, clock=clock, find_slack=lambda submit: 1.0
+            self.leadership.dispatch.handle_heartbeat(heartbeat, clock.monotonic())
+        self._lines = JobChannelServer(
+            answer=self.leadership.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
         self.listener = Listener(app=app, address=address)
 
     def stop(self) -> None:
-        """Decide nothing more."""
-        self.leading.stop()
+        """Stop scheduling and close the connections to upstreams."""
+        self.leadership.stop()
         self._pools.close()
 
     def _answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
@@ -152,15 +153,15 @@
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
-        assert isinstance(call, Greet), "its tag says so"
-        return _reply(self._add_host(self.leading.answer_greeting(call)))
+        assert isinstance(call, KeepAlive), "the tag was checked"
+        return _reply(self._add_host(self.leadership.answer_keepalive(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
         if self._lines.handles(request.path):
             return await self._lines.handle(request)
         call: Call = call_decoder.decode(request.body)
-        assert not isinstance(call, Submit), "jobs come in batches"
-        return _reply(await self.leading.answer(call))
+        assert not isinstance(call, Submit), "jobs arrive in batches"
+        return _reply(await self.leadership.answer(call))
 
     def _add_host(self, answer: Answer) -> Answer:
         own = str(self._address)
@@ -176,18 +177,21 @@
     return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
 
-async def play_round(profile: cProfile.Profile | None) -> dict[str, Any]:
-    """Lead for one load; return what that has cost."""
+async def measure_round(profile: cProfile.Profile | None) -> dict[str, Any]:
+    """Act as leader for one run of the load; return the processor time and polls per start.
+
+    A profile, if given, records the calls of this process during the load.
+    """
     port = find_base_port()
     address = Address("127.0.0.1", port + 1)
     upstreams = _spawn("standin", port, UPSTREAMS)
     assert upstreams.stdout is not None
     upstreams.stdout.readline()
-    host = Host(address=address, infos=build_infos(port, UPSTREAMS))
+    host = LeaderHost(address=address, infos=build_infos(port, UPSTREAMS))
     error = await host.listener.start()
     assert error is None, error
     await asyncio.sleep(0.5)
-    callers = _spawn("callers", address, GATEWAYS, JOBS_A_SECOND, SECONDS)
+    callers = _spawn("callers", address, GATEWAYS, JOBS_PER_SECOND, DURATION_SECONDS)
     began = time.thread_time()
     if profile is not None:
         profile.enable()
@@ -198,7 +202,7 @@
     spent = time.thread_time() - began
     assert callers.stdout is not None
     answered = json.loads(callers.stdout.read())
-    counts = host.leading.dispatch.counts
+    counts = host.leadership.dispatch.counts
     host.stop()
     await host.listener.stop()
     upstreams.terminate()
@@ -212,24 +216,24 @@
 
 
 def main(
-    rounds: Annotated[int, typer.Option(min=1, help="How often it is measured.")] = 5,
-    profile: Annotated[bool, typer.Option(help="Print where the time goes instead.")] = False,
+    rounds: Annotated[int, typer.Option(min=1, help="Number of measured rounds.")] = 5,
+    profile: Annotated[bool, typer.Option(help="Print a profile instead.")] = False,
 ) -> None:
-    """Print the processor time of a leader for each start."""
+    """Print the processor time that a leader takes per start."""
     if profile:
         profiled = cProfile.Profile()
-        print(uvloop.run(play_round(profiled)))
+        print(uvloop.run(measure_round(profiled)))
         pstats.Stats(profiled).sort_stats("tottime").print_stats(45)
         return
-    played = [uvloop.run(play_round(None)) for _ in range(rounds)]
-    costs = [each["us_a_start"] for each in played]
+    measured = [uvloop.run(measure_round(None)) for _ in range(rounds)]
+    costs = [each["us_a_start"] for each in measured]
     results = {
         "us_a_start": {
             "median": statistics.median(costs),
             "least": min(costs),
             "most": max(costs),
         },
-        "rounds": played,
+        "rounds": measured,
     }
     print(json.dumps(results, indent=1))
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,8 @@
-"""A seeded load of jobs on model upstreams, shaped like that of the users' vans.
+"""Seeded load of jobs on modelled upstreams, which resembles the load of the users' vans.
 
-Three kinds of jobs, each a third of the worth; widths, run times, sizes and declared times scatter
-as on the users' sheets. The model charges no processor time and no network but delays.
+There are three kinds of jobs, each with a third of the total worth, which is the value of the
+answers to their callers. Widths, run times, sizes and declared run times vary as in the users'
+workloads. The model charges delays, but neither processor time nor other costs of the network.
 """
 
 from __future__ import annotations
@@ -27,28 +28,28 @@
     milliseconds,
 )
 
-SPREAD = 0.4
-"""Of widths, run times and declared times, on a logarithmic scale."""
-CPU_MILLIS = 14_000
-CPU_SPREAD = 0.2
-SIZES_MILLIS = (32_000, 32_000, 48_000)
-"""Rooms of upstreams, in turn."""
-LATE_WORTH = 0.2
-"""Of an answer between one and three times the objective."""
+LOG_SIGMA = 0.4
+"""Standard deviation of the logarithm of widths, run times and declared run times."""
+TASK_CPU_MILLIS = 14_000
+CPU_LOG_SIGMA = 0.2
+UPSTREAM_CPU_MILLIS = (32_000, 32_000, 48_000)
+"""Capacities of the upstreams, assigned in turn."""
+LATE_WORTH_SHARE = 0.2
+"""Share of its worth that an answer keeps between one and three times the objective."""
 LATE_FACTOR = 3
 STRETCH = 1.6
 TARGET_MS = 60
-SECONDS = 20
-AFTER_SECONDS = 6
-"""How long jobs may still end after the last has come."""
-BACK_AFTER = timedelta(seconds=3)
-"""An upstream that a task has crashed is back after some seconds."""
+DURATION_SECONDS = 20
+DRAIN_SECONDS = 6
+"""How long the simulation runs on after the last job was submitted, so that jobs can end."""
+RESTART_DELAY = timedelta(seconds=3)
+"""Time after which an upstream that was crashed by a task starts again."""
 RESEND_AFTER = timedelta(milliseconds=1_300)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Kind:
-    """One kind of job: how many a second, of how many tasks, each of how long, and its worth."""
+class JobKind:
+    """One kind of job: jobs per second, tasks per job, run time of a task, and worth of a job."""
 
     name: str
     rate: float
@@ -58,9 +59,9 @@
 
 
 KINDS = (
-    Kind(name="short", rate=17.2, tasks=8, run_ms=60, worth=0.0291),
-    Kind(name="middle", rate=50.0, tasks=2, run_ms=200, worth=0.010),
-    Kind(name="long", rate=3.12, tasks=4, run_ms=900, worth=0.160),
+    JobKind(name="short", rate=17.2, tasks=8, run_ms=60, worth=0.0291),
+    JobKind(name="middle", rate=50.0, tasks=2, run_ms=200, worth=0.010),
+    JobKind(name="long", rate=3.12, tasks=4, run_ms=900, worth=0.160),
 )
 QUEUES = {
     kind.name: msgspec.structs.replace(
@@ -68,56 +69,56 @@
     )
     for kind in KINDS
 }
-USUAL_UPSTREAMS = 28
-"""For the rates above: two thirds of their room."""
+DEFAULT_UPSTREAMS = 28
+"""Number of upstreams for the rates above, which take two thirds of their capacity."""
 
 
 @dataclass(slots=True, kw_only=True)
-class Submitted:
-    """A job of the load, and what became of it."""
+class SubmittedJob:
+    """A job of the load and its outcome."""
 
-    kind: Kind
+    kind: JobKind
     spec: JobSpec
     worth: float
     objective: timedelta
     at: timedelta
     is_poisoned: bool = False
-    """Whether one of its tasks crashes each upstream that starts it: it is worth nothing."""
+    """Whether one of its tasks crashes every upstream that starts it. Such a job is not counted."""
     was_sent: bool = False
-    """Whether a leader that was lost may have begun it."""
+    """Whether it was sent to a leader, which may have begun it even if it was lost since."""
     ended_at: timedelta | None = None
     refused_at: timedelta | None = None
 
     @property
     def earned(self) -> float:
-        """What its caller got of its worth."""
+        """Part of the worth that the caller got, by the time of the answer."""
         if self.ended_at is None:
             return 0.0
         taken = self.ended_at - self.at
         if taken <= self.objective:
             return self.worth
-        return self.worth * LATE_WORTH if taken <= self.objective * LATE_FACTOR else 0.0
+        return self.worth * LATE_WORTH_SHARE if taken <= self.objective * LATE_FACTOR else 0.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """One load on one set of upstreams, led by one leader after the other."""
+    """Simulation of one load on one set of upstreams, under one leader at a time."""
 
     seed: int
-    upstream_count: int = USUAL_UPSTREAMS
+    upstream_count: int = DEFAULT_UPSTREAMS
     rate_factor: float = 1.0
-    """Of the usual rates, which are for the usual number of upstreams."""
-    jobs: dict[JobId, Submitted] = field(default_factory=dict)
+    """Factor on the rates of `KINDS`, which are first scaled to the number of upstreams."""
+    jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
     real_ms: dict[JobId, float] = field(default_factory=dict)
     slowness: dict[UpstreamId, float] = field(default_factory=dict)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
-    """From when to when, in seconds, how many times as many jobs come."""
+    """Bursts as start and end in seconds, and the factor on the rate of jobs between them."""
     records: Records = field(default_factory=Records)
     poisoned_share: float = 0.0
-    """Of the jobs, those with a task that crashes upstreams."""
+    """Share of the jobs that have a task that crashes upstreams."""
     is_frozen: bool = False
     token: int = 0
-    life: int = 0
+    restart_count: int = 0
     chance: random.Random = field(init=False)
     world: World = field(init=False)
     upstreams: dict[UpstreamId, ModelUpstream] = field(init=False)
@@ -126,80 +127,82 @@
     def __post_init__(self) -> None:
         self.chance = random.Random(self.seed)
         self.world = World(random=random.Random(self.seed + 1))
-        self.world.on_crash = self._come_back
+        self.world.on_crash = self._restart_after_crash
         self.upstreams = {}
         for number in range(self.upstream_count):
-            self._add_upstream(f"u{number + 1}", SIZES_MILLIS[number % len(SIZES_MILLIS)])
-        self.elect()
+            self._add_upstream(
+                f"u{number + 1}", UPSTREAM_CPU_MILLIS[number % len(UPSTREAM_CPU_MILLIS)]
+            )
+        self.elect_leader()
 
-    def play(self) -> None:
-        """Submit the load and let it end."""
+    def run_to_end(self) -> None:
+        """Simulate the whole load, and the time in which its last jobs can end."""
         self._plan_arrivals()
-        self.world.run_until(timedelta(seconds=SECONDS + AFTER_SECONDS))
-        self._collect()
+        self.world.run_until(timedelta(seconds=DURATION_SECONDS + DRAIN_SECONDS))
+        self._record_ended()
 
     # Faults
 
-    def elect(self) -> None:
-        """Have a new leader take over, to which open jobs are submitted again."""
+    def elect_leader(self) -> None:
+        """Start a new leader and submit to it again the open jobs that still have worth."""
         self.token += TOKENS_PER_TERM
         self.leader = Leader(
             world=self.world, upstreams=self.upstreams, records=self.records, token=self.token
         )
         for upstream in self.upstreams.values():
             if upstream.is_up:
-                self.leader.beat(upstream, self.token)
+                self.leader.deliver_heartbeat(upstream, self.token)
         for job, submitted in self.jobs.items():
             is_open = submitted.ended_at is None and submitted.refused_at is None
             if is_open and self.world.now - submitted.at < submitted.objective * LATE_FACTOR:
-                self._hand_in(job)
+                self._submit_to_leader(job)
 
     def lose_leader(self, *, is_frozen: bool = False) -> None:
-        """End the leader's term; nobody decides until the next is elected.
+        """End the leader's term; nothing is scheduled until the next leader is elected.
 
-        A frozen one takes calls in and answers none, so that they may have begun.
+        A frozen leader still receives calls but answers none, so its jobs may have begun.
         """
-        self._collect()
+        self._record_ended()
         self.is_frozen = is_frozen
         self.leader.is_over = True
 
     def crash(self, count: int) -> None:
-        """Have the first upstreams lose all they run, and answer no more."""
+        """Crash the first `count` upstreams: they lose their runs and answer no more."""
         for upstream in list(self.upstreams.values())[:count]:
             upstream.crash()
 
-    def restart(self) -> None:
-        """Begin a new life of each upstream that has crashed."""
-        self.life += 1
+    def restart_crashed(self) -> None:
+        """Start a new instance of each crashed upstream."""
+        self.restart_count += 1
         for id, upstream in list(self.upstreams.items()):
             if not upstream.is_up:
-                name = f"{id}v{self.life}"
+                name = f"{id}v{self.restart_count}"
                 fresh = self._add_upstream(name, upstream.info.capacity.cpu_millis)
-                self.leader.beat(fresh, 1)
+                self.leader.deliver_heartbeat(fresh, 1)
 
-    def _come_back(self, crashed: ModelUpstream) -> None:
-        """Have an upstream that a task has crashed begin another life."""
+    def _restart_after_crash(self, crashed: ModelUpstream) -> None:
+        """Start a new instance, after a delay, of an upstream that was crashed by a task."""
         if not self.poisoned_share:
             return
 
         def begin() -> None:
-            self.life += 1
-            name = f"{crashed.info.id}v{self.life}"
+            self.restart_count += 1
+            name = f"{crashed.info.id}v{self.restart_count}"
             fresh = self._add_upstream(name, crashed.info.capacity.cpu_millis)
             fresh.info = msgspec.structs.replace(fresh.info, address=crashed.info.address)
             crashed.is_replaced = True
             if not self.leader.is_over:
-                self.leader.beat(fresh, 1)
+                self.leader.deliver_heartbeat(fresh, 1)
 
-        self.world.at(BACK_AFTER, begin)
+        self.world.at(RESTART_DELAY, begin)
 
-    def slow(self, count: int, factor: float) -> None:
-        """Have tasks on the first upstreams take that many times as long."""
+    def slow_down(self, count: int, factor: float) -> None:
+        """Multiply the run times of tasks on the first `count` upstreams by `factor`."""
         for id in list(self.upstreams)[:count]:
             self.slowness[id] = factor
 
-    def fail(self, count: int) -> None:
-        """Have the first upstreams fail at once all that they start from now on."""
+    def fail_tasks(self, count: int) -> None:
+        """Make the first `count` upstreams, and no others, fail all tasks at once from now on."""
         for number, upstream in enumerate(self.upstreams.values()):
             upstream.fails_all = number < count
 
@@ -217,28 +220,28 @@
         return upstream
 
     def _plan_arrivals(self) -> None:
-        scale = self.rate_factor * self.upstream_count / USUAL_UPSTREAMS
+        scale = self.rate_factor * self.upstream_count / DEFAULT_UPSTREAMS
         for kind in KINDS:
             at = 0.2
-            while at < SECONDS:
-                at += self.chance.expovariate(kind.rate * scale * self._find_burst(at))
-                self.world.at(timedelta(seconds=at), lambda kind=kind: self._submit(kind))  # type: ignore[misc]
+            while at < DURATION_SECONDS:
+                at += self.chance.expovariate(kind.rate * scale * self._find_burst_factor(at))
+                self.world.at(timedelta(seconds=at), lambda kind=kind: self._create_job(kind))  # type: ignore[misc]
 
-    def _find_burst(self, at: float) -> float:
+    def _find_burst_factor(self, at: float) -> float:
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
-    def _draw(self, mean: float, most: float) -> float:
-        """Return a number that scatters round a mean."""
-        drawn = self.chance.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
+    def _draw_around(self, mean: float, most: float) -> float:
+        """Return a log-normally distributed number with the given mean, limited to `most`."""
+        drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
         return min(mean * drawn, most)
 
-    def _submit(self, kind: Kind) -> None:
+    def _create_job(self, kind: JobKind) -> None:
         job = JobId(f"{len(self.jobs):016x}")
-        real_ms = self._draw(kind.run_ms, kind.run_ms * 4)
-        count = max(1, round(self._draw(kind.tasks, kind.tasks * 4)))
-        cpu_millis = int(CPU_MILLIS * self.chance.lognormvariate(0, CPU_SPREAD))
+        real_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
+        count = max(1, round(self._draw_around(kind.tasks, kind.tasks * 4)))
+        cpu_millis = int(TASK_CPU_MILLIS * self.chance.lognormvariate(0, CPU_LOG_SIGMA))
         needs = Needs(cpu_millis=min(cpu_millis, 20_000))
-        declared = max(1, int(real_ms * self.chance.lognormvariate(0, SPREAD)))
+        declared = max(1, int(real_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
         step = StepSpec(count=count, needs=needs, estimate_ms=declared)
         work = real_ms * count / (kind.run_ms * kind.tasks)
         self.world.needs[job] = needs
@@ -246,7 +249,7 @@
         is_poisoned = self.chance.random() < self.poisoned_share if self.poisoned_share else False
         if is_poisoned:
             self.world.poison.add(TaskRef(job, 0, 0, 0))
-        self.jobs[job] = Submitted(
+        self.jobs[job] = SubmittedJob(
             kind=kind,
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
             worth=kind.worth * min(0.3 + 0.7 * work, 4.0),
@@ -254,10 +257,10 @@
             at=self.world.now,
             is_poisoned=is_poisoned,
         )
-        self._hand_in(job)
+        self._submit_to_leader(job)
 
-    def _hand_in(self, job: JobId) -> None:
-        self._collect()
+    def _submit_to_leader(self, job: JobId) -> None:
+        self._record_ended()
         submitted = self.jobs[job]
         if self.leader.is_over:
             submitted.was_sent = submitted.was_sent or self.is_frozen
@@ -275,13 +278,13 @@
             submitted.spec,
             queue,
             may_have_begun=may_have_begun,
-            # Its caller has sent it but once, so that nothing of a new job can be at work.
-            settle_after=SETTLE_AFTER if may_have_begun else timedelta(),
+            # A job that was sent for the first time cannot have active runs yet.
+            reconcile_after=SETTLE_AFTER if may_have_begun else timedelta(),
             waited=waited,
         )
 
-    def _collect(self) -> None:
-        """Note which jobs have ended, and how."""
+    def _record_ended(self) -> None:
+        """Record the jobs that the leader has ended, as completed or as refused."""
         jobs = self.leader.dispatch.jobs
         for job, at in self.leader.ended_at.items():
             submitted = self.jobs[job]
@@ -292,8 +295,8 @@
         self.leader.ended_at.clear()
 
 
-def iterate_arrived(run: Run, first: float, last: float) -> Iterator[Submitted]:
-    """Yield the jobs that came within some seconds, but those that cannot be done."""
+def iterate_submitted(run: Run, first: float, last: float) -> Iterator[SubmittedJob]:
+    """Yield the jobs submitted from second `first` to `last`, except those that crash upstreams."""
     for submitted in run.jobs.values():
         if not submitted.is_poisoned and timedelta(seconds=first) <= submitted.at < timedelta(
             seconds=last
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -1,4 +1,4 @@
-"""What sweeps of whole deployments have shown, from their entries in `journal/`."""
+"""Results of load sweeps over whole deployments, read from the entries in `journal/`."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 from pathlib import Path
 from typing import Any
 
-JOURNAL = Path(__file__).parent.parent / "journal"
+JOURNAL_FILE = Path(__file__).parent.parent / "journal"
 _HEAD = """## Clusters: what sweeps of whole deployments show
 
 Control hosts and gateways on the users' platform, with the same work at several sizes: the newest
 sweep of each deployment in `journal/`. Of two figures the first is that of the middle host, the
 second that of the busiest; then come the power of the number of machines with which the busiest
 grows, and where that leads at the size to design for."""
-_ROWS_AFTER = "middle / busiest or longest, by own machines"
+_TABLE_TITLE = "middle / busiest or longest, by own machines"
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Sweep:
-    """One sweep: the same work at several sizes."""
+    """One sweep: the same load on one deployment at several sizes."""
 
     id: str
     site: str
     at: str
     days: tuple[dict[str, Any], ...]
     rows: tuple[str, ...]
-    """Middle and busiest host by size, the power of their growth, and where that leads."""
+    """Figures of the median and the busiest host by size, their growth, and its extrapolation."""
 
 
-def find_newest() -> list[Sweep]:
+def find_newest_sweeps() -> list[Sweep]:
     """Return the newest sweep of each deployment."""
     newest: dict[str, Sweep] = {}
     for sweep in sorted(_read_all(), key=lambda each: each.at):
@@ -39,7 +39,7 @@
 
 
 def _read_all() -> Iterator[Sweep]:
-    for file in JOURNAL.glob("*.json"):
+    for file in JOURNAL_FILE.glob("*.json"):
         entry = json.loads(file.read_text())
         if entry.get("cmd") != "sweep" or not entry.get("days"):
             continue
@@ -53,7 +53,7 @@
 
 
 def _read_rows(digest: str) -> Iterator[str]:
-    _, _, table = digest.partition(_ROWS_AFTER)
+    _, _, table = digest.partition(_TABLE_TITLE)
     for line in table.splitlines():
         if line.startswith("power"):
             return
@@ -62,7 +62,7 @@
 
 
 def render_sweeps(sweeps: list[Sweep]) -> str:
-    """Return the section of the capacity page."""
+    """Return the section about sweeps of the capacity page."""
     lines = [_HEAD]
     for sweep in sweeps:
         lines += ["", f"### {sweep.site} (`{sweep.id}`)", "", *_render_days(sweep), ""]
--- a/cottonlug/__main__.py
+++ b/cottonlug/__main__.py
@@ -1,11 +1,11 @@
-"""Run cottonlug as ``python -m cottonlug`` or by its installed command."""
+"""Entry point of ``python -m cottonlug`` and of the installed command."""
 
 from __future__ import annotations
 
-from . import lean
+from . import unused_imports
 from .cli import main
 
-lean.leave_out_unused()
+unused_imports.block_unused_imports()
 
 __all__ = ["main"]
 
--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -1,4 +1,4 @@
-"""`cottonlug evacuations`: empty a failure domain, take it back, list what is evacuated."""
+"""`cottonlug evacuations`: begin, end and list evacuations of failure domains."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
     EvacuationList,
     OperatorCall,
     OperatorReply,
-    build_list,
-    build_order,
+    build_evacuation_call,
+    build_list_call,
     read_reply,
 )
 from ..platform.operators import read_list as read_evacuations
 from .exits import ExitCode
 from .output import print_json
 
-PATIENCE = timedelta(seconds=1)
-"""A control host that has not answered by then is taken for lost, and the next one is asked."""
-KEEP_TRYING = timedelta(seconds=20)
-"""Longer than an election and a restart of all control hosts take."""
-PAUSE = timedelta(milliseconds=200)
+RESPONSE_TIMEOUT = timedelta(seconds=1)
+"""A control host that does not answer within this time is skipped, and the next one is called."""
+RETRY_PERIOD = timedelta(seconds=20)
+"""Longer than an election, and than a restart of all control hosts."""
+RETRY_PAUSE = timedelta(milliseconds=200)
 
 
-def order_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
-    """Begin or end the evacuation of a domain, asking one host after another until one says so."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_order(domain, begin=begin)))
+def set_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
+    """Begin or end the evacuation of a domain, calling the hosts in turn until one confirms it."""
+    reply = asyncio.run(_call_hosts_in_turn(hosts, build_evacuation_call(domain, begin=begin)))
     if reply.is_done:
         print(f"{domain} is {'evacuated' if begin else 'used again'}")
         return ExitCode.OK
-    print(f"not known to be in force: {reply.problem}", file=sys.stderr)
+    print(f"not confirmed: {reply.problem}", file=sys.stderr)
     return ExitCode.REFUSED if reply.is_final else ExitCode.UNAVAILABLE
 
 
 def list_evacuations(hosts: list[Address], as_json: bool) -> ExitCode:
-    """Print the domains that are evacuated, and since when."""
-    reply = asyncio.run(_ask_in_turn(hosts, build_list()))
+    """Print each evacuated domain with the start time of its evacuation."""
+    reply = asyncio.run(_call_hosts_in_turn(hosts, build_list_call()))
     listed = read_evacuations(reply)
     if listed is None:
-        print(f"not known: {reply.problem}", file=sys.stderr)
+        print(f"evacuations could not be read: {reply.problem}", file=sys.stderr)
         return ExitCode.UNAVAILABLE
     if as_json:
         print_json(listed)
@@ -61,21 +61,24 @@
         print(f"{each.domain} since {since.isoformat(timespec='seconds')}")
 
 
-async def _ask_in_turn(hosts: list[Address], call: OperatorCall) -> OperatorReply:
-    """Return the first clear answer, or the last one where none came in time."""
-    give_up_at = time.monotonic() + KEEP_TRYING.total_seconds()
-    async with httpx.AsyncClient(timeout=PATIENCE.total_seconds()) as client:
+async def _call_hosts_in_turn(hosts: list[Address], call: OperatorCall) -> OperatorReply:
+    """Call the hosts in turn until one gives a definite answer or the retry period is over.
+
+    Returns that answer, or else the last one.
+    """
+    deadline = time.monotonic() + RETRY_PERIOD.total_seconds()
+    async with httpx.AsyncClient(timeout=RESPONSE_TIMEOUT.total_seconds()) as client:
         while True:
             for host in hosts:
-                reply = await _ask(client, host, call)
+                reply = await _call_host(client, host, call)
                 if reply.is_done or reply.is_final:
                     return reply
-            if time.monotonic() >= give_up_at:
+            if time.monotonic() >= deadline:
                 return reply
-            await asyncio.sleep(PAUSE.total_seconds())
+            await asyncio.sleep(RETRY_PAUSE.total_seconds())
 
 
-async def _ask(client: httpx.AsyncClient, host: Address, call: OperatorCall) -> OperatorReply:
+async def _call_host(client: httpx.AsyncClient, host: Address, call: OperatorCall) -> OperatorReply:
     try:
         response = await client.request(call.method, f"http://{host}{call.path}")
     except httpx.HTTPError as error:
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -1,4 +1,4 @@
-"""`cottonlug gateway`: a host that passes callers' requests to whoever decides."""
+"""`cottonlug gateway`: a host that forwards callers' requests to the coordinator."""
 
 from __future__ import annotations
 
@@ -18,66 +18,73 @@
 from ..runtime.cluster_metrics import build_gateway_metrics
 from ..runtime.events import Event, log_event
 from ..runtime.gateway import Gateway
-from ..runtime.process import Life, run_loop
+from ..runtime.process import Lifecycle, run_loop
 from .daemons import (
-    CONNECTIONS_PER_UPSTREAM,
     DRAIN_MARGIN_SECONDS,
-    PEER_BODY_BYTES,
-    SMALL_BODY_BYTES,
-    begin_logging,
+    MAX_CONNECTIONS_PER_UPSTREAM,
+    MAX_PEER_BODY_BYTES,
+    MAX_SMALL_BODY_BYTES,
+    build_listener,
+    build_metrics_listeners,
+    build_peer_listeners,
     find_drain_seconds,
-    listen,
-    listen_metrics,
-    listen_peers,
-    start_all,
+    start_listeners,
+    start_logging,
     stop_listeners,
 )
 from .exits import ExitCode
 
-BALANCER_SECONDS = 2.5
-"""The balancer asks once a second and takes a host out after two misses."""
+BALANCER_REMOVAL_SECONDS = 2.5
+"""How long a stopping gateway serves on while it reports that it is not ready.
+
+The load balancer checks readiness once a second and removes a host after two failed checks.
+"""
 
 
 def serve_gateway(config: Path) -> int:
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until a stop signal and return the exit code."""
     return run_loop(_serve_gateway(config))
 
 
 async def _serve_gateway(config: Path) -> int:
     settings = load_gateway_settings(config)
-    output = begin_logging(settings)
-    life = Life()
-    pools = ConnectionPools(max_connections=CONNECTIONS_PER_UPSTREAM)
+    output = start_logging(settings)
+    lifecycle = Lifecycle()
+    pools = ConnectionPools(max_connections=MAX_CONNECTIONS_PER_UPSTREAM)
     gateway = Gateway(
         settings=settings,
         clock=SystemClock(),
         port=WorkerClient(pools=pools),
-        on_failure=life.fail,
+        on_failure=lifecycle.fail,
     )
-    life.watch_signals(lambda: build_gateway_dump(gateway))
-    life.watch_reload(lambda: _reload_seeds(gateway, config))
+    lifecycle.watch_signals(lambda: build_gateway_dump(gateway))
+    lifecycle.watch_reload(lambda: _reload_seeds(gateway, config))
     handler = build_front_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
     callers = Listener(
         app=build_asgi(handler, lambda: gateway.max_body_bytes), address=settings.listen.callers
     )
-    readiness = listen(
-        build_readiness_handler(gateway.is_ready), settings.listen.readiness, SMALL_BODY_BYTES
+    readiness = build_listener(
+        build_readiness_handler(gateway.is_ready), settings.listen.readiness, MAX_SMALL_BODY_BYTES
+    )
+    peers = build_peer_listeners(
+        gateway.handle_peer_request, settings, MAX_PEER_BODY_BYTES, gateway.answer_at_once
     )
-    peers = listen_peers(gateway.handle_peer, settings, PEER_BODY_BYTES, gateway.answer_at_once)
     gateway.start()
-    metrics = listen_metrics(build_gateway_metrics(gateway, output), settings.listen.metrics)
-    error = await start_all([*peers, callers, readiness, *metrics])
+    metrics = build_metrics_listeners(
+        build_gateway_metrics(gateway, output), settings.listen.metrics
+    )
+    error = await start_listeners([*peers, callers, readiness, *metrics])
     if error is not None:
         print(error, file=sys.stderr)
         return ExitCode.UNAVAILABLE
     log_event(Event.READY, host=settings.host)
-    await life.wait_stop()
-    if life.failure is not None:
+    await lifecycle.wait_stop()
+    if lifecycle.failure is not None:
         return ExitCode.BROKEN_INVARIANT
     log_event(Event.DRAINING, host=settings.host)
     gateway.begin_stopping()
-    await asyncio.sleep(BALANCER_SECONDS)
-    left = find_drain_seconds(settings.drain_limit, BALANCER_SECONDS)
+    await asyncio.sleep(BALANCER_REMOVAL_SECONDS)
+    left = find_drain_seconds(settings.drain_limit, BALANCER_REMOVAL_SECONDS)
     await stop_listeners([callers, readiness, *metrics], left)
     gateway.stop()
     await stop_listeners(peers, DRAIN_MARGIN_SECONDS / 2)
@@ -92,5 +99,5 @@
     except SettingsError as error:
         log_event(Event.SETTINGS_REFUSED, error=str(error))
         return
-    gateway.use_seeds(settings.seeds)
+    gateway.add_seeds(settings.seeds)
     log_event(Event.SETTINGS_RELOADED, seeds=[str(seed) for seed in settings.seeds])
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -1,4 +1,4 @@
-"""`submit`, `status`, `cancel`, `request` and `ids`: the callers' commands."""
+"""Commands for callers: `submit`, `status`, `cancel`, `request` and `ids`."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """Which host to talk to, with which token, and how to print."""
+    """The host to call, the token to send, and the output format."""
 
     address: Address
     token: str
@@ -45,33 +45,33 @@
 
 
 def submit_job(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
-    """Submit a job with an id of its own, and wait for the whole answer if told to."""
-    return asyncio.run(_submit(target, request, wait))
+    """Submit a job, under a new id if it has none, and optionally wait for its answer."""
+    return asyncio.run(_submit_job(target, request, wait))
 
 
 def show_status(target: Target, id: str, wait_ms: int) -> ExitCode:
-    """Print a job's status, or its answer."""
+    """Print the answer of a job, or its status if it has not ended after `wait_ms`."""
     path = f"/v1/jobs/{id}/answer?wait_ms={wait_ms}"
     return asyncio.run(_call_and_print(target, "GET", path, None))
 
 
 def cancel_job(target: Target, id: str) -> ExitCode:
-    """Cancel a job and print its final state."""
+    """Cancel a job and print the state that it ended in."""
     return asyncio.run(_call_and_print(target, "POST", f"/v1/jobs/{id}/cancel", None))
 
 
 def run_request(target: Target, request: SingleRequest) -> ExitCode:
     """Run one task and print its answer."""
-    return asyncio.run(_request(target, request))
+    return asyncio.run(_run_request(target, request))
 
 
 def mint_ids(target: Target, count: int) -> ExitCode:
-    """Print fresh submission ids."""
+    """Mint submission ids and print them."""
     return asyncio.run(_mint_and_print(target, count))
 
 
 def read_job_file(file: Path) -> Result[SubmitRequest, Refusal]:
-    """Return the job in a JSON file; `-` is standard input."""
+    """Return the job in a JSON file, where `-` is standard input, or why it cannot be read."""
     try:
         body = sys.stdin.buffer.read() if str(file) == "-" else file.read_bytes()
     except OSError as error:
@@ -80,10 +80,14 @@
     return decode(body, SubmitRequest)
 
 
-async def call_patiently(
+async def call_with_retries(
     client: ApiClient, method: str, path: str, reply_type: Any, message: Any
 ) -> Result[Any, Refusal]:
-    """Call again while the refusal says to come back; a resend has its id and is safe."""
+    """Send a call, and send it again while it is refused with a code that may be retried.
+
+    Waits as long as the refusal says, and returns the last refusal after `MAX_RETRIES` calls.
+    Retries are safe: they carry the same id, or the request is idempotent.
+    """
     for _ in range(MAX_RETRIES):
         reply = await client.call(method, path, reply_type, message)
         if isinstance(reply, Success) or reply.failure().code not in RETRY_CODES:
@@ -93,7 +97,7 @@
     return reply
 
 
-async def _submit(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
+async def _submit_job(target: Target, request: SubmitRequest, wait: bool) -> ExitCode:
     client = ApiClient(address=target.address, token=target.token)
     try:
         if request.id is None:
@@ -103,21 +107,21 @@
             request.id = minted.unwrap().ids[0]
         if not target.as_json:
             print(f"submission {request.id}", file=sys.stderr)
-        accepted = await call_patiently(client, "POST", "/v1/jobs", JobView, request)
+        accepted = await call_with_retries(client, "POST", "/v1/jobs", JobView, request)
         if isinstance(accepted, Err):
             return print_refusal(accepted.failure(), target.as_json)
         view = accepted.unwrap()
         if wait and isinstance(view, JobStatus):
-            return await _follow(target, client, request.id)
+            return await _wait_for_answer(target, client, request.id)
         return print_view(view, target.as_json)
     finally:
         await client.close()
 
 
-async def _follow(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
+async def _wait_for_answer(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
     path = f"/v1/jobs/{id}/answer?wait_ms={POLL_MS}"
     while True:
-        reply = await call_patiently(client, "GET", path, JobView, None)
+        reply = await call_with_retries(client, "GET", path, JobView, None)
         if isinstance(reply, Err):
             return print_refusal(reply.failure(), target.as_json)
         view = reply.unwrap()
@@ -127,7 +131,7 @@
             print(f"{view.succeeded} of {view.total} tasks done", file=sys.stderr)
 
 
-async def _request(target: Target, request: SingleRequest) -> ExitCode:
+async def _run_request(target: Target, request: SingleRequest) -> ExitCode:
     client = ApiClient(address=target.address, token=target.token, timeout_seconds=90.0)
     try:
         if request.id is None and not request.idempotent:
@@ -135,7 +139,7 @@
             if isinstance(minted, Err):
                 return print_refusal(minted.failure(), target.as_json)
             request.id = minted.unwrap().ids[0]
-        reply = await call_patiently(client, "POST", "/v1/requests", JobView, request)
+        reply = await call_with_retries(client, "POST", "/v1/requests", JobView, request)
         if isinstance(reply, Err):
             return print_refusal(reply.failure(), target.as_json)
         return print_view(reply.unwrap(), target.as_json)
@@ -144,7 +148,7 @@
 
 
 async def _mint(client: ApiClient) -> Result[MintReply, Refusal]:
-    return await call_patiently(client, "POST", "/v1/ids", MintReply, MintRequest(count=1))
+    return await call_with_retries(client, "POST", "/v1/ids", MintReply, MintRequest(count=1))
 
 
 async def _mint_and_print(target: Target, count: int) -> ExitCode:
--- a/cottonlug/config/loading.py
+++ b/cottonlug/config/loading.py
@@ -1,4 +1,4 @@
-"""Reading of a settings file."""
+"""Loading of a settings file, with errors that list every problem."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from typing import TypeVar
 
 from ..exceptions import SettingsError
-from .options import Loaded, Problem, Read, load_yaml
+from .options import Loaded, Problem, Reader, load_yaml
 
 T = TypeVar("T")
 
 
-def load_settings(file: Path, read: Read[T]) -> T:
-    """Return settings read with a reader, or raise `SettingsError` naming every problem."""
+def load_settings(file: Path, read: Reader[T]) -> T:
+    """Load settings with a reader; raise `SettingsError` listing every problem."""
     return get_value(file, load_file(file, read))
 
 
-def load_file(file: Path, read: Read[T]) -> Loaded[T]:
-    """Read a YAML file with a reader."""
+def load_file(file: Path, read: Reader[T]) -> Loaded[T]:
+    """Load a YAML file with a reader; an unreadable file is reported as a problem."""
     try:
         text = file.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -27,15 +27,15 @@
 
 
 def get_value(file: Path, loaded: Loaded[T]) -> T:
-    """Return what was read, or raise `SettingsError` naming every problem."""
-    raise_for(file, [problem for problem in loaded.problems if not problem.is_warning])
+    """Return the loaded value, or raise `SettingsError` listing every problem."""
+    raise_on_problems(file, [problem for problem in loaded.problems if not problem.is_warning])
     if loaded.value is None:
         raise SettingsError(f"{file}: no settings")
     return loaded.value
 
 
-def raise_for(file: Path, problems: list[Problem]) -> None:
-    """Raise `SettingsError` where there are problems."""
+def raise_on_problems(file: Path, problems: list[Problem]) -> None:
+    """Raise `SettingsError` if there are problems."""
     if problems:
         lines = "\n".join(f"{file}: {problem}" for problem in problems)
         raise SettingsError(lines)
--- a/cottonlug/config/rules.py
+++ b/cottonlug/config/rules.py
@@ -19,14 +19,14 @@
     Report,
     load_yaml,
     read_boolean,
+    read_duration,
     read_integer,
+    read_item_or_list,
     read_labels,
     read_list,
     read_number,
     read_section,
-    read_span,
     read_text,
-    read_text_or_list,
     read_time_of_day,
 )
 
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RulesDocument:
-    """A whole rules document."""
+    """A complete rules document."""
 
     rules: list[Rule]
 
@@ -70,9 +70,9 @@
 
 
 WHEN_OPTIONS: Options = {
-    "team": Option(read_text_or_list(read_name), []),
-    "kind": Option(read_text_or_list(read_text()), []),
-    "domain": Option(read_text_or_list(read_name), []),
+    "team": Option(read_item_or_list(read_name), []),
+    "kind": Option(read_item_or_list(read_text()), []),
+    "domain": Option(read_item_or_list(read_name), []),
     "labels": Option(read_labels, {}),
     "min_size": Option(read_integer(1, 1_000_000), None),
     "max_size": Option(read_integer(1, 1_000_000), None),
@@ -87,7 +87,7 @@
     "pool": Option(read_labels, {}),
     "priority": Option(read_integer(0, MAX_PRIORITY), None),
     "weight": Option(read_number(0.001, 1000.0), None),
-    "timeout": Option(read_span, None),
+    "timeout": Option(read_duration, None),
     "max_attempts": Option(read_integer(1, 10), None),
 }
 RULE_OPTIONS: Options = {
@@ -102,10 +102,10 @@
 
 @functools.lru_cache(maxsize=4)
 def read_rules(text: str) -> Loaded[RulesDocument]:
-    """Return the document of a YAML text with every problem found, warnings included.
+    """Parse a rules document; return it with every problem, warnings included.
 
-    A voter reads each document when it decides on it and again when it takes it into force, so the
-    last few are remembered.
+    A voter parses each document when it decides on it and again when it activates it, so the last
+    few results are cached.
     """
     return load_yaml(text, Path("."), _read_checked)
 
@@ -122,10 +122,10 @@
         seen.add(rule.name)
         _check_timeout(rule.then.timeout, node, where, report)
         if rule.when == When() and at + 1 < len(document.rules):
-            report.warn(node, where, "matches everything; the rules after it are never reached")
+            report.warn(node, where, "matches every job; the rules after it are never reached")
     return document
 
 
 def _check_timeout(timeout: timedelta | None, node: yaml.Node, where: str, report: Report) -> None:
     if timeout is not None and timeout <= timedelta():
-        report.add(node, where, "the timeout must be longer than nothing")
+        report.add(node, where, "the timeout must be longer than 0")
--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -1,11 +1,11 @@
-"""Runs at upstreams that the present leader did not start."""
+"""Adopts runs that the current leader did not start."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
-from .life_table import LifeTable
-from .lives import Life
+from .instances import Instance
+from .life_table import InstanceTable
 from .model import Needs, RunReport
 from .open_job import OpenJob, TaskPhase
 from .open_jobs import OpenJobs
@@ -13,20 +13,23 @@
 from .term import Term
 
 
-class Adopter:
-    """Lets runs of an earlier leader or a deputy go on where their jobs are known."""
+class RunAdopter:
+    """Keeps runs of an earlier leader or of an acting leader going where their jobs are known."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
 
-    def take_running(self, life: Life, report: RunReport, now: timedelta) -> None:
-        """Learn that a run is at work; one that is not ours is adopted, borne or stopped."""
+    def handle_listed_run(self, instance: Instance, report: RunReport, now: timedelta) -> None:
+        """Record that a run is active.
+
+        A run that this leader did not start is adopted, tolerated for a while, or stopped.
+        """
         key = (report.task, report.run)
-        run = life.runs.get(key)
+        run = instance.runs.get(key)
         if run is not None:
-            _note_progress(run, report, now)
+            _update_progress(run, report, now)
             return
         job = self._jobs.jobs.get(report.task.job)
         record = job.record if job is not None else self._term.records.jobs.get(report.task.job)
@@ -42,50 +45,53 @@
             first_percent=report.percent,
             seen_at=now,
             advanced_at=now,
-            is_orphan=record is None,
-            # Whoever has its job now, or gets it from its caller, counts on its lease to end.
+            is_orphaned=record is None,
+            # The host that has the job now, or gets it from its caller, relies on this lease
+            # running out.
             is_disputed=record is None,
         )
-        life.add_run(run)
-        if run.is_orphan:
-            self._lives.may_have_orphans = True
-        # An earlier leader may have renewed its lease until the term began.
-        life.lapse_at = max(life.lapse_at, now + self._term.lease.lapse_after)
+        instance.add_run(run)
+        if run.is_orphaned:
+            self._instances.may_have_orphaned_runs = True
+        # An earlier leader may have renewed the lease until this term began.
+        instance.lapse_at = max(instance.lapse_at, now + self._term.lease.lapse_after)
         if job is not None:
-            self._adopt(job, life, run)
-        elif not run.is_orphan or not self._lives.is_grace(now):
-            run.stop_wanted = True
+            self._adopt(job, instance, run)
+        elif not run.is_orphaned or not self._instances.is_in_grace_period(now):
+            run.stop_requested = True
 
-    def adopt_orphan(self, job: OpenJob, life: Life, run: Run) -> None:
-        """Take over a run whose job has just become known."""
-        life.remove_run((run.task, run.run))
+    def adopt_orphaned_run(self, job: OpenJob, instance: Instance, run: Run) -> None:
+        """Adopt a run whose job has just become known."""
+        instance.remove_run((run.task, run.run))
         steps = job.record.spec.steps
         if run.task.step < len(steps):
             run.needs = steps[run.task.step].needs
-        run.is_orphan = run.is_disputed = False
-        life.add_run(run)
-        self._adopt(job, life, run)
+        run.is_orphaned = run.is_disputed = False
+        instance.add_run(run)
+        self._adopt(job, instance, run)
 
-    def _adopt(self, job: OpenJob, life: Life, run: Run) -> None:
-        """Let a run go on that this leader did not start, or stop it where that cannot be."""
+    def _adopt(self, job: OpenJob, instance: Instance, run: Run) -> None:
+        """Let a run continue that this leader did not start, or stop it if it is of no use."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
         waits = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
         if task is None or task.phase not in waits:
-            run.stop_wanted = True
+            run.stop_requested = True
             return
-        # One that is being stopped holds its task, too: no other run of it may begin until it ends.
+        # A run that is being stopped holds its task as well: no other run of the task may begin
+        # until this one has ended.
         if task.phase is TaskPhase.QUEUED:
             self._jobs.unqueue(run.task)
-        # Whoever began it may begin it again, at an upstream not seen yet, once this run has ended.
+        # The host that began this run may begin the task again, at an upstream not seen yet, once
+        # this run has ended.
         task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
         task.phase = TaskPhase.RUNNING
-        task.life = life.info.id
+        task.instance = instance.info.id
         task.run = run.run
         job.has_begun = True
 
 
-def _note_progress(run: Run, report: RunReport, now: timedelta) -> None:
+def _update_progress(run: Run, report: RunReport, now: timedelta) -> None:
     if report.percent > run.percent or run.phase is not RunPhase.RUNNING:
         run.advanced_at = now
     run.percent = report.percent
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs that have not ended, as one leader knows them: their tasks, and what of them waits."""
+"""Jobs that have not ended, as one leader knows them: their tasks and the backlog of these."""
 
 from __future__ import annotations
 
@@ -9,62 +9,64 @@
 from ..ids import UpstreamId
 from .admission import Rejection
 from .backlog import Backlog, Batch
-from .crashes import Care
-from .forecast import LATE_FACTOR, Forecast
-from .life_table import LifeTable
-from .model import EndKind, EndReport, JobId, JobState, Queue, RunNumber, TaskRef
+from .crashes import StartRestriction
+from .forecast import USEFUL_FACTOR, Forecast
+from .life_table import InstanceTable
+from .model import JobId, JobState, Queue, RunEndKind, RunEndReport, RunNumber, TaskRef
 from .open_job import OpenJob, Task, TaskPhase
 from .records import JobRecord, end_job
-from .suspicion import Suspicion
-from .tempo import Tempo
+from .suspicion import CrashTracker
 from .term import Term
+from .throughput import Throughput
 
-KEEP_ENDED = timedelta(seconds=10)
-"""How long the end of a job that need not be kept is remembered, for a late second submission."""
-START_MARGIN = 0.4
-"""Share of the wait that the objective allows which is kept for run times beyond the declared ones:
-they scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
+ENDED_JOB_RETENTION = timedelta(seconds=10)
+"""How long the end of a best-effort job is remembered, for a late second submission."""
+START_MARGIN_SHARE = 0.4
+"""Share of the wait allowed by the objective that is reserved for run times beyond the declared
+ones, which scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
 NEVER_LATE = timedelta.max
-"""For tasks that last: they go before all others and are never given up."""
+"""For long-running tasks: they go before all others and are never abandoned."""
 
 
 class OpenJobs:
     """Open jobs by id, and the backlog of their tasks."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, suspicion: Suspicion) -> None:
-        self.suspicion = suspicion
+    def __init__(
+        self, *, term: Term, instances: InstanceTable, crash_tracker: CrashTracker
+    ) -> None:
+        self.crash_tracker = crash_tracker
         self.jobs: dict[JobId, OpenJob] = {}
         self.backlog = Backlog()
         self.forecast = Forecast()
-        self.tempo = Tempo()
+        self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
         self.rejections: dict[JobId, Rejection] = {}
-        """Why jobs were given up that had not begun."""
-        self.left_behind: dict[JobId, timedelta] = {}
-        """Jobs that were closed while runs of them were still at work, and when."""
-        self.given_up: set[JobId] = set()
-        """Jobs that were given up although something of them may have run."""
-        self.has_unsure = True
-        """Whether tasks may have become unknown since this was last looked at."""
-        self._kept: set[JobId] = set()
-        """Open jobs that must be kept."""
+        """Why jobs that had not begun were rejected."""
+        self.closed_while_running: dict[JobId, timedelta] = {}
+        """Jobs that were closed while runs of them were still active, and when."""
+        self.abandoned: set[JobId] = set()
+        """Jobs that were abandoned although some of their tasks may have run."""
+        self.may_have_unknown_tasks = True
+        """Whether tasks may have become unknown since this was last checked."""
+        self._durable: set[JobId] = set()
+        """Open durable jobs."""
         self._timed: dict[JobId, OpenJob] = {}
         """Timed jobs with occurrences that are not due yet."""
         self._term = term
-        self._lives = lives
-        self._forget_at = term.began_at + KEEP_ENDED
+        self._instances = instances
+        self._forget_at = term.began_at + ENDED_JOB_RETENTION
         for record in term.records.jobs.values():
             if record.is_open:
                 self.open(record, TaskPhase.UNKNOWN, term.began_at, self.find_age(record))
-                self.jobs[record.id].settle_at = term.lapsed_at
+                self.jobs[record.id].reconcile_at = term.earlier_leases_lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
-        """Return how long ago a kept job arrived; clocks of hosts may differ a little."""
+        """Return how long ago a durable job arrived; clocks of hosts may differ a little."""
         age_ms = max(0, self._term.wall_ms() - record.accepted_ms)
         return timedelta(milliseconds=age_ms)
 
     def open(self, record: JobRecord, phase: TaskPhase, now: timedelta, age: timedelta) -> None:
-        """Take a job in that arrived `age` ago.
+        """Open a job that arrived `age` ago.
 
         Its tasks are unknown where another host may have begun them.
         """
@@ -72,8 +74,8 @@
         job = OpenJob(record=record, opened_at=now - age, objective=objective)
         self.jobs[record.id] = job
         if not record.spec.best_effort:
-            self._kept.add(record.id)
-        self._term.note(
+            self._durable.add(record.id)
+        self._term.log_decision(
             "job_taken",
             {
                 "job": record.id,
@@ -95,12 +97,12 @@
             self._open_occurrence(job, 0, phase, job.opened_at)
 
     def open_due(self, phase: TaskPhase, now: timedelta) -> None:
-        """Take in the occurrences of timed jobs whose time has come."""
+        """Open the occurrences of timed jobs that are due."""
         for job in list(self._timed.values()):
             self._open_due(job, phase, now)
 
     def open_through(self, job: OpenJob, occurrence: int, now: timedelta) -> None:
-        """Take in an occurrence that an earlier leader, by its own clock, has begun already."""
+        """Open occurrences up to one that an earlier leader, by its own clock, has begun."""
         while job.next_occurrence <= min(occurrence, job.record.spec.occurrences - 1):
             self._open_occurrence(job, job.next_occurrence, TaskPhase.UNKNOWN, now)
 
@@ -143,21 +145,28 @@
             self.queue(job, occurrence, number, blocked)
 
     def queue(self, job: OpenJob, occurrence: int, number: int, indexes: list[int]) -> None:
-        """Queue tasks of one step of an occurrence; those that may crash upstreams apart."""
+        """Queue tasks of one step of an occurrence; those that may crash upstreams separately."""
         if not indexes:
             return
-        if not self.suspicion.may_suspect_any():
-            self._queue(job, occurrence, number, indexes, Care.NONE)
+        if not self.crash_tracker.may_suspect_any():
+            self._queue(job, occurrence, number, indexes, StartRestriction.NONE)
             return
-        by_care: dict[Care, list[int]] = {}
+        by_restriction: dict[StartRestriction, list[int]] = {}
         for index in indexes:
-            care = self.suspicion.find_care(TaskRef(job.record.id, occurrence, number, index))
-            by_care.setdefault(care, []).append(index)
-        for care, alike in by_care.items():
-            self._queue(job, occurrence, number, alike, care)
+            restriction = self.crash_tracker.find_restriction(
+                TaskRef(job.record.id, occurrence, number, index)
+            )
+            by_restriction.setdefault(restriction, []).append(index)
+        for restriction, alike in by_restriction.items():
+            self._queue(job, occurrence, number, alike, restriction)
 
     def _queue(
-        self, job: OpenJob, occurrence: int, number: int, indexes: list[int], care: Care
+        self,
+        job: OpenJob,
+        occurrence: int,
+        number: int,
+        indexes: list[int],
+        restriction: StartRestriction,
     ) -> None:
         step = job.record.spec.steps[number]
         for index in indexes:
@@ -165,43 +174,43 @@
             job.tasks[ref].phase = TaskPhase.QUEUED
         due_at = job.due_at[occurrence]
         queue = job.record.queue
-        chain = self.forecast.find_chain(queue.key, job.record.spec.steps, number)
+        chain = self.forecast.predict_chain(queue.key, job.record.spec.steps, number)
         predicted_ms = self.forecast.predict(queue.key, step) / timedelta(milliseconds=1)
-        longest_wait = find_longest_wait(queue, job.objective, chain)
+        longest_wait = find_max_wait(queue, job.objective, chain)
         batch = Batch(
             job=job.record,
             occurrence=occurrence,
-            number=number,
+            step_number=number,
             step=step,
-            latest_start=due_at + longest_wait - self.tempo.spread(len(indexes)),
+            latest_start=due_at + longest_wait - self.throughput.estimate_start_delay(len(indexes)),
             latest_task_start=due_at + job.objective - chain,
             has_begun=job.has_begun,
-            last_use=due_at + job.objective * LATE_FACTOR - chain,
-            work_ms=predicted_ms * step.needs.cpu_millis / 1000,
-            care=care,
+            latest_useful_start=due_at + job.objective * USEFUL_FACTOR - chain,
+            core_ms=predicted_ms * step.needs.cpu_millis / 1000,
+            restriction=restriction,
             waiting=indexes,
         )
         if job.record.spec.long_running:
-            # It is to be at work again within seconds, however full the service is.
+            # It must be running again within seconds, however full the service is.
             batch.latest_start = due_at
-            batch.latest_task_start = batch.last_use = NEVER_LATE
+            batch.latest_task_start = batch.latest_useful_start = NEVER_LATE
             batch.has_begun = True
         self.backlog.add(batch)
 
     def requeue(self, ref: TaskRef, run: RunNumber, upstream: UpstreamId) -> None:
-        """Queue a task again whose run there is surely over without an end."""
+        """Queue a task again whose run there is surely over without a result."""
         job = self.jobs.get(ref.job)
         task = job.tasks.get(ref) if job is not None else None
         if job is None or task is None or not task.runs_as(run, upstream):
             return
         if task.is_unknown:
             task.phase = TaskPhase.UNKNOWN
-            self.has_unsure = True
+            self.may_have_unknown_tasks = True
             return
         self.queue(job, ref.occurrence, ref.step, [ref.place])
 
     def release(self, tasks: Iterable[TaskRef]) -> None:
-        """Hold these tasks back no more: an upstream that was lost has not crashed under them."""
+        """Stop delaying these tasks: an upstream that was lost has not crashed under them."""
         for ref in tasks:
             job = self.jobs.get(ref.job)
             task = job.tasks.get(ref) if job is not None else None
@@ -210,15 +219,15 @@
                 self.queue(job, ref.occurrence, ref.step, [ref.place])
 
     def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
-        """End the jobs of tasks that are given up, for upstreams that have crashed under them."""
+        """Fail the jobs of tasks that are quarantined, since upstreams have crashed under them."""
         for ref in refs:
-            counts = self.suspicion.find_counts(ref)
+            counts = self.crash_tracker.get_counts(ref)
             job = self.jobs.get(ref.job)
-            if job is None or ref not in job.tasks or not counts.is_given_up:
+            if job is None or ref not in job.tasks or not counts.is_quarantined:
                 continue
-            self.suspicion.convicted[job.record.queue.key] += 1
+            self.crash_tracker.quarantined[job.record.queue.key] += 1
             self._term.counts.crashing_tasks += 1
-            self._term.note(
+            self._term.log_decision(
                 "task_crashes_upstreams",
                 {
                     "job": ref.job,
@@ -229,40 +238,40 @@
                 },
             )
             if job.record.is_open:
-                # Kept jobs have ended in the record already.
+                # Durable jobs have ended in the records already.
                 end_job(job.record, JobState.FAILED, self._term.wall_ms())
             self.close_if_ended(ref.job, now)
 
     def unqueue(self, ref: TaskRef) -> None:
-        """Take a task out of the backlog."""
+        """Remove a task from the backlog."""
         for batch in self.backlog:
-            key = (batch.job.id, batch.occurrence, batch.number)
+            key = (batch.job.id, batch.occurrence, batch.step_number)
             if key == (ref.job, ref.occurrence, ref.step) and ref.place in batch.waiting:
                 batch.waiting.remove(ref.place)
                 self.backlog.has_empty |= not batch.waiting
         self.backlog.drop_empty()
 
-    def mark_noting(self, end: EndReport, upstream: UpstreamId) -> None:
-        """Hold a task whose run has ended there until note is taken of it."""
+    def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
+        """Hold a task whose run has ended there until that end is recorded."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
             return
         is_current = task.runs_as(end.run, upstream)
-        # A run that was given up with its lease may have ended well before that.
-        is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is EndKind.DONE
+        # A run that was abandoned with its lease may have succeeded before that.
+        is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is RunEndKind.DONE
         if is_done_after_all:
             self.unqueue(end.task)
         if is_current or is_done_after_all or task.phase is TaskPhase.UNKNOWN:
             task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
-            task.phase = TaskPhase.NOTING
+            task.phase = TaskPhase.RECORDING
             task.run = RunNumber(max(task.run, end.run))
-            task.noted = (upstream, end.run)
+            task.unrecorded_end = (upstream, end.run)
 
-    def doubt(self, job: OpenJob) -> None:
-        """Hold the tasks of a job that wait for room: another host may have begun them.
+    def mark_unknown(self, job: OpenJob) -> None:
+        """Mark the tasks of a job as unknown: another host may have begun them.
 
-        So are those that run here, should they have to begin again.
+        Queued ones are held from now on; those that run here, should they have to begin again.
         """
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.QUEUED:
@@ -271,7 +280,7 @@
             task.is_unknown = True
 
     def queue_unknown(self, job: OpenJob) -> None:
-        """Queue the unknown tasks of a job: nothing of them can run any more."""
+        """Queue the unknown tasks of a job: no run of them can be active any more."""
         for task in job.tasks.values():
             if task.phase is TaskPhase.UNKNOWN:
                 task.phase = TaskPhase.BLOCKED
@@ -280,25 +289,25 @@
             self.unblock(job, occurrence)
 
     def close_if_ended(self, id: JobId, now: timedelta) -> None:
-        """Drop a job whose record says that it has ended, and have its runs stopped."""
+        """Close a job whose record says that it has ended, and have its runs stopped."""
         job = self.jobs.get(id)
         if job is None or job.record.is_open:
             return
         del self.jobs[id]
-        self._kept.discard(id)
+        self._durable.discard(id)
         self._timed.pop(id, None)
         if job.record.spec.best_effort and job.record.state is not JobState.CANCELLED:
-            # A job that was given up may be submitted again, and then runs again.
+            # A job that was abandoned may be submitted again, and then runs again.
             self.ended[id] = (job.record.state, now)
         if any(task.phase is TaskPhase.QUEUED for task in job.tasks.values()):
             self.backlog.drop_job(id)
         for ref, task in job.tasks.items():
-            if task.phase is TaskPhase.RUNNING and task.life is not None:
-                self._lives.want_stop(task.life, ref, task.run)
-                self.left_behind[id] = now
+            if task.phase is TaskPhase.RUNNING and task.instance is not None:
+                self._instances.request_stop(task.instance, ref, task.run)
+                self.closed_while_running[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
-            # Its caller may send it again, to another host that decides.
-            self._lives.dispute(id)
+            # Its caller may send it again, to another coordinator.
+            self._instances.mark_disputed(id)
         took_ms = to_milliseconds(now - job.opened_at)
         objective_ms = to_milliseconds(job.objective)
         if job.record.state is not JobState.COMPLETED:
@@ -307,7 +316,7 @@
             name = "job_late"
         else:
             name = "job_ended"
-        self._term.note(
+        self._term.log_decision(
             name,
             {
                 "job": id,
@@ -316,47 +325,51 @@
                 "objective_ms": objective_ms,
             },
         )
-        self._term.on_end(id)
+        self._term.on_job_end(id)
 
     def reject(self, job: OpenJob, reason: str, wait: timedelta, now: timedelta) -> None:
-        """End a job of which nothing has run, and tell its caller when to come back."""
+        """End a job of which nothing has run, and tell its caller when to retry."""
         self._term.counts.rejected_jobs += 1
         self.rejections[job.record.id] = Rejection(reason=reason, retry_after=wait)
-        self._term.note("job_rejected", {"job": job.record.id, "wait_ms": to_milliseconds(wait)})
+        self._term.log_decision(
+            "job_rejected", {"job": job.record.id, "wait_ms": to_milliseconds(wait)}
+        )
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
-    def give_up(self, job: OpenJob, now: timedelta) -> None:
-        """End a job of which something may have run, and which would end too late for any use."""
+    def abandon(self, job: OpenJob, now: timedelta) -> None:
+        """End a job that may have run in part and would end too late to be of any use."""
         self._term.counts.given_up_jobs += 1
-        self.given_up.add(job.record.id)
+        self.abandoned.add(job.record.id)
         end_job(job.record, JobState.CANCELLED, self._term.wall_ms())
         self.close_if_ended(job.record.id, now)
 
     def forget_ended(self, now: timedelta) -> None:
-        """Forget how jobs ended long enough ago."""
+        """Forget jobs that ended long enough ago."""
         if now < self._forget_at:
             return
-        self._forget_at = now + KEEP_ENDED
-        limit = now - KEEP_ENDED
+        self._forget_at = now + ENDED_JOB_RETENTION
+        limit = now - ENDED_JOB_RETENTION
         self.ended = {id: end for id, end in self.ended.items() if end[1] >= limit}
         self.rejections.clear()
-        self.given_up.clear()
-        self.left_behind = {id: at for id, at in self.left_behind.items() if at >= limit}
+        self.abandoned.clear()
+        self.closed_while_running = {
+            id: at for id, at in self.closed_while_running.items() if at >= limit
+        }
 
     def find_ended(self, id: JobId) -> JobState | None:
-        """Return how a job that need not be kept ended a short while ago."""
+        """Return how a best-effort job ended a short while ago, or None."""
         ended = self.ended.get(id)
         return ended[0] if ended is not None else None
 
     def is_open(self, id: JobId) -> bool:
-        """Whether a job is under way here."""
+        """Whether a job is open here."""
         return id in self.jobs
 
     def is_ending(self, id: JobId) -> bool:
-        """Whether all that is left of a job runs or has ended, so that it may end at any moment."""
+        """Whether all remaining tasks run or have ended, so that the job may end at any moment."""
         job = self.jobs.get(id)
-        last = (TaskPhase.RUNNING, TaskPhase.NOTING)
+        last = (TaskPhase.RUNNING, TaskPhase.RECORDING)
         if job is None or id in self._timed:
             return False
         return all(task.phase in last for task in job.tasks.values())
@@ -370,24 +383,24 @@
         return JobState.RUNNING if has_begun else JobState.QUEUED
 
     def count_pending(self, host: str, prefix: str) -> int:
-        """Return how many jobs of a queue have had no start yet."""
+        """Return how many jobs of a queue have not begun."""
         return sum(
             1
             for job in self.jobs.values()
             if not job.has_begun and job.record.queue.key == (host, prefix)
         )
 
-    def keeps_any(self) -> bool:
-        """Whether a job is open that must be kept."""
-        return bool(self._kept)
+    def has_durable_jobs(self) -> bool:
+        """Whether a durable job is open."""
+        return bool(self._durable)
 
     def count_jobs(self) -> int:
         """Return how many jobs are open."""
         return len(self.jobs)
 
 
-def find_longest_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
+def find_max_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
     """Return how long a step may wait for its start, with a margin for longer run times."""
     slack = objective - chain
     for_run_times = slack - timedelta(milliseconds=queue.target_latency_ms)
-    return slack - max(for_run_times, timedelta()) * START_MARGIN
+    return slack - max(for_run_times, timedelta()) * START_MARGIN_SHARE
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -1,7 +1,7 @@
-"""The replicated record: jobs, their ends, the known upstreams and the configuration.
+"""The replicated state: jobs, their run ends, the known upstreams and the configuration.
 
-Every host of the log applies the same commands in the same order, so nothing here may depend on a
-clock or on chance.
+Every host applies the same commands in the same order, so nothing here may depend on a clock or on
+randomness.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     CordonUpstreams,
     DoubtCapacities,
     ForgetJobs,
-    NoteCrash,
-    NoteEnds,
+    RecordCrash,
+    RecordRunEnds,
     RemoveUpstreams,
     ResizeUpstream,
     SetConfiguration,
@@ -30,26 +30,26 @@
 )
 from .crashes import (
     KEEP_SUSPECTS_MS,
+    NO_ACTIVE_TASKS,
     NO_CRASHES,
-    NO_WORK,
     ONE_CRASH,
     ONE_LOSS,
     ONE_UNANSWERED,
-    AtWork,
+    ActiveTasks,
     CrashCounts,
     LostRuns,
     SuspectRecord,
 )
 from .evacuations import EvacuationRecord, Evacuations
-from .identity import find_birth, get_name
+from .identity import find_start_ms, get_upstream_name
 from .model import (
     Configuration,
-    EndKind,
-    EndReport,
     JobId,
     JobSpec,
     JobState,
     Queue,
+    RunEndKind,
+    RunEndReport,
     TaskRef,
     UpstreamInfo,
     Value,
@@ -58,7 +58,7 @@
 
 
 class TaskRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What is kept of one task."""
+    """Stored state of one task."""
 
     is_done: bool = False
     failed_runs: int = 0
@@ -70,7 +70,7 @@
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """What is kept of one job; the payload goes when the job ends."""
+    """Stored state of one job; the payload is dropped when the job ends."""
 
     id: JobId
     queue: Queue
@@ -87,49 +87,50 @@
         return not self.state.is_final
 
     def get_task(self, ref: TaskRef) -> TaskRecord:
-        """Return the record of a task, to be read only."""
-        return self.tasks.get(_name(ref), _NEW_TASK)
+        """Return the record of a task, for reading only."""
+        return self.tasks.get(_build_task_key(ref), _NEW_TASK)
 
-    def open_task(self, ref: TaskRef) -> TaskRecord:
-        """Return the record of a task, to be changed."""
-        return self.tasks.setdefault(_name(ref), TaskRecord())
+    def get_or_add_task(self, ref: TaskRef) -> TaskRecord:
+        """Return the record of a task for changing, adding it if necessary."""
+        return self.tasks.setdefault(_build_task_key(ref), TaskRecord())
 
     def list_refs(self, occurrence: int) -> Iterator[TaskRef]:
-        """Return every task of one occurrence."""
+        """Yield every task of one occurrence."""
         for number, step in enumerate(self.spec.steps):
             for index in range(step.count):
                 yield TaskRef(self.id, occurrence, number, index)
 
     def is_step_done(self, occurrence: int, number: int) -> bool:
-        """Whether every task of a step has ended as done in one occurrence."""
+        """Return whether every task of a step is done in one occurrence."""
         step = self.spec.steps[number]
         refs = (TaskRef(self.id, occurrence, number, index) for index in range(step.count))
         return all(self.get_task(ref).is_done for ref in refs)
 
     @property
     def task_count(self) -> int:
-        """How many tasks the job has, in all its occurrences."""
+        """Number of tasks of the job, in all its occurrences."""
         return sum(step.count for step in self.spec.steps) * self.spec.occurrences
 
 
 class UpstreamRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """A known life of an upstream, and up to which of its ends note was taken."""
+    """A known instance of an upstream, and the number of its last recorded run end."""
 
     info: UpstreamInfo
-    noted: int = 0
+    recorded_through: int = msgspec.field(name="noted", default=0)
     draining: bool = False
     is_cordoned: bool = False
-    """Whether no leader has anything at work there."""
+    """Whether no leader has anything active there."""
     sequence: int = 0
-    """Of the heartbeat that told its capacity: an older one says nothing of it."""
+    """Sequence number of the heartbeat that reported the capacity; older heartbeats do not change
+    it."""
     is_capacity_doubted: bool = False
-    """Whether a heartbeat has been missed since."""
-    lost: AtWork = NO_WORK
-    """What was at work there when it fell out of sight, until it answers again."""
+    """Whether a heartbeat has been missed since then."""
+    lost: ActiveTasks = NO_ACTIVE_TASKS
+    """Tasks that were active when it became unreachable, kept until it answers again."""
 
 
-class Saved(Value, frozen=True):
-    """The whole state, as a snapshot holds it."""
+class RecordsSnapshot(Value, frozen=True):
+    """The whole state as a snapshot stores it."""
 
     configuration: Configuration | None
     jobs: tuple[JobRecord, ...]
@@ -138,11 +139,11 @@
     evacuations: tuple[EvacuationRecord, ...] = ()
 
 
-_decoder = msgspec.json.Decoder(Saved)
+_decoder = msgspec.json.Decoder(RecordsSnapshot)
 
 
 class Records:
-    """The state machine under the replicated log."""
+    """The state machine of the replicated log."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
@@ -153,9 +154,9 @@
         self.evacuations = Evacuations()
 
     def apply(self, command: Command) -> None:
-        """Carry out one committed command; one that comes twice changes nothing the second time."""
-        if isinstance(command, NoteEnds):
-            self._note_ends(command)
+        """Apply one committed command; applying it again changes nothing."""
+        if isinstance(command, RecordRunEnds):
+            self._record_run_ends(command)
         elif isinstance(command, AcceptJob):
             self._accept(command)
         elif isinstance(command, CancelJob):
@@ -182,9 +183,9 @@
             for upstream in command.upstreams:
                 self._set_cordoned(upstream, True)
             for each in command.lost:
-                self._note_lost(each)
-        elif isinstance(command, NoteCrash):
-            self._note_crash(command)
+                self._record_lost_runs(each)
+        elif isinstance(command, RecordCrash):
+            self._record_crash(command)
         elif isinstance(command, UncordonUpstream):
             self._set_cordoned(command.upstream, False)
         elif isinstance(command, SetEvacuation):
@@ -194,7 +195,7 @@
 
     def encode(self) -> str:
         """Return the whole state as the data of a snapshot."""
-        saved = Saved(
+        saved = RecordsSnapshot(
             configuration=self.configuration,
             jobs=tuple(self.jobs.values()),
             upstreams=tuple(self.upstreams.values()),
@@ -204,34 +205,41 @@
         return msgspec.json.encode(saved).decode()
 
     def restore(self, data: str) -> None:
-        """Replace the whole state by that of a snapshot; an empty one is the beginning."""
-        saved = _decoder.decode(data) if data else Saved(configuration=None, jobs=(), upstreams=())
-        self.put_in_force(saved.configuration)
+        """Replace the whole state by that of a snapshot; empty data gives the initial state."""
+        saved = (
+            _decoder.decode(data)
+            if data
+            else RecordsSnapshot(configuration=None, jobs=(), upstreams=())
+        )
+        self.activate_configuration(saved.configuration)
         self.jobs = {job.id: job for job in saved.jobs}
         self.upstreams = {record.info.id: record for record in saved.upstreams}
         self.suspects = {suspect.task: suspect for suspect in saved.suspects}
         self.evacuations = Evacuations(saved.evacuations)
 
     def find_leaving(self, id: UpstreamId) -> UpstreamRecord | None:
-        """Return the life that leaves under an id, which may not tell when that life began.
+        """Return the instance that leaves under an id, which may lack the start time.
 
-        One that has said so before, else the newest of that name.
+        Without a start time, an instance of that name that is already leaving is preferred, then
+        the newest.
         """
         if id in self.upstreams:
             return self.upstreams[id]
-        if find_birth(id) is not None:
+        if find_start_ms(id) is not None:
             return None
-        alike = [each for each in self.upstreams.values() if get_name(each.info.id) == id]
+        alike = [each for each in self.upstreams.values() if get_upstream_name(each.info.id) == id]
         draining = [each for each in alike if each.draining]
-        return max(draining or alike, key=lambda each: find_birth(each.info.id) or 0, default=None)
+        return max(
+            draining or alike, key=lambda each: find_start_ms(each.info.id) or 0, default=None
+        )
 
-    def find_crashes(self, task: TaskRef) -> CrashCounts:
-        """Return how often upstreams have ended under a task."""
+    def get_crash_counts(self, task: TaskRef) -> CrashCounts:
+        """Return the counts of upstream ends under a task."""
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
 
-    def put_in_force(self, configuration: Configuration | None) -> None:
-        """Decide by a configuration from now on."""
+    def activate_configuration(self, configuration: Configuration | None) -> None:
+        """Use a configuration from now on."""
         self.configuration = configuration
         self.queues = None if configuration is None else QueueIndex(configuration=configuration)
 
@@ -250,31 +258,31 @@
         if job is not None and job.is_open:
             end_job(job, JobState.CANCELLED, command.at_ms)
 
-    def _note_ends(self, command: NoteEnds) -> None:
+    def _record_run_ends(self, command: RecordRunEnds) -> None:
         upstream = self.upstreams.get(command.upstream)
-        noted = upstream.noted if upstream is not None else 0
+        recorded_through = upstream.recorded_through if upstream is not None else 0
         for end in command.ends:
             job = self.jobs.get(end.task.job)
-            if end.number > noted and job is not None:
-                note_end(job, end, command.at_ms)
+            if end.number > recorded_through and job is not None:
+                record_run_end(job, end, command.at_ms)
         if upstream is not None:
-            upstream.noted = max(noted, command.through)
+            upstream.recorded_through = max(recorded_through, command.through)
 
     def _set_cordoned(self, upstream: UpstreamId, is_cordoned: bool) -> None:
         record = self.upstreams.get(upstream)
         if record is not None:
             record.is_cordoned = is_cordoned
             if not is_cordoned:
-                record.lost = NO_WORK
+                record.lost = NO_ACTIVE_TASKS
 
-    def _note_lost(self, lost: LostRuns) -> None:
+    def _record_lost_runs(self, lost: LostRuns) -> None:
         record = self.upstreams.get(lost.upstream)
         if record is not None:
             record.lost = lost.at_work
 
-    def _note_crash(self, command: NoteCrash) -> None:
+    def _record_crash(self, command: RecordCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
-            # Two leaders may have seen the same end.
+            # Two leaders may have seen the same crash.
             return
         for task in command.blamed:
             self._count_crash(task, ONE_CRASH, command.at_ms)
@@ -290,12 +298,12 @@
         }
 
     def _count_crash(self, task: TaskRef, counts: CrashCounts, at_ms: int) -> None:
-        counts = self.find_crashes(task).add(counts)
+        counts = self.get_crash_counts(task).add(counts)
         self.suspects[task] = SuspectRecord(task=task, counts=counts, at_ms=at_ms)
         job = self.jobs.get(task.job)
         if job is None or not job.is_open or job.get_task(task).is_done:
             return
-        if counts.is_given_up:
+        if counts.is_quarantined:
             end_job(job, JobState.FAILED, at_ms)
 
     def _is_open(self, id: JobId) -> bool:
@@ -312,38 +320,38 @@
     def _configure(self, command: SetConfiguration) -> None:
         current = self.configuration
         if current is None or command.configuration.version > current.version:
-            self.put_in_force(command.configuration)
+            self.activate_configuration(command.configuration)
 
 
-def note_end(job: JobRecord, end: EndReport, at_ms: int) -> None:
-    """Take note of the end of one run in the record of its job."""
+def record_run_end(job: JobRecord, end: RunEndReport, at_ms: int) -> None:
+    """Record the end of one run in the record of its job."""
     if not job.is_open:
         return
-    task = job.open_task(end.task)
+    task = job.get_or_add_task(end.task)
     task.last_run = max(task.last_run, end.run)
     if end.checkpoint:
         task.checkpoint = end.checkpoint
     if task.is_done or job.spec.long_running:
-        # A task that lasts is begun again however it ends.
+        # A long-running task is started again however it ends.
         return
-    if end.how is EndKind.DONE:
+    if end.how is RunEndKind.DONE:
         task.is_done = True
         job.done_count += 1
         if job.done_count == job.task_count:
             end_job(job, JobState.COMPLETED, at_ms)
-    elif end.how is EndKind.FAILED:
+    elif end.how is RunEndKind.FAILED:
         task.failed_runs += 1
         if task.failed_runs >= job.queue.max_attempts:
             end_job(job, JobState.FAILED, at_ms)
 
 
 def end_job(job: JobRecord, state: JobState, at_ms: int) -> None:
-    """End a job; what only an open job needs is dropped."""
+    """End a job and drop what only an open job needs."""
     job.state = state
     job.ended_ms = at_ms
     job.tasks = {}
     job.spec = msgspec.structs.replace(job.spec, payload="")
 
 
-def _name(ref: TaskRef) -> str:
+def _build_task_key(ref: TaskRef) -> str:
     return f"{ref.occurrence}.{ref.step}.{ref.place}"
--- a/cottonlug/core/cluster/settlement.py
+++ b/cottonlug/core/cluster/settlement.py
@@ -1,53 +1,58 @@
-"""What an earlier leader may have left at work, and when that is surely over."""
+"""Reconciles what earlier leaders may have started, and tells when none of it can be active."""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
 from ..clock import to_milliseconds
-from .life_table import LifeTable
+from .life_table import InstanceTable
 from .open_job import TaskPhase
 from .open_jobs import OpenJobs
 from .term import Term
 
 
-class Settlement:
-    """Tasks of which it is not known whether they run at an upstream out of sight."""
+class Reconciliation:
+    """Tracks tasks that may be active at an unreachable upstream without this leader knowing."""
 
-    def __init__(self, *, term: Term, lives: LifeTable, jobs: OpenJobs) -> None:
-        self.is_settled = False
-        """Whether all leases of earlier terms have ended, or all upstreams were seen."""
+    def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
+        self.is_reconciled = False
+        """Whether all leases of earlier terms have ended, or all upstreams have answered."""
         self._term = term
-        self._lives = lives
+        self._instances = instances
         self._jobs = jobs
 
     @property
-    def first_phase(self) -> TaskPhase:
-        """The phase of a task that comes up now and may have been begun by an earlier leader."""
-        return TaskPhase.QUEUED if self.is_settled else TaskPhase.UNKNOWN
-
-    def is_unsure(self, *, of_deputies: bool) -> bool:
-        """Whether a run of another leader, or of a deputy as well, may be at work out of sight."""
-        return self._lives.is_any_unseen(of_deputies=of_deputies)
-
-    def note_unsure(self) -> None:
-        """Look again whether tasks are unknown."""
-        self._jobs.has_unsure = True
-
-    def settle(self, now: timedelta) -> None:
-        """Once nothing unknown can run any more, queue what an earlier leader left open."""
-        if not self.is_settled and (not self._lives.unseen or now >= self._term.lapsed_at):
-            self.is_settled = True
+    def initial_phase(self) -> TaskPhase:
+        """The phase of a task that comes up now and that an earlier leader may have started."""
+        return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
+
+    def may_miss_runs(self, *, of_acting_leaders: bool) -> bool:
+        """Return whether a run of another leader may be active at an upstream not seen yet.
+
+        With `of_acting_leaders`, runs of acting leaders count as well.
+        """
+        return self._instances.is_any_unseen(of_acting_leaders=of_acting_leaders)
+
+    def request_recheck(self) -> None:
+        """Check again whether tasks are unknown."""
+        self._jobs.may_have_unknown_tasks = True
+
+    def reconcile(self, now: timedelta) -> None:
+        """Queue what an earlier leader left open, once no unknown run of it can be active."""
+        if not self.is_reconciled and (
+            not self._instances.unseen or now >= self._term.earlier_leases_lapsed_at
+        ):
+            self.is_reconciled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
-            self._term.note(
-                "term_settled", {"term": self._term.number, "unseen": len(self._lives.unseen)}
+            self._term.log_decision(
+                "term_settled", {"term": self._term.number, "unseen": len(self._instances.unseen)}
             )
-        if not self._jobs.has_unsure:
+        if not self._jobs.may_have_unknown_tasks:
             return
-        self._jobs.has_unsure = False
-        is_unsure = {each: self.is_unsure(of_deputies=each) for each in (False, True)}
+        self._jobs.may_have_unknown_tasks = False
+        is_unsure = {each: self.may_miss_runs(of_acting_leaders=each) for each in (False, True)}
         for job in self._jobs.jobs.values():
-            if now >= job.settle_at or not is_unsure[job.may_be_of_deputy]:
+            if now >= job.reconcile_at or not is_unsure[job.may_be_of_acting_leader]:
                 self._jobs.queue_unknown(job)
-            elif job.is_unsure():
-                self._jobs.has_unsure = True
+            elif job.has_unknown_tasks():
+                self._jobs.may_have_unknown_tasks = True
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -1,8 +1,8 @@
-"""Guards against upstreams that fail every task they start.
+"""Probation for upstreams that fail every task they start.
 
-An upstream whose last results are all failures goes on probation: it gets one start after a pause,
-which doubles with every further failure; successes bring it back in steps. At most a set share of
-upstreams is on probation at once, so that a bad job cannot set all of them aside.
+An upstream whose latest results are all failures is put on probation: it gets one start after a
+pause, which doubles with each further failure, and successes raise its limit in steps. The share
+of upstreams on probation at once is bounded, so that one bad job cannot exclude all of them.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 FAILURES_TO_PROBATION = 2
 FIRST_PAUSE = timedelta(seconds=2)
 LONGEST_PAUSE = timedelta(seconds=60)
-FULL_RETURN = 8
-"""Starts at once from which an upstream is off probation."""
+PROBATION_EXIT_LIMIT = 8
+"""Limit of concurrent starts at which probation ends."""
 MAX_PROBATION_SHARE = 0.34
 
 
@@ -29,13 +29,13 @@
 
 
 class FailureGuard:
-    """Consecutive failures of each upstream and the starts it may have at once."""
+    """Tracks consecutive failures of each upstream and limits its concurrent starts."""
 
     def __init__(self) -> None:
         self._records: dict[UpstreamId, _Record] = {}
 
     def record_success(self, upstream: UpstreamId) -> None:
-        """Note a success; on probation it doubles the limit, up to none at all."""
+        """Record a success; on probation it doubles the limit until the limit is lifted."""
         record = self._records.get(upstream)
         if record is None:
             return
@@ -43,40 +43,40 @@
         if record.limit is None:
             return
         record.limit *= 2
-        if record.limit >= FULL_RETURN:
+        if record.limit >= PROBATION_EXIT_LIMIT:
             record.limit = None
             record.pause = FIRST_PAUSE
 
     def record_failure(self, upstream: UpstreamId, now: timedelta) -> bool:
-        """Note a failure; True where it puts the upstream on probation."""
+        """Record a failure; True if it puts the upstream on probation."""
         record = self._records.setdefault(upstream, _Record())
         record.failures += 1
         if record.limit is not None:
             self._pause(record, now)
             return False
-        if record.failures < FAILURES_TO_PROBATION or self._is_share_used_up():
+        if record.failures < FAILURES_TO_PROBATION or self._is_probation_share_reached():
             return False
         self._pause(record, now)
         return True
 
-    def get_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
-        """Return how many starts the upstream may have at once, or None for no limit."""
+    def get_start_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
+        """Return how many concurrent starts the upstream may have, or None for no limit."""
         record = self._records.get(upstream)
         if record is None or record.limit is None:
             return None
         return record.limit if now >= record.paused_until else 0
 
-    def is_limited(self, upstream: UpstreamId) -> bool:
+    def is_on_probation(self, upstream: UpstreamId) -> bool:
         """Whether the upstream is on probation."""
         record = self._records.get(upstream)
         return record is not None and record.limit is not None
 
     def add(self, upstream: UpstreamId) -> None:
-        """Count an upstream as present."""
+        """Count an upstream as connected."""
         self._records.setdefault(upstream, _Record())
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Forget an upstream that is gone."""
+        """Drop the record of an upstream that has disconnected."""
         self._records.pop(upstream, None)
 
     def _pause(self, record: _Record, now: timedelta) -> None:
@@ -84,6 +84,6 @@
         record.paused_until = now + record.pause
         record.pause = min(2 * record.pause, LONGEST_PAUSE)
 
-    def _is_share_used_up(self) -> bool:
+    def _is_probation_share_reached(self) -> bool:
         limited = sum(1 for record in self._records.values() if record.limit is not None)
         return limited + 1 > max(1.0, MAX_PROBATION_SHARE * len(self._records))
--- a/cottonlug/net/apps.py
+++ b/cottonlug/net/apps.py
@@ -1,4 +1,4 @@
-"""What every litestar application here shares: tokens, bounded bodies, typed errors."""
+"""Shared setup of the litestar applications: bearer tokens, body limits and typed errors."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ..core.states import RefusalCode
 from .replies import reply_json, reply_refusal
 
-_CODES = {
+_CODE_BY_STATUS = {
     401: RefusalCode.UNAUTHORIZED,
     404: RefusalCode.NOT_FOUND,
     413: RefusalCode.TOO_LARGE,
@@ -26,7 +26,7 @@
 
 
 def build_guard(token: str) -> Guard:
-    """Return a guard that lets only this bearer token through."""
+    """Return a guard that rejects requests without this bearer token."""
     expected = f"Bearer {token}".encode()
 
     def guard(connection: ASGIConnection[Any, Any, Any, Any], _: BaseRouteHandler) -> None:
@@ -38,7 +38,7 @@
 
 
 def build_app(*, title: str, handlers: Sequence[BaseRouteHandler], max_body_bytes: int) -> Litestar:
-    """Return an application whose errors are typed and whose bodies are bounded."""
+    """Return an application with typed error replies and a limit on request bodies."""
     return Litestar(
         route_handlers=list(handlers),
         exception_handlers={HTTPException: _handle_http_error, Exception: _handle_error},
@@ -49,7 +49,7 @@
 
 
 def _handle_http_error(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
-    code = _CODES.get(error.status_code, RefusalCode.INVALID)
+    code = _CODE_BY_STATUS.get(error.status_code, RefusalCode.INVALID)
     refusal = Refusal(code=code, message=error.detail or str(error.status_code))
     if error.status_code in (401, 404, 413):
         return reply_refusal(refusal)
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -10,14 +10,14 @@
 
 
 class RulesView(Message, omit_defaults=False):
-    """The rules in force at one host."""
+    """The rules that are active at one host."""
 
     version: int
     text: str
 
 
 class ExplainRequest(Message):
-    """A job to ask the rules about."""
+    """The attributes of a job to match against the rules."""
 
     team: TeamName
     kind: KindName
@@ -30,32 +30,32 @@
 
 
 class ExplainedRule(Message):
-    """One rule that was tried; without a mismatch it is the one that counts."""
+    """A rule that was tried; `mismatch` is None for the rule that matched."""
 
     rule: str
     mismatch: str | None = None
 
 
 class ExplainReply(Message, omit_defaults=False):
-    """The rule that counts, or None, and every rule that was tried."""
+    """The rule that matched, or None, and every rule that was tried."""
 
     matched: str | None
     tried: list[ExplainedRule]
 
 
-def explain_rules(listed: list[rules.Rule], asked: ExplainRequest) -> ExplainReply:
-    """Return which rule a job meets and why the earlier ones did not match."""
-    question = rules.Question(
-        team=asked.team,
-        kind=asked.kind,
-        domain=asked.domain,
-        labels=asked.labels,
-        size=asked.size,
-        priority=asked.priority,
-        idempotent=asked.idempotent,
-        time_of_day=asked.time_of_day,
+def explain_rules(listed: list[rules.Rule], request: ExplainRequest) -> ExplainReply:
+    """Find the rule that a job matches and say why the earlier ones did not match."""
+    rule_input = rules.RuleInput(
+        team=request.team,
+        kind=request.kind,
+        domain=request.domain,
+        labels=request.labels,
+        size=request.size,
+        priority=request.priority,
+        idempotent=request.idempotent,
+        time_of_day=request.time_of_day,
     )
-    tried = rules.explain(listed, question)
+    tried = rules.explain(listed, rule_input)
     matched = next((each.rule for each in tried if each.mismatch is None), None)
     return ExplainReply(
         matched=matched,
--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -25,39 +25,39 @@
         "upstreams": len(records.upstreams),
         "evacuations": records.evacuations.records,
     }
-    if host.leading is not None:
+    if host.leadership is not None:
         dump["leading"] = _dump_dispatch(host)
     return dump
 
 
 def _dump_dispatch(host: ControlHost) -> dict[str, Any]:
-    assert host.leading is not None
-    dispatch = host.leading.dispatch
+    assert host.leadership is not None
+    dispatch = host.leadership.dispatch
     return {
-        "now_s": host.leading.read_clock().total_seconds(),
+        "now_s": host.leadership.read_clock().total_seconds(),
         "open_jobs": dispatch.jobs.count_jobs(),
         "waiting_tasks": dispatch.jobs.backlog.count_tasks(),
         "counts": dispatch.counts,
         "upstreams": [
             {
-                "id": life.info.id,
-                "fenced": life.is_fenced,
-                "draining": life.draining,
-                "evacuated": life.is_evacuated,
-                "runs": len(life.runs),
-                "free_cpu": life.free_cpu,
-                "capacity": life.info.capacity,
-                "reported_at_s": _read_seconds(life.reported_at),
-                "refusals": life.refusals,
-                "failed_looks": life.failed_looks,
+                "id": instance.info.id,
+                "fenced": instance.is_fenced,
+                "draining": instance.draining,
+                "evacuated": instance.is_evacuated,
+                "runs": len(instance.runs),
+                "free_cpu": instance.free_cpu,
+                "capacity": instance.info.capacity,
+                "reported_at_s": _read_seconds(instance.reported_at),
+                "refusals": instance.refusals,
+                "failed_looks": instance.failed_polls,
             }
-            for life in dispatch.lives.values()
+            for instance in dispatch.instances.values()
         ],
     }
 
 
 def _read_seconds(moment: timedelta | None) -> float | None:
-    """Return a moment in seconds on the clock of `now_s`."""
+    """Return a time in seconds on the same clock as `now_s`."""
     return moment.total_seconds() if moment is not None else None
 
 
@@ -66,8 +66,8 @@
     return {
         "ready": gateway.is_ready(),
         "stopping": gateway.is_stopping,
-        "decider": gateway.decider,
+        "decider": gateway.coordinator,
         "via": gateway.link.via.value,
-        "is_deputy": gateway.deputy is not None,
+        "is_deputy": gateway.acting_leader is not None,
         "hosts": gateway.hosts,
     }
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -1,4 +1,4 @@
-"""A control host: a replica of the log that answers calls, as leader or by asking the leader."""
+"""A control host: a replica of the log that answers calls itself or forwards them to the leader."""
 
 from __future__ import annotations
 
@@ -9,58 +9,61 @@
 import msgspec
 from returns.result import Failure as Err
 
-from ..config.cluster import ControlSettings, OrdersBy
+from ..config.cluster import ControlSettings, OrderDelivery
 from ..core.clock import Clock
 from ..core.cluster.calls import (
     Answer,
-    Beat,
     Call,
     Evacuate,
-    Greet,
-    Heard,
+    ForwardHeartbeat,
+    KeepAlive,
     Outcome,
+    ReportHeartbeats,
     Submit,
     answer_decoder,
     call_decoder,
 )
-from ..core.cluster.forecast import find_last_use
-from ..core.cluster.lives import LeaseTerms, choose_terms
-from ..core.cluster.reports import LONGEST_ELECTION, ReportTerms
+from ..core.cluster.forecast import find_latest_useful_start
+from ..core.cluster.instances import LeaseTerms, choose_lease_terms
+from ..core.cluster.reports import MAX_ELECTION_TIME, ReportTerms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
 from ..net.asgi import HttpRequest, HttpResponse
 from ..net.connections import ConnectionPools, parse_address
 from .events import Event, log_event
-from .gateways import GATEWAY_SILENT
-from .heartbeat_desk import HeartbeatDesk
-from .heartbeat_port import DELIVERY
-from .job_lines import JobLines
-from .leading import Leading, LeadingSettings
+from .gateways import GATEWAY_TIMEOUT
+from .heartbeat_port import MAX_DELIVERY_DELAY
+from .heartbeat_responder import HeartbeatResponder
+from .idempotent_calls import IdempotentCalls
+from .job_lines import JobChannelServer
+from .leadership import Leadership, LeadershipSettings
 from .membership import JOIN_PATH, JoinRequest
 from .messenger import MESSAGES_PATH
-from .order_desk import OrderDesk
-from .peer_calls import CALL_PATH, GREETING_PASSED, PASS_ON_TIMEOUT, decode_greeting
+from .peer_calls import CALL_PATH, FORWARD_TIMEOUT, KEEPALIVE_FORWARD_TIMEOUT, decode_keepalive
 from .ports import UpstreamPort
 from .replica import HELLO_PATH, Replica, ReplicaSettings
 from .replicated import ReplicatedRecords
 
-PASSED_ON = "x-passed-on"
-"""Header of a call that another control host passed on, so that none goes round in circles."""
-CHECK_SECONDS = 0.025
-TELL_TIMEOUT = timedelta(milliseconds=500)
-"""Longer than a busy leader takes; the next heartbeats tell the same again."""
-GREETING_KEPT = timedelta(milliseconds=70)
-"""Less than a gateway waits for its answer (100 ms)."""
-LED_CHECK_SECONDS = 0.01
-WITHOUT_LEASE = timedelta(seconds=1)
-"""A leader that had no lease for so long lets another lead; an election takes 0.7 s."""
+FORWARDED_HEADER = "x-passed-on"
+"""Header of a call forwarded by another control host; such a call is not forwarded again."""
+LEADERSHIP_CHECK_SECONDS = 0.025
+HEARTBEAT_REPORT_TIMEOUT = timedelta(milliseconds=500)
+"""Longer than a busy leader takes to answer; a lost report is repeated by the next heartbeats."""
+KEEPALIVE_PARK_TIME = timedelta(milliseconds=70)
+"""How long a keep-alive is parked without a leader; its gateway waits 100 ms for the answer."""
+LEADER_CHECK_SECONDS = 0.01
+MAX_TIME_WITHOUT_LEASE = timedelta(seconds=1)
+"""A leader without a lease for this long transfers leadership; an election takes 0.7 s."""
 LOG_CHECK_SECONDS = 0.04
-"""The leader's answer, which tells an upstream where to go, comes sooner as a rule."""
-_OPEN = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
-GIVE_WAY_EVERY = timedelta(milliseconds=100)
-FIRST_TRY = timedelta(milliseconds=400)
-"""Whoever sends an order waits 1 s for the answer, and a commit takes 20 ms: without an answer by
-then the connection may have gone silent, and a second try still comes in time."""
+"""How often the local log is checked while the leader is asked.
+
+The leader's answer, which names the host for an upstream's next heartbeats, usually comes sooner.
+"""
+_UNDECIDED = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
+STEP_DOWN_RETRY_INTERVAL = timedelta(milliseconds=100)
+FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=400)
+"""The sender of an idempotent call waits 1 s for the answer, and a commit takes 20 ms. Without an
+answer by then the connection may have gone silent, and a second attempt still succeeds in time."""
 
 
 class ControlHost:
@@ -74,28 +77,30 @@
         port: UpstreamPort,
         on_failure: Callable[[BaseException], None],
     ) -> None:
-        self.leading: Leading | None = None
+        self.leadership: Leadership | None = None
         self.replicated = ReplicatedRecords()
-        self.record_greeting_age: Callable[[float], object] = lambda age_ms: None
-        """Called with how old each greeting of a gateway was when it was taken in."""
-        self.record_hold: Callable[[float], object] = lambda held_ms: None
-        """Called with the milliseconds between two decisions, where there are more than usual."""
+        self.record_keepalive_age: Callable[[float], object] = lambda age_ms: None
+        """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
+        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
+        """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
         self._clock = clock
         self._port = port
         self._on_failure = on_failure
         self._pools = ConnectionPools(port=settings.urgent_port)
         self._order_pools = ConnectionPools(port=settings.urgent_port)
-        """For orders alone: what is passed on for gateways is given up, and its connection closed,
-        as soon as it is late, and a busy leader takes new ones in late."""
-        self._job_lines = JobLines(answer=self.answer, clock=clock, find_slack=self._find_slack)
-        self._desk = OrderDesk(
+        """Used for idempotent calls only. A call forwarded for a gateway is abandoned and its
+        connection closed as soon as it is late, and a busy leader accepts new connections late."""
+        self._job_lines = JobChannelServer(
+            answer=self.answer, clock=clock, find_slack=self._find_slack
+        )
+        self._idempotent_calls = IdempotentCalls(
             host=settings.host,
             clock=clock,
             get_records=lambda: self.replicated.records,
-            orders_by_heartbeat=settings.orders is OrdersBy.HEARTBEAT,
+            orders_by_heartbeat=settings.orders is OrderDelivery.HEARTBEAT,
         )
-        self.heartbeats = HeartbeatDesk(
+        self.heartbeat_responder = HeartbeatResponder(
             control_address=str(settings.listen.control),
             clock=clock,
             get_records=lambda: self.replicated.records,
@@ -103,11 +108,11 @@
         self._is_stopping = False
         self._had_lease = False
         self._leased_at = clock.monotonic()
-        self._gave_way_at = clock.monotonic()
-        self._led_at: timedelta | None = None
-        """When this host last knew another leader, and had heard it `LONGEST_ELECTION` before."""
-        self._gave_way_in = Term(0)
-        """The last term that this host gave up: it decides nothing in it any more."""
+        self._step_down_tried_at = clock.monotonic()
+        self._other_leader_seen_at: timedelta | None = None
+        """When this host last knew another leader, heard at most `LONGEST_ELECTION` before that."""
+        self._stepped_down_in = Term(0)
+        """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
         self.replica = Replica(
             settings=ReplicaSettings(
@@ -118,81 +123,83 @@
                 urgent_port=settings.urgent_port,
             ),
             clock=clock,
-            machine=self.replicated,
-            on_progress=self._check_leading,
+            state_machine=self.replicated,
+            on_progress=self._update_leadership,
             on_failure=on_failure,
         )
 
     async def start(self) -> str | None:
-        """Begin to take part; return why that failed, or None."""
+        """Start the replica and the background tasks; return an error message, or None."""
         error = await self.replica.start()
         self._tasks.append(asyncio.create_task(self._check_forever()))
-        self._tasks.append(asyncio.create_task(self.heartbeats.tell_forever(self._tell_leader)))
+        self._tasks.append(
+            asyncio.create_task(self.heartbeat_responder.report_forever(self._report_heartbeats))
+        )
         return error
 
-    async def hand_over(self) -> None:
-        """Stop leading, if this host does, and have another voter take over."""
+    async def transfer_leadership(self) -> None:
+        """Stop leading, if this host is the leader, and transfer leadership to another voter."""
         self._is_stopping = True
-        self._check_leading()
-        self._give_way()
+        self._update_leadership()
+        self._step_down_if_unfit()
 
     async def stop(self) -> None:
-        """Stop taking part."""
+        """Stop the background tasks, leadership and the replica, and close all connections."""
         self._is_stopping = True
         for task in self._tasks:
             task.cancel()
-        self._check_leading()
+        self._update_leadership()
         await self.replica.stop()
         self._pools.close()
         self._order_pools.close()
 
-    async def answer(self, call: Call, *, passed_on: bool = False) -> Answer:
-        """Answer a call here, if this host leads, or by asking the leader."""
-        if isinstance(call, Greet):
-            await self._wait_until_led()
-        if isinstance(call, Evacuate) and not passed_on:
-            call = await self._desk.receive(call)
-        leading = self.leading
-        if leading is not None and (self.replica.has_lease() or leading.needs_no_lease(call)):
-            answer = await leading.answer(call)
-            return self._add_hosts(answer) if isinstance(call, Greet) else answer
+    async def answer(self, call: Call, *, is_forwarded: bool = False) -> Answer:
+        """Answer a call here if this host is the leader, else forward it to the leader."""
+        if isinstance(call, KeepAlive):
+            await self._wait_for_leader()
+        if isinstance(call, Evacuate) and not is_forwarded:
+            call = await self._idempotent_calls.assign_order_id(call)
+        leadership = self.leadership
+        if leadership is not None and (self.replica.has_lease() or leadership.needs_no_lease(call)):
+            answer = await leadership.answer(call)
+            return self._add_hosts(answer) if isinstance(call, KeepAlive) else answer
         leader = self.replica.leader_host
         is_own = leader == str(self._settings.listen.peers)
-        if passed_on or leader is None or is_own:
-            if self._desk.is_in_log(call):
+        if is_forwarded or leader is None or is_own:
+            if self._idempotent_calls.is_committed(call):
                 return Answer(outcome=Outcome.DONE)
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="no leader"))
-        if isinstance(call, Greet) and call.is_probe:
+        if isinstance(call, KeepAlive) and call.is_probe:
             return self._add_hosts(Answer(outcome=Outcome.UNAVAILABLE, detail="not the leader"))
-        if isinstance(call, Greet):
-            answer = await self._pass_on(leader, call, GREETING_PASSED, self._pools)
-            # Whoever greets learns at least that this host is alive.
+        if isinstance(call, KeepAlive):
+            answer = await self._forward(leader, call, KEEPALIVE_FORWARD_TIMEOUT, self._pools)
+            # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
-        if isinstance(call, Beat) and self._settings.orders is OrdersBy.CALL:
-            taken = self.heartbeats.take(call.heartbeat)
+        if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrderDelivery.CALL:
+            taken = self.heartbeat_responder.answer_routine(call.heartbeat)
             if taken is not None:
                 return taken
-        if self._desk.is_order(call):
-            return await self._pass_order_on(leader, call)
-        return await self._pass_on(leader, call, PASS_ON_TIMEOUT, self._pools)
+        if self._idempotent_calls.is_idempotent(call):
+            return await self._forward_idempotent(leader, call)
+        return await self._forward(leader, call, FORWARD_TIMEOUT, self._pools)
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Take jobs in, and answer greetings where this host leads; None for all else.
+        """Accept jobs and, as leader, answer keep-alives without a task; None for other requests.
 
-        A gateway takes its jobs elsewhere after two greetings without an answer within 0.1 s.
+        A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
         taken = self._job_lines.handle_at_once(request)
         if taken is not None:
             return taken
-        if self.leading is None or not self.replica.has_lease():
+        if self.leadership is None or not self.replica.has_lease():
             return None
-        greeting = decode_greeting(request)
-        if greeting is None:
+        keepalive = decode_keepalive(request)
+        if keepalive is None:
             return None
-        return _reply(self._add_hosts(self.leading.answer_greeting(greeting)))
+        return _reply(self._add_hosts(self.leadership.answer_keepalive(keepalive)))
 
-    async def handle_peer(self, request: HttpRequest) -> HttpResponse:
-        """Answer a request of another host of the cluster."""
+    async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
+        """Answer a request from another host of the cluster."""
         try:
             if self._job_lines.handles(request.path):
                 return await self._job_lines.handle(request)
@@ -201,46 +208,46 @@
                 return _reply(self.replica.receive(batch))
             if request.path == CALL_PATH:
                 call = call_decoder.decode(request.body)
-                return _reply(await self.answer(call, passed_on=PASSED_ON in request.headers))
+                return _reply(
+                    await self.answer(call, is_forwarded=FORWARDED_HEADER in request.headers)
+                )
             if request.path == JOIN_PATH:
                 join = msgspec.json.decode(request.body, type=JoinRequest)
-                return _reply(self.replica.take_join(join))
+                return _reply(self.replica.record_join(join))
             if request.path == HELLO_PATH:
-                return _reply(self.replica.greet())
+                return _reply(self.replica.build_hello())
         except msgspec.MsgspecError as error:
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=404)
 
-    # Parts
-
-    async def _tell_leader(self, heard: Heard) -> Answer:
-        """Tell another host that leads whose heartbeats were answered here."""
+    async def _report_heartbeats(self, heard: ReportHeartbeats) -> Answer:
+        """Report to the leader which upstreams' heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no other host leads")
-        return await self._pass_on(leader, heard, TELL_TIMEOUT, self._pools)
+        return await self._forward(leader, heard, HEARTBEAT_REPORT_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
-        """Return for how many seconds a job may wait to be of use; 0 where that is not known."""
+        """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
         queues = self.replicated.records.queues
-        found = queues.find(call.host, call.path) if queues is not None else None
+        found = queues.find_queue(call.host, call.path) if queues is not None else None
         if found is None:
             return 0.0
-        return find_last_use(found[0], call.spec).total_seconds() - call.waited_ms / 1000
+        return find_latest_useful_start(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
-    async def _wait_until_led(self) -> None:
-        """Keep a greeting until somebody leads, so that gateways learn of a leader at once."""
-        give_up_at = self._clock.monotonic() + GREETING_KEPT
+    async def _wait_for_leader(self) -> None:
+        """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
+        give_up_at = self._clock.monotonic() + KEEPALIVE_PARK_TIME
         while self._clock.monotonic() < give_up_at and not self._is_stopping:
             leader = self.replica.leader_host
             if leader is not None and leader != str(self._settings.listen.peers):
                 return
-            if self.leading is not None and self.replica.has_lease():
+            if self.leadership is not None and self.replica.has_lease():
                 return
-            await asyncio.sleep(LED_CHECK_SECONDS)
+            await asyncio.sleep(LEADER_CHECK_SECONDS)
 
     def _add_hosts(self, answer: Answer) -> Answer:
-        """Return an answer with what a gateway needs to find its way."""
+        """Return an answer with the leader, the hosts and the body limit that a gateway needs."""
         configuration = self.replicated.records.configuration
         return msgspec.structs.replace(
             answer,
@@ -249,50 +256,50 @@
             max_body_bytes=configuration.max_body_bytes if configuration is not None else None,
         )
 
-    def _choose_terms(self) -> LeaseTerms:
+    def _choose_lease_terms(self) -> LeaseTerms:
         settings = self._settings
-        terms = choose_terms(settings.longest_lease, settings.caller_retry, GATEWAY_SILENT)
-        if settings.orders is OrdersBy.HEARTBEAT:
-            return LeaseTerms(longest=settings.longest_lease, delivery=DELIVERY)
+        terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
+        if settings.orders is OrderDelivery.HEARTBEAT:
+            return LeaseTerms(longest=settings.longest_lease, delivery=MAX_DELIVERY_DELAY)
         return terms
 
-    async def _pass_order_on(self, leader: str, call: Call) -> Answer:
-        """Pass a call on that may be carried out twice; done once the log says so here, too.
+    async def _forward_idempotent(self, leader: str, call: Call) -> Answer:
+        """Forward an idempotent call; it is done as soon as the local log shows it as committed.
 
-        A leader with too much to do answers late, but what it has put into the log is in force.
+        An overloaded leader answers late, but what it has committed to the log is already active.
         """
-        asking = asyncio.create_task(self._ask_twice(leader, call))
+        asking = asyncio.create_task(self._forward_with_retry(leader, call))
         try:
             while not asking.done():
                 await asyncio.wait([asking], timeout=LOG_CHECK_SECONDS)
-                if not asking.done() and self._desk.is_in_log(call):
+                if not asking.done() and self._idempotent_calls.is_committed(call):
                     return Answer(outcome=Outcome.DONE)
             answer = asking.result()
-            if answer.outcome in _OPEN and self._desk.is_in_log(call):
+            if answer.outcome in _UNDECIDED and self._idempotent_calls.is_committed(call):
                 return Answer(outcome=Outcome.DONE)
             return answer
         finally:
             asking.cancel()
 
-    async def _ask_twice(self, leader: str, call: Call) -> Answer:
-        """Ask the leader, and again over a new connection if need be."""
+    async def _forward_with_retry(self, leader: str, call: Call) -> Answer:
+        """Forward a call, and repeat it over a new connection if there is no answer in time."""
         pools = self._order_pools
-        answer = await self._pass_on(leader, call, FIRST_TRY, pools)
+        answer = await self._forward(leader, call, FIRST_ATTEMPT_TIMEOUT, pools)
         if answer.outcome is not Outcome.UNKNOWN:
             return answer
         address = parse_address(leader)
         assert address is not None, "members are named by their addresses"
         pools.get(address).drop_idle()
-        return await self._pass_on(leader, call, PASS_ON_TIMEOUT - FIRST_TRY, pools)
+        return await self._forward(leader, call, FORWARD_TIMEOUT - FIRST_ATTEMPT_TIMEOUT, pools)
 
-    async def _pass_on(
+    async def _forward(
         self, leader: str, call: Call, timeout: timedelta, pools: ConnectionPools
     ) -> Answer:
         address = parse_address(leader)
         assert address is not None, "members are named by their addresses"
         body = msgspec.json.encode(call)
         pool = pools.get(address)
-        headers = {PASSED_ON: "1"}
+        headers = {FORWARDED_HEADER: "1"}
         sent = await pool.call("POST", CALL_PATH, body, timeout=timeout, headers=headers)
         if isinstance(sent, Err):
             error = sent.failure()
@@ -305,67 +312,67 @@
 
     async def _check_forever(self) -> None:
         while True:
-            self._note_led()
-            self._check_leading()
-            self._note_lease()
-            self._give_way()
-            await asyncio.sleep(CHECK_SECONDS)
-
-    def _give_way(self) -> None:
-        """Have another voter lead, again and again, while this one does and is not to.
-
-        A host that is always late keeps its office by answers that arrive, but may be without a
-        lease for good, since that counts from when it sent; and one that is about to stop may be
-        made leader by another that stops.
+            self._record_other_leader()
+            self._update_leadership()
+            self._log_lease_change()
+            self._step_down_if_unfit()
+            await asyncio.sleep(LEADERSHIP_CHECK_SECONDS)
+
+    def _step_down_if_unfit(self) -> None:
+        """Transfer leadership, repeatedly, while this host leads but has no lease or is stopping.
+
+        The answers to a host that is always late keep it leader, but it may never hold a lease,
+        because a lease counts from when the messages were sent. A host that is about to stop may
+        be made leader by another one that stops.
         """
         now = self._clock.monotonic()
         is_fit = self.replica.has_lease() and not self._is_stopping
-        if not self.replica.is_leader or (is_fit and self.replica.term != self._gave_way_in):
+        if not self.replica.is_leader or (is_fit and self.replica.term != self._stepped_down_in):
             self._leased_at = now
             return
-        if not self._is_stopping and now - self._leased_at < WITHOUT_LEASE:
+        if not self._is_stopping and now - self._leased_at < MAX_TIME_WITHOUT_LEASE:
             return
-        if now - self._gave_way_at >= GIVE_WAY_EVERY:
-            self._gave_way_at = now
-            # Its lease may come back while the other is elected: two would decide.
-            self._gave_way_in = self.replica.term
-            self._check_leading()
-            self.replica.hand_over()
-
-    def _note_led(self) -> None:
+        if now - self._step_down_tried_at >= STEP_DOWN_RETRY_INTERVAL:
+            self._step_down_tried_at = now
+            # Its lease may come back while the other one is elected: two hosts would schedule.
+            self._stepped_down_in = self.replica.term
+            self._update_leadership()
+            self.replica.transfer_leadership()
+
+    def _record_other_leader(self) -> None:
         if self.replica.leader_host not in (None, str(self._settings.listen.peers)):
-            self._led_at = self._clock.monotonic()
+            self._other_leader_seen_at = self._clock.monotonic()
 
     def _find_known_until(self, reports: ReportTerms) -> timedelta:
-        """Return until when this host can count on the capacities in its record as a new leader."""
-        if self._led_at is None:
+        """Return until when this host, as a new leader, can rely on the recorded capacities."""
+        if self._other_leader_seen_at is None:
             return timedelta()
-        return reports.find_known_until(self._led_at - LONGEST_ELECTION)
+        return reports.find_valid_until(self._other_leader_seen_at - MAX_ELECTION_TIME)
 
-    def _check_leading(self) -> None:
-        """Begin or end to lead as the log says."""
+    def _update_leadership(self) -> None:
+        """Start or end leadership according to the replicated log."""
         replica = self.replica
         leads = (
             replica.is_leader
             and not self._is_stopping
-            and replica.term != self._gave_way_in
+            and replica.term != self._stepped_down_in
             and self.replicated.ready_term == replica.term
         )
-        if self.leading is not None and (not leads or self.leading.term != replica.term):
-            self.leading.stop()
-            self.leading = None
-        if leads and self.leading is None:
+        if self.leadership is not None and (not leads or self.leadership.term != replica.term):
+            self.leadership.stop()
+            self.leadership = None
+        if leads and self.leadership is None:
             self._had_lease = True
             reports = self._settings.reports
-            self.leading = Leading(
+            self.leadership = Leadership(
                 authority=replica,
                 replicated=self.replicated,
                 port=self._port,
                 clock=self._clock,
                 on_failure=self._on_failure,
-                settings=LeadingSettings(
-                    terms=self._choose_terms(),
-                    orders_by_heartbeat=self._settings.orders is OrdersBy.HEARTBEAT,
+                settings=LeadershipSettings(
+                    lease_terms=self._choose_lease_terms(),
+                    orders_by_heartbeat=self._settings.orders is OrderDelivery.HEARTBEAT,
                     keep_ended=self._settings.keep_ended,
                     caller_retry=self._settings.caller_retry,
                     domains=frozenset({*self._settings.domains, self._settings.domain}),
@@ -374,22 +381,22 @@
                     known_until=self._find_known_until(reports),
                 ),
             )
-            self.leading.gateways.record_age = self.record_greeting_age
-            self.leading.record_hold = self.record_hold
+            self.leadership.gateways.record_age = self.record_keepalive_age
+            self.leadership.record_decision_gap = self.record_decision_gap
 
-    def _note_lease(self) -> None:
-        """Log when the right to decide ends or comes back while this host leads."""
-        if self.leading is None:
+    def _log_lease_change(self) -> None:
+        """Log when the lease, and with it the right to schedule, is lost or regained."""
+        if self.leadership is None:
             return
         has_lease = self.replica.has_lease()
         if has_lease == self._had_lease:
             return
         self._had_lease = has_lease
         if has_lease:
-            log_event(Event.LEASE_REGAINED, term=int(self.leading.term))
+            log_event(Event.LEASE_REGAINED, term=int(self.leadership.term))
         else:
-            unheard = self.replica.list_unheard()
-            log_event(Event.LEASE_LOST, term=int(self.leading.term), unheard=unheard)
+            unheard = self.replica.list_silent_voters()
+            log_event(Event.LEASE_LOST, term=int(self.leadership.term), unheard=unheard)
 
 
 def _reply(message: msgspec.Struct) -> HttpResponse:
--- a/cottonlug/runtime/gateways.py
+++ b/cottonlug/runtime/gateways.py
@@ -1,4 +1,4 @@
-"""The gateways that whoever decides has heard, and the rosters that it gives them."""
+"""The gateways that the coordinator knows, and the failover state that it sends them."""
 
 from __future__ import annotations
 
@@ -6,166 +6,180 @@
 from datetime import timedelta
 
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Contact, GatewayInfo, Greet, Roster
+from ..core.cluster.calls import Contact, FailoverState, GatewayInfo, KeepAlive
+from ..core.cluster.failover_state import FailoverStateLog
 from ..core.cluster.records import Records
-from ..core.cluster.rosters import RosterLog
 from ..core.ids import DomainName
 from .events import Event, log_event
 
-GATEWAY_SILENT = timedelta(milliseconds=300)
-"""Jobs of a gateway not heard for so long are given up; it takes them elsewhere no sooner."""
-CHECK_SUBMISSIONS = timedelta(milliseconds=10)
-"""Each vouches for its job for a span of its own; half of the time between two decisions."""
-PARTS_A_SECOND = 600
-"""Large parts of rosters, for all gateways: 140 Mbit/s, and a tenth of the time of a leader.
-Whoever is not served now asks with its next greeting."""
+GATEWAY_TIMEOUT = timedelta(milliseconds=300)
+"""Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
+move them to another coordinator any sooner."""
+SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
+"""Each submission confirms its own job for a span of its own; half of the time between two
+scheduling rounds."""
+MAX_PARTS_PER_SECOND = 600
+"""Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
+CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
-LATE_GREETING = timedelta(milliseconds=150)
-"""A greeting takes some milliseconds; one that took as long was held up, on its way or here."""
-LATE_LINE_EVERY = timedelta(seconds=1)
-"""How often a line is written about late greetings: a leader held up gets them from everybody."""
+LATE_KEEPALIVE_AGE = timedelta(milliseconds=150)
+"""A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
+LATE_LOG_INTERVAL = timedelta(seconds=1)
+"""Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
+gateways' keep-alives are late."""
 
 
-class Gateways:
-    """Gateways by the address that they greet with."""
+class GatewayRegistry:
+    """Known gateways by the address that they send in keep-alives."""
 
     def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
-        self.log = RosterLog(term=term, takes_calls=takes_calls)
+        self.failover_log = FailoverStateLog(term=term, takes_calls=takes_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
-        """Called with how old each greeting was when it was taken in, in milliseconds."""
-        self._vouched_until = timedelta()
-        """Until when the newest submission, or greeting, vouches for anything."""
+        """Called with the age of each keep-alive when it was handled, in milliseconds."""
+        self._confirmed_until = timedelta()
+        """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
-        """Until then no gateway falls silent."""
+        """Until then no gateway can exceed the contact timeout."""
         self.on_silence: Callable[[str], object] = lambda gateway: None
-        """Called when a gateway that was silent is counted on again."""
+        """Called when a gateway is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
-        """Called when another process than before greets from the address of a gateway."""
+        """Called when a keep-alive comes from a new process at the address of a gateway."""
         self._token = token
         self._clock = clock
-        self._late_line_due = timedelta()
+        self._late_log_due = timedelta()
         self._sent_at: dict[str, timedelta] = {}
-        """When each gateway last sent something, at the earliest, as its contacts tell."""
+        """Earliest time at which each gateway can have sent its last message, by its contacts."""
         self._domains: dict[str, DomainName] = {}
-        self._lives: dict[str, int] = {}
-        self._keeps_jobs = False
-        self._parts_left = float(PARTS_A_SECOND)
+        self._instances: dict[str, int] = {}
+        self._has_durable_jobs = False
+        self._parts_left = float(MAX_PARTS_PER_SECOND)
         self._parts_at = clock.monotonic()
 
-    def note_kept_jobs(self, are_open: bool) -> None:
-        """Tell whether jobs are under way that must be kept."""
-        if are_open != self._keeps_jobs:
-            self._keeps_jobs = are_open
-            self.log.note_other()
+    def record_durable_jobs(self, are_open: bool) -> None:
+        """Record whether any durable jobs are open."""
+        if are_open != self._has_durable_jobs:
+            self._has_durable_jobs = are_open
+            self.failover_log.record_other_change()
 
-    def take_greeting(self, greeting: Greet) -> None:
-        """Know a gateway, and count on it for as long as its contact allows."""
-        gateway = greeting.gateway
+    def handle_keepalive(self, keepalive: KeepAlive) -> None:
+        """Record a gateway and its contact, if that is recent enough."""
+        gateway = keepalive.gateway
         if not gateway:
             return
         if gateway not in self._domains:
-            self._domains[gateway] = greeting.domain
-            self.log.note_other()
-        if self._lives.setdefault(gateway, greeting.life) != greeting.life:
-            self._lives[gateway] = greeting.life
+            self._domains[gateway] = keepalive.domain
+            self.failover_log.record_other_change()
+        if self._instances.setdefault(gateway, keepalive.instance) != keepalive.instance:
+            self._instances[gateway] = keepalive.instance
             self.on_restart(gateway)
-        sent_at = self.find_sent(gateway, greeting.contact)
+        sent_at = self.find_send_time(gateway, keepalive.contact)
         if sent_at is not None:
-            self._vouch(gateway, sent_at)
+            self._record_contact(gateway, sent_at)
 
-    def find_sent(self, gateway: str, contact: Contact | None) -> timedelta | None:
-        """Return when something was sent, at the earliest; None where it counts no more.
+    def find_send_time(self, gateway: str, contact: Contact | None) -> timedelta | None:
+        """Return the earliest time at which a message was sent, or None if it does not count.
 
-        It counts from the sending, never from the arrival: a gateway takes its jobs elsewhere by
-        when it was last answered, and what was held up on its way or here says nothing of that.
+        A message does not count if it is too old or has a contact of another coordinator.
+
+        The timeout counts from sending, never from arrival: a gateway moves its jobs to another
+        coordinator depending on when it was last answered, and a message that was delayed in the
+        network or here says nothing about that.
         """
         if contact is None or contact.token != self._token:
             return None
         now = self._clock.monotonic()
         sent_at = timedelta(milliseconds=contact.answered_ms + contact.since_ms)
-        self._note_age(gateway, now - sent_at, now)
-        if now - sent_at >= GATEWAY_SILENT:
+        self._record_keepalive_age(gateway, now - sent_at, now)
+        if now - sent_at >= GATEWAY_TIMEOUT:
             return None
-        self._vouched_until = max(self._vouched_until, sent_at + GATEWAY_SILENT)
-        self._check_at = min(self._check_at, sent_at + GATEWAY_SILENT)
+        self._confirmed_until = max(self._confirmed_until, sent_at + GATEWAY_TIMEOUT)
+        self._check_at = min(self._check_at, sent_at + GATEWAY_TIMEOUT)
         return sent_at
 
-    def _vouch(self, gateway: str, sent_at: timedelta) -> None:
-        """Count on a gateway; what it had submitted before a silence it has taken elsewhere."""
+    def _record_contact(self, gateway: str, sent_at: timedelta) -> None:
+        """Record contact with a gateway; call `on_silence` if it had timed out.
+
+        A gateway has moved the jobs that it submitted before a timeout to another coordinator.
+        """
         known = self._sent_at.get(gateway)
-        if known is not None and not self.is_heard(gateway):
+        if known is not None and not self.is_connected(gateway):
             self.on_silence(gateway)
         self._sent_at[gateway] = max(sent_at, known or sent_at)
 
-    def make_contact(self) -> Contact:
-        """Return what a gateway that is answered now is to return."""
+    def build_contact(self) -> Contact:
+        """Return the contact that a gateway sends back after an answer that is sent now."""
         return Contact(token=self._token, answered_ms=to_milliseconds(self._clock.monotonic()))
 
-    def _note_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
+    def _record_keepalive_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
-        if age >= LATE_GREETING and now >= self._late_line_due:
-            self._late_line_due = now + LATE_LINE_EVERY
-            log_event(Event.GREETING_LATE, gateway=gateway, age_ms=to_milliseconds(age))
+        if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
+            self._late_log_due = now + LATE_LOG_INTERVAL
+            log_event(Event.KEEPALIVE_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
-    def is_heard(self, gateway: str) -> bool:
-        """Whether a gateway was heard lately."""
+    def is_connected(self, gateway: str) -> bool:
+        """Return whether the last contact with a gateway is within the timeout."""
         sent_at = self._sent_at.get(gateway)
-        return sent_at is not None and self._clock.monotonic() - sent_at < GATEWAY_SILENT
+        return sent_at is not None and self._clock.monotonic() - sent_at < GATEWAY_TIMEOUT
 
-    def may_be_silent(self) -> bool:
-        """Whether a gateway may have fallen silent since this last said so.
+    def may_have_timed_out(self) -> bool:
+        """Return whether a gateway may have timed out since this method last returned True.
 
-        Decisions are thousands a second, and silence comes by the clock.
+        The caller asks thousands of times a second, while timeouts depend on the clock alone, so
+        this check is cheap.
         """
         now = self._clock.monotonic()
         if now < self._check_at:
             return False
-        heard = (at + GATEWAY_SILENT for at in self._sent_at.values() if now - at < GATEWAY_SILENT)
-        self._check_at = min(heard, default=NEVER)
-        if now < self._vouched_until:
-            self._check_at = min(self._check_at, now + CHECK_SUBMISSIONS)
+        expiries = (
+            at + GATEWAY_TIMEOUT for at in self._sent_at.values() if now - at < GATEWAY_TIMEOUT
+        )
+        self._check_at = min(expiries, default=NEVER)
+        if now < self._confirmed_until:
+            self._check_at = min(self._check_at, now + SUBMISSION_CHECK_INTERVAL)
         return True
 
     def find_domain(self, gateway: str) -> DomainName | None:
-        """Return the failure domain of a gateway that was heard."""
+        """Return the failure domain of a known gateway."""
         return self._domains.get(gateway)
 
-    def is_any_heard(self) -> bool:
-        """Whether any gateway was heard lately."""
-        return any(self.is_heard(gateway) for gateway in self._sent_at)
+    def is_any_connected(self) -> bool:
+        """Return whether the last contact with any gateway is within the timeout."""
+        return any(self.is_connected(gateway) for gateway in self._sent_at)
 
-    def may_stand_in(self, domains: set[DomainName]) -> bool:
-        """Whether a gateway that was not heard lately may stand in for upstreams of these domains.
+    def may_act_as_leader(self, domains: set[DomainName]) -> bool:
+        """Return whether a disconnected gateway may act as leader for upstreams of these domains.
 
-        None can where each of the domains has gateways, and all that were ever heard are in touch.
+        None can if each of the domains has a known gateway and all known gateways are connected.
         """
         if not domains <= set(self._domains.values()):
             return True
-        return not all(self.is_heard(gateway) for gateway in self._domains)
+        return not all(self.is_connected(gateway) for gateway in self._domains)
 
-    def build_roster(self, records: Records, known: str) -> Roster | None:
-        """Return what a gateway that has the version `known` must learn next, or None.
+    def build_failover_state(self, records: Records, known: str) -> FailoverState | None:
+        """Return the next part of the failover state for a gateway that has the version `known`.
 
-        Also None where that has to wait: see `is_current`.
+        None if there is nothing new, and also if a large part has to wait: see `is_current`.
         """
         gateways = tuple(
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.log.is_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_large(records, known) and not self._may_send_part():
             return None
-        return self.log.build(records, gateways, keeps_jobs=self._keeps_jobs, known=known)
+        return self.failover_log.build(
+            records, gateways, keeps_jobs=self._has_durable_jobs, known=known
+        )
 
     def is_current(self, known: str) -> bool:
-        """Whether a gateway that has this version has all there is to know."""
-        return known == self.log.version
+        """Return whether this is the latest version of the failover state."""
+        return known == self.failover_log.version
 
     def _may_send_part(self) -> bool:
-        """Whether one more large part may be sent now, and count it if so."""
+        """Return whether another large part may be sent now, and count it if so."""
         now = self._clock.monotonic()
-        earned = (now - self._parts_at).total_seconds() * PARTS_A_SECOND
+        earned = (now - self._parts_at).total_seconds() * MAX_PARTS_PER_SECOND
         self._parts_at = now
-        self._parts_left = min(self._parts_left + earned, float(PARTS_A_SECOND))
+        self._parts_left = min(self._parts_left + earned, float(MAX_PARTS_PER_SECOND))
         if self._parts_left < 1.0:
             return False
         self._parts_left -= 1.0
--- a/cottonlug/runtime/vouching.py
+++ b/cottonlug/runtime/vouching.py
@@ -1,7 +1,8 @@
-"""What a gateway tells of itself with what it sends to whoever decides.
+"""Confirmations that a gateway adds to the calls that it sends to the coordinator.
 
-Whoever decides goes on with a gateway's jobs only while something vouches for them (`Contact`); the
-gateway vouches to nobody any more once it has left, and for nothing that it waits for no more.
+The coordinator continues a gateway's jobs only while they are confirmed (`Contact`). A gateway no
+longer confirms anything to a coordinator that it has stopped following, nor any job that it no
+longer waits for.
 """
 
 from __future__ import annotations
@@ -12,62 +13,64 @@
 import msgspec
 
 from ..core.clock import Clock, to_milliseconds
-from ..core.cluster.calls import Answer, Call, Contact, GivenUp, Greet, Submit
+from ..core.cluster.calls import AbandonedSubmission, Answer, Call, Contact, KeepAlive, Submit
 
-GIVEN_UP_TOLD = timedelta(seconds=1)
-"""For so long greetings tell it: whoever gets none of them for a third of that gives all up."""
-MOST_GIVEN_UP = 256
-"""In a second of a gateway: 20 KB of a greeting."""
+ABANDONED_REPORT_PERIOD = timedelta(seconds=1)
+"""How long keep-alives report an abandoned submission. A coordinator that gets no keep-alive for a
+third of this time abandons all jobs of the gateway."""
+MAX_ABANDONED = 256
+"""Abandoned submissions of a gateway within a second: 20 KB of a keep-alive."""
 
 
-class Vouching:
-    """The contact with whoever decides, and what was given up lately."""
+class Confirmations:
+    """The last contact with the coordinator, and the submissions abandoned lately."""
 
-    def __init__(self, *, own: str, clock: Clock) -> None:
-        self.life = int(clock.now().timestamp() * 1000)
-        """Names this process: no earlier one at this address has begun at the same millisecond."""
-        self._own = own
+    def __init__(self, *, own_address: str, clock: Clock) -> None:
+        self.instance = int(clock.now().timestamp() * 1000)
+        """Identifies this process by its start time in milliseconds: no earlier process at this
+        address started in the same millisecond."""
+        self._own_address = own_address
         self._clock = clock
         self._contact: Contact | None = None
-        """What whoever decides gave with its last answer, and when that arrived."""
+        """Contact from the last answer of the coordinator; `_contact_at` is when it arrived."""
         self._contact_at = clock.monotonic()
-        self._given_up: deque[tuple[timedelta, GivenUp]] = deque(maxlen=MOST_GIVEN_UP)
-        """What is waited for no more, and since when."""
-        self._silent_until = timedelta()
+        self._abandoned: deque[tuple[timedelta, AbandonedSubmission]] = deque(maxlen=MAX_ABANDONED)
+        """Abandoned submissions, with the time when each was abandoned."""
+        self._paused_until = timedelta()
 
-    def take(self, answer: Answer) -> None:
-        """Keep the contact that came with an answer of whoever decides."""
+    def record_contact(self, answer: Answer) -> None:
+        """Record the contact in an answer of the coordinator."""
         self._contact = answer.contact
         self._contact_at = self._clock.monotonic()
 
-    def end(self) -> None:
-        """Vouch to nobody any more, since calls go elsewhere."""
+    def clear_contact(self) -> None:
+        """Stop confirming, since calls go to another coordinator."""
         self._contact = None
 
-    def note_given_up(self, given_up: GivenUp) -> None:
-        """Tell whoever is greeted in the next while that a submission is waited for no more."""
+    def record_abandoned(self, submission: AbandonedSubmission) -> None:
+        """Report a submission as abandoned with the keep-alives of the next second."""
         now = self._clock.monotonic()
-        if len(self._list_given_up()) >= MOST_GIVEN_UP:
-            # Not all can be told: until the oldest need not be, nothing is vouched for at all.
-            self._silent_until = now + GIVEN_UP_TOLD
-        self._given_up.append((now, given_up))
+        if len(self._list_abandoned()) >= MAX_ABANDONED:
+            # Not all can be reported: confirm nothing until the oldest need not be reported.
+            self._paused_until = now + ABANDONED_REPORT_PERIOD
+        self._abandoned.append((now, submission))
 
     def stamp(self, call: Call) -> Call:
-        """Return a call of this gateway with its contact, as of now; others as they are."""
-        if not isinstance(call, Greet | Submit) or call.gateway != self._own:
+        """Return a call of this gateway with its current contact; other calls are unchanged."""
+        if not isinstance(call, KeepAlive | Submit) or call.gateway != self._own_address:
             return call
-        if isinstance(call, Greet):
-            call = msgspec.structs.replace(call, given_up=self._list_given_up())
+        if isinstance(call, KeepAlive):
+            call = msgspec.structs.replace(call, abandoned=self._list_abandoned())
         return msgspec.structs.replace(call, contact=self._find_contact())
 
     def _find_contact(self) -> Contact | None:
-        if self._contact is None or self._clock.monotonic() < self._silent_until:
+        if self._contact is None or self._clock.monotonic() < self._paused_until:
             return None
         since = self._clock.monotonic() - self._contact_at
         return msgspec.structs.replace(self._contact, since_ms=to_milliseconds(since))
 
-    def _list_given_up(self) -> tuple[GivenUp, ...]:
-        oldest = self._clock.monotonic() - GIVEN_UP_TOLD
-        while self._given_up and self._given_up[0][0] < oldest:
-            self._given_up.popleft()
-        return tuple(given_up for _, given_up in self._given_up)
+    def _list_abandoned(self) -> tuple[AbandonedSubmission, ...]:
+        oldest = self._clock.monotonic() - ABANDONED_REPORT_PERIOD
+        while self._abandoned and self._abandoned[0][0] < oldest:
+            self._abandoned.popleft()
+        return tuple(submission for _, submission in self._abandoned)
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -1,9 +1,10 @@
 """The journal of one consensus member: an append-only file of checksummed records.
 
 A record is its payload's length, the CRC-32 of that length and the CRC-32 of the payload (4 bytes
-each, big endian), then the payload in JSON. A tail that is too short, or that ends in zeros, was
-torn by a crash before it was synced, so nobody counted on it: it is cut. Anything else that does
-not check is damage: the journal refuses to open, since cutting it could lose an accepted change.
+each, big endian), then the payload in JSON. A tail that is too short, or that ends in zeros, is a
+write that a crash cut short before it was synced, so nothing relied on it: it is cut off. Any other
+checksum or decoding error is damage: the journal refuses to open, since cutting off the rest could
+lose an accepted change.
 """
 
 from __future__ import annotations
@@ -30,13 +31,13 @@
 )
 from .files import Files
 
-JOURNAL = "journal"
+JOURNAL_FILE = "journal"
 _LENGTH = struct.Struct(">I")
 _HEADER = struct.Struct(">III")
 _NO_INDEX = Index(0)
 _NO_HARD_STATE = HardState(term=Term(0))
 EMPTY_SNAPSHOT = Snapshot(index=_NO_INDEX, term=Term(0), members=Members(voters=()), data="")
-"""What a new disk holds: no state and no members."""
+"""Snapshot of a new disk: no state and no members."""
 
 
 class IdentityRecord(Record, frozen=True, tag="identity"):
@@ -46,13 +47,13 @@
 
 
 class HardStateRecord(Record, frozen=True, tag="hard_state"):
-    """Term and vote."""
+    """The current term and vote."""
 
     hard_state: HardState
 
 
 class SnapshotRecord(Record, frozen=True, tag="snapshot"):
-    """A snapshot; entries up to its index are gone."""
+    """A snapshot; it replaces all entries up to its index."""
 
     snapshot: Snapshot
 
@@ -64,13 +65,13 @@
 
 
 class TruncateRecord(Record, frozen=True, tag="truncate"):
-    """The entry at `first` and all after it are void."""
+    """The entry at `first` and all after it are discarded."""
 
     first: Index
 
 
 class AppliedRecord(Record, frozen=True, tag="applied"):
-    """Everything up to `index` is in force here and must be again after a restart."""
+    """Everything up to `index` has been applied here and must be applied again after a restart."""
 
     index: Index
 
@@ -84,21 +85,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StorageError:
-    """The data folder cannot be used; `damaged` where its content does not check."""
+    """The data folder cannot be used; `damaged` if its content is corrupt."""
 
     message: str
     damaged: bool
 
 
 @dataclass(slots=True)
-class _Content:
+class _JournalContent:
     member: MemberId | None = None
     hard_state: HardState = _NO_HARD_STATE
     snapshot: Snapshot = EMPTY_SNAPSHOT
     entries: list[Entry] = field(default_factory=list)
     applied: Index = _NO_INDEX
 
-    def take(self, record: JournalRecord) -> None:
+    def apply_record(self, record: JournalRecord) -> None:
         """Replay one record."""
         if isinstance(record, IdentityRecord):
             self.member = record.member
@@ -117,9 +118,11 @@
 
 
 class Journal:
-    """What one member has saved; after a failed write it takes no more."""
+    """What one member has saved; after a failed write it accepts no further records."""
 
-    def __init__(self, *, files: Files, member: MemberId, content: _Content, cut: int) -> None:
+    def __init__(
+        self, *, files: Files, member: MemberId, content: _JournalContent, cut: int
+    ) -> None:
         self.member = member
         self.cut_bytes = cut
         self._files = files
@@ -139,12 +142,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether this disk has never taken part."""
+        """Whether this disk has never taken part in the consensus."""
         content = self._content
         return content.hard_state.term == 0 and content.snapshot.index == 0 and not content.entries
 
     def save(self, output: Output) -> Result[None, StorageError]:
-        """Save and sync what a member put out; nothing of it may be sent before."""
+        """Save and sync a member's output; its messages must not be sent before this returns."""
         records: list[JournalRecord] = []
         if output.hard_state is not None:
             records.append(HardStateRecord(hard_state=output.hard_state))
@@ -156,34 +159,34 @@
         return self._append(records) if records else Success(None)
 
     def save_applied(self, index: Index) -> Result[None, StorageError]:
-        """Save and sync how far the log is in force here."""
+        """Save and sync the index up to which the log has been applied here."""
         return self._append([AppliedRecord(index=index)])
 
     def _append(self, records: list[JournalRecord]) -> Result[None, StorageError]:
         if self._failed is not None:
             return Err(self._failed)
-        data = b"".join(_frame(record) for record in records)
+        data = b"".join(_encode_record(record) for record in records)
         try:
-            self._files.append(JOURNAL, data)
+            self._files.append(JOURNAL_FILE, data)
         except OSError as error:
-            return self._fail(error)
+            return self._record_write_failure(error)
         for record in records:
-            self._content.take(record)
+            self._content.apply_record(record)
         return Success(None)
 
     def _rewrite(
         self, snapshot: Snapshot, restore: bool, records: list[JournalRecord]
     ) -> Result[None, StorageError]:
-        """Replace the file by the snapshot and what follows it."""
+        """Replace the file by the snapshot and the records that follow it."""
         if self._failed is not None:
             return Err(self._failed)
         content = self._content
         for record in records:
-            content.take(record)
+            content.apply_record(record)
         kept = [] if restore else [e for e in content.entries if e.index > snapshot.index]
-        content.take(SnapshotRecord(snapshot=snapshot))
+        content.apply_record(SnapshotRecord(snapshot=snapshot))
         content.entries = kept
-        whole: list[JournalRecord] = [
+        rewritten: list[JournalRecord] = [
             IdentityRecord(member=self.member),
             HardStateRecord(hard_state=content.hard_state),
             SnapshotRecord(snapshot=snapshot),
@@ -191,103 +194,109 @@
             AppliedRecord(index=content.applied),
         ]
         try:
-            self._files.replace(JOURNAL, b"".join(_frame(record) for record in whole))
+            self._files.replace(
+                JOURNAL_FILE, b"".join(_encode_record(record) for record in rewritten)
+            )
         except OSError as error:
-            return self._fail(error)
+            return self._record_write_failure(error)
         return Success(None)
 
-    def _fail(self, error: OSError) -> Result[None, StorageError]:
-        # What reached the disk is not known any more, so nothing may be added to it.
+    def _record_write_failure(self, error: OSError) -> Result[None, StorageError]:
+        # It is unknown how much of the write reached the disk, so nothing may be appended to it.
         message = f"cannot write the journal: {error.strerror or error}"
         self._failed = StorageError(message=message, damaged=False)
         return Err(self._failed)
 
 
 def open_journal(files: Files, new_member: MemberId) -> Result[Journal, StorageError]:
-    """Open a journal, cutting a torn tail, or begin one under the new member id."""
+    """Open a journal and cut off a torn tail, or create one with the new member id."""
     try:
-        data = files.read(JOURNAL)
+        data = files.read(JOURNAL_FILE)
         if not data:
-            files.replace(JOURNAL, _frame(IdentityRecord(member=new_member)))
-            return Success(Journal(files=files, member=new_member, content=_Content(), cut=0))
-        # An earlier process may have ended between a write and its sync.
-        files.sync(JOURNAL)
+            files.replace(JOURNAL_FILE, _encode_record(IdentityRecord(member=new_member)))
+            return Success(
+                Journal(files=files, member=new_member, content=_JournalContent(), cut=0)
+            )
+        # An earlier process may have been killed between a write and its sync.
+        files.sync(JOURNAL_FILE)
         replayed = _replay(data)
         if isinstance(replayed, Err):
             return Err(replayed.failure())
-        content, good = replayed.unwrap()
-        if good < len(data):
-            files.truncate(JOURNAL, good)
+        content, valid_size = replayed.unwrap()
+        if valid_size < len(data):
+            files.truncate(JOURNAL_FILE, valid_size)
     except OSError as error:
         message = f"cannot use the data folder: {error.strerror or error}"
         return Err(StorageError(message=message, damaged=False))
     if content.member is None:
         return Err(StorageError(message="the journal has no identity", damaged=True))
-    journal = Journal(files=files, member=content.member, content=content, cut=len(data) - good)
+    journal = Journal(
+        files=files, member=content.member, content=content, cut=len(data) - valid_size
+    )
     return Success(journal)
 
 
-def _frame(record: JournalRecord) -> bytes:
+def _encode_record(record: JournalRecord) -> bytes:
     payload = msgspec.json.encode(record)
     length_check = zlib.crc32(_LENGTH.pack(len(payload)))
     return _HEADER.pack(len(payload), length_check, zlib.crc32(payload)) + payload
 
 
-def _replay(data: bytes) -> Result[tuple[_Content, int], StorageError]:
-    content = _Content()
-    at = 0
-    while at < len(data):
-        payload = _read_payload(data, at)
+def _replay(data: bytes) -> Result[tuple[_JournalContent, int], StorageError]:
+    content = _JournalContent()
+    offset = 0
+    while offset < len(data):
+        payload = _read_payload(data, offset)
         if payload is None:
-            if _is_torn(data, at):
+            if _is_torn_write(data, offset):
                 break
-            return Err(_report_damage(at))
+            return Err(_report_damage(offset))
         try:
-            content.take(_decoder.decode(payload))
+            content.apply_record(_decoder.decode(payload))
         except msgspec.MsgspecError:
-            return Err(_report_damage(at))
-        at += _HEADER.size + len(payload)
-    return Success((content, at))
+            return Err(_report_damage(offset))
+        offset += _HEADER.size + len(payload)
+    return Success((content, offset))
 
 
-def _read_payload(data: bytes, at: int) -> bytes | None:
-    """Return the payload of the record at a place, or None where it does not check."""
-    length = _read_length(data, at)
+def _read_payload(data: bytes, offset: int) -> bytes | None:
+    """Return the payload of the record at an offset, or None if its checksums do not match."""
+    length = _read_length(data, offset)
     if length is None:
         return None
-    start = at + _HEADER.size
+    start = offset + _HEADER.size
     payload = data[start : start + length]
-    _, _, checksum = _HEADER.unpack_from(data, at)
+    _, _, checksum = _HEADER.unpack_from(data, offset)
     if len(payload) < length or zlib.crc32(payload) != checksum:
         return None
     return payload
 
 
-def _read_length(data: bytes, at: int) -> int | None:
-    """Return the length that a record's header gives, or None where the header does not check."""
-    if at + _HEADER.size > len(data):
+def _read_length(data: bytes, offset: int) -> int | None:
+    """Return the payload length in a record's header, or None if the header is not valid."""
+    if offset + _HEADER.size > len(data):
         return None
-    length, length_check, _ = _HEADER.unpack_from(data, at)
+    length, length_check, _ = _HEADER.unpack_from(data, offset)
     if length == 0 or zlib.crc32(_LENGTH.pack(length)) != length_check:
         return None
     return int(length)
 
 
-def _is_torn(data: bytes, at: int) -> bool:
-    """Whether the rest can only be a write that a crash cut short."""
-    rest = len(data) - at
+def _is_torn_write(data: bytes, offset: int) -> bool:
+    """Whether the rest of the file can only be a write that a crash cut short."""
+    rest = len(data) - offset
     if rest < _HEADER.size:
         return True
-    length = _read_length(data, at)
+    length = _read_length(data, offset)
     if length is not None and rest < _HEADER.size + length:
         return True
-    # A payload is JSON and never ends with a zero byte; a write cut short leaves zeros behind it.
+    # A payload is JSON and never ends with a zero byte; a write cut short can leave trailing zeros.
     return data.endswith(b"\0")
 
 
-def _report_damage(at: int) -> StorageError:
+def _report_damage(offset: int) -> StorageError:
     message = (
-        f"the journal is damaged at byte {at}; this disk cannot be trusted: empty the data folder, "
-        "and the host joins again as a new member"
+        f"the journal is damaged at byte {offset}; this disk cannot be trusted: empty the data "
+        "folder, and the host joins again as a new member"
     )
     return StorageError(message=message, damaged=True)
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -1,8 +1,9 @@
-"""Control hosts in simulated time: the real ones, on a model of machines, links and disks.
+"""The real control hosts in simulated time, on a model of machines, links and disks.
 
-Each host has one thread, as a process has: its callbacks run in turn and take time, a frozen host
-runs none until it thaws, and a killed one never again. Links delay, hold up what was sent while
-they are cut, and leave connections silent. A day of eight hosts takes a second or two.
+Each host has one thread, like a process: its callbacks run one after another and take time, a
+frozen host runs none until it is resumed, and a killed one never again. Links have delays, hold
+back what is sent while they are cut, and may leave connections silent. Simulating a scenario with
+eight hosts takes a second or two.
 """
 
 from __future__ import annotations
@@ -29,15 +30,15 @@
     ControlSettings,
     GatewayListeners,
     GatewaySettings,
-    OrdersBy,
+    OrderDelivery,
 )
 from ..config.logs import LogSettings
 from ..config.options import Address
-from ..core.cluster.calls import Greet
-from ..core.cluster.model import LookReply
+from ..core.cluster.calls import KeepAlive
+from ..core.cluster.model import PollReply
 from ..core.cluster.orders import (
     CallFailure,
-    LookOrder,
+    PollOrder,
     StartOrder,
     StartOutcome,
     StopOrder,
@@ -55,42 +56,42 @@
 
 CONTROL_PORT = 80
 PEER_PORT = 90
-LINK = 0.0005
-"""Seconds that a message is under way."""
+LINK_DELAY_SECONDS = 0.0005
+"""How long a message takes to arrive."""
 CONNECT_SECONDS = 0.5
-FIRST_RESEND = 0.2
-"""After so many seconds, and then twice as long each time, lost bytes are sent again."""
+FIRST_RETRANSMIT_SECONDS = 0.2
+"""Lost bytes are retransmitted after this time, and then after twice as long each time."""
 SYNC_SECONDS = 0.009
 CALLBACK_SECONDS = 0.00003
 RESTART_SECONDS = 0.4
 HAND_OVER_SECONDS = 1.5
-PATIENCE_SECONDS = 1.0
+CLIENT_TIMEOUT_SECONDS = 1.0
 """How long an operator or an upstream waits for an answer, before it asks another host."""
 
 _PROCESS: contextvars.ContextVar[Process | None] = contextvars.ContextVar("process", default=None)
 
 
-class _Clock(selectors.SelectSelector):
-    """Does not wait but moves the time on."""
+class _SimulatedSelector(selectors.SelectSelector):
+    """A selector that advances the simulated time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        assert timeout is not None, "nothing is left to happen"
+        assert timeout is not None, "no event is left"
         self.now += max(timeout, 0.0)
         return []
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """A loop in simulated time, on which each process has a thread of its own."""
+    """An event loop in simulated time on which each process has its own thread."""
 
     def __init__(self) -> None:
-        self._moving = _Clock()
-        super().__init__(self._moving)
+        self._selector = _SimulatedSelector()
+        super().__init__(self._selector)
         self.set_exception_handler(lambda loop, context: None)
 
     def time(self) -> float:
-        return self._moving.now
+        return self._selector.now
 
     def call_soon(self, callback, *args, context=None):  # type: ignore[no-untyped-def, override]
         process = _find_process(context)
@@ -107,7 +108,7 @@
         timers: list[asyncio.TimerHandle] = []
 
         def run() -> None:
-            # It may have been cancelled while it waited for its thread.
+            # The timer may have been cancelled while it waited for its thread.
             if not timers[0].cancelled():
                 callback(*args)
 
@@ -122,13 +123,13 @@
 
 
 class Process:
-    """One life of a host's process: its queue of callbacks, and when it may run."""
+    """One process of a host, from start to end: its callback queue and when it may run."""
 
     def __init__(self, machine: Machine, loop: SimulatedLoop) -> None:
         self.machine = machine
         self.is_alive = True
         self.free_at = 0.0
-        """Until then its thread is at work, or held up."""
+        """Until then its thread is busy or frozen."""
         self.control: ControlHost | None = None
         self.handlers: dict[int, Handler] = {}
         self.context = contextvars.Context()
@@ -148,8 +149,8 @@
         task.add_done_callback(self.tasks.discard, context=contextvars.Context())
         return task
 
-    def work(self, seconds: float) -> None:
-        """Take time of the thread."""
+    def use_time(self, seconds: float) -> None:
+        """Use time of the thread."""
         self.free_at = max(self.free_at, self._loop.time()) + seconds
 
     def _schedule(self) -> None:
@@ -158,10 +159,10 @@
         self._is_due = True
         empty = contextvars.Context()
         at = max(self.free_at, self._loop.time())
-        asyncio.SelectorEventLoop.call_at(self._loop, at, self._turn, context=empty)
+        asyncio.SelectorEventLoop.call_at(self._loop, at, self._run_queue, context=empty)
 
-    def _turn(self) -> None:
-        """Run what has been waiting, as one turn of a loop."""
+    def _run_queue(self) -> None:
+        """Run the queued callbacks, as one turn of an event loop."""
         self._is_due = False
         if not self.is_alive:
             return
@@ -171,7 +172,7 @@
         for _ in range(len(self._queue)):
             handle = self._queue.popleft()
             if not handle.cancelled():
-                self.work(CALLBACK_SECONDS * self.machine.slowness)
+                self.use_time(CALLBACK_SECONDS * self.machine.slowness)
                 handle._run()
             if not self.is_alive:
                 return
@@ -179,7 +180,7 @@
 
 
 class MemoryFiles:
-    """A disk: each write is synced, which holds the thread up."""
+    """A disk; each write is synced, which blocks the thread."""
 
     def __init__(self) -> None:
         self.content: dict[str, bytes] = {}
@@ -208,20 +209,20 @@
     def _sync(self) -> None:
         process = _PROCESS.get()
         if process is not None:
-            process.work(SYNC_SECONDS * process.machine.slowness)
+            process.use_time(SYNC_SECONDS * process.machine.slowness)
 
 
 @dataclass(slots=True)
 class Machine:
-    """One host: its disk stays, its processes come and go."""
+    """One host with a permanent disk and successive processes."""
 
     name: str
     domain: str
     ip: str
     files: MemoryFiles = field(default_factory=MemoryFiles)
     process: Process | None = None
-    is_dark: bool = False
-    """Without power: nothing answers, not even a refusal."""
+    is_powered_off: bool = False
+    """Without power it answers nothing; not even connections are refused."""
     starts: int = 0
     slowness: float = 1.0
 
@@ -237,7 +238,7 @@
 
 
 class _Pool:
-    """The connections of one process to one address, as `net.connections.ConnectionPool`."""
+    """The connections of one process to one address, like `net.connections.ConnectionPool`."""
 
     def __init__(self, world: World, address: Address) -> None:
         self._world = world
@@ -271,9 +272,9 @@
 
 
 class _Pools:
-    def __init__(self, world: World, *, is_of_the_log: bool = False) -> None:
+    def __init__(self, world: World, *, is_for_log: bool = False) -> None:
         self._world = world
-        self.is_of_the_log = is_of_the_log
+        self.is_for_log = is_for_log
         self.by_address: dict[Address, _Pool] = {}
         world.pools.append(self)
 
@@ -287,7 +288,7 @@
 
 
 class World:
-    """The machines, the links between them, and the upstreams that take orders."""
+    """The machines, the links between them, and the upstreams that receive orders."""
 
     def __init__(self, seed: int, loop: SimulatedLoop) -> None:
         self.loop = loop
@@ -298,8 +299,8 @@
         self.pools: list[_Pools] = []
         self.failures: list[BaseException] = []
         self._cut: set[frozenset[str]] = set()
-        self._graveyard: list[Process] = []
-        self._carried: set[asyncio.Task[Any]] = set()
+        self._dead_processes: list[Process] = []
+        self._exchanges: set[asyncio.Task[Any]] = set()
 
     def add(self, name: str, domain: str, ip: str) -> Machine:
         machine = Machine(name, domain, ip)
@@ -311,7 +312,7 @@
     def start(self, machine: Machine, seeds: list[Machine], *, may_begin: bool = False) -> None:
         assert machine.process is None
         machine.starts += 1
-        machine.is_dark = False
+        machine.is_powered_off = False
         process = Process(machine, self.loop)
         machine.process = process
         settings = ControlSettings(
@@ -327,7 +328,7 @@
             longest_lease=timedelta(seconds=1),
             caller_retry=timedelta(milliseconds=1_300),
             keep_ended=timedelta(seconds=120),
-            orders=OrdersBy.CALL,
+            orders=OrderDelivery.CALL,
             drain_limit=timedelta(seconds=6),
             log=LogSettings(),
         )
@@ -387,28 +388,28 @@
         return gateway
 
     def kill(self, machine: Machine, *, power: bool = False, wipe: bool = False) -> None:
-        """End a process at once; its machine refuses connections, or without power is silent."""
+        """End a process; its machine then refuses connections or, without power, is silent."""
         if machine.process is not None:
             machine.process.is_alive = False
-            self._graveyard.append(machine.process)
+            self._dead_processes.append(machine.process)
             machine.process = None
-        machine.is_dark = power
+        machine.is_powered_off = power
         if wipe:
             machine.files = MemoryFiles()
 
     async def terminate(self, machine: Machine) -> None:
-        """End a process as a SIGTERM does, with nothing left to answer after it."""
+        """End a process like SIGTERM, after it has transferred leadership."""
         process = machine.process
         if process is None or process.control is None:
             return
-        process.run(process.control.hand_over())
+        process.run(process.control.transfer_leadership())
         await asyncio.sleep(HAND_OVER_SECONDS)
         if machine.process is process:
             self.kill(machine)
 
     def freeze(self, machine: Machine, seconds: float) -> None:
         if machine.process is not None:
-            machine.process.work(seconds)
+            machine.process.use_time(seconds)
 
     # Links
 
@@ -424,10 +425,10 @@
     def heal(self) -> None:
         self._cut.clear()
 
-    def silence_connections(self, *, of_the_log: bool = True) -> None:
-        """Leave open connections silent for good, or those for calls alone; new ones work."""
+    def silence_connections(self, *, include_log: bool = True) -> None:
+        """Make open connections silent for good, all or only those for calls; new ones work."""
         for pools in self.pools:
-            if pools.is_of_the_log and not of_the_log:
+            if pools.is_for_log and not include_log:
                 continue
             for pool in pools.by_address.values():
                 for connection in pool.idle:
@@ -447,12 +448,12 @@
         request: HttpRequest,
         idle: list[_Connection],
     ) -> Result[HttpReply, TransportError]:
-        """Carry a request to another machine and its answer back; cancelled, it is hung up."""
+        """Deliver a request to another machine and return its answer; cancelling hangs up."""
         carrying = self.loop.create_task(
             self._carry(own, address, request, idle), context=contextvars.Context()
         )
-        self._carried.add(carrying)
-        carrying.add_done_callback(self._carried.discard)
+        self._exchanges.add(carrying)
+        carrying.add_done_callback(self._exchanges.discard)
         try:
             await asyncio.wait([carrying])
             return carrying.result()
@@ -475,7 +476,7 @@
         if isinstance(connection, TransportError):
             return Err(connection)
         await self._travel(own, machine)
-        if connection.is_silent or machine.is_dark:
+        if connection.is_silent or machine.is_powered_off:
             await asyncio.Event().wait()
         if connection.process is not machine.process:
             return Err(TransportError(message="connection lost", unsent=False))
@@ -487,14 +488,14 @@
             while not answering.done():
                 await asyncio.wait([answering], timeout=1.0)
                 if not process.is_alive:
-                    if machine.is_dark:
+                    if machine.is_powered_off:
                         await asyncio.Event().wait()
                     return Err(TransportError(message="connection lost", unsent=False))
             response = answering.result()
         finally:
             if not answering.done() and process.is_alive:
                 process.enqueue(asyncio.Handle(hang_up.set, (), self.loop, process.context))
-        assert response is not None, "nobody has hung up"
+        assert response is not None, "the caller has not hung up"
         await self._travel(own, machine)
         if connection.is_silent:
             await asyncio.Event().wait()
@@ -506,35 +507,39 @@
     ) -> _Connection | TransportError:
         while idle:
             connection = idle.pop()
-            # The end of a process shows at once, but not that of a machine.
-            if connection.process.is_alive or machine.is_dark:
+            # The end of a process is noticed immediately, a power failure of its machine is not.
+            if connection.process.is_alive or machine.is_powered_off:
                 return connection
-        if self._is_cut(own, machine) or machine.is_dark:
+        if self._is_cut(own, machine) or machine.is_powered_off:
             await asyncio.sleep(CONNECT_SECONDS)
             return TransportError(message="cannot connect", unsent=True)
-        await asyncio.sleep(2 * LINK)
+        await asyncio.sleep(2 * LINK_DELAY_SECONDS)
         if machine.process is None:
             return TransportError(message="cannot connect", unsent=True)
         return _Connection(machine.process)
 
     async def _travel(self, own: Machine | None, other: Machine) -> None:
-        await asyncio.sleep(LINK * (1.0 + self.chance.random()))
-        resend = FIRST_RESEND
+        await asyncio.sleep(LINK_DELAY_SECONDS * (1.0 + self.chance.random()))
+        resend = FIRST_RETRANSMIT_SECONDS
         while self._is_cut(own, other):
             await asyncio.sleep(resend)
             resend *= 2
 
     def find_leader(self) -> Machine | None:
-        """Return the machine that decides, if one does."""
+        """Return the machine that is the leader and has a lease, or None."""
         for machine in self.machines.values():
             control = machine.process.control if machine.process is not None else None
-            if control is not None and control.leading is not None and control.replica.has_lease():
+            if (
+                control is not None
+                and control.leadership is not None
+                and control.replica.has_lease()
+            ):
                 return machine
         return None
 
 
 class HostClock:
-    """The clock of the simulated world, which goes on while a host is frozen."""
+    """The clock of the simulated world; it continues while a host is frozen."""
 
     def __init__(self, loop: SimulatedLoop) -> None:
         self._loop = loop
@@ -548,19 +553,19 @@
 
 @dataclass(slots=True)
 class ModelUpstream:
-    """An upstream that runs nothing, but remembers the highest token."""
+    """An upstream that runs nothing but remembers the highest fencing token."""
 
     id: UpstreamId
     ip: str
     domain: str
     token: int = 0
     sequence: int = 0
-    decider: str = ""
-    """The machine that it was told to send its heartbeats to."""
+    coordinator: str = ""
+    """The machine to which it was told to send its heartbeats."""
 
 
 class ModelPort:
-    """Orders to the upstreams of a world."""
+    """An `UpstreamPort` to the upstreams of a world."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -571,8 +576,8 @@
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         raise AssertionError("there are no jobs")
 
-    async def look(self, order: LookOrder, token: int) -> LookReply | CallFailure:
-        await asyncio.sleep(2 * LINK)
+    async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
+        await asyncio.sleep(2 * LINK_DELAY_SECONDS)
         upstream = self._world.upstreams.get(order.upstream.id)
         if upstream is None:
             return CallFailure.NO_ANSWER
@@ -580,11 +585,11 @@
             return CallFailure.FENCED
         upstream.token = token
         clock_ms = int(self._world.loop.time() * 1000)
-        return LookReply(clock_ms=clock_ms, running=(), ended=())
+        return PollReply(clock_ms=clock_ms, running=(), ended=())
 
 
 def build_configuration(version: int) -> bytes:
-    """Return the body of a configuration."""
+    """Return the encoded body of a configuration."""
     route = {
         "name": "r",
         "host": "h.example",
@@ -602,7 +607,7 @@
 
 
 class Operator:
-    """Sends an order until it is acknowledged, as the users' operators and upstreams do."""
+    """Sends a call until it is acknowledged, as operators and upstreams do."""
 
     def __init__(self, world: World, chance: random.Random) -> None:
         self._world = world
@@ -610,7 +615,7 @@
         self.refusals: list[str] = []
 
     async def send(self, method: str, path: str, body: bytes, first: str = "") -> HttpReply:
-        """Return the acknowledgement; `first` is the machine to begin with, if any."""
+        """Return the acknowledgement; `first` is the machine to try first, if any."""
         backoff = 0.1
         last = ""
         while True:
@@ -626,7 +631,7 @@
             backoff = min(backoff * 2, 0.8)
 
     async def send_once(self, machine: Machine, body: bytes) -> HttpReply | None:
-        """Send a configuration to one machine, and wait for as long as operators do."""
+        """Send a configuration to one machine, and wait as long as operators do."""
         return await self._send_to(machine, "PUT", "/config", body)
 
     async def _send_to(
@@ -635,14 +640,14 @@
         address = Address(machine.ip, CONTROL_PORT)
         request = HttpRequest(method=method, path=path, headers={}, body=body)
         try:
-            async with asyncio.timeout(PATIENCE_SECONDS):
+            async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
                 sent = await self._world.exchange(None, address, request, [])
         except TimeoutError:
             return None
         return sent.unwrap() if isinstance(sent, Success) else None
 
     async def configure(self, version: int, insist_on: Machine | None = None) -> float:
-        """Return when a configuration was acknowledged, by one machine if that answers first."""
+        """Send a configuration, to one machine until that answers if given; return the time."""
         body = build_configuration(version)
         reply = None
         while insist_on is not None and reply is None:
@@ -667,16 +672,18 @@
             }
         )
         path = f"/instances/{upstream.id}"
-        reply = await self.send("PUT", path, body, upstream.decider)
+        reply = await self.send("PUT", path, body, upstream.coordinator)
         named = msgspec.json.decode(reply.body).get("heartbeat_url", "").partition(":")[0]
         machine = self._world.find_machine(Address(named, CONTROL_PORT))
-        upstream.decider = machine.name if machine is not None else ""
+        upstream.coordinator = machine.name if machine is not None else ""
         return self._world.loop.time()
 
 
-async def greet_forever(world: World, address: str, domain: str, chance: random.Random) -> None:
-    """Be a gateway that some control host hears."""
-    call = msgspec.json.encode(Greet(gateway=address, domain=DomainName(domain)))
+async def send_keepalives_forever(
+    world: World, address: str, domain: str, chance: random.Random
+) -> None:
+    """Send keep-alives like a gateway, to the leader or else to any control host."""
+    call = msgspec.json.encode(KeepAlive(gateway=address, domain=DomainName(domain)))
     while True:
         machine = world.find_leader() or chance.choice(list(world.machines.values()))
         request = HttpRequest(method="POST", path=CALL_PATH, headers={}, body=call)
@@ -692,17 +699,17 @@
     """Return the handler of a host's listener for peers."""
 
     async def handle(request: HttpRequest) -> HttpResponse:
-        return host.answer_at_once(request) or await host.handle_peer(request)
+        return host.answer_at_once(request) or await host.handle_peer_request(request)
 
     return handle
 
 
 @contextmanager
 def patch_processes(world: World, seed: int) -> Iterator[None]:
-    """Give control hosts the disks, links and chance of a world."""
+    """Make control hosts use the disks, links and randomness of a world."""
     chance = random.Random(seed)
 
-    class Lives:
+    class SeededTokens:
         @staticmethod
         def token_hex(count: int) -> str:
             return f"{chance.getrandbits(count * 8):0{count * 2}x}"
@@ -712,12 +719,10 @@
 
     patch = pytest.MonkeyPatch()
     patch.setattr(control_host_module, "ConnectionPools", lambda **which: _Pools(world))
-    patch.setattr(
-        replica_module, "ConnectionPools", lambda **which: _Pools(world, is_of_the_log=True)
-    )
+    patch.setattr(replica_module, "ConnectionPools", lambda **which: _Pools(world, is_for_log=True))
     patch.setattr(peer_calls_module, "ConnectionPools", lambda **which: _Pools(world))
     patch.setattr(replica_module, "FolderFiles", open_files)
-    patch.setattr(replica_module, "secrets", Lives)
+    patch.setattr(replica_module, "secrets", SeededTokens)
     patch.setattr(replica_module, "random", chance)
     try:
         yield
@@ -725,12 +730,12 @@
         patch.undo()
 
 
-def play(seed: int, day: Callable[[World], Coroutine[Any, Any, None]]) -> World:
-    """Play a day in simulated time."""
+def play(seed: int, scenario: Callable[[World], Coroutine[Any, Any, None]]) -> World:
+    """Run a scenario in simulated time."""
     loop = SimulatedLoop()
     world = World(seed, loop)
     with patch_processes(world, seed):
-        main = loop.create_task(day(world), context=contextvars.Context())
+        main = loop.create_task(scenario(world), context=contextvars.Context())
         try:
             loop.run_until_complete(main)
         finally:
