--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,10 +1,11 @@
-"""What each mechanism of the cluster's policy earns, on the model of upstreams, in seeded pairs.
+"""Measure the gain of each mechanism of the cluster's policy on modelled upstreams.
 
     python -m bench.cluster run > bench/results/cluster.json
     python -m bench.cluster plot bench/results/cluster.json worth.png
 
-Loads are shaped like the users' (`load`), troubles are those of `scenarios`, and a variant is the
-product's code with one mechanism changed (`variants`). The model charges no processor time.
+The load resembles the users' (`load`), faults are injected by `scenarios`, and a variant is the
+product's code with one mechanism changed (`variants`). Variants are compared in pairs of the same
+seed. The model charges no processor time.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 import typer
 
 from .load import Run
-from .measures import Measures, compare, measure, summarise
+from .measures import Measures, compute_gain, compute_means, measure
 from .scenarios import SCENARIOS
 from .variants import NO_CHANGE, VARIANTS
 
@@ -31,60 +32,60 @@
 )
 
 
-class Play(NamedTuple):
-    """One run: a scenario, a variant and a seed."""
+class RunKey(NamedTuple):
+    """Identifies one run: scenario, variant and seed."""
 
     scenario: str
     variant: str
     seed: int
 
 
-def play(each: Play) -> Measures:
-    """Play one run and return what it was worth."""
-    scenario = SCENARIOS[each.scenario]
-    with VARIANTS[each.variant]():
+def run_one(key: RunKey) -> Measures:
+    """Simulate one run and return its measures."""
+    scenario = SCENARIOS[key.scenario]
+    with VARIANTS[key.variant]():
         run = Run(
-            seed=each.seed,
+            seed=key.seed,
             upstream_count=scenario.upstream_count,
             rate_factor=scenario.rate_factor,
         )
-        scenario.trouble(run)
-        run.play()
+        scenario.inject_fault(run)
+        run.run_to_end()
     return measure(run, scenario)
 
 
-def play_all(
+def run_all(
     scenarios: Sequence[str], variants: Sequence[str], seeds: int, processes: int
 ) -> dict[str, dict[str, Any]]:
-    """Play every scenario with every variant and seed; compare each variant with no change."""
+    """Simulate every scenario with every variant and seed; compare variants with the baseline."""
     names = list(dict.fromkeys([NO_CHANGE, *variants]))
-    plays = [
-        Play(scenario, variant, seed)
+    keys = [
+        RunKey(scenario, variant, seed)
         for scenario in scenarios
         for variant in names
         for seed in range(1, seeds + 1)
     ]
     with ProcessPoolExecutor(processes) as pool:
-        measured = dict(zip(plays, pool.map(play, plays), strict=True))
+        measured = dict(zip(keys, pool.map(run_one, keys), strict=True))
     results: dict[str, dict[str, Any]] = {}
     for scenario in scenarios:
         rows = {
-            variant: [measured[Play(scenario, variant, seed)] for seed in range(1, seeds + 1)]
+            variant: [measured[RunKey(scenario, variant, seed)] for seed in range(1, seeds + 1)]
             for variant in names
         }
-        results[scenario] = {variant: _describe(rows, variant) for variant in names}
+        results[scenario] = {variant: _summarise_variant(rows, variant) for variant in names}
         print(scenario, "done", file=sys.stderr)
     return results
 
 
-def _describe(rows: dict[str, list[Measures]], variant: str) -> dict[str, Any]:
-    described: dict[str, Any] = {"means": summarise(rows[variant])}
+def _summarise_variant(rows: dict[str, list[Measures]], variant: str) -> dict[str, Any]:
+    described: dict[str, Any] = {"means": compute_means(rows[variant])}
     if variant != NO_CHANGE:
-        described["gain"] = asdict(compare(rows[variant], rows[NO_CHANGE]))
+        described["gain"] = asdict(compute_gain(rows[variant], rows[NO_CHANGE]))
     return described
 
 
-def _check(names: Sequence[str] | None, known: Sequence[str]) -> list[str]:
+def _check_names(names: Sequence[str] | None, known: Sequence[str]) -> list[str]:
     chosen = list(names or known)
     unknown = [name for name in chosen if name not in known]
     if unknown:
@@ -94,31 +95,31 @@
 
 @app.command()
 def run(
-    scenario: Annotated[list[str] | None, typer.Option(help="Scenarios; none: all.")] = None,
-    variant: Annotated[list[str] | None, typer.Option(help="Variants; none: all.")] = None,
-    seeds: Annotated[int, typer.Option(min=1, help="How many seeds.")] = 6,
-    processes: Annotated[int, typer.Option(min=1, help="How many runs at a time.")] = 2,
+    scenario: Annotated[list[str] | None, typer.Option(help="Scenarios; default: all.")] = None,
+    variant: Annotated[list[str] | None, typer.Option(help="Variants; default: all.")] = None,
+    seeds: Annotated[int, typer.Option(min=1, help="Number of seeds.")] = 6,
+    processes: Annotated[int, typer.Option(min=1, help="Number of parallel runs.")] = 2,
 ) -> None:
-    """Print JSON: for each scenario and variant the means, and the gain with its 95% interval."""
-    scenarios = _check(scenario, list(SCENARIOS))
-    variants = _check(variant, list(VARIANTS))
-    print(json.dumps(play_all(scenarios, variants, seeds, processes), indent=1))
+    """Print the means of each scenario and variant, and its gain with a 95% interval, as JSON."""
+    scenarios = _check_names(scenario, list(SCENARIOS))
+    variants = _check_names(variant, list(VARIANTS))
+    print(json.dumps(run_all(scenarios, variants, seeds, processes), indent=1))
 
 
 @app.command()
 def table(file: Annotated[Path, typer.Argument(help="Results in JSON.")]) -> None:
-    """Print results as a Markdown table: worth as it is, then each variant's gain."""
+    """Print results as a Markdown table: the baseline's worth, then the gain of each variant."""
     results = json.loads(file.read_text())
     scenarios = list(results)
     print("| variant |", " | ".join(scenarios), "|")
     print("|---|" + "---|" * len(scenarios))
     for name in results[scenarios[0]]:
-        cells = [_format(results[scenario][name]) for scenario in scenarios]
+        cells = [_format_cell(results[scenario][name]) for scenario in scenarios]
         print(f"| {name} |", " | ".join(cells), "|")
 
 
-def _format(described: dict[str, Any]) -> str:
-    """Return a cell; a gain whose interval holds zero is in brackets."""
+def _format_cell(described: dict[str, Any]) -> str:
+    """Return a table cell; a gain whose confidence interval contains zero is put in brackets."""
     if "gain" not in described:
         return f"{described['means']['worth']:.3f}"
     gain = described["gain"]
@@ -132,7 +133,7 @@
     file: Annotated[Path, typer.Argument(help="Results in JSON.")],
     image: Annotated[Path, typer.Argument(help="Image to write, as PNG or SVG.")],
 ) -> None:
-    """Draw the gains of all variants with their intervals, a panel a scenario."""
+    """Plot the gains of all variants with their confidence intervals, one panel per scenario."""
     from matplotlib import pyplot
 
     results = json.loads(file.read_text())
--- a/cottonlug/commands/workloads.py
+++ b/cottonlug/commands/workloads.py
@@ -1,4 +1,4 @@
-"""Jobs shaped like each user's, from a seed."""
+"""Seeded example jobs that resemble the users' workloads."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 _SLOW_MS = 1_500
 
 
-class Flavour(Enum):
-    """Whose work a job looks like."""
+class ExampleWorkload(Enum):
+    """The workload that an example job resembles."""
 
     AURORA = "aurora"
     TICKETS = "tickets"
 
 
-def build_example_job(flavour: Flavour, count: int, seed: int) -> SubmitRequest:
-    """Return a job of that many tasks; the same seed gives the same job."""
+def build_example_job(workload: ExampleWorkload, count: int, seed: int) -> SubmitRequest:
+    """Return a job of `count` tasks; the same seed always gives the same job."""
     chance = random.Random(seed)
-    is_alert = flavour is Flavour.AURORA
+    is_alert = workload is ExampleWorkload.AURORA
     build = _build_alert if is_alert else _build_ticket
     tasks = [Raw(json.dumps(build(chance, index)).encode()) for index in range(count)]
     return SubmitRequest(
@@ -38,7 +38,7 @@
 
 
 def sum_run_times(request: SubmitRequest) -> list[int]:
-    """Return the run time of each task in milliseconds, as its payload asks for."""
+    """Return the run time of each task in milliseconds, as stated in its payload."""
     return [int(json.loads(bytes(task)).get("ms", 0)) for task in request.tasks]
 
 
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -1,4 +1,4 @@
-"""Settings of the cluster's hosts: control hosts, which hold the log, and gateways for callers."""
+"""Settings of cluster hosts: control hosts, which hold the replicated log, and gateways."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     read_address,
     read_boolean,
     read_choice,
+    read_duration,
     read_integer,
     read_list,
     read_path,
     read_section,
-    read_span,
 )
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlListeners:
-    """Addresses of a control host: for upstreams and operators, for its peers, and for metrics."""
+    """Listen addresses of a control host; `control` serves upstreams and operators."""
 
     control: Address
     peers: Address
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class GatewayListeners:
-    """Addresses of a gateway: for callers, the balancer's checks, other gateways, and metrics."""
+    """Listen addresses of a gateway; `peers` serves gateways, `readiness` the load balancer."""
 
     callers: Address
     peers: Address
@@ -46,8 +46,8 @@
     metrics: Address | None
 
 
-class OrdersBy(Enum):
-    """How upstreams get their orders: by calls to them, or in the answers to their heartbeats."""
+class OrderDelivery(Enum):
+    """How upstreams receive orders: by calls to them or in the answers to their heartbeats."""
 
     CALL = "call"
     HEARTBEAT = "heartbeat"
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlSettings:
-    """Settings of a control host; `seeds` are addresses for calls of peers."""
+    """Settings of a control host; `seeds` are addresses for calls between peers."""
 
     host: HostId
     domain: DomainName
@@ -66,12 +66,12 @@
     longest_lease: timedelta
     caller_retry: timedelta
     keep_ended: timedelta
-    orders: OrdersBy
+    orders: OrderDelivery
     domains: list[DomainName] = field(default_factory=list)
-    """All failure domains, so that one without upstreams at the moment can be evacuated."""
+    """All failure domains, so that one that has no upstreams at present can be evacuated too."""
     drain_limit: timedelta
     urgent_port: int | None = None
-    """Port of all hosts, this one among them, for what must not wait behind jobs."""
+    """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
     log: LogSettings
 
@@ -88,7 +88,7 @@
     caller_retry: timedelta
     drain_limit: timedelta
     urgent_port: int | None = None
-    """Port of all hosts, this one among them, for what must not wait behind jobs."""
+    """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
     log: LogSettings
 
@@ -104,42 +104,42 @@
     "readiness": Option(read_address),
     "metrics": Option(read_address, None),
 }
-_COMMON: Options = {
+_COMMON_OPTIONS: Options = {
     "host": Option(read_name),
     "domain": Option(read_name),
     "seeds": Option(read_list(read_address)),
     "peer_port": Option(read_integer(1, 65_535), None),
     "urgent_port": Option(read_integer(1, 65_535), None),
-    "longest_lease": Option(read_span, timedelta(seconds=1)),
-    "caller_retry": Option(read_span, timedelta(milliseconds=1_300)),
-    "drain_limit": Option(read_span, timedelta(seconds=5)),
-    "heartbeat_every": Option(read_span, DEFAULT_REPORT_TERMS.interval),
-    "shrink_borne": Option(read_span, DEFAULT_REPORT_TERMS.shrink_tolerance),
+    "longest_lease": Option(read_duration, timedelta(seconds=1)),
+    "caller_retry": Option(read_duration, timedelta(milliseconds=1_300)),
+    "drain_limit": Option(read_duration, timedelta(seconds=5)),
+    "heartbeat_every": Option(read_duration, DEFAULT_REPORT_TERMS.interval),
+    "shrink_borne": Option(read_duration, DEFAULT_REPORT_TERMS.shrink_tolerance),
     "log": Option(read_log_section, LogSettings()),
 }
-_CONTROL: Options = {
-    **_COMMON,
+_CONTROL_OPTIONS: Options = {
+    **_COMMON_OPTIONS,
     "listen": Option(read_section(_CONTROL_LISTENERS, ControlListeners)),
     "may_begin": Option(read_boolean, False),
     "data_folder": Option(read_path),
-    "keep_ended": Option(read_span, timedelta(seconds=150)),
-    "orders": Option(read_choice(OrdersBy), OrdersBy.CALL),
+    "keep_ended": Option(read_duration, timedelta(seconds=150)),
+    "orders": Option(read_choice(OrderDelivery), OrderDelivery.CALL),
     "domains": Option(read_list(read_name), []),
 }
-_GATEWAY: Options = {
-    **_COMMON,
+_GATEWAY_OPTIONS: Options = {
+    **_COMMON_OPTIONS,
     "listen": Option(read_section(_GATEWAY_LISTENERS, GatewayListeners)),
 }
 
 
-def _move_seeds(seeds: list[Address], peer_port: int | None) -> list[Address]:
-    """Return the seeds at the port for calls of peers, where it is another one."""
+def _replace_seed_ports(seeds: list[Address], peer_port: int | None) -> list[Address]:
+    """Return the seeds with their port replaced by `peer_port`, if that is given."""
     if peer_port is None:
         return seeds
     return [Address(seed.host, peer_port) for seed in seeds]
 
 
-def _prepare(
+def _build_fields(
     *,
     seeds: list[Address],
     peer_port: int | None,
@@ -147,24 +147,24 @@
     shrink_borne: timedelta,
     **rest: object,
 ) -> dict[str, Any]:
-    """Return the fields of settings for what the options of both kinds of host say."""
+    """Convert the options that both kinds of host share to fields of the settings classes."""
     reports = ReportTerms(interval=heartbeat_every, shrink_tolerance=shrink_borne)
-    return {"seeds": _move_seeds(seeds, peer_port), "reports": reports, **rest}
+    return {"seeds": _replace_seed_ports(seeds, peer_port), "reports": reports, **rest}
 
 
 def _build_control(**given: Any) -> ControlSettings:
-    return ControlSettings(**_prepare(**given))
+    return ControlSettings(**_build_fields(**given))
 
 
 def _build_gateway(**given: Any) -> GatewaySettings:
-    return GatewaySettings(**_prepare(**given))
+    return GatewaySettings(**_build_fields(**given))
 
 
 def load_control_settings(file: Path) -> ControlSettings:
-    """Return a control host's settings, or raise `SettingsError` naming every problem."""
-    return load_settings(file, read_section(_CONTROL, _build_control))
+    """Load a control host's settings; raise `SettingsError` listing every problem."""
+    return load_settings(file, read_section(_CONTROL_OPTIONS, _build_control))
 
 
 def load_gateway_settings(file: Path) -> GatewaySettings:
-    """Return a gateway's settings, or raise `SettingsError` naming every problem."""
-    return load_settings(file, read_section(_GATEWAY, _build_gateway))
+    """Load a gateway's settings; raise `SettingsError` listing every problem."""
+    return load_settings(file, read_section(_GATEWAY_OPTIONS, _build_gateway))
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -1,7 +1,7 @@
-"""What workers say of themselves, decoded once; what cannot be one names no worker to use.
+"""Decoding and validation of workers' heartbeats and leave messages.
 
-Another writer may send or forward a heartbeat: fields may be missing or of another type, the state
-unknown, the bytes unreadable. All that is checked here, so that nothing behind it needs to.
+A heartbeat may be sent or forwarded by other software: fields may be missing or of the wrong type,
+the state unknown or the body undecodable. All of that is checked here, so later code need not.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 from ..core.cluster.model import Capacity, Heartbeat, ServiceName, UpstreamInfo
 from ..core.ids import DomainName, UpstreamId
 from ..net.connections import parse_address
-from .workers import read_lists
+from .workers import read_run_lists
 
 READY = "ready"
 DRAINING = "draining"
 
-_CAPACITY_FIELDS = ("cpu", "mem_mb", "gpu")  # the first in thousandths of a core
-_MOST_OF_ANYTHING = 1_000_000_000
-"""A million cores, a petabyte: what claims to have more cannot be right."""
-_MOST_COUNT = 1 << 52
-"""Of counts and milliseconds: far beyond any, and exact in every reader of JSON."""
-_MOST_TEXT = 256
-"""Characters of a name: what is known of an upstream goes into the log and to every gateway."""
-_MOST_LABELS = 64
+_CAPACITY_FIELDS = ("cpu", "mem_mb", "gpu")  # cpu is in thousandths of a core
+_MAX_AMOUNT = 1_000_000_000
+"""A million cores or a petabyte: a larger amount cannot be right."""
+_MAX_COUNT = 1 << 52
+"""Limit of counts and milliseconds: beyond any real value, and exact in every JSON parser."""
+_MAX_NAME_CHARS = 256
+"""Names are limited because upstream records go into the replicated log and to every gateway."""
+_MAX_LABELS = 64
 
 
 class _HeartbeatBody(msgspec.Struct):
@@ -38,12 +38,12 @@
     zone: str
     state: str
     seq_no: int
-    cold_left_ms: Any = 0  # by itself, like the capacity
-    clock_ms: int | None = None  # on the worker's own steady clock
-    born: int | msgspec.UnsetType = msgspec.UNSET  # Unix milliseconds of its start, if it tells
-    capacity: Any = None  # by itself, so that a bad one costs nothing else
+    cold_left_ms: Any = 0  # checked separately, like the capacity
+    clock_ms: int | None = None  # the worker's monotonic clock
+    born: int | msgspec.UnsetType = msgspec.UNSET  # start time in Unix ms, if reported
+    capacity: Any = None  # checked separately: an invalid one must not void the rest
     labels: list[str] = []
-    running: list[list[Any]] = []  # where orders come with the answers: as in a look
+    running: list[list[Any]] = []  # as in a poll reply, if orders come with heartbeat answers
     finished: list[list[Any]] = []
 
 
@@ -56,7 +56,7 @@
 
 
 def decode_heartbeat(name: str, body: bytes) -> Result[ForwardHeartbeat, str]:
-    """Decode what the worker with this id says of itself, or tell why it names none."""
+    """Decode the heartbeat of the worker with this id, or return the reason why it is invalid."""
     try:
         read = _heartbeat_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -66,7 +66,7 @@
         return Err(problem)
     capacity = _read_capacity(read.capacity)
     info = UpstreamInfo(
-        id=_name_life(name, read.born),
+        id=_build_instance_id(name, read.born),
         service=ServiceName(read.service),
         address=read.address,
         domain=DomainName(read.zone),
@@ -80,65 +80,65 @@
         clock_ms=read.clock_ms,
         has_no_capacity=capacity is None,
         cold_left_ms=_read_cold_left(read.cold_left_ms),
-        held=read_lists(read.clock_ms, read.running, read.finished),
+        held=read_run_lists(read.clock_ms, read.running, read.finished),
     )
     return Success(ForwardHeartbeat(heartbeat=heartbeat))
 
 
 def decode_leave(name: str, body: bytes) -> Result[ForwardLeave, str]:
-    """Decode that the worker with this id leaves, or tell why it names none."""
+    """Decode the leave message of the worker with this id, or return why it is invalid."""
     try:
         read = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
-    if not _is_name(name):
+    if not _is_valid_name(name):
         return Err("the path names no worker")
-    if not _is_birth(read.born):
+    if not _is_valid_start_time(read.born):
         return Err("born is out of range")
-    return Success(ForwardLeave(upstream=_name_life(name, read.born)))
+    return Success(ForwardLeave(upstream=_build_instance_id(name, read.born)))
 
 
 def _find_problem(name: str, read: _HeartbeatBody) -> str | None:
-    """Return why what was read cannot be said by a worker, or None."""
-    if not _is_name(name):
+    """Return the reason why a heartbeat is invalid, or None."""
+    if not _is_valid_name(name):
         return "the path names no worker"
     if read.state not in (READY, DRAINING):
-        return f"unknown state {read.state[:_MOST_TEXT]}"
+        return f"unknown state {read.state[:_MAX_NAME_CHARS]}"
     if parse_address(read.address) is None:
-        return "the address is none"
+        return "the address is not of the form HOST:PORT"
     texts = (read.service, read.zone, read.address, *read.labels)
-    if not read.service or not read.zone or max(map(len, texts)) > _MOST_TEXT:
+    if not read.service or not read.zone or max(map(len, texts)) > _MAX_NAME_CHARS:
         return "a name is empty or too long"
-    if len(read.labels) > _MOST_LABELS:
+    if len(read.labels) > _MAX_LABELS:
         return "too many labels"
-    if not (0 <= read.seq_no <= _MOST_COUNT and 0 <= (read.clock_ms or 0) <= _MOST_COUNT):
+    if not (0 <= read.seq_no <= _MAX_COUNT and 0 <= (read.clock_ms or 0) <= _MAX_COUNT):
         return "a count is out of range"
-    return None if _is_birth(read.born) else "born is out of range"
+    return None if _is_valid_start_time(read.born) else "born is out of range"
 
 
-def _is_name(name: str) -> bool:
-    return 0 < len(name) <= _MOST_TEXT and SEPARATOR not in name
+def _is_valid_name(name: str) -> bool:
+    return 0 < len(name) <= _MAX_NAME_CHARS and SEPARATOR not in name
 
 
-def _is_birth(born: int | msgspec.UnsetType) -> bool:
-    return isinstance(born, msgspec.UnsetType) or 0 <= born <= _MOST_COUNT
+def _is_valid_start_time(born: int | msgspec.UnsetType) -> bool:
+    return isinstance(born, msgspec.UnsetType) or 0 <= born <= _MAX_COUNT
 
 
-def _name_life(name: str, born: int | msgspec.UnsetType) -> UpstreamId:
+def _build_instance_id(name: str, born: int | msgspec.UnsetType) -> UpstreamId:
     return build_instance_id(name, None if isinstance(born, msgspec.UnsetType) else born)
 
 
 def _read_capacity(body: Any) -> Capacity | None:
-    """Return what a worker has to give, or None where that cannot be read or cannot be."""
+    """Return a worker's capacity, or None if it is malformed or impossible."""
     if not isinstance(body, dict):
         return None
     amounts = [body.get(name, 0) for name in _CAPACITY_FIELDS]
-    if not all(type(amount) is int and 0 <= amount <= _MOST_OF_ANYTHING for amount in amounts):
+    if not all(type(amount) is int and 0 <= amount <= _MAX_AMOUNT for amount in amounts):
         return None
     return Capacity(cpu_millis=amounts[0], memory_mb=amounts[1], gpus=amounts[2])
 
 
 def _read_cold_left(value: Any) -> int:
-    """Return for how many milliseconds a worker is still slow; 0 where that cannot be read."""
+    """Return for how many milliseconds a worker is still slow; 0 if the value is malformed."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
-    return int(value) if is_number and 0 < value < _MOST_OF_ANYTHING else 0
+    return int(value) if is_number and 0 < value < _MAX_AMOUNT else 0
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -9,7 +9,7 @@
 import msgspec
 from returns.result import Failure as Err
 
-from ..config.cluster import ControlSettings, OrdersBy
+from ..config.cluster import ControlSettings, OrderDelivery
 from ..core.clock import Clock
 from ..core.cluster.calls import (
     Answer,
@@ -98,7 +98,7 @@
             host=settings.host,
             clock=clock,
             get_records=lambda: self.replicated.records,
-            orders_by_heartbeat=settings.orders is OrdersBy.HEARTBEAT,
+            orders_by_heartbeat=settings.orders is OrderDelivery.HEARTBEAT,
         )
         self.heartbeat_responder = HeartbeatResponder(
             control_address=str(settings.listen.control),
@@ -175,7 +175,7 @@
             answer = await self._forward(leader, call, KEEPALIVE_FORWARD_TIMEOUT, self._pools)
             # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
-        if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrdersBy.CALL:
+        if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrderDelivery.CALL:
             taken = self.heartbeat_responder.answer_routine(call.heartbeat)
             if taken is not None:
                 return taken
@@ -259,7 +259,7 @@
     def _choose_lease_terms(self) -> LeaseTerms:
         settings = self._settings
         terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
-        if settings.orders is OrdersBy.HEARTBEAT:
+        if settings.orders is OrderDelivery.HEARTBEAT:
             return LeaseTerms(longest=settings.longest_lease, delivery=MAX_DELIVERY_DELAY)
         return terms
 
@@ -372,7 +372,7 @@
                 on_failure=self._on_failure,
                 settings=LeadershipSettings(
                     lease_terms=self._choose_lease_terms(),
-                    orders_by_heartbeat=self._settings.orders is OrdersBy.HEARTBEAT,
+                    orders_by_heartbeat=self._settings.orders is OrderDelivery.HEARTBEAT,
                     keep_ended=self._settings.keep_ended,
                     caller_retry=self._settings.caller_retry,
                     domains=frozenset({*self._settings.domains, self._settings.domain}),
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -643,7 +643,7 @@
 
         address = Address("127.0.0.1", find_base_port())
         app = build_asgi(answer, lambda: 1_000)
-        listener = Listener(app=app, address=address, takes_all=True)
+        listener = Listener(app=app, address=address, accepts_all=True)
         assert await listener.start() is None
         target = (address.host, address.port)
         clients = [socket.create_connection(target) for _ in range(CLIENT_COUNT)]
--- a/cottonlug/tests/test_cluster_logs.py
+++ b/cottonlug/tests/test_cluster_logs.py
@@ -10,7 +10,7 @@
 import pytest
 
 from ..commands.exits import ExitCode
-from ..commands.explanation import explain_request, read_lines
+from ..commands.explanation import explain_job, read_log_lines
 from ..runtime.decisions import SAMPLE_ONE_IN, is_sampled
 from ..runtime.log_output import BUFFER_BYTES, LogOutput
 from ..runtime.metrics import Metrics
@@ -39,7 +39,7 @@
             text += os.read(reading, 1 << 20)
         except BlockingIOError:
             break
-    reports = [line for line in read_lines(text.decode().splitlines()) if "lines" in line]
+    reports = [line for line in read_log_lines(text.decode().splitlines()) if "lines" in line]
     assert sum(line["lines"] for line in reports) == output.dropped
     os.close(reading)
     os.close(writing)
@@ -73,10 +73,10 @@
         '{"time": "2026-01-01T00:00:01", "event": 6001, "decision": "job_taken", "job": "abc"}\n'
         '{"time": "2026-01-01T00:00:02", "event": 6001, "decision": "run_ended", "job": "abc"}\n'
     )
-    assert explain_request("abc", [first, second]) is ExitCode.OK
+    assert explain_job("abc", [first, second]) is ExitCode.OK
     lines = capsys.readouterr().out.splitlines()
     assert [line.split()[2].rstrip(":") for line in lines] == ["job_taken", "run_ended", "failed"]
-    assert explain_request("nobody", [first, second]) is not ExitCode.OK
+    assert explain_job("nobody", [first, second]) is not ExitCode.OK
 
 
 def test_histograms_are_rendered_in_the_prometheus_text_format() -> None:
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -231,7 +231,7 @@
 
 
 def test_the_longest_idle_connections_are_closed_beyond_the_limit() -> None:
-    idle = IdleConnections(most=3)
+    idle = IdleConnections(limit=3)
     connections = [_Connection() for _ in range(5)]
     for connection in connections[:3]:
         idle.add(connection)  # type: ignore[arg-type]
@@ -240,7 +240,7 @@
     for connection in connections[3:]:
         idle.add(connection)  # type: ignore[arg-type]
     assert [each.is_open for each in connections] == [True, False, False, True, True]
-    assert idle.closed == 2
+    assert idle.closed_count == 2
 
 
 def test_a_responder_reports_often_enough_to_stay_trusted() -> None:
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from ..config.cluster import ControlListeners, ControlSettings, OrdersBy
+from ..config.cluster import ControlListeners, ControlSettings, OrderDelivery
 from ..config.logs import LogSettings
 from ..config.options import Address
 from ..core.cluster.calls import (
@@ -33,7 +33,7 @@
 INFO = build_info("u1")
 
 
-def build_host(orders: OrdersBy, folder: Path) -> ControlHost:
+def build_host(orders: OrderDelivery, folder: Path) -> ControlHost:
     address = Address("10.0.1.1", 7_000)
     settings = ControlSettings(
         host=HostId("c1"),
@@ -80,7 +80,7 @@
 
 
 def play(
-    orders: OrdersBy,
+    orders: OrderDelivery,
     answer_after: float,
     script: Callable[[ControlHost], Awaitable[Answer]],
     folder: Path,
@@ -107,13 +107,13 @@
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
         return await host.answer(build_beat(draining=True))
 
-    answer, _ = play(OrdersBy.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
+    answer, _ = play(OrderDelivery.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
     assert answer.orders is not None and answer.orders.lease_ms
 
 
-@pytest.mark.parametrize("orders", list(OrdersBy))
+@pytest.mark.parametrize("orders", list(OrderDelivery))
 def test_heartbeat_is_forwarded_to_the_leader_only_once(
-    orders: OrdersBy, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    orders: OrderDelivery, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The leader may park a heartbeat for 0.7 s; a second copy would count as overtaken.
 
@@ -137,5 +137,5 @@
         assert leaving.outcome is Outcome.DONE
         return await host.answer(build_beat(draining=True))
 
-    answer, _ = play(OrdersBy.CALL, 10.0, script, tmp_path, monkeypatch)
+    answer, _ = play(OrderDelivery.CALL, 10.0, script, tmp_path, monkeypatch)
     assert answer.outcome is Outcome.DONE
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -45,7 +45,7 @@
 
 def reintroduce_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
     """Accept a list of any instance as that of the instance that was asked."""
-    patch.setattr(workers, "_is_born", lambda upstream, read: True)
+    patch.setattr(workers, "_is_same_instance", lambda upstream, read: True)
 
 
 def reintroduce_fast_clock(patch: pytest.MonkeyPatch) -> None:
--- a/cottonlug/tests/test_malformed_heartbeats.py
+++ b/cottonlug/tests/test_malformed_heartbeats.py
@@ -21,10 +21,10 @@
 from ..core.cluster.model import PollReply
 from ..net.connections import parse_address
 from ..platform.heartbeats import decode_heartbeat, decode_leave
-from ..platform.workers import read_lists
+from ..platform.workers import read_run_lists
 from ..runtime.refused_heartbeats import LOG_INTERVAL, RefusedHeartbeats
 from .gateway_builders import build_clock
-from .test_platform import ask, run_control
+from .test_platform import build_request, run_control
 
 SETTINGS = settings(derandomize=True, deadline=None, max_examples=400)
 TASK = "5c0e7a21d94b36f8.0.1.17"
@@ -110,7 +110,7 @@
         [[58, TASK, 1, "done", *row]],
     ):
         for running, finished in ((rows, []), ([], rows)):
-            lists = read_lists(5, running, finished)
+            lists = read_run_lists(5, running, finished)
             if lists is not None:
                 check_lists(lists)
 
@@ -138,7 +138,7 @@
     answers: list[tuple[int, list[Call]]] = []
     for each in (msgspec.json.encode(GOOD), body, msgspec.json.encode(GOOD)):
         response, calls = run_control(
-            ask("PUT", "/instances/i-1", each), Answer(outcome=Outcome.DONE)
+            build_request("PUT", "/instances/i-1", each), Answer(outcome=Outcome.DONE)
         )
         answers.append((response.status, calls))
     assert [status for status, _ in answers] == [200, 400, 200]
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's formats, decoded once; and nothing of it outside its folder."""
+"""Decoding of the platform's formats; names of the platform stay inside its folder."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 from ..platform.configurations import decode_configuration
 from ..platform.control import build_control_handler
 from ..platform.front import build_front_handler, build_readiness_handler
-from ..platform.jobs import decode_job, name_task, parse_task
+from ..platform.jobs import build_task_name, decode_job, parse_task_name
 from ..platform.workers import WorkerClient
 from .model_upstreams import build_info
 
 PACKAGE = Path(__file__).resolve().parent.parent
-NAMES = (
+PLATFORM_NAMES = (
     "run-start", "run-stop", "/hold", "wave-start", "machine-move", "X-Expect-Instance",
     "heartbeat_url", "fencing_token", "task_spec", "path_prefix", "est_runtime_ms",
     "X-Timeout-Ms", "seq_no", "/instances",
@@ -52,15 +52,15 @@
 REF = TaskRef(JobId("5c0e7a21d94b36f8"), 0, 1, 17)
 
 
-def test_nothing_outside_its_folder_names_the_platform() -> None:
+def test_platform_names_do_not_leak_out_of_the_platform_folder() -> None:
     for file in PACKAGE.rglob("*.py"):
         if file.parts[len(PACKAGE.parts)] in ("platform", "tests"):
             continue
         text = file.read_text()
-        assert not [name for name in NAMES if name.lower() in text.lower()], file
+        assert not [name for name in PLATFORM_NAMES if name.lower() in text.lower()], file
 
 
-def test_a_job_is_decoded_with_all_its_fields() -> None:
+def test_decoding_a_job_loses_no_field() -> None:
     body = {
         "task_spec": "text",
         "steps": [
@@ -87,15 +87,15 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{", b'{"steps":3}', b'{"steps":[{"count":"x"}]}', b"\xff"])
-def test_bad_jobs_are_told_what_is_wrong(body: bytes) -> None:
+def test_malformed_jobs_are_refused(body: bytes) -> None:
     assert isinstance(decode_job(body), Err)
 
 
-def test_task_names_are_read_as_they_are_written() -> None:
-    assert name_task(REF) == "5c0e7a21d94b36f8.0.1.17"
-    assert parse_task(name_task(REF)) == REF
-    assert parse_task("5c0e7a21d94b36f8.0.1") is None
-    assert parse_task("5c0e7a21d94b36f8.0.x.1") is None
+def test_task_names_survive_a_round_trip() -> None:
+    assert build_task_name(REF) == "5c0e7a21d94b36f8.0.1.17"
+    assert parse_task_name(build_task_name(REF)) == REF
+    assert parse_task_name("5c0e7a21d94b36f8.0.1") is None
+    assert parse_task_name("5c0e7a21d94b36f8.0.x.1") is None
 
 
 CONFIGURATION = {
@@ -110,7 +110,7 @@
 }  # fmt: skip
 
 
-def test_a_configuration_is_decoded_and_kept_word_for_word() -> None:
+def test_a_configuration_is_decoded_and_its_document_kept_byte_for_byte() -> None:
     body = msgspec.json.encode(CONFIGURATION)
     configuration = decode_configuration(body).unwrap()
     assert configuration.version == 7
@@ -120,7 +120,7 @@
     assert (queue.target_latency_ms, queue.priority, queue.stretch) == (60, 2, 1.6)
 
 
-def ask(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
+def build_request(method: str, path: str, body: bytes = b"", **headers: str) -> HttpRequest:
     return HttpRequest(method=method, path=path, headers=headers, body=body)
 
 
@@ -140,17 +140,17 @@
 )
 
 
-def test_heartbeats_and_leaving() -> None:
+def test_heartbeats_and_leave_messages_are_decoded() -> None:
     done = Answer(outcome=Outcome.DONE, leader_control="10.0.0.1:80")
-    response, calls = run_control(ask("PUT", "/instances/i-1", HEARTBEAT), done)
+    response, calls = run_control(build_request("PUT", "/instances/i-1", HEARTBEAT), done)
     assert response.status == 200
     assert msgspec.json.decode(response.body) == {"heartbeat_url": "10.0.0.1:80"}
-    beat = calls[0]
-    assert isinstance(beat, ForwardHeartbeat)
-    assert (beat.heartbeat.info.id, beat.heartbeat.draining) == ("i-1", True)
-    assert beat.heartbeat.info.capacity.cpu_millis == 16_000
-    _, calls = run_control(ask("DELETE", "/instances/i-1"), done)
-    assert calls == [ForwardLeave(upstream=beat.heartbeat.info.id)]
+    forwarded = calls[0]
+    assert isinstance(forwarded, ForwardHeartbeat)
+    assert (forwarded.heartbeat.info.id, forwarded.heartbeat.draining) == ("i-1", True)
+    assert forwarded.heartbeat.info.capacity.cpu_millis == 16_000
+    _, calls = run_control(build_request("DELETE", "/instances/i-1"), done)
+    assert calls == [ForwardLeave(upstream=forwarded.heartbeat.info.id)]
 
 
 @pytest.mark.parametrize(
@@ -170,22 +170,22 @@
         b"",
     ],
 )
-def test_a_capacity_that_cannot_be_counts_as_none_and_costs_nothing_else(capacity: bytes) -> None:
-    """Failed before: of another type it cost the whole heartbeat, and less than none was taken."""
+def test_an_invalid_capacity_does_not_void_the_rest_of_a_heartbeat(capacity: bytes) -> None:
+    """A capacity of the wrong type voided the whole heartbeat; a negative one was accepted."""
     field = b'"capacity":' + capacity + b"," if capacity else b""
     body = HEARTBEAT.replace(b'"capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},', field)
     done = Answer(outcome=Outcome.DONE)
-    response, calls = run_control(ask("PUT", "/instances/i-1", body), done)
+    response, calls = run_control(build_request("PUT", "/instances/i-1", body), done)
     assert response.status == 200
-    beat = calls[0]
-    assert isinstance(beat, ForwardHeartbeat)
-    assert beat.heartbeat.info.capacity == Capacity()
-    assert beat.heartbeat.has_no_capacity == (capacity != b"{}")
-    assert (beat.heartbeat.sequence, beat.heartbeat.draining) == (4, True)
-    assert beat.heartbeat.info.labels == ("a", "r1-3")
+    forwarded = calls[0]
+    assert isinstance(forwarded, ForwardHeartbeat)
+    assert forwarded.heartbeat.info.capacity == Capacity()
+    assert forwarded.heartbeat.has_no_capacity == (capacity != b"{}")
+    assert (forwarded.heartbeat.sequence, forwarded.heartbeat.draining) == (4, True)
+    assert forwarded.heartbeat.info.labels == ("a", "r1-3")
 
 
-def test_invalid_configurations_are_refused_without_asking_anybody() -> None:
+def test_invalid_configurations_are_refused_without_any_call() -> None:
     good = msgspec.json.encode(CONFIGURATION)
     routes = CONFIGURATION["routes"]
     assert isinstance(routes, list)
@@ -197,9 +197,13 @@
         msgspec.json.encode({**CONFIGURATION, "routes": [{**routes[0], "timeout_ms": 0}]}),
     ]
     for body in bad:
-        response, calls = run_control(ask("PUT", "/config", body), Answer(outcome=Outcome.DONE))
+        response, calls = run_control(
+            build_request("PUT", "/config", body), Answer(outcome=Outcome.DONE)
+        )
         assert (response.status, calls) == (400, [])
-    response, calls = run_control(ask("PUT", "/config", good), Answer(outcome=Outcome.DONE))
+    response, calls = run_control(
+        build_request("PUT", "/config", good), Answer(outcome=Outcome.DONE)
+    )
     assert response.status == 200
     assert isinstance(calls[0], Configure)
 
@@ -208,16 +212,18 @@
     ("outcome", "status"),
     [(Outcome.UNAVAILABLE, 503), (Outcome.UNKNOWN, 504), (Outcome.INVALID, 400)],
 )
-def test_a_configuration_that_is_not_acknowledged(outcome: Outcome, status: int) -> None:
+def test_a_configuration_that_is_not_acknowledged_gets_an_error_status(
+    outcome: Outcome, status: int
+) -> None:
     body = msgspec.json.encode(CONFIGURATION)
-    response, _ = run_control(ask("PUT", "/config", body), Answer(outcome=outcome))
+    response, _ = run_control(build_request("PUT", "/config", body), Answer(outcome=outcome))
     assert response.status == status
 
 
 def run_front(request: HttpRequest, answer: Answer) -> tuple[HttpResponse, list[Call]]:
     calls: list[Call] = []
 
-    async def answer_call(call: Call, patience: timedelta) -> Answer:
+    async def answer_call(call: Call, timeout: timedelta) -> Answer:
         calls.append(call)
         return answer
 
@@ -235,51 +241,63 @@
         (Answer(outcome=Outcome.NO_QUEUE), 404, None),
     ],
 )
-def test_answers_to_a_submission(answer: Answer, status: int, retry_after: str | None) -> None:
+def test_submissions_get_the_status_and_retry_time_of_their_outcome(
+    answer: Answer, status: int, retry_after: str | None
+) -> None:
     body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
-    response, calls = run_front(ask("POST", "/p/0123456789abcdef", body, host="h"), answer)
+    response, calls = run_front(
+        build_request("POST", "/p/0123456789abcdef", body, host="h"), answer
+    )
     assert (response.status, response.headers.get("retry-after")) == (status, retry_after)
     assert isinstance(calls[0], Submit)
 
 
-def test_states_counts_and_cancels() -> None:
+def test_state_count_and_cancel_calls_are_translated() -> None:
     answer = Answer(outcome=Outcome.DONE, state=JobState.RUNNING)
-    response, calls = run_front(ask("GET", "/p/1", host="h"), answer)
+    response, calls = run_front(build_request("GET", "/p/1", host="h"), answer)
     assert response.body == b'{"state":"running"}'
     assert calls == [AskState(host="h", path="/p/1")]
-    response, _ = run_front(ask("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3))
+    response, _ = run_front(build_request("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3))
     assert response.body == b'{"pending":3}'
-    response, calls = run_front(ask("DELETE", "/p/1", host="h"), Answer(outcome=Outcome.NO_JOB))
+    response, calls = run_front(
+        build_request("DELETE", "/p/1", host="h"), Answer(outcome=Outcome.NO_JOB)
+    )
     assert response.status == 410
     assert calls == [Cancel(host="h", path="/p/1")]
 
 
-def test_a_caller_that_hangs_up_gives_its_job_up() -> None:
-    given_up: list[Submit] = []
+def test_a_best_effort_job_is_abandoned_when_its_caller_disconnects() -> None:
+    abandoned: list[Submit] = []
 
-    async def answer_never(call: Call, patience: timedelta) -> Answer:
+    async def answer_never(call: Call, timeout: timedelta) -> Answer:
         await asyncio.Event().wait()
         raise AssertionError
 
-    async def play() -> None:
-        handler = build_front_handler(answer_never, given_up.append, lambda: False)
+    async def run_scenario() -> None:
+        handler = build_front_handler(answer_never, abandoned.append, lambda: False)
         body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
-        task = asyncio.create_task(handler(ask("POST", "/p/0123456789abcdef", body)))
+        task = asyncio.create_task(handler(build_request("POST", "/p/0123456789abcdef", body)))
         await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    asyncio.run(play())
-    assert [call.path for call in given_up] == ["/p/0123456789abcdef"]
+    asyncio.run(run_scenario())
+    assert [call.path for call in abandoned] == ["/p/0123456789abcdef"]
 
 
-def test_readiness() -> None:
-    assert asyncio.run(build_readiness_handler(lambda: True)(ask("GET", "/ready"))).status == 200
-    assert asyncio.run(build_readiness_handler(lambda: False)(ask("GET", "/ready"))).status == 503
+def test_the_readiness_check_fails_while_the_host_is_not_ready() -> None:
+    assert (
+        asyncio.run(build_readiness_handler(lambda: True)(build_request("GET", "/ready"))).status
+        == 200
+    )
+    assert (
+        asyncio.run(build_readiness_handler(lambda: False)(build_request("GET", "/ready"))).status
+        == 503
+    )
 
 
 class FixedClient(WorkerClient):
-    """A client whose calls have one result."""
+    """A client whose calls all return one fixed result."""
 
     def __init__(self, result: Result[HttpReply, TransportError]) -> None:
         super().__init__(pools=ConnectionPools())
@@ -294,7 +312,7 @@
 START = StartOrder(
     upstream=build_info("u1"), task=REF, run=RunNumber(2), payload="t", checkpoint="", expires_ms=9
 )
-LOOK = PollOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
+POLL = PollOrder(upstream=build_info("u1"), last_seen=57, expires_ms=9, wait=timedelta(seconds=1))
 
 
 @pytest.mark.parametrize(
@@ -312,7 +330,9 @@
         (200, b"no json", StartOutcome.STARTED),
     ],
 )
-def test_answers_to_a_start(status: int, body: bytes, outcome: StartOutcome) -> None:
+def test_start_replies_are_mapped_to_their_outcomes(
+    status: int, body: bytes, outcome: StartOutcome
+) -> None:
     client = FixedClient(Success(HttpReply(status=status, body=body)))
     found, _ = asyncio.run(client.start(START, 7))
     assert found is outcome
@@ -325,28 +345,28 @@
         assert asyncio.run(client.start(START, 7))[0] is outcome
 
 
-def test_answers_to_a_look() -> None:
+def test_poll_replies_are_decoded_and_failures_are_told_apart() -> None:
     body = (
         b'{"clock_ms":482113,"running":[["5c0e7a21d94b36f8.0.1.17",2,"saved",41,3]],'
         b'"finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]]}'
     )
     client = FixedClient(Success(HttpReply(status=200, body=body)))
-    reply = asyncio.run(client.poll(LOOK, 7))
+    reply = asyncio.run(client.poll(POLL, 7))
     assert isinstance(reply, PollReply)
     assert (reply.running[0].task, reply.running[0].percent) == (REF, 41)
     assert (reply.ended[0].number, reply.ended[0].how) == (58, RunEndKind.DONE)
     assert client.bodies[0]["wait_ms"] == 1_000
     fenced = FixedClient(Success(HttpReply(status=409, body=b'{"reason":"fence"}')))
-    assert asyncio.run(fenced.poll(LOOK, 7)) is CallFailure.FENCED
+    assert asyncio.run(fenced.poll(POLL, 7)) is CallFailure.FENCED
     gone = FixedClient(Success(HttpReply(status=421, body=b"")))
-    assert asyncio.run(gone.poll(LOOK, 7)) is CallFailure.INSTANCE_ENDED
+    assert asyncio.run(gone.poll(POLL, 7)) is CallFailure.INSTANCE_ENDED
 
 
-def test_templates_name_only_settings_that_exist() -> None:
-    from ..config.cluster import _CONTROL, _GATEWAY
+def test_templates_contain_no_unknown_settings() -> None:
+    from ..config.cluster import _CONTROL_OPTIONS, _GATEWAY_OPTIONS
 
     folder = PACKAGE.parent / "deploy"
-    for name, options in (("control", _CONTROL), ("gateway", _GATEWAY)):
+    for name, options in (("control", _CONTROL_OPTIONS), ("gateway", _GATEWAY_OPTIONS)):
         text = (folder / f"{name}.yaml.template").read_text()
         keys = re.findall(r"^(\w+):", text, re.MULTILINE)
         assert not set(keys) - set(options), name
--- a/cottonlug/upstream/work.py
+++ b/cottonlug/upstream/work.py
@@ -1,8 +1,8 @@
-"""The work that the stand-in does: both users' kinds of task, and plain ones for tests.
+"""Tasks that the stand-in upstream can run: one kind for each user, and simple ones for tests.
 
-A payload is a JSON object; `ms` is how long the task takes. Kinds: `aurora.alert` decides whom to
-wake, `weigh.ticket` settles tare against gross, `sleep` only waits, `echo` returns its payload,
-`fail` fails, `hang` never ends by itself, `crash` ends the process.
+A payload is a JSON object, in which `ms` is the run time of the task. Kinds: `aurora.alert` chooses
+whom to alert, `weigh.ticket` computes net weight and price, `sleep` only waits, `echo` returns its
+payload, `fail` fails, `hang` never ends by itself, `crash` ends the process.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 _MAX_CLOUD_SHARE = 0.7
 _PRICES_PER_KG = {"ferrous": 0.35, "non-ferrous": 4.2}
 
-Work = Callable[[dict[str, Any]], Result[Any, str]]
+TaskFunction = Callable[[dict[str, Any]], Result[Any, str]]
 
 
 async def run_work(kind: str, payload: Raw) -> Result[Raw, str]:
-    """Run one task and return its result as JSON, or why it failed."""
+    """Run one task; return its result as JSON, or an error message."""
     try:
         content = msgspec.json.decode(payload)
     except msgspec.DecodeError as error:
@@ -35,8 +35,8 @@
     milliseconds = fields.get("ms", 0)
     if not isinstance(milliseconds, int | float) or milliseconds < 0:
         return Failure("ms must be a number that is not negative")
-    work = _KINDS.get(kind)
-    if work is None:
+    compute = _TASK_FUNCTIONS.get(kind)
+    if compute is None:
         return Failure(f"unknown kind {kind!r}")
     if kind == "crash":
         os._exit(_CRASH_EXIT_CODE)
@@ -44,11 +44,14 @@
         await asyncio.sleep(_HANG_SECONDS)
     if milliseconds:
         await asyncio.sleep(milliseconds / 1000)
-    return work(fields).map(lambda value: Raw(msgspec.json.encode(value)))
+    return compute(fields).map(lambda value: Raw(msgspec.json.encode(value)))
 
 
-def decide_alert(fields: dict[str, Any]) -> Result[Any, str]:
-    """Return whom to wake for a magnetometer index and a cloud share."""
+def choose_alert_recipients(fields: dict[str, Any]) -> Result[Any, str]:
+    """Return which recipients to alert for a K-index and a cloud cover between 0 and 1.
+
+    Nobody is alerted under more than 70 percent of clouds.
+    """
     index = fields.get("k_index")
     clouds = fields.get("clouds", 0.0)
     if not isinstance(index, int | float) or not isinstance(clouds, int | float):
@@ -58,8 +61,8 @@
     return Success({"subscriber": fields.get("subscriber"), "wake": wake})
 
 
-def settle_ticket(fields: dict[str, Any]) -> Result[Any, str]:
-    """Return net weight and price of one load."""
+def compute_ticket(fields: dict[str, Any]) -> Result[Any, str]:
+    """Return the net weight in kilograms and the price of one load."""
     gross = fields.get("gross_kg")
     tare = fields.get("tare_kg")
     price = _PRICES_PER_KG.get(str(fields.get("material")))
@@ -83,9 +86,9 @@
     return Failure(str(fields.get("why", "told to fail")))
 
 
-_KINDS: dict[str, Work] = {
-    "aurora.alert": decide_alert,
-    "weigh.ticket": settle_ticket,
+_TASK_FUNCTIONS: dict[str, TaskFunction] = {
+    "aurora.alert": choose_alert_recipients,
+    "weigh.ticket": compute_ticket,
     "sleep": _do_nothing,
     "echo": _echo,
     "fail": _fail,
