--- a/bench/leader.py
+++ b/bench/leader.py
@@ -53,7 +53,7 @@
 from cottonlug.runtime.replicated import ReplicatedRecords
 from cottonlug.tests.gateway_builders import raise_error
 from cottonlug.tests.processes import find_base_port
-from cottonlug.tests.test_cluster_waiting import OwnOffice
+from cottonlug.tests.test_cluster_waiting import LogLeaderAuthority
 
 from .callers import KINDS
 from .standin import STARTED_MS, build_address
@@ -120,7 +120,7 @@
         self._pools = ConnectionPools(max_connections=16)
         clock = SystemClock()
         self.leadership = Leadership(
-            authority=OwnOffice(),
+            authority=LogLeaderAuthority(),
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
--- a/bench/load.py
+++ b/bench/load.py
@@ -19,7 +19,7 @@
 from cottonlug.core.cluster.term import TOKENS_PER_TERM
 from cottonlug.core.ids import UpstreamId
 from cottonlug.tests.model_upstreams import (
-    SETTLE_AFTER,
+    RECONCILE_AFTER,
     Leader,
     ModelUpstream,
     World,
@@ -248,7 +248,7 @@
         self.real_ms[job] = real_ms
         is_poisoned = self.chance.random() < self.poisoned_share if self.poisoned_share else False
         if is_poisoned:
-            self.world.poison.add(TaskRef(job, 0, 0, 0))
+            self.world.crashing_tasks.add(TaskRef(job, 0, 0, 0))
         self.jobs[job] = SubmittedJob(
             kind=kind,
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
@@ -279,7 +279,7 @@
             queue,
             may_have_begun=may_have_begun,
             # A job that was sent for the first time cannot have active runs yet.
-            reconcile_after=SETTLE_AFTER if may_have_begun else timedelta(),
+            reconcile_after=RECONCILE_AFTER if may_have_begun else timedelta(),
             waited=waited,
         )
 
--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -84,7 +84,7 @@
             self._jobs.unqueue(run.task)
         # The host that began this run may begin the task again, at an upstream not seen yet, once
         # this run has ended.
-        task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
+        task.may_run_elsewhere = task.may_run_elsewhere or task.phase is TaskPhase.UNKNOWN
         task.phase = TaskPhase.RUNNING
         task.instance = instance.info.id
         task.run = run.run
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -35,7 +35,7 @@
 
     caller: str
     channel: int = msgspec.field(name="line")
-    count: int = 0
+    numbering: int = msgspec.field(name="count", default=0)
     have: int = 0
 
 
@@ -52,7 +52,7 @@
     `count` identifies the numbering, which a new process at the same address begins anew.
     """
 
-    count: int = 0
+    numbering: int = msgspec.field(name="count", default=0)
     through: int = 0
     answers: tuple[NumberedAnswer, ...] = ()
 
--- a/cottonlug/core/cluster/capacity_reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -44,13 +44,13 @@
         """Age of the last report at which a heartbeat counts as missed."""
         return self.interval + MISSED_HEARTBEAT_DELAY
 
-    def find_valid_until(self, led_at: timedelta) -> timedelta:
+    def find_valid_until(self, current_at: timedelta) -> timedelta:
         """Return until when recorded capacities can be relied on, if current at `led_at`.
 
         The records say which upstreams have missed a heartbeat. All others, if they had changed by
         then without a report, had done so within an interval.
         """
-        return led_at + self.shrink_tolerance - PROPAGATION_TIME
+        return current_at + self.shrink_tolerance - PROPAGATION_TIME
 
 
 DEFAULT_REPORT_TERMS = ReportTerms()
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -291,7 +291,7 @@
         elif isinstance(command, RecordCrash):
             self._drop_instance(command.upstream)
             suspects = (*command.blamed, *command.others, *command.unanswered)
-            self._jobs.fail_crashing(suspects, now)
+            self._jobs.fail_quarantined(suspects, now)
         elif isinstance(command, RemoveUpstreams):
             for upstream in command.upstreams:
                 self._drop_instance(upstream)
@@ -312,7 +312,7 @@
         self._instances.remove(upstream)
         if instance is not None:
             # The log has counted its end, or it has left: its tasks need not wait for that.
-            self._jobs.release(self._jobs.crash_tracker.forget_instance(instance))
+            self._jobs.update_restrictions(self._jobs.crash_tracker.forget_instance(instance))
 
     def handle_start_answer(
         self,
@@ -336,7 +336,7 @@
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
-            instance.response_timeout.receive_answer(now - run.since)
+            instance.response_timeout.record_response_time(now - run.since)
         if outcome is StartOutcome.STARTED:
             self._term.counts.started += 1
             instance.refusals = 0
@@ -420,7 +420,7 @@
             instance.is_fenced = True
             self._term.log_decision("upstream_adopted", {"upstream": instance.info.id})
         self._instances.unseen.discard(instance.info.id)
-        self._jobs.release(self._jobs.crash_tracker.record_answer(instance))
+        self._jobs.update_restrictions(self._jobs.crash_tracker.record_answer(instance))
         self._watcher.request_uncordon(instance)
         self._ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -23,10 +23,10 @@
         self._factors: dict[QueueKey, float] = {}
         """The mean ratios themselves, by which declared run times are multiplied."""
 
-    def learn(self, queue: QueueKey, step: StepSpec, taken: timedelta) -> None:
+    def learn(self, queue: QueueKey, step: StepSpec, run_time: timedelta) -> None:
         """Update the ratio of a queue with a run that succeeded."""
-        taken_ms = max(taken / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
-        ratio = math.log(taken_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
+        run_time_ms = max(run_time / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
+        ratio = math.log(run_time_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
         known = self._ratios.get(queue, 0.0)
         self._ratios[queue] = known + LEARNING_RATE * (ratio - known)
         self._factors[queue] = math.exp(self._ratios[queue])
@@ -61,7 +61,7 @@
     return Forecast().find_objective(queue, spec.steps)
 
 
-def find_latest_useful_start(queue: Queue, spec: JobSpec) -> timedelta:
+def find_max_useful_wait(queue: Queue, spec: JobSpec) -> timedelta:
     """Return how long after its arrival a job may begin and be of use, by declared run times."""
     declared = Forecast()
     objective = declared.find_objective(queue, spec.steps)
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -211,9 +211,9 @@
     sequence: int
     draining: bool
     clock_ms: int | None = None
-    has_no_capacity: bool = False
+    is_capacity_unreadable: bool = msgspec.field(name="has_no_capacity", default=False)
     """Whether its reported capacity cannot be read, so that it counts as having none."""
     cold_left_ms: int = 0
     """For how much longer tasks run slower there than usual, as after its start."""
-    held: PollReply | None = None
+    poll_reply: PollReply | None = msgspec.field(name="held", default=None)
     """Its runs and ended runs, where its orders come with the answers to its heartbeats."""
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -35,13 +35,13 @@
     run: RunNumber = NO_RUN
     moves: int = 0
     """How often it was stopped to be started elsewhere."""
-    is_unknown: bool = False
+    may_run_elsewhere: bool = False
     """Whether another run of it, begun by another coordinator, may be active somewhere; this
     includes tasks whose run was adopted: see `reconciliation`."""
     unrecorded_end: tuple[UpstreamId, RunNumber] | None = None
     """The run whose end has yet to be recorded, while it is `RECORDING`."""
 
-    def runs_as(self, run: RunNumber, upstream: UpstreamId) -> bool:
+    def is_current_run(self, run: RunNumber, upstream: UpstreamId) -> bool:
         """Whether this is its present run.
 
         A job that was abandoned and is submitted again has its runs numbered from the first again.
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -149,7 +149,7 @@
         if not indexes:
             return
         if not self.crash_tracker.may_suspect_any():
-            self._queue(job, occurrence, number, indexes, StartRestriction.NONE)
+            self._add_batch(job, occurrence, number, indexes, StartRestriction.NONE)
             return
         by_restriction: dict[StartRestriction, list[int]] = {}
         for index in indexes:
@@ -158,9 +158,9 @@
             )
             by_restriction.setdefault(restriction, []).append(index)
         for restriction, alike in by_restriction.items():
-            self._queue(job, occurrence, number, alike, restriction)
+            self._add_batch(job, occurrence, number, alike, restriction)
 
-    def _queue(
+    def _add_batch(
         self,
         job: OpenJob,
         occurrence: int,
@@ -201,15 +201,15 @@
         """Queue a task again whose run there is surely over without a result."""
         job = self.jobs.get(ref.job)
         task = job.tasks.get(ref) if job is not None else None
-        if job is None or task is None or not task.runs_as(run, upstream):
+        if job is None or task is None or not task.is_current_run(run, upstream):
             return
-        if task.is_unknown:
+        if task.may_run_elsewhere:
             task.phase = TaskPhase.UNKNOWN
             self.may_have_unknown_tasks = True
             return
         self.queue(job, ref.occurrence, ref.step, [ref.place])
 
-    def release(self, tasks: Iterable[TaskRef]) -> None:
+    def update_restrictions(self, tasks: Iterable[TaskRef]) -> None:
         """Stop delaying these tasks: an upstream that was lost has not crashed under them."""
         for ref in tasks:
             job = self.jobs.get(ref.job)
@@ -218,7 +218,7 @@
                 self.unqueue(ref)
                 self.queue(job, ref.occurrence, ref.step, [ref.place])
 
-    def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
+    def fail_quarantined(self, refs: Iterable[TaskRef], now: timedelta) -> None:
         """Fail the jobs of tasks that are quarantined, since upstreams have crashed under them."""
         for ref in refs:
             counts = self.crash_tracker.get_counts(ref)
@@ -257,13 +257,13 @@
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
             return
-        is_current = task.runs_as(end.run, upstream)
+        is_current = task.is_current_run(end.run, upstream)
         # A run that was abandoned with its lease may have succeeded before that.
         is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is RunEndKind.DONE
         if is_done_after_all:
             self.unqueue(end.task)
         if is_current or is_done_after_all or task.phase is TaskPhase.UNKNOWN:
-            task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
+            task.may_run_elsewhere = task.may_run_elsewhere or task.phase is TaskPhase.UNKNOWN
             task.phase = TaskPhase.RECORDING
             task.run = RunNumber(max(task.run, end.run))
             task.unrecorded_end = (upstream, end.run)
@@ -277,14 +277,14 @@
             if task.phase is TaskPhase.QUEUED:
                 self.unqueue(ref)
                 task.phase = TaskPhase.UNKNOWN
-            task.is_unknown = True
+            task.may_run_elsewhere = True
 
     def queue_unknown(self, job: OpenJob) -> None:
         """Queue the unknown tasks of a job: no run of them can be active any more."""
         for task in job.tasks.values():
             if task.phase is TaskPhase.UNKNOWN:
                 task.phase = TaskPhase.BLOCKED
-                task.is_unknown = False
+                task.may_run_elsewhere = False
         for occurrence in range(job.next_occurrence):
             self.unblock(job, occurrence)
 
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -81,9 +81,9 @@
 
     def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
-        if heartbeat.has_no_capacity and not instance.is_unreadable:
+        if heartbeat.is_capacity_unreadable and not instance.is_unreadable:
             self._term.log_decision("capacity_unreadable", {"upstream": instance.info.id})
-        instance.is_unreadable = heartbeat.has_no_capacity
+        instance.is_unreadable = heartbeat.is_capacity_unreadable
         before, capacity = instance.info.capacity, heartbeat.info.capacity
         sent_at = now - instance.find_age(heartbeat.clock_ms, now)
         if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
--- a/cottonlug/core/cluster/response_timeout.py
+++ b/cottonlug/core/cluster/response_timeout.py
@@ -29,13 +29,13 @@
         self._mean: timedelta | None = None
         self._deviation = timedelta()
 
-    def receive_answer(self, taken: timedelta) -> None:
+    def record_response_time(self, response_time: timedelta) -> None:
         """Update the estimate with the time that an answer took."""
         if self._mean is None:
-            self._mean, self._deviation = taken, taken / 2
+            self._mean, self._deviation = response_time, response_time / 2
             return
-        self._deviation += (abs(taken - self._mean) - self._deviation) * DEVIATION_WEIGHT
-        self._mean += (taken - self._mean) * MEAN_WEIGHT
+        self._deviation += (abs(response_time - self._mean) - self._deviation) * DEVIATION_WEIGHT
+        self._mean += (response_time - self._mean) * MEAN_WEIGHT
 
     def find_timeout(self) -> timedelta:
         """Return after how long a missing answer counts as lost."""
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -170,7 +170,7 @@
             del job.tasks[end.task]
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
-        elif task.phase is TaskPhase.RECORDING and task.is_unknown:
+        elif task.phase is TaskPhase.RECORDING and task.may_run_elsewhere:
             # The end of one run says nothing of a later run at an upstream not seen yet.
             task.phase = TaskPhase.UNKNOWN
             self._reconciliation.request_recheck()
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -78,9 +78,9 @@
         sequence=read.seq_no,
         draining=read.state == DRAINING,
         clock_ms=read.clock_ms,
-        has_no_capacity=capacity is None,
+        is_capacity_unreadable=capacity is None,
         cold_left_ms=_read_cold_left(read.cold_left_ms),
-        held=read_run_lists(read.clock_ms, read.running, read.finished),
+        poll_reply=read_run_lists(read.clock_ms, read.running, read.finished),
     )
     return Success(ForwardHeartbeat(heartbeat=heartbeat))
 
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -24,7 +24,7 @@
     call_decoder,
 )
 from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
-from ..core.cluster.forecast import find_latest_useful_start
+from ..core.cluster.forecast import find_max_useful_wait
 from ..core.cluster.instances import LeaseTerms, choose_lease_terms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
@@ -233,7 +233,7 @@
         found = queues.find_queue(call.host, call.path) if queues is not None else None
         if found is None:
             return 0.0
-        return find_latest_useful_start(found[0], call.spec).total_seconds() - call.waited_ms / 1000
+        return find_max_useful_wait(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _wait_for_leader(self) -> None:
         """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -24,7 +24,7 @@
     Submit,
     call_decoder,
 )
-from ..core.cluster.forecast import find_declared_objective, find_latest_useful_start
+from ..core.cluster.forecast import find_declared_objective, find_max_useful_wait
 from ..core.cluster.model import Queue
 from ..net.asgi import HttpRequest, HttpResponse
 from .acting_leader import ActingLeader
@@ -266,14 +266,14 @@
         spec = call.spec
         if queue is None or not spec.best_effort or spec.is_timed or spec.long_running:
             return False
-        return waited > find_latest_useful_start(queue, spec)
+        return waited > find_max_useful_wait(queue, spec)
 
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job can still wait and be useful; 0 if not known."""
         queue = self._find_queue(call)
         if queue is None:
             return 0.0
-        return find_latest_useful_start(queue, call.spec).total_seconds() - call.waited_ms / 1000
+        return find_max_useful_wait(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _try_once(self, call: Call, timeout: timedelta) -> Answer:
         if self.acting_leader is not None:
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -147,11 +147,11 @@
     async def handle_heartbeat(self, heartbeat: Heartbeat, token: int) -> HeartbeatOrders:
         """Process the lists of a heartbeat, and return the orders for its answer."""
         queue = self._queues.setdefault(heartbeat.info.id, _UpstreamQueue())
-        if heartbeat.sequence <= queue.sequence or heartbeat.held is None:
+        if heartbeat.sequence <= queue.sequence or heartbeat.poll_reply is None:
             # Overtaken by a later heartbeat, which gets an answer of its own.
             return HeartbeatOrders(token=token, last_seen=0)
         queue.sequence = heartbeat.sequence
-        self._resolve_sent(queue, heartbeat.held)
+        self._resolve_sent(queue, heartbeat.poll_reply)
         self._on_listening_change(heartbeat.info.id, True)
         await self._park(queue, heartbeat)
         if self._is_over or heartbeat.sequence != queue.sequence:
@@ -237,4 +237,6 @@
 
 
 def _is_busy(heartbeat: Heartbeat) -> bool:
-    return heartbeat.held is not None and bool(heartbeat.held.running or heartbeat.held.ended)
+    return heartbeat.poll_reply is not None and bool(
+        heartbeat.poll_reply.running or heartbeat.poll_reply.ended
+    )
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -95,7 +95,12 @@
         """Whether the log already contains everything that a heartbeat says."""
         records = self._get_records()
         known = records.upstreams.get(heartbeat.info.id)
-        if known is None or known.draining or heartbeat.draining or heartbeat.has_no_capacity:
+        if (
+            known is None
+            or known.draining
+            or heartbeat.draining
+            or heartbeat.is_capacity_unreadable
+        ):
             return False
         if heartbeat.cold_left_ms:
             return False
--- a/cottonlug/runtime/job_channel.py
+++ b/cottonlug/runtime/job_channel.py
@@ -148,7 +148,7 @@
             ask = AskAnswers(
                 caller=self._own_address,
                 channel=self._channel_id,
-                count=self._numbering,
+                numbering=self._numbering,
                 have=self._received_through,
             )
             sent = await self._open_pool().call(
@@ -166,11 +166,11 @@
         except msgspec.MsgspecError as error:
             log_event(Event.CALL_FAILED, call="AskAnswers", outcome="unknown", detail=str(error))
             return False
-        is_known = answers.count == self._numbering
+        is_known = answers.numbering == self._numbering
         self._received_through = (
             max(self._received_through, answers.through) if is_known else answers.through
         )
-        self._numbering = answers.count
+        self._numbering = answers.numbering
         for each in answers.answers:
             item = self._pending.get(each.number)
             if item is not None and not item.answer.done():
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -121,7 +121,7 @@
         Returns none after `ANSWER_POLL_WAIT`.
         """
         channel = self._get_channel(ask.caller, ask.channel)
-        if ask.count == channel.numbering:
+        if ask.numbering == channel.numbering:
             channel.answers = [each for each in channel.answers if each[0] > ask.have]
         if not channel.answers:
             channel.changed.clear()
@@ -131,7 +131,9 @@
             except TimeoutError:
                 pass
         answers = tuple(answer for _, answer in channel.answers)
-        return AnswerBatch(count=channel.numbering, through=channel.answer_count, answers=answers)
+        return AnswerBatch(
+            numbering=channel.numbering, through=channel.answer_count, answers=answers
+        )
 
     def _start_next(self) -> None:
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -147,15 +147,15 @@
         self.cut_off = {order.upstream.id} if is_away else set()
         Leader._send(self, order)
 
-    def _take_answer(
+    def _handle_answer(
         self, order: Order, value: object, sent_at: timedelta, upstream: ModelUpstream
     ) -> None:
         if not self.site.can_reach(self.home, upstream.info.domain):
             value = None
         if self.world.now < self.busy_until:
-            self.when_free(lambda: self._take_answer(order, value, sent_at, upstream))
+            self.when_free(lambda: self._handle_answer(order, value, sent_at, upstream))
             return
-        Leader._take_answer(self, order, value, sent_at, upstream)
+        Leader._handle_answer(self, order, value, sent_at, upstream)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -42,7 +42,7 @@
 from ..core.ids import DomainName, UpstreamId
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
-SETTLE_AFTER = TERMS.lapse_after + timedelta(milliseconds=500)
+RECONCILE_AFTER = TERMS.lapse_after + timedelta(milliseconds=500)
 SERVICE = ServiceName("service")
 TASK_CPU = 7_000
 """CPU that every task takes, of 16,000: two tasks fit an upstream."""
@@ -117,7 +117,7 @@
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
     """Every start and its time."""
     durable_jobs: set[JobId] = field(default_factory=set)
-    poison: set[TaskRef] = field(default_factory=set)
+    crashing_tasks: set[TaskRef] = field(default_factory=set)
     """Tasks that crash each upstream that starts them."""
     crashes: dict[TaskRef, int] = field(default_factory=dict)
     """How often an upstream has crashed with each task active."""
@@ -162,7 +162,7 @@
     """Whether, after a crash, a later instance answers at its address."""
     rejects_overload: bool = True
     """Whether it refuses what does not fit; otherwise a start over its capacity fails the test."""
-    earlier_sizes: list[tuple[timedelta, int]] = field(default_factory=list)
+    earlier_capacities: list[tuple[timedelta, int]] = field(default_factory=list)
     """Earlier capacities, in thousandths of a core, each with the time until which it had them."""
     sequence: int = 0
     """Sequence number of its last heartbeat."""
@@ -170,10 +170,10 @@
     """Whether everything that it starts fails at once."""
     token: int = 0
     expires_ms: float = 0.0
-    number: int = 0
+    last_end_number: int = 0
     ended: list[RunEndReport] = field(default_factory=list)
     runs: dict[TaskRef, ModelRun] = field(default_factory=dict)
-    barred: dict[TaskRef, int] = field(default_factory=dict)
+    refused_through: dict[TaskRef, int] = field(default_factory=dict)
     parked: list[Callable[[], None]] = field(default_factory=list)
 
     def clock_ms(self) -> int:
@@ -189,7 +189,7 @@
         present = self.runs.get(order.task)
         if present is not None and present.run == order.run:
             return StartOutcome.STARTED
-        if order.run <= self.barred.get(order.task, 0):
+        if order.run <= self.refused_through.get(order.task, 0):
             self._extend(order.expires_ms)
             return StartOutcome.OUTDATED
         if order.expires_ms <= self.clock_ms():
@@ -199,21 +199,21 @@
         if present is not None or is_over:
             self._extend(order.expires_ms)
             return StartOutcome.NO_ROOM
-        tolerated = self.find_tolerated_size()
+        tolerated = self.find_tolerated_cpu()
         assert wanted <= tolerated, f"a start brings {self.info.id} to {wanted} of {tolerated}"
         self._begin(order, needs)
         return StartOutcome.STARTED
 
     def resize(self, cpu_millis: int) -> None:
         """Change the capacity from now on; active runs continue."""
-        self.earlier_sizes.append((self.world.now, self.info.capacity.cpu_millis))
+        self.earlier_capacities.append((self.world.now, self.info.capacity.cpu_millis))
         capacity = msgspec.structs.replace(self.info.capacity, cpu_millis=cpu_millis)
         self.info = msgspec.structs.replace(self.info, capacity=capacity)
 
-    def find_tolerated_size(self) -> int:
+    def find_tolerated_cpu(self) -> int:
         """Return the CPU that starts may use: a capacity that has shrunk counts after a while."""
         since = self.world.now - DEFAULT_REPORT_TERMS.valid_for
-        tolerated = [size for until, size in self.earlier_sizes if until >= since]
+        tolerated = [size for until, size in self.earlier_capacities if until >= since]
         return max([self.info.capacity.cpu_millis, *tolerated])
 
     def build_heartbeat(self, *, draining: bool = False) -> Heartbeat:
@@ -232,7 +232,7 @@
         if token < self.token:
             return CallFailure.FENCED
         self.token = token
-        self.barred[order.task] = max(self.barred.get(order.task, 0), order.run)
+        self.refused_through[order.task] = max(self.refused_through.get(order.task, 0), order.run)
         run = self.runs.get(order.task)
         if run is not None and run.run == order.run:
             self._end(run, RunEndKind.STOPPED)
@@ -282,8 +282,8 @@
         ), f"{ref} runs at {world.running.get(ref)} and {self.info.id}"
         if ref.job in world.durable_jobs - world.long_running_jobs:
             assert ref not in world.recorded_done, f"{ref} starts again after its end was recorded"
-        is_in_touch = world.now >= world.connected_from
-        if ref.job in world.durable_jobs and world.crashes.get(ref, 0) >= 3 and is_in_touch:
+        is_connected = world.now >= world.connected_from
+        if ref.job in world.durable_jobs and world.crashes.get(ref, 0) >= 3 and is_connected:
             world.starts_after_three[ref] = world.starts_after_three.get(ref, 0) + 1
             assert world.starts_after_three[ref] < 3, f"{ref} is started after three crashes"
         world.running[ref] = self.info.id
@@ -292,20 +292,20 @@
         world.started_jobs.add(ref.job)
         fails = world.random.random() < world.failed_share or self.fails_all
         how = RunEndKind.FAILED if fails else RunEndKind.DONE
-        taken = milliseconds(1) if self.fails_all else self.run_times(ref.job)
+        run_time = milliseconds(1) if self.fails_all else self.run_times(ref.job)
         run = ModelRun(
             ref=ref,
             run=order.run,
             needs=needs,
             began_at=world.now,
-            ends_at=world.now + taken,
+            ends_at=world.now + run_time,
             how=how,
         )
         self.runs[ref] = run
-        if ref in world.poison:
+        if ref in world.crashing_tasks:
             world.at(CRASHES_AFTER, lambda: self.crash() if self.is_up else None)
         self._extend(order.expires_ms)
-        world.at(taken, lambda: self._finish(run))
+        world.at(run_time, lambda: self._finish(run))
 
     def _finish(self, run: ModelRun) -> None:
         self._advance()
@@ -315,9 +315,11 @@
     def _end(self, run: ModelRun, how: RunEndKind) -> None:
         del self.runs[run.ref]
         self.world.running.pop(run.ref, None)
-        self.barred[run.ref] = max(self.barred.get(run.ref, 0), run.run)
-        self.number += 1
-        self.ended.append(RunEndReport(number=self.number, task=run.ref, run=run.run, how=how))
+        self.refused_through[run.ref] = max(self.refused_through.get(run.ref, 0), run.run)
+        self.last_end_number += 1
+        self.ended.append(
+            RunEndReport(number=self.last_end_number, task=run.ref, run=run.run, how=how)
+        )
         parked, self.parked = self.parked, []
         for answer_poll in parked:
             answer_poll()
@@ -338,7 +340,7 @@
                     self._end(run, RunEndKind.LAPSED)
 
 
-_ENDED: dict[type, object] = {
+_INSTANCE_ENDED_ANSWERS: dict[type, object] = {
     StartOrder: StartOutcome.INSTANCE_ENDED,
     StopOrder: CallFailure.INSTANCE_ENDED,
     PollOrder: CallFailure.INSTANCE_ENDED,
@@ -393,7 +395,7 @@
         *,
         may_have_begun: bool = False,
         may_be_of_acting_leader: bool = False,
-        reconcile_after: timedelta = SETTLE_AFTER,
+        reconcile_after: timedelta = RECONCILE_AFTER,
         waited: timedelta = timedelta(),
     ) -> None:
         """Submit a job as a gateway does, or commit it to the log if it is durable."""
@@ -466,7 +468,7 @@
             if answered[0] or self.is_over:
                 return
             answered[0] = True
-            self._take_answer(order, value, sent_at, upstream)
+            self._handle_answer(order, value, sent_at, upstream)
             self.act()
 
         world.at(order.response_timeout + wait, lambda: answer(None))
@@ -497,7 +499,7 @@
         if not upstream.is_up:
             if upstream.is_replaced:
                 # Another instance holds the address, and says so.
-                reply(_ENDED[type(order)])
+                reply(_INSTANCE_ENDED_ANSWERS[type(order)])
             return
         if isinstance(order, StartOrder):
             # As the job specifies, also for orders that arrive late.
@@ -527,7 +529,7 @@
         upstream.parked.append(answer_poll)
         self.world.at(wait, answer_poll)
 
-    def _take_answer(
+    def _handle_answer(
         self, order: Order, value: object, sent_at: timedelta, upstream: ModelUpstream
     ) -> None:
         now = self.world.now
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -48,7 +48,7 @@
 
 
 def build_site(
-    seed: int, *, count: int = 2, guards: bool = True, run_ms: int = 60
+    seed: int, *, count: int = 2, rejects_overload: bool = True, run_ms: int = 60
 ) -> tuple[World, dict[UpstreamId, ModelUpstream], Records]:
     """Return upstreams with capacity for two tasks each, and the records of a configuration."""
     world = World(random=random.Random(seed))
@@ -60,13 +60,13 @@
             info=info,
             rate=world.random.uniform(0.98, 1.0),
             run_times=lambda job: milliseconds(run_ms),
-            rejects_overload=guards,
+            rejects_overload=rejects_overload,
         )
     records = Records()
     configuration = Configuration(
         version=ConfigurationVersion(1),
         queues=(build_queue(),),
-        services=(Service(name=SERVICE, rejects_overload=guards),),
+        services=(Service(name=SERVICE, rejects_overload=rejects_overload),),
         max_body_bytes=1_000,
         document="",
     )
@@ -114,7 +114,7 @@
 
 def test_nothing_is_started_beyond_a_capacity_that_has_shrunk() -> None:
     """Guards against heartbeats of a known upstream that change nothing of its capacity."""
-    world, upstreams, records = build_site(1, guards=False, run_ms=300)
+    world, upstreams, records = build_site(1, rejects_overload=False, run_ms=300)
     leader = lead(world, upstreams, records)
     deliver_heartbeats(leader, *upstreams.values())
     run_for(world, 100)
@@ -128,7 +128,7 @@
 
 def test_runs_beyond_a_capacity_that_has_shrunk_go_on_and_count() -> None:
     """Only starts must fit: ending a run would lose its work, and no rule asks for it."""
-    world, upstreams, records = build_site(2, count=1, guards=False, run_ms=400)
+    world, upstreams, records = build_site(2, count=1, rejects_overload=False, run_ms=400)
     leader = lead(world, upstreams, records)
     deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
@@ -159,7 +159,7 @@
 
 
 def test_an_older_report_that_arrives_late_changes_nothing() -> None:
-    world, upstreams, records = build_site(4, count=1, guards=False)
+    world, upstreams, records = build_site(4, count=1, rejects_overload=False)
     leader = lead(world, upstreams, records)
     deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
@@ -175,7 +175,7 @@
 
 def test_a_capacity_change_while_an_upstream_is_being_added_is_not_lost() -> None:
     """Guards against leaving out what arrives between the first heartbeat and its commit."""
-    world, upstreams, records = build_site(5, count=1, guards=False)
+    world, upstreams, records = build_site(5, count=1, rejects_overload=False)
     leader = lead(world, upstreams, records)
     deliver_heartbeats(leader, upstreams[FIRST])
     upstreams[FIRST].resize(HALF)
@@ -187,7 +187,7 @@
 
 def test_the_next_leader_knows_the_capacity_in_the_log() -> None:
     """Nothing is started beyond it before a heartbeat, and no older report undoes it."""
-    world, upstreams, records = build_site(6, count=1, guards=False, run_ms=300)
+    world, upstreams, records = build_site(6, count=1, rejects_overload=False, run_ms=300)
     first = lead(world, upstreams, records)
     deliver_heartbeats(first, upstreams[FIRST])
     run_for(world, 50)
@@ -207,7 +207,7 @@
 
 def test_a_host_without_reports_starts_nothing_where_capacity_is_not_enforced() -> None:
     """An acting leader gets no heartbeats: nobody that it can ask knows what shrinks meanwhile."""
-    world, upstreams, records = build_site(7, count=1, guards=False)
+    world, upstreams, records = build_site(7, count=1, rejects_overload=False)
     first = lead(world, upstreams, records)
     deliver_heartbeats(first, upstreams[FIRST])
     run_for(world, 50)
@@ -215,20 +215,20 @@
     cut_at = world.now
     upstreams[FIRST].resize(HALF)
     until = DEFAULT_REPORT_TERMS.find_valid_until(cut_at)
-    deputy = lead(world, upstreams, records, 2, known_until=until)
+    acting = lead(world, upstreams, records, 2, known_until=until)
     world.run_until(until - milliseconds(200))
     assert until < cut_at + DEFAULT_REPORT_TERMS.shrink_tolerance
-    deputy.submit("a" * 16, build_spec(tasks=2), build_queue())
+    acting.submit("a" * 16, build_spec(tasks=2), build_queue())
     run_for(world, 150)
     assert world.starts == 2
     world.run_until(cut_at + DEFAULT_REPORT_TERMS.valid_for + milliseconds(10))
-    deputy.submit("b" * 16, build_spec(tasks=2), build_queue())
+    acting.submit("b" * 16, build_spec(tasks=2), build_queue())
     run_for(world, 150)
     assert world.starts == 2
 
 
 def test_a_delayed_report_counts_from_when_it_was_sent() -> None:
-    world, upstreams, records = build_site(8, count=1, guards=False)
+    world, upstreams, records = build_site(8, count=1, rejects_overload=False)
     leader = lead(world, upstreams, records)
     deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 100)
@@ -269,7 +269,7 @@
 def play_campaign(seed: int) -> int:
     """Play half a minute of such faults; return how many tasks were started."""
     chance = random.Random(seed)
-    world, upstreams, records = build_site(seed, count=4, guards=False, run_ms=150)
+    world, upstreams, records = build_site(seed, count=4, rejects_overload=False, run_ms=150)
     world.lost_share, world.late_share = 0.02, 0.02
     heard_at = {id: timedelta() for id in upstreams}
     leaders = [lead(world, upstreams, records)]
@@ -299,16 +299,16 @@
             led_at[0] = world.now
 
         def begin() -> None:
-            is_deputy = chance.random() < 0.4
+            is_next_acting = chance.random() < 0.4
             known = Records()
             known.restore(records.encode())
             leaders.append(
                 Leader(
                     world=world,
                     upstreams=upstreams,
-                    records=known if is_deputy else records,
+                    records=known if is_next_acting else records,
                     token=term * TOKENS_PER_TERM,
-                    is_acting=is_deputy,
+                    is_acting=is_next_acting,
                     known_until=DEFAULT_REPORT_TERMS.find_valid_until(led_at[0]),
                 )
             )
@@ -363,18 +363,18 @@
 def test_an_unreadable_capacity_is_logged_once_and_counts_as_none() -> None:
     world, upstreams, records = build_site(11, count=1)
     leader = lead(world, upstreams, records)
-    notes: list[str] = []
-    leader.dispatch._term.log_decision = lambda name, fields: notes.append(name)
+    decisions: list[str] = []
+    leader.dispatch._term.log_decision = lambda name, fields: decisions.append(name)
     deliver_heartbeats(leader, upstreams[FIRST])
     run_for(world, 50)
     upstreams[FIRST].resize(0)
     for _ in range(3):
         unreadable = msgspec.structs.replace(
-            upstreams[FIRST].build_heartbeat(), has_no_capacity=True
+            upstreams[FIRST].build_heartbeat(), is_capacity_unreadable=True
         )
         leader.dispatch.handle_heartbeat(unreadable, world.now)
         run_for(world, 50)
-    assert notes.count("capacity_unreadable") == 1
+    assert decisions.count("capacity_unreadable") == 1
     leader.submit("a" * 16, build_spec(tasks=1), build_queue())
     run_for(world, 50)
     assert world.starts == 0
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -28,7 +28,7 @@
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName, UpstreamId
 from .model_upstreams import (
-    SETTLE_AFTER,
+    RECONCILE_AFTER,
     Leader,
     ModelUpstream,
     World,
@@ -113,7 +113,7 @@
     def submit(self, *, durable: bool, tasks: int = 1, poison: int = 0, run_ms: int = 60) -> JobId:
         """Submit a job of which some tasks crash upstreams."""
         id = JobId(f"{next(self.jobs):016x}")
-        self.world.poison |= {TaskRef(id, 0, 0, place) for place in range(poison)}
+        self.world.crashing_tasks |= {TaskRef(id, 0, 0, place) for place in range(poison)}
         self.leader.submit(
             id, build_spec(tasks=tasks, run_ms=run_ms, durable=durable), LENIENT_QUEUE
         )
@@ -236,12 +236,12 @@
     site = build_site(7)
     id = JobId("f" * 16)
     ref = TaskRef(id, 0, 0, 0)
-    site.world.poison.add(ref)
+    site.world.crashing_tasks.add(ref)
     spec = build_spec(tasks=1)
     reported = Suspect(task=ref, counts=ONE_CRASH)
     site.leader.dispatch.jobs.crash_tracker.record_reported_suspects([reported])
     record = JobRecord(id=id, queue=LENIENT_QUEUE, spec=spec, accepted_ms=0)
-    submission = Submission(gateway="", may_have_begun=True, reconcile_after=SETTLE_AFTER)
+    submission = Submission(gateway="", may_have_begun=True, reconcile_after=RECONCILE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
     site.leader.act()
     site.run_for(10)
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -106,7 +106,7 @@
     assert world.starts == 4
 
 
-def test_runs_of_a_job_that_nobody_submits_again_are_stopped() -> None:
+def test_runs_of_a_job_that_is_not_submitted_again_are_stopped() -> None:
     world, upstreams = build_world(4)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=60)
@@ -292,16 +292,16 @@
     world.run_until(milliseconds(100))
     leader.submit("a" * 16, build_spec(tasks=1, durable=True), build_queue())
     info = upstreams[UpstreamId("u1")].info
-    look = PollOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
+    poll_order = PollOrder(upstream=info, last_seen=0, expires_ms=None, wait=timedelta())
     for number, job in ((1, "a" * 16), (2, "b" * 16)):
         ref = TaskRef(JobId(job), 0, 0, 0)
         end = RunEndReport(number=number, task=ref, run=RunNumber(4_096), how=RunEndKind.FAILED)
         reply = PollReply(clock_ms=90 + number, running=(), ended=(end,))
-        leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
+        leader.dispatch.handle_poll_answer(poll_order, reply, world.now, world.now)
     instance = leader.dispatch.instances[info.id]
     assert instance.recorded_through == 0
-    noted = [each for each in leader.dispatch.pop_proposals() if isinstance(each, RecordRunEnds)]
-    assert [(each.through, len(each.ends)) for each in noted] == [(1, 1), (2, 0)]
+    proposed = [each for each in leader.dispatch.pop_proposals() if isinstance(each, RecordRunEnds)]
+    assert [(each.through, len(each.ends)) for each in proposed] == [(1, 1), (2, 0)]
 
 
 def test_an_acting_leader_of_one_domain_orders_no_upstream_of_another() -> None:
@@ -313,7 +313,7 @@
     first = start_leader(world, upstreams, records, 1)
     world.run_until(milliseconds(100))
     first.is_over = True
-    deputy = Leader(
+    acting = Leader(
         world=world,
         upstreams=upstreams,
         records=records,
@@ -321,19 +321,19 @@
         domain=DomainName("north"),
         is_acting=True,
     )
-    deputy.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=timedelta())
+    acting.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=timedelta())
     begun = JobId("b" * 16)
-    deputy.submit(begun, build_spec(tasks=2), build_queue(), may_have_begun=True)
+    acting.submit(begun, build_spec(tasks=2), build_queue(), may_have_begun=True)
     world.run_until(milliseconds(400))
-    assert deputy.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
-    assert deputy.dispatch.jobs.is_open(begun), "it may run at an upstream of the other domain"
+    assert acting.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
+    assert acting.dispatch.jobs.is_open(begun), "it may run at an upstream of the other domain"
     world.run_until(timedelta(seconds=3))
-    assert deputy.dispatch.jobs.find_ended(begun) is JobState.COMPLETED
+    assert acting.dispatch.jobs.find_ended(begun) is JobState.COMPLETED
     tokens = {upstream.info.domain: upstream.token for upstream in upstreams.values()}
     assert tokens == {"north": TOKENS_PER_TERM + 1, "south": TOKENS_PER_TERM}
 
 
-def run_campaign(seed: int, *, kept: bool) -> None:
+def run_campaign(seed: int, *, durable: bool) -> None:
     """Play faults for 8 s with up to four leaders, then let everything end."""
     world, upstreams = build_world(seed, lost_share=0.06, late_share=0.03, failed_share=0.02)
     chance = random.Random(seed + 1_000_000)
@@ -343,7 +343,7 @@
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
     jobs: list[str] = []
-    spec = build_spec(tasks=3, run_ms=900, durable=kept)
+    spec = build_spec(tasks=3, run_ms=900, durable=durable)
     queue = build_queue(max_attempts=50)
     token = 1
     for step in range(80):
@@ -356,7 +356,7 @@
             world.run_until(world.now + milliseconds(chance.uniform(50, 1_500)))
             token += 1
             leader = start_leader(world, upstreams, records, token)
-            for job in jobs if not kept else ():
+            for job in jobs if not durable else ():
                 leader.submit(job, spec, queue, may_have_begun=True)
         if chance.random() < 0.06:
             leader.cut_off = {chance.choice(list(upstreams))}
@@ -372,7 +372,7 @@
         leader.deliver_heartbeat(upstream, sequence=10_000)
     world.run_until(world.now + timedelta(seconds=40))
     for job in jobs:
-        if kept:
+        if durable:
             assert records.jobs[JobId(job)].state is JobState.COMPLETED, (seed, job)
         else:
             assert not leader.dispatch.jobs.is_open(JobId(job)), (seed, job)
@@ -381,9 +381,9 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_best_effort_jobs(seed: int) -> None:
-    run_campaign(seed, kept=False)
+    run_campaign(seed, durable=False)
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_durable_jobs(seed: int) -> None:
-    run_campaign(seed, kept=True)
+    run_campaign(seed, durable=True)
--- a/cottonlug/tests/test_cluster_homes.py
+++ b/cottonlug/tests/test_cluster_homes.py
@@ -13,7 +13,7 @@
 from ..core.cluster.records import JobRecord
 from ..core.ids import DomainName, UpstreamId
 from .model_upstreams import (
-    SETTLE_AFTER,
+    RECONCILE_AFTER,
     Leader,
     build_info,
     build_queue,
@@ -40,7 +40,7 @@
     spec = build_spec(tasks=tasks, run_ms=200)
     record = JobRecord(id=job, queue=build_queue(), spec=spec, accepted_ms=0)
     submission = Submission(
-        gateway="", home=home, may_have_begun=False, reconcile_after=SETTLE_AFTER
+        gateway="", home=home, may_have_begun=False, reconcile_after=RECONCILE_AFTER
     )
     leader.dispatch.submit(record, submission, leader.world.now)
     leader.act()
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -27,8 +27,8 @@
     )
 
 
-def build_long_running(tasks: int = 2, kept: bool = True) -> JobSpec:
-    spec = build_spec(tasks=tasks, run_ms=60, durable=kept)
+def build_long_running(tasks: int = 2, durable: bool = True) -> JobSpec:
+    spec = build_spec(tasks=tasks, run_ms=60, durable=durable)
     return msgspec.structs.replace(spec, long_running=True)
 
 
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -9,7 +9,7 @@
 
 from ..core.cluster.backlog import Backlog, Tier
 from ..core.cluster.calls import Answer, Call, Outcome, Submit
-from ..core.cluster.forecast import find_latest_useful_start
+from ..core.cluster.forecast import find_max_useful_wait
 from ..core.cluster.model import JobId, JobState
 from ..core.cluster.open_jobs import find_max_wait
 from ..core.cluster.records import Records
@@ -179,7 +179,7 @@
     assert len(tried) == tries
 
 
-def test_the_latest_useful_start_is_three_times_the_objective_less_the_run_time() -> None:
-    assert find_latest_useful_start(
-        build_queue(target_ms=60), build_spec(run_ms=60)
-    ) == milliseconds(3 * 156 - 60)
+def test_the_longest_useful_wait_is_three_times_the_objective_less_the_run_time() -> None:
+    assert find_max_useful_wait(build_queue(target_ms=60), build_spec(run_ms=60)) == milliseconds(
+        3 * 156 - 60
+    )
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -197,12 +197,16 @@
     assert leader.dispatch.jobs.find_ended(JobId("a" * 16)) is JobState.COMPLETED
 
 
-def build_life(name: str, cpu: int) -> Instance:
+def build_instance(name: str, cpu: int) -> Instance:
     return Instance(info=build_info(name, cpu), terms=TERMS, recorded_through=0)
 
 
 def test_the_tightest_fit_is_chosen() -> None:
-    instances = [build_life("u1", 32_000), build_life("u2", 15_000), build_life("u3", 20_000)]
+    instances = [
+        build_instance("u1", 32_000),
+        build_instance("u2", 15_000),
+        build_instance("u3", 20_000),
+    ]
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     chosen = choose_instance(batch, instances)
     assert chosen is not None
@@ -211,7 +215,7 @@
 
 def test_capacity_is_left_for_runs_whose_jobs_are_not_known() -> None:
     """Otherwise starts are refused after changes of leader (57 of them)."""
-    instance = build_life("u1", 32_000)
+    instance = build_instance("u1", 32_000)
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     orphan = Run(
         task=TaskRef(JobId("b"), 0, 0, 0),
@@ -253,7 +257,7 @@
 
 def test_nothing_fits_without_free_capacity() -> None:
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
-    assert choose_instance(batch, [build_life("u1", 13_999)]) is None
+    assert choose_instance(batch, [build_instance("u1", 13_999)]) is None
 
 
 def build_configuration(**changes: object) -> Configuration:
@@ -328,7 +332,7 @@
     health = UpstreamHealth()
     assert health.record_stall(timedelta())
     assert health.is_on_probation
-    instance = build_life("u1", 32_000)
+    instance = build_instance("u1", 32_000)
     instance.is_on_trial = True
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=7_000)
     assert choose_instance(batch, [instance]) is instance
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("percent", "seen_ms", "advanced_ms", "pace"),
+    ("percent", "seen_ms", "advanced_ms", "rate"),
     [
         (0, 50, 0, ProgressRate.NORMAL),
         (0, 100, 0, ProgressRate.STALLED),
@@ -44,10 +44,10 @@
     ],
 )
 def test_the_progress_of_a_run_is_classified(
-    percent: int, seen_ms: float, advanced_ms: float, pace: ProgressRate
+    percent: int, seen_ms: float, advanced_ms: float, rate: ProgressRate
 ) -> None:
     run = build_run(percent=percent, seen_ms=seen_ms, advanced_ms=advanced_ms)
-    assert classify_progress(run, EXPECTED, None) is pace
+    assert classify_progress(run, EXPECTED, None) is rate
 
 
 def test_a_task_as_long_as_its_siblings_is_not_slow() -> None:
--- a/cottonlug/tests/test_cluster_response_timeout.py
+++ b/cottonlug/tests/test_cluster_response_timeout.py
@@ -18,7 +18,7 @@
 def learn(*times_ms: float) -> ResponseTimeout:
     timeout = ResponseTimeout()
     for each in times_ms:
-        timeout.receive_answer(milliseconds(each))
+        timeout.record_response_time(milliseconds(each))
     return timeout
 
 
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -67,11 +67,11 @@
 ) -> list[ReportHeartbeats]:
     reported: list[ReportHeartbeats] = []
 
-    async def take(heard: ReportHeartbeats) -> Answer:
-        reported.append(heard)
+    async def accept_report(report: ReportHeartbeats) -> Answer:
+        reported.append(report)
         return Answer(outcome=outcome)
 
-    asyncio.run(responder._report(take))
+    asyncio.run(responder._report(accept_report))
     return reported
 
 
@@ -98,7 +98,7 @@
         build_heartbeat(draining=True),
         build_heartbeat("u999999"),
         build_heartbeat(sequence=4),
-        build_heartbeat(has_no_capacity=True),
+        build_heartbeat(is_capacity_unreadable=True),
         build_heartbeat(cold_left_ms=500),
         build_heartbeat(
             info=msgspec.structs.replace(build_info("u1"), capacity=Capacity(cpu_millis=1))
@@ -214,10 +214,10 @@
 
 def test_many_gateways_send_fewer_keepalives_but_two_within_the_timeout() -> None:
     gateway = build_gateway(build_clock())
-    roster = build_failover_state()
+    failover_state = build_failover_state()
     usual = gateway.link._choose_usual_pause()
     many = tuple(GatewayInfo(address=f"10.0.{each}.1:1") for each in range(300))
-    gateway.link.receive_failover_state(msgspec.structs.replace(roster, gateways=many))
+    gateway.link.receive_failover_state(msgspec.structs.replace(failover_state, gateways=many))
     assert usual < gateway.link._choose_usual_pause() <= MAX_KEEPALIVE_SECONDS
     assert GATEWAY_TIMEOUT.total_seconds() > 2 * MAX_KEEPALIVE_SECONDS
 
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -40,7 +40,7 @@
 LONG = build_spec(tasks=1, run_ms=2_500)
 
 
-class OwnOffice:
+class LogLeaderAuthority:
     """Authority of a host that leads the log, with its lease."""
 
     term = 6
@@ -60,11 +60,11 @@
 
     def __init__(self, *, answers: bool = True) -> None:
         super().__init__()
-        self.looks = 0
+        self.polls = 0
         self._answers = answers
 
     async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
-        self.looks += 1
+        self.polls += 1
         if not self._answers:
             await asyncio.sleep(3_600)
         return await super().poll(order, token)
@@ -80,7 +80,11 @@
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     leadership = Leadership(
-        authority=ActingLeaderAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
+        authority=(
+            ActingLeaderAuthority(term=1, replicated=replicated)
+            if commits
+            else LogLeaderAuthority()
+        ),
         replicated=replicated,
         port=port,
         clock=build_clock(),
@@ -114,9 +118,9 @@
             clock.advance(milliseconds(50))
             await gateway.link.replace_leader()
             await asyncio.sleep(0.02)
-        deputy = gateway.acting_leader
+        acting = gateway.acting_leader
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
-        assert not deputy.leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert not acting.leadership.dispatch.jobs.is_open(JobId(JOB))
         gateway.stop()
 
     asyncio.run(play())
@@ -143,11 +147,11 @@
     (run,) = second.runs.values()
     assert second is not first
     world.run_until(run.ends_at - milliseconds(4))
-    look = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
+    poll_order = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
     reply = first.build_reply()
     assert [end.how for end in reply.ended] == [RunEndKind.LAPSED]
     leader.cut_off = set()
-    leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
+    leader.dispatch.handle_poll_answer(poll_order, reply, world.now, world.now)
     leader.act()
     world.run_until(run.ends_at + timedelta(seconds=3))
     assert world.starts == 2
@@ -167,7 +171,7 @@
         if trigger == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
         await run_callbacks()
-        return port.looks
+        return port.polls
 
     assert asyncio.run(play()) == 0
 
@@ -255,16 +259,16 @@
     old = upstreams[UpstreamId("u1")]
     old.crash()
 
-    def live(until: timedelta) -> None:
+    def run_with_heartbeats(until: timedelta) -> None:
         while world.now < until:
             world.run_until(world.now + milliseconds(500))
             for each in list(upstreams.values()):
                 if each.is_up:
                     leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
 
-    live(timedelta(seconds=13))
-    looked = leader.dispatch.instances[old.info.id].failed_polls
+    run_with_heartbeats(timedelta(seconds=13))
+    failed_before = leader.dispatch.instances[old.info.id].failed_polls
     info = msgspec.structs.replace(build_info("u9"), address=old.info.address)
     upstreams[info.id] = ModelUpstream(world=world, info=info, rate=1.0, run_times=old.run_times)
-    live(timedelta(seconds=14))
-    assert leader.dispatch.instances[old.info.id].failed_polls > looked
+    run_with_heartbeats(timedelta(seconds=14))
+    assert leader.dispatch.instances[old.info.id].failed_polls > failed_before
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -56,7 +56,7 @@
 
 def reintroduce_ends_of_any_upstream(patch: pytest.MonkeyPatch) -> None:
     """Match a run end by task and run number alone, at whatever upstream the run was."""
-    patch.setattr(Task, "runs_as", lambda self, run, upstream: self.run == run)
+    patch.setattr(Task, "is_current_run", lambda self, run, upstream: self.run == run)
 
 
 def reintroduce_leaders_that_do_not_wait(patch: pytest.MonkeyPatch) -> None:
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -73,7 +73,7 @@
             info=INFO,
             sequence=self.sequence if sequence is None else sequence,
             draining=False,
-            held=PollReply(clock_ms=1_000, running=running, ended=ended),
+            poll_reply=PollReply(clock_ms=1_000, running=running, ended=ended),
         )
         return await self.port.handle_heartbeat(heartbeat, TOKEN)
 
@@ -255,7 +255,7 @@
     (call,) = calls
     assert isinstance(call, ForwardHeartbeat)
     assert call.heartbeat.info.id == UpstreamId("i-1")
-    held = call.heartbeat.held
+    held = call.heartbeat.poll_reply
     assert held is not None
     assert (held.running[0].percent, held.ended[0].how) == (41, RunEndKind.DONE)
     assert msgspec.json.decode(response.body) == {
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -127,7 +127,7 @@
         )
         starting = asyncio.create_task(exchange.port.start(start, TOKEN))
         await run_callbacks()
-        later = Heartbeat(info=SECOND, sequence=1, draining=False, held=held)
+        later = Heartbeat(info=SECOND, sequence=1, draining=False, poll_reply=held)
         answering = asyncio.create_task(exchange.port.handle_heartbeat(later, TOKEN))
         await run_callbacks()
         assert not answering.done()
--- a/cottonlug/tests/test_malformed_heartbeats.py
+++ b/cottonlug/tests/test_malformed_heartbeats.py
@@ -68,8 +68,8 @@
     assert info.service and info.domain and parse_address(info.address) is not None
     assert heartbeat.sequence >= 0 and heartbeat.cold_left_ms >= 0
     assert max(map(len, (info.service, info.domain, info.address, *info.labels))) <= 256
-    if heartbeat.held is not None:
-        check_lists(heartbeat.held)
+    if heartbeat.poll_reply is not None:
+        check_lists(heartbeat.poll_reply)
 
 
 def check_lists(lists: PollReply) -> None:
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -180,7 +180,7 @@
     forwarded = calls[0]
     assert isinstance(forwarded, ForwardHeartbeat)
     assert forwarded.heartbeat.info.capacity == Capacity()
-    assert forwarded.heartbeat.has_no_capacity == (capacity != b"{}")
+    assert forwarded.heartbeat.is_capacity_unreadable == (capacity != b"{}")
     assert (forwarded.heartbeat.sequence, forwarded.heartbeat.draining) == (4, True)
     assert forwarded.heartbeat.info.labels == ("a", "r1-3")
 
