--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -14,7 +14,8 @@
 from .instances import Instance
 
 USABLE_SHARE = 0.85
-"""Wide tasks fragment capacity: 28 of 32 cores hold two tasks of 14."""
+"""Share of the cores that tasks can use, since wide ones fragment capacity: two tasks of 14 cores
+leave 4 of 32 unused."""
 MIN_CORES = 1.0
 """Cores assumed where no upstream accepts work at the moment."""
 
--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -22,7 +22,7 @@
 
 
 class Tier(Enum):
-    """Whether a batch can still meet its job's objective."""
+    """Whether a batch can still meet its job's objective, or at least be of use after that."""
 
     ON_TIME = "on_time"
     LATE = "late"
@@ -42,7 +42,7 @@
     latest_task_start: timedelta
     """Once the job has begun, the latest start of its last task."""
     latest_useful_start: timedelta
-    """If started later, the job is worth nothing any more."""
+    """If started later, the job is of no more use."""
     core_ms: float
     """Expected core-milliseconds of each task."""
     waiting: list[int] = field(default_factory=list)
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -30,7 +30,7 @@
 class AskAnswers(Value, frozen=True):
     """Ask for the answers of a job channel after number `have`: those up to it have arrived.
 
-    `count` identifies the numbering that `have` belongs to; see `AnswerBatch`.
+    `numbering` identifies the numbering that `have` belongs to; see `AnswerBatch`.
     """
 
     caller: str
@@ -47,9 +47,10 @@
 
 
 class AnswerBatch(Value, frozen=True):
-    """Answers in the order in which they were given; `through` is the number of the last.
+    """Answers of a job channel, numbered in the order in which they were given.
 
-    `count` identifies the numbering, which a new process at the same address begins anew.
+    `through` is the number of the last. `numbering` identifies this numbering: a new process at the
+    same address begins another one.
     """
 
     numbering: int = msgspec.field(name="count", default=0)
--- a/cottonlug/core/cluster/calls.py
+++ b/cottonlug/core/cluster/calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers, upstreams and operators to the cluster, whichever host they reach."""
+"""Calls that hosts pass to the coordinator for callers, upstreams and operators, and answers."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 
 class Contact(Value, frozen=True):
-    """When the coordinator last answered a gateway, without reliance on synchronised clocks.
+    """When the coordinator last answered a gateway; no synchronised clocks are needed.
 
-    The coordinator adds its own clock to each answer to a keep-alive, and the gateway returns it
-    with what it sends next. However long that is in transit, it was sent no earlier than
-    `answered_ms` and `since_ms` say: neither clocks nor the link between the two are trusted.
+    The coordinator adds the time on its own clock to each answer to a keep-alive, and the gateway
+    returns it with what it sends next. That was sent no earlier than `since_ms` after
+    `answered_ms`, however long the answer and the message were in transit.
     """
 
     token: int
-    """Fencing token of the coordinator that answered: no other host uses that clock."""
+    """Fencing token of the coordinator that answered: the time is on the clock of that host."""
     answered_ms: int
     """When the last answer that has arrived was given, on the clock of that coordinator."""
     since_ms: int = 0
-    """How long the gateway had had that answer when it sent this."""
+    """Time from the arrival of that answer at the gateway until it sent this."""
 
 
 class AbandonedSubmission(Value, frozen=True):
@@ -47,7 +47,7 @@
 
 
 class Submit(Value, frozen=True, tag="submit"):
-    """Submit a job; `path` is that of the request, whose end after the prefix is the job's id.
+    """Submit a job; `path` is the queue's prefix and the job's id, as requested by the caller.
 
     A best-effort job is answered when it has ended; its caller waits for `wait_timeout_ms`.
     """
@@ -64,17 +64,17 @@
     number: int = 0
     """Unique among the submissions of its gateway."""
     may_have_begun: bool = False
-    """Whether an earlier try has an unknown outcome: it can no longer be rejected as not run."""
+    """Whether an earlier try has an unknown outcome, so that it cannot be rejected as not run."""
     acting_leader_term: int = msgspec.field(name="deputy_term", default=0)
     """Term in which an acting leader may have begun it; only leaders of later terms may go on."""
     may_be_of_acting_leader: bool = msgspec.field(name="may_be_of_deputy", default=False)
-    """Whether another gateway has had an earlier try, which may have acted as leader by then."""
+    """Whether an earlier try went to a gateway that may have acted as leader by then."""
     suspects: tuple[Suspect, ...] = ()
-    """Tasks under which upstreams have ended, as reported by earlier coordinators."""
+    """Tasks of the job under which upstreams have ended, as reported by earlier coordinators."""
 
 
 class Abandon(Value, frozen=True, tag="abandon"):
-    """Report that nobody waits any more for a best-effort job, at the gateway that submitted it."""
+    """Abandon a best-effort job, since its gateway no longer waits for the answer."""
 
     host: str
     path: str
@@ -159,14 +159,15 @@
 
     gateway: str = ""
     instance: int = msgspec.field(name="life", default=0)
-    """Unique for each process at the gateway's address: a new one waits for no earlier job."""
+    """Unique for each process at the gateway's address: a new one waits for no job of the last."""
     domain: DomainName = DomainName("")
     failover_version: str = msgspec.field(name="roster", default="")
+    """Version of the failover state that the gateway has."""
     contact: Contact | None = None
     abandoned: tuple[AbandonedSubmission, ...] = msgspec.field(name="given_up", default=())
     """What the gateway has abandoned lately: a keep-alive confirms all its other submissions."""
     is_probe: bool = False
-    """Whether a host that does not lead need only say that it is alive, and who leads."""
+    """Whether this only checks that a host is alive and who leads, if that host does not lead."""
 
 
 NO_CONFIGURATION = "no configuration yet"
@@ -201,10 +202,10 @@
 
 
 class FailoverState(Value, frozen=True):
-    """Failover state: what a gateway must know to act as leader while none can be reached.
+    """What a gateway must know to act as leader while none can be reached.
 
-    With `base` it holds only the changes since that version: the configuration where it is another
-    one, upstreams that are new or changed, and those that were removed.
+    With `base` it holds only the changes since that version: the configuration if it has changed,
+    upstreams that are new or changed, and those that were removed.
     """
 
     version: str
@@ -216,7 +217,7 @@
     """Whether durable jobs are under way, whose results an acting leader cannot store."""
     base: str = ""
     is_partial: bool = False
-    """Whether more must be asked for before a gateway can act as leader by it."""
+    """Whether further parts must be requested before a gateway can act as leader."""
     removed: tuple[UpstreamId, ...] = ()
     suspects: tuple[SuspectRecord, ...] = ()
     """Tasks under which upstreams have ended."""
@@ -258,6 +259,7 @@
 
     token: int
     last_seen: int
+    """Number of the last run end that the upstream need no longer list."""
     lease_ms: int | None = None
     """How long everything there may run from now on; None leaves the lease as it is."""
     starts: tuple[HeartbeatStart, ...] = ()
@@ -284,17 +286,17 @@
     leader_control: str | None = None
     """Address of the leader for upstreams and operators."""
     hosts: tuple[str, ...] = ()
-    """Addresses of all known control hosts for calls."""
+    """Addresses at which all known control hosts accept calls."""
     max_body_bytes: int | None = None
     failover_state: FailoverState | None = msgspec.field(name="roster", default=None)
     has_more_failover_state: bool = msgspec.field(name="is_roster_due", default=False)
-    """Whether there is more than `failover_state`, which another keep-alive will bring."""
+    """Whether another keep-alive will bring more than the `failover_state` in this answer."""
     contact: Contact | None = None
     """To be returned with the next keep-alive, where this answers one."""
     is_acting_leader: bool = msgspec.field(name="is_deputy", default=False)
     """Whether the answer is that of a gateway that acts as leader."""
     domain: DomainName | None = None
-    """The failure domain that an acting leader is limited to, where it is."""
+    """The only failure domain whose upstreams the acting leader orders; None for all domains."""
     orders: HeartbeatOrders | None = None
     """Orders for the upstream whose heartbeat this answers, where it receives them that way."""
 
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -2,13 +2,13 @@
 
 Load pattern: a backlog at many upstreams, after seconds without a coordinator. Searching all of
 them for each start, and again for each waiting job whenever time has passed, costs more than all
-other decisions together, so that a small host falls ever further behind. In this order the best fit
-is the first that fits, and that a job fits nowhere shows by its size alone.
+other decisions together, so that a small host falls ever further behind. In this order the first
+upstream that fits is the best fit, and the size of a task alone shows whether it fits nowhere.
 
-Failure pattern: a failure domain is cut off for seconds. With its tasks placed anywhere, a job of
-eight has one in each domain, so that a cut of one of five stops five sixths of such jobs under way.
-So a job's own domain, that of its gateway, goes first: hosts on the other side miss nothing, and on
-this side an acting leader sees all that runs.
+Failure pattern: a failure domain is cut off for seconds. If the tasks of jobs of eight are placed
+in any domain, a cut of one domain of five stops five sixths of such jobs under way. So a job's own
+domain, that of its gateway, is preferred: while that has capacity, a cut of another domain stops
+nothing of the job, and after a cut of its own an acting leader inside sees all of its runs.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self._entries: dict[UpstreamId, _Entry] = {}
         self._is_current = False
         self._ignores_suspension: set[ServiceName] = set()
-        """Services of which too many upstreams are suspended to do without these."""
+        """Services of which so many upstreams are suspended that these are used all the same."""
 
     def invalidate(self) -> None:
         """Have the index rebuilt: as time passes, instances accept work that did not."""
--- a/cottonlug/core/cluster/capacity_reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -12,14 +12,15 @@
 from datetime import timedelta
 
 MAX_ELECTION_TIME = timedelta(milliseconds=700)
-"""Longest time without a leader before a new one begins that has known the last one."""
+"""Longest time without a leader until a host that knew the last one leads in its place."""
 MISSED_HEARTBEAT_DELAY = timedelta(milliseconds=400)
+"""A heartbeat counts as missed once it is later than its interval by this much."""
 PROPAGATION_TIME = timedelta(milliseconds=500)
-"""A heartbeat that is later than its interval by the first counts as missed. All hosts that may be
-the next coordinator know of that within the second: a commit and a keep-alive of a gateway come
-between."""
+"""Time within which all hosts that may be the next coordinator know of a missed heartbeat: a commit
+and a keep-alive of a gateway come between."""
 FIRST_REFUSAL_BACKOFF = timedelta(milliseconds=50)
-"""After a refusal for lack of capacity: the next poll may show what runs there."""
+"""How long nothing is started after a first refusal for lack of capacity: the next poll may show
+what runs there."""
 MAX_BACKOFF_DOUBLINGS = 4
 """An upstream that has refused five times in a row is tried again every 0.8 s, or once it has
 reported something new: that comes with its next heartbeat, within 1.5 s."""
@@ -45,10 +46,10 @@
         return self.interval + MISSED_HEARTBEAT_DELAY
 
     def find_valid_until(self, current_at: timedelta) -> timedelta:
-        """Return until when recorded capacities can be relied on, if current at `led_at`.
+        """Return until when recorded capacities can be relied on, if current at `current_at`.
 
-        The records say which upstreams have missed a heartbeat. All others, if they had changed by
-        then without a report, had done so within an interval.
+        The records say which upstreams had missed a heartbeat by then. At all others, a change that
+        was not reported by then was less than an interval old.
         """
         return current_at + self.shrink_tolerance - PROPAGATION_TIME
 
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -58,10 +58,13 @@
 from .watcher import Watcher
 
 STOP_RETRY = timedelta(milliseconds=50)
+"""Delay after which a failed stop is sent again."""
 SCAN_INTERVAL = timedelta(milliseconds=100)
 """Interval of the scan of all upstreams; in between, only those are processed from which something
 was received, or for which a timer is due."""
 REFUSAL_BACKOFF = timedelta(milliseconds=300)
+"""How long nothing is started at an upstream that refused a start for another reason than a lack of
+capacity."""
 MAX_LISTED_ENDS = 500
 """A poll lists at most this many ended runs; a full list may hide more."""
 
@@ -159,7 +162,7 @@
     def handle_reported_heartbeat(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record a heartbeat without news that another host has answered."""
+        """Record a heartbeat that reported nothing new and was answered by another host."""
         self._registry.handle_reported_heartbeat(upstream, sequence, clock_ms, at)
 
     def handle_leave(self, upstream: UpstreamId) -> None:
@@ -174,7 +177,7 @@
 
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
         """Accept a best-effort job; runs of it that another host started go on."""
-        # What runs at an upstream that cannot be reached ends with its lease.
+        # At an upstream that cannot be reached, a run may be active until its lease ends.
         is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
         of_acting_leaders = submission.may_be_of_acting_leader
         is_unsure = not is_new and self._reconciliation.may_miss_runs(
@@ -213,8 +216,8 @@
     def merge_submission(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
 
-        One from the gateway of the first says nothing new: had that been at another host since,
-        this one would have abandoned the job. It only repeats what had no answer here.
+        One from the same gateway adds nothing: if that had sent the job to another host in the
+        meantime, this host would have abandoned it. It only repeats a call that had no answer.
         """
         job = self._jobs.jobs.get(id)
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
@@ -311,7 +314,7 @@
         instance = self._instances.by_id.get(upstream)
         self._instances.remove(upstream)
         if instance is not None:
-            # The log has counted its end, or it has left: its tasks need not wait for that.
+            # The log has counted its end, or it has left: its tasks wait no longer to learn which.
             self._jobs.update_restrictions(self._jobs.crash_tracker.forget_instance(instance))
 
     def handle_start_answer(
@@ -348,7 +351,7 @@
             # The next poll shows whether it runs; it is stopped only if that does not list it.
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
-            # A poll under way shows sooner whether the upstream answers.
+            # By then a poll that is under way may have shown whether the upstream answers.
             instance.avoid_until = now + order.response_timeout
             return
         self._term.counts.refused_starts += 1
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -10,6 +10,7 @@
 LEARNING_RATE = 0.05
 """Weight of the newest run: the mean of a queue follows a change within some twenty runs."""
 MIN_RUN_TIME_MS = 1.0
+"""Lower bound of declared and actual run times, since logarithms of their ratios are taken."""
 USEFUL_FACTOR = 3
 """An answer after more than this many times the objective is worth nothing (the users' rules)."""
 
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -22,9 +22,9 @@
 
 
 class TaskRef(NamedTuple):
-    """One task of one occurrence of a job; `occurrence` is 0 for a job that does not repeat.
+    """Identifies a task: its job, occurrence, step, and place among the tasks of that step.
 
-    `place` counts the tasks of a step from 0.
+    All three numbers begin at 0; a job that does not repeat has only occurrence 0.
     """
 
     job: JobId
@@ -42,7 +42,7 @@
 
 
 class StepSpec(Value, frozen=True):
-    """Tasks that run alike; `depends_on` numbers earlier steps that must be done first."""
+    """Tasks with equal requirements; `depends_on` lists earlier steps that must be done first."""
 
     count: int
     needs: Needs = Needs()
@@ -88,14 +88,14 @@
 
 
 class QueueKey(NamedTuple):
-    """What callers address a queue by."""
+    """Host and path prefix by which callers address a queue."""
 
     host: str
     prefix: str
 
 
 class Queue(Value, frozen=True):
-    """Where jobs wait, and how they are treated; `priority` 0 comes first."""
+    """A queue for jobs, and how these are treated; `priority` 0 comes first."""
 
     name: str
     host: str
@@ -110,7 +110,7 @@
 
     @property
     def key(self) -> QueueKey:
-        """What callers address this queue by."""
+        """Host and path prefix by which callers address this queue."""
         return QueueKey(self.host, self.prefix)
 
 
@@ -197,7 +197,7 @@
 
 
 class PollReply(Value, frozen=True):
-    """Runs and ended runs of an upstream, in answer to a poll; `clock_ms` is on its own clock."""
+    """Runs and ended runs of an upstream, in answer to a poll; `clock_ms` is its own clock."""
 
     clock_ms: int
     running: tuple[RunReport, ...]
@@ -212,8 +212,8 @@
     draining: bool
     clock_ms: int | None = None
     is_capacity_unreadable: bool = msgspec.field(name="has_no_capacity", default=False)
-    """Whether its reported capacity cannot be read, so that it counts as having none."""
+    """Whether its reported capacity could not be read, so that it counts as having none."""
     cold_left_ms: int = 0
-    """For how much longer tasks run slower there than usual, as after its start."""
+    """How much longer tasks will run slower there than usual, for instance after its start."""
     poll_reply: PollReply | None = msgspec.field(name="held", default=None)
-    """Its runs and ended runs, where its orders come with the answers to its heartbeats."""
+    """Its runs and ended runs, if it gets its orders with the answers to its heartbeats."""
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -36,15 +36,19 @@
     moves: int = 0
     """How often it was stopped to be started elsewhere."""
     may_run_elsewhere: bool = False
-    """Whether another run of it, begun by another coordinator, may be active somewhere; this
-    includes tasks whose run was adopted: see `reconciliation`."""
+    """Whether another coordinator may have begun a further run of it, at an upstream not seen yet.
+
+    It stays set when a run of an unknown task is adopted or its end is listed, as that run need not
+    be the last one.
+    """
     unrecorded_end: tuple[UpstreamId, RunNumber] | None = None
     """The run whose end has yet to be recorded, while it is `RECORDING`."""
 
     def is_current_run(self, run: RunNumber, upstream: UpstreamId) -> bool:
-        """Whether this is its present run.
+        """Whether the task is active as this run at this upstream.
 
-        A job that was abandoned and is submitted again has its runs numbered from the first again.
+        The number alone does not tell: a job that was abandoned and is submitted again has its runs
+        numbered from the first again.
         """
         return self.phase is TaskPhase.RUNNING and (self.run, self.instance) == (run, upstream)
 
@@ -64,13 +68,13 @@
     home: DomainName | None = None
     """Preferred failure domain of its tasks: that of its gateway, or of its first task."""
     confirmed_until: timedelta = timedelta()
-    """Until then its gateway waits for it, as its submission says, even while it is silent."""
+    """Until then its gateway counts as waiting for it by the submission alone, even if silent."""
     may_be_of_acting_leader: bool = False
     """Whether an acting leader may have begun it, of whose starts no leader knows."""
     reconcile_at: timedelta = timedelta()
     """Until then its unknown tasks may run at an upstream that cannot be reached."""
     next_occurrence: int = 0
-    """The first occurrence that was not due yet."""
+    """The first occurrence that has not been opened, since it was not due yet."""
     due_at: dict[int, timedelta] = field(default_factory=dict)
     """When each occurrence was due; the objective counts from there."""
     run_times: dict[tuple[int, UpstreamId], timedelta] = field(default_factory=dict)
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -23,7 +23,7 @@
 """How long the end of a best-effort job is remembered, for a late second submission."""
 START_MARGIN_SHARE = 0.4
 """Share of the wait allowed by the objective that is reserved for run times beyond the declared
-ones, which scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
+ones, which scatter by 0.4 on a logarithmic scale (its benefit is in docs/design/platform.md)."""
 NEVER_LATE = timedelta.max
 """For long-running tasks: they go before all others and are never abandoned."""
 
@@ -40,6 +40,7 @@
         self.forecast = Forecast()
         self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
+        """How best-effort jobs have ended lately, and when."""
         self.rejections: dict[JobId, Rejection] = {}
         """Why jobs that had not begun were rejected."""
         self.closed_while_running: dict[JobId, timedelta] = {}
@@ -210,7 +211,7 @@
         self.queue(job, ref.occurrence, ref.step, [ref.place])
 
     def update_restrictions(self, tasks: Iterable[TaskRef]) -> None:
-        """Stop delaying these tasks: an upstream that was lost has not crashed under them."""
+        """Queue waiting tasks anew: it is now known whether a lost upstream crashed under them."""
         for ref in tasks:
             job = self.jobs.get(ref.job)
             task = job.tasks.get(ref) if job is not None else None
@@ -252,7 +253,7 @@
         self.backlog.drop_empty()
 
     def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
-        """Hold a task whose run has ended there until that end is recorded."""
+        """Delay a task whose run has ended at this upstream until that end is recorded."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
@@ -271,7 +272,7 @@
     def mark_unknown(self, job: OpenJob) -> None:
         """Mark the tasks of a job as unknown: another host may have begun them.
 
-        Queued ones are held from now on; those that run here, should they have to begin again.
+        Queued tasks are delayed from now on, active ones only if they have to begin again.
         """
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.QUEUED:
@@ -400,7 +401,10 @@
 
 
 def find_max_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
-    """Return how long a step may wait for its start, with a margin for longer run times."""
+    """Return how long a step may wait for its start, with a margin for longer run times.
+
+    `chain` is the expected time from that start to the end of the job.
+    """
     slack = objective - chain
     for_run_times = slack - timedelta(milliseconds=queue.target_latency_ms)
     return slack - max(for_run_times, timedelta()) * START_MARGIN_SHARE
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -15,9 +15,12 @@
     is_sorted: bool = False,
     needs_empty: bool = False,
 ) -> Instance | None:
-    """Return the instance that fits a task best: near its data, then with the least free CPU.
+    """Return the instance that fits a task best.
+
+    The first criterion is nearness to its data, then whether an order reaches the instance at once,
+    then the least free CPU. Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free
+    for wide ones.
 
-    Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free for wide ones.
     `is_sorted` says that the instances come with the least free CPU first, so that one that is best
     in all else need not be compared with those after it. With `needs_empty` nothing may run there.
     """
--- a/cottonlug/core/cluster/progress.py
+++ b/cottonlug/core/cluster/progress.py
@@ -14,22 +14,24 @@
 
 STALLED_AFTER_SHARE = 0.5
 """Share of the expected time without any progress after which a run is stalled: at the slowest rate
-that declared times explain (three times the mean, 2.7 sigma), it would advance by 16 percent."""
+that declared times explain (three times the mean, 2.7 sigma), it would advance by 16 percent
+meanwhile."""
 MIN_OBSERVATION = timedelta(milliseconds=60)
-"""A younger run says nothing: its start and the answer take a few milliseconds each."""
+"""Progress is not judged any sooner: the start and the answer take a few milliseconds each."""
 RESUME_ALLOWANCE = timedelta(seconds=1)
 """A run from a checkpoint is first restored (0.1 to 0.6 s on the users' platform)."""
 SLOW_FACTOR = 3.5
-"""A run that takes so much longer than declared, or than its siblings, has a slow upstream."""
+"""A run that takes this many times as long as expected, and as its fastest sibling
+elsewhere, has a slow upstream."""
 MIN_SLOW_OBSERVATION = timedelta(milliseconds=100)
 """Progress is reported in whole percent: the rate of a younger run is too inaccurate."""
 MIN_GAIN_PERCENT = 5
 """Percent of progress from which on a rate can be estimated."""
 MOVE_FACTOR = 1.5
-"""A run is moved if the rest of it takes that many times as long as a new one."""
+"""A run is moved only if the rest of it takes more than this many times as long as a new one."""
 CHECK_SHARES = (0.75, 1.6)
 """When a run's progress is polled, in shares of its expected time: early enough that a task of a
-fifth of a second that stalls is in time elsewhere; later reports come with the leases."""
+fifth of a second that stalls is in time elsewhere; later reports come with lease renewals."""
 
 
 class ProgressRate(Enum):
--- a/cottonlug/core/cluster/queues.py
+++ b/cottonlug/core/cluster/queues.py
@@ -6,7 +6,7 @@
 
 
 class QueueIndex:
-    """The queues of one configuration, indexed by what callers address them by."""
+    """The queues of one configuration, indexed by host and path prefix."""
 
     def __init__(self, *, configuration: Configuration) -> None:
         self._by_key = {queue.key: queue for queue in configuration.queues}
@@ -19,7 +19,7 @@
         return self._by_key.get(key)
 
     def find_queue(self, host: str, path: str) -> tuple[Queue, JobId] | None:
-        """Return the queue whose prefix is the longest match of a path, and what follows it."""
+        """Return the queue with the longest prefix that matches a path, and the job id after it."""
         name = host.rpartition(":")[0] if ":" in host else host
         for queue in self._by_host.get(name, []):
             if path.startswith(queue.prefix):
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -21,8 +21,8 @@
 
 ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
-"""Evacuations last from seconds to hours: this is frequent enough for the former, and rare enough
-for the latter."""
+"""When to retry after such a rejection. Evacuations last from seconds to hours: this is frequent
+enough for the former, and rare enough for the latter."""
 NO_DEMAND = 1 << 62
 """More CPU than any upstream has, so that no change of one triggers another try."""
 
@@ -59,7 +59,7 @@
         self._shed(now)
 
     def _schedule_backlog(self, changed: list[Instance] | None, now: timedelta) -> None:
-        """Try all batches, but not those again that need more than any changed instance has.
+        """Try all batches, except those that did not fit before and fit no changed instance either.
 
         `changed` is None where any instance may have changed.
         """
--- a/cottonlug/core/cluster/throughput.py
+++ b/cottonlug/core/cluster/throughput.py
@@ -1,4 +1,4 @@
-"""How fast capacity is freed, since the tasks of a wide job do not all start at one moment."""
+"""Measures how fast capacity is freed: under load, the tasks of a wide job start one by one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 LEARNING_RATE = 0.05
 """Weight of the newest end: the mean follows a burst within some twenty ends."""
 MAX_INTERVAL = timedelta(milliseconds=5)
-"""Longer ones mean that little runs, not that capacity is freed slowly."""
+"""Longer intervals mean that little runs, not that capacity is freed slowly."""
 
 
 class Throughput:
--- a/cottonlug/core/cluster/upstream_health.py
+++ b/cottonlug/core/cluster/upstream_health.py
@@ -12,12 +12,15 @@
 from datetime import timedelta
 
 MAX_CONSECUTIVE_FAILURES = 3
-"""One task in 500 fails by itself (the users' sheets), so three in a row are not chance."""
+"""In the workloads of today's users one task in 500 fails by itself: three in a row are not
+chance."""
 FIRST_SUSPENSION = timedelta(seconds=2)
 MAX_SUSPENSION = timedelta(seconds=6)
-"""Each return costs the jobs that are tried there; the causes of bad runs last for seconds."""
+"""Each return from suspension costs the jobs that are tried there; the causes of bad runs last for
+seconds."""
 SLOW_FACTOR = 2.2
-"""Declared times scatter by 0.4 on a logarithmic scale, a mean of several runs far less."""
+"""Mean ratio of actual to expected run times from which an upstream counts as slow: single ratios
+scatter by 0.4 on a logarithmic scale, a mean of several runs far less."""
 LEARNING_RATE = 0.3
 MAX_SUSPENDED_SHARE = 0.34
 """Share of a service's upstreams that may be suspended at once."""
@@ -33,7 +36,7 @@
     next_suspension: timedelta = FIRST_SUSPENSION
     suspended_until: timedelta = timedelta()
     is_on_probation: bool = False
-    """Whether it was suspended and has not finished a run well since: it gets one at a time."""
+    """Whether it gets one run at a time, until one has gone well after its suspension."""
 
     def record_success(self, ratio: float, now: timedelta) -> bool:
         """Record a successful run; return whether the upstream was just found slow."""
--- a/cottonlug/core/cluster/upstream_timers.py
+++ b/cottonlug/core/cluster/upstream_timers.py
@@ -1,7 +1,8 @@
 """Timers that say when each upstream must be processed again.
 
 Load pattern: hundreds of upstreams, most of which need nothing at the moment. Processing all of
-them every 20 ms, for what is due at a few, takes a fifth of the time of a leader of 270.
+them every 20 ms, for what is due at a few, takes a fifth of the time of a leader of 270
+upstreams.
 """
 
 from __future__ import annotations
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -106,12 +106,17 @@
     random: random.Random
     now: timedelta = timedelta()
     lost_share: float = 0.0
+    """Share of orders that are carried out, but whose answers are lost."""
     late_share: float = 0.0
+    """Share of orders that have no answer and are carried out 2 to 12 s late."""
     failed_share: float = 0.0
+    """Share of runs that fail."""
     events: list[tuple[timedelta, int, Callable[[], None]]] = field(default_factory=list)
     counter: itertools.count[int] = field(default_factory=itertools.count)
     running: dict[TaskRef, str] = field(default_factory=dict)
+    """Active tasks and the upstreams where they run."""
     recorded_done: set[TaskRef] = field(default_factory=set)
+    """Tasks whose successful end was confirmed to their upstream as recorded."""
     long_running_jobs: set[JobId] = field(default_factory=set)
     """Jobs whose tasks are started again however they end."""
     begun: list[tuple[TaskRef, timedelta]] = field(default_factory=list)
@@ -128,12 +133,12 @@
     starts_after_three: dict[TaskRef, int] = field(default_factory=dict)
     """Starts of each durable task by connected hosts after three upstreams crashed under it."""
     connected_from: timedelta = timedelta()
-    """Until then the control hosts have been without faults for too short a time."""
+    """From then on the control hosts have been without faults for long enough to be connected."""
     starts: int = 0
     started_jobs: set[JobId] = field(default_factory=set)
 
     def at(self, delay: timedelta, act: Callable[[], None]) -> None:
-        """Schedule an action."""
+        """Schedule an action after a delay."""
         heapq.heappush(self.events, (self.now + delay, next(self.counter), act))
 
     def run_until(self, end: timedelta) -> None:
@@ -169,12 +174,16 @@
     fails_all: bool = False
     """Whether everything that it starts fails at once."""
     token: int = 0
+    """Highest fencing token of its orders so far."""
     expires_ms: float = 0.0
+    """End of its lease, on its own clock."""
     last_end_number: int = 0
     ended: list[RunEndReport] = field(default_factory=list)
     runs: dict[TaskRef, ModelRun] = field(default_factory=dict)
     refused_through: dict[TaskRef, int] = field(default_factory=dict)
+    """Highest run number of each task that has ended or was stopped: no start up to it is valid."""
     parked: list[Callable[[], None]] = field(default_factory=list)
+    """Answers long polls, once a run has ended."""
 
     def clock_ms(self) -> int:
         """Return the time on its own monotonic clock."""
@@ -349,7 +358,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Leader:
-    """A dispatch in the world: it ticks, sends its orders and commits its proposals."""
+    """A `Dispatch` in the world, which ticks, sends its orders and commits its proposals."""
 
     world: World
     upstreams: dict[UpstreamId, ModelUpstream]
--- a/cottonlug/tests/test_cluster_capacity.py
+++ b/cottonlug/tests/test_cluster_capacity.py
@@ -1,7 +1,8 @@
 """Upstreams whose capacity shrinks and grows again while they run.
 
-Runs stay, starts must fit: the newest report counts, whichever host received it, and at an upstream
-that does not enforce its capacity no start relies on a report that may be out of date for too long.
+Active runs stay, only starts must fit: the newest report counts, whichever host received it, and at
+an upstream that does not enforce its capacity no start relies on a report that may have been out of
+date for too long.
 The model fails the test at a start over a capacity, once starts by the old one are not tolerated.
 """
 
@@ -206,7 +207,7 @@
 
 
 def test_a_host_without_reports_starts_nothing_where_capacity_is_not_enforced() -> None:
-    """An acting leader gets no heartbeats: nobody that it can ask knows what shrinks meanwhile."""
+    """An acting leader gets no heartbeats, and no host that it reaches knows what has shrunk."""
     world, upstreams, records = build_site(7, count=1, rejects_overload=False)
     first = lead(world, upstreams, records)
     deliver_heartbeats(first, upstreams[FIRST])
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -177,7 +177,7 @@
 
 
 def start_beside_a_dead_upstream() -> tuple[World, Leader]:
-    """Return a new leader's world in which one upstream of four does not answer."""
+    """Return a world and its new leader, to which one upstream of four does not answer."""
     world, upstreams = build_world(7)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -237,7 +237,10 @@
 
 
 def test_an_older_run_end_does_not_free_a_task_that_runs_elsewhere() -> None:
-    """A moved run's end is listed to a new leader before the run (broke TWICE in a campaign)."""
+    """Guards against two active runs of one task, as found by a campaign.
+
+    The end of a run that was moved is listed to a new leader before the run that replaced it.
+    """
     world, upstreams = build_world(11)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=3)
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_campaign_of_long_running_and_timed_jobs(seed: int) -> None:
-    """Leaders change and orders are lost; the model fails the test at two runs of a task."""
+    """Leaders change and orders are lost; the model fails the test if a task runs twice at once."""
     world, upstreams = build_world(seed + 100, lost_share=0.05, late_share=0.03, failed_share=0.05)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(60_000 if job == JOB else 60)
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -107,7 +107,7 @@
 
 
 def test_the_lease_of_an_upstream_that_does_not_answer_lapses() -> None:
-    """A repeated poll is no renewal; with long-running tasks that lasted for 4.5 s and more."""
+    """Otherwise repeated polls count as renewals, for 4.5 s and more with long-running tasks."""
     world, upstreams = build_world(9)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -1,6 +1,6 @@
-"""How long a job is waited for, and what a host does that is no longer the coordinator.
+"""Time-outs of jobs that are waited for, and hosts that are no longer the coordinator.
 
-Each test guards against a job that goes on though nobody waits for it, or a host that goes on
+Each test guards against a job that goes on after its caller has gone, or a host that goes on
 deciding, so that a task could run beside the next try of its caller.
 """
 
@@ -102,7 +102,9 @@
 
 
 def test_an_acting_leader_waits_no_longer_than_its_caller() -> None:
-    """Without a time-out on its own calls a job goes on, with its lease, for a caller long gone.
+    """Guards against calls to itself without a time-out.
+
+    The job and its lease would go on long after its caller has gone.
 
     A caller outside a domain that is cut off, with its gateway inside, times out after 1.5 s and
     retries elsewhere 1.3 s later; by then the gateway, as acting leader, has begun the job.
@@ -127,10 +129,10 @@
 
 
 def test_an_older_run_end_does_not_free_a_task_whose_success_awaits_its_commit() -> None:
-    """Guards against a third run, 12 ms after the second succeeded; the first lapsed long before.
+    """Guards against a third run, started 12 ms after the second succeeded.
 
-    Its upstream returns and lists that; the commit of this older end must not queue the task while
-    the end of the second is on its way into the log.
+    The lease of the first lapsed long before. Its upstream can be reached again and lists that end;
+    when it is committed, the task must not be queued, as the end of the second awaits its commit.
     """
     world, upstreams = build_world(15)
     for each in upstreams.values():
@@ -182,7 +184,7 @@
 ) -> None:
     """Another coordinator may have begun it for another gateway: its lease must be waited for.
 
-    The same gateway only repeats what was answered late; its tasks need wait no longer for that.
+    The same gateway only repeats a call that was answered late: its tasks wait no longer for that.
     """
 
     async def play() -> None:
