--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -30,8 +30,8 @@
 
 def measure_usable_cores(instances: Iterable[Instance]) -> float:
     """Return the cores of upstreams that accept work, less the share lost to fragmentation."""
-    whole = sum(instance.info.capacity.cpu_millis for instance in instances)
-    return whole / 1000 * USABLE_SHARE
+    total_cpu_millis = sum(instance.info.capacity.cpu_millis for instance in instances)
+    return total_cpu_millis / 1000 * USABLE_SHARE
 
 
 def estimate_wait(core_ms: float, cores: float) -> timedelta:
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -67,10 +67,10 @@
         self._entries = {}
         self._pools = {}
         self._ignores_suspension = set()
-        for service, working in self._instances.find_accepting(now).items():
-            if any(self._is_suspended(instance, now) for instance in working):
+        for service, accepting in self._instances.find_accepting(now).items():
+            if any(self._is_suspended(instance, now) for instance in accepting):
                 self._ignores_suspension.add(service)
-            entries = [(instance.free_cpu, instance.number, instance) for instance in working]
+            entries = [(instance.free_cpu, instance.number, instance) for instance in accepting]
             # In this order each entry is appended to its pool.
             for entry in sorted(entries):
                 self._add(entry)
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -150,7 +150,7 @@
                 "upstream": instance.info.id,
                 "runs": len(at_work.tasks),
                 "unsure": len(at_work.unsure),
-                "blamed": " ".join(f"{task.job}.{task.step}.{task.place}" for task in blamed),
+                "blamed": " ".join(f"{task.job}.{task.step}.{task.task_index}" for task in blamed),
                 "lost_ms_ago": to_milliseconds(now - (instance.lost_at or now)),
             },
         )
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -111,7 +111,7 @@
         self._reconciliation = Reconciliation(
             term=self._term, instances=self._instances, jobs=self._jobs
         )
-        self._ends = RunEndHandler(
+        self._run_ends = RunEndHandler(
             term=self._term,
             instances=self._instances,
             jobs=self._jobs,
@@ -196,7 +196,7 @@
         if is_unsure:
             job.reconcile_at = now + submission.reconcile_after
             self._reconciliation.request_recheck()
-        self._ends.claim_orphaned_ends(record, now)
+        self._run_ends.claim_orphaned_ends(record, now)
         if (
             not self._instances.may_have_orphaned_runs
             and record.id not in self._jobs.closed_while_running
@@ -279,7 +279,7 @@
             if job is not None and job.is_open and job.id not in self._jobs.jobs:
                 self._jobs.open(job, TaskPhase.QUEUED, now, self._jobs.find_age(job))
         elif isinstance(command, RecordRunEnds):
-            self._ends.handle_recorded_ends(command, now)
+            self._run_ends.handle_recorded_ends(command, now)
         elif isinstance(command, CancelJob):
             self._jobs.close_if_ended(command.job, now)
         elif isinstance(command, AddUpstream):
@@ -425,7 +425,7 @@
         self._instances.unseen.discard(instance.info.id)
         self._jobs.update_restrictions(self._jobs.crash_tracker.record_answer(instance))
         self._watcher.request_uncordon(instance)
-        self._ends.handle_listed_ends(instance, reply.ended, now)
+        self._run_ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
             # Overtaken by a later answer on another connection: what it lists may have ended.
             self._term.log_decision(
@@ -484,7 +484,7 @@
         self._registry.doubt_capacities(now)
         self._instances.update_orphaned_flag()
         self._jobs.forget_ended(now)
-        self._ends.forget_orphaned_ends(now)
+        self._run_ends.forget_orphaned_ends(now)
 
     def pop_orders(self) -> list[Order]:
         """Return the orders to be sent to upstreams, and clear the list."""
@@ -503,9 +503,9 @@
 
         One whose start had no answer, and which is not listed, may still begin: it is stopped.
         """
-        there = {(report.task, report.run) for report in reply.running}
+        listed = {(report.task, report.run) for report in reply.running}
         for key, run in list(instance.runs.items()):
-            if key in there:
+            if key in listed:
                 continue
             if run.phase is RunPhase.UNSURE and run.unsure_at <= sent_at:
                 run.stop_requested = True
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -19,23 +19,23 @@
     """Mean ratio of actual to declared run times of each queue, on a logarithmic scale."""
 
     def __init__(self) -> None:
-        self._ratios: dict[QueueKey, float] = {}
+        self._log_ratios: dict[QueueKey, float] = {}
         """Logarithms of the mean ratios."""
-        self._factors: dict[QueueKey, float] = {}
+        self._mean_ratios: dict[QueueKey, float] = {}
         """The mean ratios themselves, by which declared run times are multiplied."""
 
     def learn(self, queue: QueueKey, step: StepSpec, run_time: timedelta) -> None:
         """Update the ratio of a queue with a run that succeeded."""
         run_time_ms = max(run_time / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
-        ratio = math.log(run_time_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
-        known = self._ratios.get(queue, 0.0)
-        self._ratios[queue] = known + LEARNING_RATE * (ratio - known)
-        self._factors[queue] = math.exp(self._ratios[queue])
+        log_ratio = math.log(run_time_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
+        known = self._log_ratios.get(queue, 0.0)
+        self._log_ratios[queue] = known + LEARNING_RATE * (log_ratio - known)
+        self._mean_ratios[queue] = math.exp(self._log_ratios[queue])
 
     def predict(self, queue: QueueKey, step: StepSpec) -> timedelta:
         """Return the expected run time of a task of a step."""
-        factor = self._factors.get(queue, 1.0)
-        return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * factor)
+        mean_ratio = self._mean_ratios.get(queue, 1.0)
+        return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * mean_ratio)
 
     def predict_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
         """Return the expected time of the longest chain of steps that begins with step `first`."""
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -30,7 +30,7 @@
     job: JobId
     occurrence: int
     step: int
-    place: int
+    task_index: int
 
 
 class Needs(Value, frozen=True):
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -137,7 +137,7 @@
             if not all(job.record.is_step_done(occurrence, each) for each in step.depends_on):
                 continue
             blocked = [
-                ref.place
+                ref.task_index
                 for ref, task in job.tasks.items()
                 if ref.occurrence == occurrence
                 and ref.step == number
@@ -145,19 +145,19 @@
             ]
             self.queue(job, occurrence, number, blocked)
 
-    def queue(self, job: OpenJob, occurrence: int, number: int, indexes: list[int]) -> None:
+    def queue(self, job: OpenJob, occurrence: int, number: int, task_indexes: list[int]) -> None:
         """Queue tasks of one step of an occurrence; those that may crash upstreams separately."""
-        if not indexes:
+        if not task_indexes:
             return
         if not self.crash_tracker.may_suspect_any():
-            self._add_batch(job, occurrence, number, indexes, StartRestriction.NONE)
+            self._add_batch(job, occurrence, number, task_indexes, StartRestriction.NONE)
             return
         by_restriction: dict[StartRestriction, list[int]] = {}
-        for index in indexes:
+        for task_index in task_indexes:
             restriction = self.crash_tracker.find_restriction(
-                TaskRef(job.record.id, occurrence, number, index)
+                TaskRef(job.record.id, occurrence, number, task_index)
             )
-            by_restriction.setdefault(restriction, []).append(index)
+            by_restriction.setdefault(restriction, []).append(task_index)
         for restriction, alike in by_restriction.items():
             self._add_batch(job, occurrence, number, alike, restriction)
 
@@ -166,12 +166,12 @@
         job: OpenJob,
         occurrence: int,
         number: int,
-        indexes: list[int],
+        task_indexes: list[int],
         restriction: StartRestriction,
     ) -> None:
         step = job.record.spec.steps[number]
-        for index in indexes:
-            ref = TaskRef(job.record.id, occurrence, number, index)
+        for task_index in task_indexes:
+            ref = TaskRef(job.record.id, occurrence, number, task_index)
             job.tasks[ref].phase = TaskPhase.QUEUED
         due_at = job.due_at[occurrence]
         queue = job.record.queue
@@ -183,13 +183,15 @@
             occurrence=occurrence,
             step_number=number,
             step=step,
-            latest_start=due_at + longest_wait - self.throughput.estimate_start_delay(len(indexes)),
+            latest_start=due_at
+            + longest_wait
+            - self.throughput.estimate_start_delay(len(task_indexes)),
             latest_task_start=due_at + job.objective - chain,
             has_begun=job.has_begun,
             latest_useful_start=due_at + job.objective * USEFUL_FACTOR - chain,
             core_ms=predicted_ms * step.needs.cpu_millis / 1000,
             restriction=restriction,
-            waiting=indexes,
+            waiting=task_indexes,
         )
         if job.record.spec.long_running:
             # It must be running again within seconds, however full the service is.
@@ -208,7 +210,7 @@
             task.phase = TaskPhase.UNKNOWN
             self.may_have_unknown_tasks = True
             return
-        self.queue(job, ref.occurrence, ref.step, [ref.place])
+        self.queue(job, ref.occurrence, ref.step, [ref.task_index])
 
     def update_restrictions(self, tasks: Iterable[TaskRef]) -> None:
         """Queue waiting tasks anew: it is now known whether a lost upstream crashed under them."""
@@ -217,7 +219,7 @@
             task = job.tasks.get(ref) if job is not None else None
             if job is not None and task is not None and task.phase is TaskPhase.QUEUED:
                 self.unqueue(ref)
-                self.queue(job, ref.occurrence, ref.step, [ref.place])
+                self.queue(job, ref.occurrence, ref.step, [ref.task_index])
 
     def fail_quarantined(self, refs: Iterable[TaskRef], now: timedelta) -> None:
         """Fail the jobs of tasks that are quarantined, since upstreams have crashed under them."""
@@ -232,7 +234,7 @@
                 "task_crashes_upstreams",
                 {
                     "job": ref.job,
-                    "task": f"{ref.step}.{ref.place}",
+                    "task": f"{ref.step}.{ref.task_index}",
                     "crashes": counts.crashes,
                     "losses": counts.losses,
                     "unanswered": counts.unanswered,
@@ -247,8 +249,8 @@
         """Remove a task from the backlog."""
         for batch in self.backlog:
             key = (batch.job.id, batch.occurrence, batch.step_number)
-            if key == (ref.job, ref.occurrence, ref.step) and ref.place in batch.waiting:
-                batch.waiting.remove(ref.place)
+            if key == (ref.job, ref.occurrence, ref.step) and ref.task_index in batch.waiting:
+                batch.waiting.remove(ref.task_index)
                 self.backlog.has_empty |= not batch.waiting
         self.backlog.drop_empty()
 
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -354,4 +354,4 @@
 
 
 def _build_task_key(ref: TaskRef) -> str:
-    return f"{ref.occurrence}.{ref.step}.{ref.place}"
+    return f"{ref.occurrence}.{ref.step}.{ref.task_index}"
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -121,7 +121,7 @@
             "run_ended",
             {
                 "job": end.task.job,
-                "task": f"{end.task.step}.{end.task.place}",
+                "task": f"{end.task.step}.{end.task.task_index}",
                 "upstream": instance.info.id,
                 "how": end.how.value,
                 "took_ms": to_milliseconds(taken),
@@ -177,4 +177,4 @@
         elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
             # An older end recorded in the meantime must not requeue a task whose later run has
             # succeeded.
-            self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.place])
+            self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.task_index])
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -201,8 +201,8 @@
         self._jobs.backlog.has_empty |= not batch.waiting
         return has_started
 
-    def _start(self, batch: Batch, index: int, instance: Instance, now: timedelta) -> None:
-        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, index)
+    def _start(self, batch: Batch, task_index: int, instance: Instance, now: timedelta) -> None:
+        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, task_index)
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
         expires_ms = instance.grant_lease(now)
@@ -228,7 +228,7 @@
             "run_started_again" if is_again else "run_started",
             {
                 "job": ref.job,
-                "task": f"{ref.step}.{ref.place}",
+                "task": f"{ref.step}.{ref.task_index}",
                 "run": task.run,
                 "upstream": instance.info.id,
                 "tier": batch.tier.value,
--- a/cottonlug/core/cluster/upstream_health.py
+++ b/cottonlug/core/cluster/upstream_health.py
@@ -30,7 +30,7 @@
 class UpstreamHealth:
     """How recent runs at one upstream have gone."""
 
-    failures: int = 0
+    consecutive_failures: int = 0
     mean_log_slowdown: float = 0.0
     """Mean of the logarithm of actual to expected run times."""
     next_suspension: timedelta = FIRST_SUSPENSION
@@ -40,7 +40,7 @@
 
     def record_success(self, ratio: float, now: timedelta) -> bool:
         """Record a successful run; return whether the upstream was just found slow."""
-        self.failures = 0
+        self.consecutive_failures = 0
         if self.record_run_time_ratio(ratio, now):
             return True
         if not self._is_slow() and now >= self.suspended_until:
@@ -60,8 +60,8 @@
 
     def record_failure(self, now: timedelta) -> bool:
         """Record a failed run; return whether the upstream was just suspended."""
-        self.failures += 1
-        return self.failures >= MAX_CONSECUTIVE_FAILURES and self._suspend(now)
+        self.consecutive_failures += 1
+        return self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES and self._suspend(now)
 
     def record_stall(self, now: timedelta) -> bool:
         """Record a stalled run; return whether the upstream was just suspended."""
--- a/cottonlug/core/cluster/upstream_timers.py
+++ b/cottonlug/core/cluster/upstream_timers.py
@@ -18,18 +18,18 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[timedelta, UpstreamId]] = []
-        self._at: dict[UpstreamId, timedelta] = {}
+        self._due_at: dict[UpstreamId, timedelta] = {}
 
     def has(self, upstream: UpstreamId) -> bool:
         """Whether a timer is set."""
-        return upstream in self._at
+        return upstream in self._due_at
 
     def set(self, upstream: UpstreamId, at: timedelta | None) -> None:
         """Set the timer of an upstream, in place of the one set before; None clears it."""
         if at is None:
-            self._at.pop(upstream, None)
-        elif self._at.get(upstream) != at:
-            self._at[upstream] = at
+            self._due_at.pop(upstream, None)
+        elif self._due_at.get(upstream) != at:
+            self._due_at[upstream] = at
             heapq.heappush(self._heap, (at, upstream))
 
     def pop_due(self, now: timedelta) -> list[UpstreamId]:
@@ -37,7 +37,7 @@
         due: list[UpstreamId] = []
         while self._heap and self._heap[0][0] <= now:
             at, upstream = heapq.heappop(self._heap)
-            if self._at.get(upstream) == at:
-                del self._at[upstream]
+            if self._due_at.get(upstream) == at:
+                del self._due_at[upstream]
                 due.append(upstream)
         return due
--- a/cottonlug/platform/jobs.py
+++ b/cottonlug/platform/jobs.py
@@ -93,7 +93,7 @@
 
 def build_task_name(ref: TaskRef) -> str:
     """Return the name of a task: ID.K.STEP.INDEX."""
-    return f"{ref.job}.{ref.occurrence}.{ref.step}.{ref.place}"
+    return f"{ref.job}.{ref.occurrence}.{ref.step}.{ref.task_index}"
 
 
 def parse_task_name(name: str) -> TaskRef | None:
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -107,8 +107,8 @@
     leader.world.run_until(milliseconds(3_000))
     record = leader.records.jobs[JobId(JOB)]
     assert record.is_open
-    for place in range(2):
-        starts = [at for ref, at in leader.world.begun if ref.place == place]
+    for task_index in range(2):
+        starts = [at for ref, at in leader.world.begun if ref.task_index == task_index]
         assert len(starts) >= 8
         assert starts[-1] > milliseconds(2_600)
     assert leader.dispatch.counts.moved_runs == 0
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -191,13 +191,13 @@
         leadership, _ = lead(CountingPort(answers=False), keeps_log=False)
         clock = leadership._clock
 
-        def hear(gateway: str) -> None:
+        def deliver_keepalive(gateway: str) -> None:
             contact = leadership.gateways.build_contact()
             leadership.gateways.handle_keepalive(
                 msgspec.structs.replace(build_keepalive(gateway), contact=contact)
             )
 
-        def send(gateway: str) -> asyncio.Task[Answer]:
+        def submit(gateway: str) -> asyncio.Task[Answer]:
             call = Submit(
                 host="host",
                 path=f"/q/{JOB}",
@@ -210,20 +210,20 @@
             )
             return asyncio.create_task(leadership.answer(call))
 
-        hear("a")
-        hear("b")
-        waiting = [send("a")]
+        deliver_keepalive("a")
+        deliver_keepalive("b")
+        waiting = [submit("a")]
         await run_callbacks()
         for _ in range(10):
             clock.advance(milliseconds(100))  # type: ignore[attr-defined]
-            hear("a")
-            hear("b")
+            deliver_keepalive("a")
+            deliver_keepalive("b")
             leadership._decide()
-        left_at = clock.monotonic()
-        waiting.append(send(second))
+        submitted_at = clock.monotonic()
+        waiting.append(submit(second))
         await run_callbacks()
         job = leadership.dispatch.jobs.jobs[JobId(JOB)]
-        assert (job.reconcile_at >= left_at + CALLER_RETRY) is is_news
+        assert (job.reconcile_at >= submitted_at + CALLER_RETRY) is is_news
         for each in waiting:
             each.cancel()
         leadership.stop()
