--- a/cottonlug/core/cluster/capacity_reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from datetime import timedelta
 
-MAX_ELECTION_TIME = timedelta(milliseconds=700)
+MAX_TIME_WITHOUT_LEADER = timedelta(milliseconds=700)
 """Longest time without a leader until a host that knew the last one leads in its place."""
 MISSED_HEARTBEAT_DELAY = timedelta(milliseconds=400)
 """A heartbeat counts as missed once it is later than its interval by this much."""
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -23,7 +23,7 @@
     answer_decoder,
     call_decoder,
 )
-from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
+from ..core.cluster.capacity_reports import MAX_TIME_WITHOUT_LEADER, ReportTerms
 from ..core.cluster.forecast import find_max_useful_wait
 from ..core.cluster.instances import LeaseTerms, choose_lease_terms
 from ..core.consensus.types import Term
@@ -347,7 +347,7 @@
         """Return until when this host, as a new leader, can rely on the recorded capacities."""
         if self._other_leader_seen_at is None:
             return timedelta()
-        return reports.find_valid_until(self._other_leader_seen_at - MAX_ELECTION_TIME)
+        return reports.find_valid_until(self._other_leader_seen_at - MAX_TIME_WITHOUT_LEADER)
 
     def _update_leadership(self) -> None:
         """Start or end leadership according to the replicated log."""
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -217,7 +217,7 @@
     """Otherwise starts are refused after changes of leader (57 of them)."""
     instance = build_instance("u1", 32_000)
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
-    orphan = Run(
+    orphaned_run = Run(
         task=TaskRef(JobId("b"), 0, 0, 0),
         run=RunNumber(1),
         needs=Needs(),
@@ -225,11 +225,11 @@
         since=timedelta(),
         is_orphaned=True,
     )
-    instance.add_run(orphan)
+    instance.add_run(orphaned_run)
     assert choose_instance(batch, [instance]) is instance
-    instance.add_run(replace(orphan, run=RunNumber(2)))
+    instance.add_run(replace(orphaned_run, run=RunNumber(2)))
     assert choose_instance(batch, [instance]) is None
-    instance.remove_run((orphan.task, orphan.run))
+    instance.remove_run((orphaned_run.task, orphaned_run.run))
     assert choose_instance(batch, [instance]) is instance
 
 
