--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -46,6 +46,7 @@
     core_ms: float
     """Expected core-milliseconds of each task."""
     waiting: list[int] = field(default_factory=list)
+    """Indexes of its waiting tasks within the step."""
     cpu_millis: int = field(init=False)
     """CPU need of each task; cached, since every run end reads it for every batch."""
     tier: Tier = Tier.ON_TIME
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -18,8 +18,8 @@
 class JobBatch(Value, frozen=True):
     """Submissions of one host; the receiver recognises repeated ones by their numbers.
 
-    `line` identifies the job channel, within which submissions are numbered: each process at the
-    host, and each later connection, has another one.
+    `caller` is the address of that host. `channel` identifies the job channel, within which
+    submissions are numbered: each process at the host, and each later connection, has another one.
     """
 
     caller: str
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -22,7 +22,7 @@
 
 
 class TaskRef(NamedTuple):
-    """Identifies a task: its job, occurrence, step, and place among the tasks of that step.
+    """Identifies a task by its job, the occurrence of the job, the step, and its index in the step.
 
     All three numbers begin at 0; a job that does not repeat has only occurrence 0.
     """
@@ -106,6 +106,7 @@
     priority: int = 0
     max_attempts: int = 1
     stretch: float = 1.0
+    """The objective of a job is its expected run time times this, plus `target_latency_ms`."""
     needs_advice: bool = False
 
     @property
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -234,7 +234,7 @@
 
 
 def test_an_upstream_that_enforces_no_capacity_gets_no_work_beside_unknown_runs() -> None:
-    """Otherwise an acting leader that does not know what runs there starts more than fits."""
+    """Otherwise a coordinator that does not know what runs there starts more than fits."""
     world, upstreams = build_world(12)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(400)
