--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -74,8 +74,8 @@
         """Let a run continue that this leader did not start, or stop it if it is of no use."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
-        waits = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
-        if task is None or task.phase not in waits:
+        unassigned_phases = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
+        if task is None or task.phase not in unassigned_phases:
             run.stop_requested = True
             return
         # A run that is being stopped holds its task as well: no other run of the task may begin
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -70,7 +70,9 @@
         for service, working in self._instances.find_accepting(now).items():
             if any(self._is_suspended(instance, now) for instance in working):
                 self._ignores_suspension.add(service)
-            entries = [(instance.free_cpu, instance.number, instance) for instance in working]
+            entries = [
+                (instance.free_cpu, instance.arrival_number, instance) for instance in working
+            ]
             # In this order each entry is appended to its pool.
             for entry in sorted(entries):
                 self._add(entry)
@@ -89,7 +91,7 @@
             self._find_pool(instance).remove(old)
             del self._entries[id]
         if accepts_work:
-            self._add((instance.free_cpu, instance.number, instance))
+            self._add((instance.free_cpu, instance.arrival_number, instance))
 
     def find_max_free_cpu(self, service: ServiceName) -> int:
         """Return the most free CPU of any upstream of a service, in thousandths of a core."""
--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..ids import DomainName, UpstreamId
-from .crashes import LostRuns
+from .crashes import LostTasks
 from .model import (
     Capacity,
     Configuration,
@@ -118,7 +118,7 @@
     """
 
     upstreams: tuple[UpstreamId, ...]
-    lost: tuple[LostRuns, ...] = ()
+    lost: tuple[LostTasks, ...] = ()
 
 
 class UncordonUpstream(Value, frozen=True, tag="uncordon"):
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -47,16 +47,16 @@
         self._losses: list[Loss] = []
         self.quarantined: Counter[QueueKey] = Counter()
         """How many tasks of each queue were quarantined in this term for crashing upstreams."""
-        self._lost_tasks: Counter[TaskRef] = Counter()
+        self._unresolved_losses: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it was active and that may have crashed."""
-        self._lost_starts: Counter[TaskRef] = Counter()
+        self._unresolved_starts: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it may have been started."""
         self._reported: dict[TaskRef, CrashCounts] = {}
         """Counts from earlier coordinators that gateways have reported and that the log does not
         contain."""
         for instance in instances.by_id.values():
-            self._lost_tasks.update(instance.lost.tasks)
-            self._lost_starts.update(instance.lost.all_tasks)
+            self._unresolved_losses.update(instance.lost_tasks.confirmed)
+            self._unresolved_starts.update(instance.lost_tasks.all_tasks)
 
     def record_no_answer(self, instance: Instance, now: timedelta) -> None:
         """Record that an upstream does not answer."""
@@ -64,7 +64,7 @@
             return
         instance.lost_at = now
         if instance.runs:
-            self._poll_neighbours(instance)
+            self._request_neighbour_polls(instance)
         self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
         self._losses.append(
             Loss(
@@ -75,7 +75,7 @@
             )
         )
 
-    def _poll_neighbours(self, instance: Instance) -> None:
+    def _request_neighbour_polls(self, instance: Instance) -> None:
         """Poll the upstreams that would be lost together with one, such as those of its rack.
 
         Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
@@ -93,7 +93,7 @@
 
     def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Record that an upstream has not crashed; return what was active when it was lost."""
-        if instance.lost_at is None and instance.lost is NO_ACTIVE_TASKS:
+        if instance.lost_at is None and instance.lost_tasks is NO_ACTIVE_TASKS:
             return ()
         cleared = self.forget_instance(instance)
         if instance.lost_at is not None:
@@ -107,7 +107,7 @@
 
     def forget_instance(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Forget an upstream that the log has removed; return the tasks that were lost there."""
-        lost = instance.lost.all_tasks
+        lost = instance.lost_tasks.all_tasks
         self._set_lost(instance, NO_ACTIVE_TASKS)
         return lost
 
@@ -134,22 +134,24 @@
         self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
     ) -> None:
         """Record that an upstream has ended; propose to count a crash if it was not leaving."""
-        at_work = _find_active_tasks(instance, now)
-        if instance.draining or at_work == NO_ACTIVE_TASKS:
+        active_tasks = _find_active_tasks(instance, now)
+        if instance.draining or active_tasks == NO_ACTIVE_TASKS:
             self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
             return
         self.record_no_answer(instance, now)
         blamed = (
-            [] if self._has_common_cause(instance) else self._find_blamed(at_work.tasks, queues)
+            []
+            if self._has_common_cause(instance)
+            else self._find_blamed(active_tasks.confirmed, queues)
         )
-        others = tuple(task for task in at_work.tasks if task not in blamed)
+        others = tuple(task for task in active_tasks.confirmed if task not in blamed)
         self._term.counts.crashed_upstreams += 1
         self._term.log_decision(
             "upstream_crashed",
             {
                 "upstream": instance.info.id,
-                "runs": len(at_work.tasks),
-                "unsure": len(at_work.unsure),
+                "runs": len(active_tasks.confirmed),
+                "unsure": len(active_tasks.unconfirmed),
                 "blamed": " ".join(f"{task.job}.{task.step}.{task.place}" for task in blamed),
                 "lost_ms_ago": to_milliseconds(now - (instance.lost_at or now)),
             },
@@ -160,7 +162,7 @@
                 upstream=instance.info.id,
                 blamed=tuple(blamed),
                 others=others,
-                unanswered=at_work.unsure,
+                unanswered=active_tasks.unconfirmed,
                 at_ms=at_ms,
             )
         )
@@ -172,8 +174,8 @@
             RecordCrash(
                 upstream=instance.info.id,
                 blamed=(),
-                others=instance.lost.tasks,
-                unanswered=instance.lost.unsure,
+                others=instance.lost_tasks.confirmed,
+                unanswered=instance.lost_tasks.unconfirmed,
                 at_ms=at_ms,
             )
         )
@@ -181,26 +183,32 @@
     def find_restriction(self, task: TaskRef) -> StartRestriction:
         """Return how the next start of a task is restricted by the outcomes of earlier ones."""
         counts = self.get_counts(task)
-        unsure = self._lost_starts[task]
+        unsure = self._unresolved_starts[task]
         if not unsure:
             return StartRestriction.ALONE if counts.crashes else StartRestriction.NONE
         starts = counts.starts + unsure
-        if starts >= MAX_UNRESOLVED_STARTS or counts.losses + self._lost_tasks[task] >= MAX_LOSSES:
+        if (
+            starts >= MAX_UNRESOLVED_STARTS
+            or counts.losses + self._unresolved_losses[task] >= MAX_LOSSES
+        ):
             return StartRestriction.BARRED
-        return StartRestriction.HELD if starts >= MAX_CRASHES else StartRestriction.ALONE
+        return StartRestriction.ALONE_DELAYED if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
         """Return whether any task may be restricted."""
-        return bool(self._lost_starts or self._reported or self._term.records.suspects)
+        return bool(self._unresolved_starts or self._reported or self._term.records.suspects)
 
-    def _set_lost(self, instance: Instance, at_work: ActiveTasks) -> None:
-        self._lost_tasks.subtract(instance.lost.tasks)
-        self._lost_tasks.update(at_work.tasks)
-        self._lost_starts.subtract(instance.lost.all_tasks)
-        self._lost_starts.update(at_work.all_tasks)
+    def _set_lost(self, instance: Instance, active_tasks: ActiveTasks) -> None:
+        self._unresolved_losses.subtract(instance.lost_tasks.confirmed)
+        self._unresolved_losses.update(active_tasks.confirmed)
+        self._unresolved_starts.subtract(instance.lost_tasks.all_tasks)
+        self._unresolved_starts.update(active_tasks.all_tasks)
         # Unary plus drops tasks whose count has come down to zero.
-        self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
-        instance.lost = at_work
+        self._unresolved_losses, self._unresolved_starts = (
+            +self._unresolved_losses,
+            +self._unresolved_starts,
+        )
+        instance.lost_tasks = active_tasks
 
     def _has_common_cause(self, instance: Instance) -> bool:
         loss = next(each for each in self._losses if each.upstream == instance.info.id)
@@ -214,17 +222,17 @@
         return has_common_cause(loss, self._losses, sizes)
 
     def _find_blamed(
-        self, at_work: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
+        self, active_tasks: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
     ) -> list[TaskRef]:
-        known = {task: self.get_counts(task) for task in at_work}
-        return assign_blame(at_work, known, queues, self.quarantined)
+        known = {task: self.get_counts(task) for task in active_tasks}
+        return assign_blame(active_tasks, known, queues, self.quarantined)
 
 
 def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
     """Return the tasks that are active at an upstream and were started recently."""
     young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
     found = ActiveTasks(
-        tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
-        unsure=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
+        confirmed=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
+        unconfirmed=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
     )
-    return found.join(instance.lost)
+    return found.join(instance.lost_tasks)
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -15,6 +15,8 @@
 from datetime import timedelta
 from enum import Enum
 
+import msgspec
+
 from ..ids import DomainName, UpstreamId
 from .model import JobId, QueueKey, TaskRef, Value
 
@@ -57,7 +59,7 @@
     NONE = "none"
     ALONE = "alone"
     """Only where nothing else runs: one upstream may have crashed with it active."""
-    HELD = "held"
+    ALONE_DELAYED = "held"
     """Only where nothing else runs, and after a delay: two upstreams may have crashed."""
     BARRED = "barred"
     """Not at all until it is known whether they crashed: three upstreams that had confirmed the
@@ -131,33 +133,34 @@
 class ActiveTasks(Value, frozen=True):
     """Tasks that were active at an upstream, as far as its leader knew."""
 
-    tasks: tuple[TaskRef, ...] = ()
+    confirmed: tuple[TaskRef, ...] = msgspec.field(name="tasks", default=())
     """Tasks that the upstream had confirmed to run."""
-    unsure: tuple[TaskRef, ...] = ()
+    unconfirmed: tuple[TaskRef, ...] = msgspec.field(name="unsure", default=())
     """Tasks whose start was unanswered: the upstream may have ended before the start was sent."""
 
     @property
     def all_tasks(self) -> tuple[TaskRef, ...]:
         """Return the confirmed and the unanswered tasks."""
-        return (*self.tasks, *self.unsure)
+        return (*self.confirmed, *self.unconfirmed)
 
     def join(self, other: ActiveTasks) -> ActiveTasks:
         """Return the union of both; a task confirmed in either counts as confirmed."""
-        tasks = dict.fromkeys((*self.tasks, *other.tasks))
-        unsure = dict.fromkeys((*self.unsure, *other.unsure))
+        all_confirmed = dict.fromkeys((*self.confirmed, *other.confirmed))
+        all_unconfirmed = dict.fromkeys((*self.unconfirmed, *other.unconfirmed))
         return ActiveTasks(
-            tasks=tuple(tasks), unsure=tuple(task for task in unsure if task not in tasks)
+            confirmed=tuple(all_confirmed),
+            unconfirmed=tuple(task for task in all_unconfirmed if task not in all_confirmed),
         )
 
 
 NO_ACTIVE_TASKS = ActiveTasks()
 
 
-class LostRuns(Value, frozen=True):
+class LostTasks(Value, frozen=True):
     """Tasks that were active at an upstream when it became unreachable."""
 
     upstream: UpstreamId
-    at_work: ActiveTasks
+    active_tasks: ActiveTasks = msgspec.field(name="at_work")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -50,7 +50,7 @@
 )
 from .reconciliation import Reconciliation
 from .records import JobRecord, Records, end_job
-from .registry import Registry
+from .registry import UpstreamRegistry
 from .run_ends import RunEndHandler
 from .scheduler import Scheduler
 from .term import DecisionLog, DispatchCounts, Term, WallTime
@@ -85,7 +85,7 @@
         known_until: timedelta = timedelta(),
     ) -> None:
         self._term = Term(
-            number=term,
+            token=term,
             began_at=now,
             records=records,
             lease=terms,
@@ -116,7 +116,7 @@
         )
         self.may_have_acting_leader: Callable[[], bool] = lambda: True
         """Whether a gateway without contact to this host may act as leader."""
-        self._registry = Registry(term=self._term, instances=self._instances)
+        self._registry = UpstreamRegistry(term=self._term, instances=self._instances)
         self._timers = UpstreamTimers()
         self._scan_due = now
 
@@ -451,7 +451,7 @@
         due = self._pop_due_instances(now)
         instances = list(self._instances.by_id.values()) if is_full_scan else due
         for instance in instances:
-            self._watcher.lapse(instance, now)
+            self._watcher.abandon_lapsed_runs(instance, now)
             self._watcher.stop_runs(instance, now)
         if self._term.may_start:
             self._scheduler.schedule(now, None if is_full_scan else instances)
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -35,7 +35,7 @@
 MAX_UPSTREAMS_PER_PART = 128
 """Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
-SMALL_PART = 16
+MAX_UPSTREAMS_IN_SMALL_PART = 16
 """Upstreams in an answer that costs hardly more than one without any."""
 _FIRST = UpstreamId("")
 """Sorts before all ids of upstreams."""
@@ -59,13 +59,13 @@
 class FailoverStateLog:
     """Changes of the failover state under one leader."""
 
-    def __init__(self, *, term: int, takes_calls: bool) -> None:
+    def __init__(self, *, term: int, accepts_calls: bool) -> None:
         self._term = term
-        self._takes_calls = takes_calls
+        self._accepts_calls = accepts_calls
         self._number = 0
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
         """Number of each change, and the upstream that it concerns, if any."""
-        self._configured = 0
+        self._last_configuration_change = 0
         """Number of the last change of the configuration."""
         self._sorted: tuple[int, list[UpstreamId]] = (-1, [])
         """All upstream ids in order, as of the change with this number."""
@@ -84,7 +84,7 @@
         """Count that another configuration is active."""
         self._number += 1
         self._changes.append((self._number, None))
-        self._configured = self._number
+        self._last_configuration_change = self._number
 
     def record_other_change(self) -> None:
         """Count any other change."""
@@ -110,7 +110,7 @@
         records: Records,
         gateways: tuple[GatewayInfo, ...],
         *,
-        keeps_jobs: bool,
+        has_durable_jobs: bool,
         known: str,
     ) -> FailoverState | None:
         """Return the next part for a gateway with version `known`, or None if that is current."""
@@ -119,10 +119,12 @@
         position = self._find_position(known)
         start = position or _Position(number=self._number, after=_FIRST)
         changed, number = self._list_changed(start.number)
-        begun, after = self._list_next(records, start.after, MAX_UPSTREAMS_PER_PART - len(changed))
-        ids = dict.fromkeys((*changed, *begun))
-        is_new = position is None or position.number < self._configured
-        configuration = records.configuration if is_new else None
+        initial, after = self._list_next(
+            records, start.after, MAX_UPSTREAMS_PER_PART - len(changed)
+        )
+        ids = dict.fromkeys((*changed, *initial))
+        needs_configuration = position is None or position.number < self._last_configuration_change
+        configuration = records.configuration if needs_configuration else None
         if configuration is not None:
             # The original document is never read back from a gateway.
             configuration = msgspec.structs.replace(configuration, document="")
@@ -135,18 +137,18 @@
             upstreams=tuple(records.upstreams[id] for id in ids if id in records.upstreams),
             removed=tuple(id for id in ids if id not in records.upstreams),
             gateways=gateways,
-            has_durable_jobs=keeps_jobs,
+            has_durable_jobs=has_durable_jobs,
             suspects=tuple(records.suspects.values()),
             evacuations=records.evacuations.records,
-            accepts_calls=self._takes_calls,
+            accepts_calls=self._accepts_calls,
         )
 
-    def is_large(self, records: Records, known: str) -> bool:
+    def is_next_part_large(self, records: Records, known: str) -> bool:
         """Return whether the next part for a gateway contains many upstreams."""
         position = self._find_position(known)
         if position is None or position.after is not None:
-            return len(records.upstreams) > SMALL_PART
-        return self._number - position.number > SMALL_PART
+            return len(records.upstreams) > MAX_UPSTREAMS_IN_SMALL_PART
+        return self._number - position.number > MAX_UPSTREAMS_IN_SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
         """Return the upstreams in the next part of the changes, and its last change's number."""
@@ -222,12 +224,12 @@
     square of their number, at the worst of times.
     """
     home = next((each.domain for each in gateways if each.address == own), DomainName(""))
-    asked: list[str] = []
-    left: dict[DomainName, int] = {}
+    queried: list[str] = []
+    remaining: dict[DomainName, int] = {}
     for gateway in sorted(gateways, key=lambda each: each.address):
         most = OWN_DOMAIN_QUERIED if gateway.domain == home else OTHER_DOMAINS_QUERIED
-        count = left.setdefault(gateway.domain, most)
+        count = remaining.setdefault(gateway.domain, most)
         if gateway.address != own and count:
-            left[gateway.domain] = count - 1
-            asked.append(gateway.address)
-    return asked
+            remaining[gateway.domain] = count - 1
+            queried.append(gateway.address)
+    return queried
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -42,7 +42,7 @@
             )
             instance.sequence = record.sequence
             instance.is_capacity_doubted = record.is_capacity_doubted
-            instance.lost = record.lost
+            instance.lost_tasks = record.lost_tasks
             if not record.is_capacity_doubted:
                 instance.reported_at = term.known_until - term.reports.valid_for
             # An acting leader may have used it all the same, and the record may be an old one.
@@ -61,9 +61,9 @@
         self._added += 1
         instance = Instance(
             info=info,
-            terms=self._term.lease,
+            lease_terms=self._term.lease,
             recorded_through=recorded_through,
-            number=self._added,
+            arrival_number=self._added,
             proposed_through=recorded_through,
             draining=draining,
             is_evacuated=info.domain in self._term.records.evacuations.evacuated,
@@ -73,16 +73,18 @@
         )
         self.by_id[info.id] = instance
         self.mark_changed(instance)
-        self._poll_earlier(self._by_address.get(info.address), instance, now)
+        self._request_poll_of_earlier(self._by_address.get(info.address), instance, now)
         self._by_address[info.address] = info.id
         name = get_upstream_name(info.id)
         newest = self._newest.get(name)
         if newest is None or is_earlier_instance(newest, info.id):
-            self._poll_earlier(newest, instance, now)
+            self._request_poll_of_earlier(newest, instance, now)
             self._newest[name] = info.id
         return instance
 
-    def _poll_earlier(self, earlier: UpstreamId | None, instance: Instance, now: timedelta) -> None:
+    def _request_poll_of_earlier(
+        self, earlier: UpstreamId | None, instance: Instance, now: timedelta
+    ) -> None:
         """Poll an earlier instance: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
         if found is None or found is instance:
@@ -115,10 +117,10 @@
 
     def pop_changed(self) -> list[Instance]:
         """Return the instances that changed since the last call."""
-        touched, self._changed = self._changed, {}
-        return list(touched.values())
+        changed, self._changed = self._changed, {}
+        return list(changed.values())
 
-    def is_any_unseen(self, *, of_acting_leaders: bool) -> bool:
+    def may_have_unknown_runs(self, *, of_acting_leaders: bool) -> bool:
         """Return whether any instance may have runs of another leader that are unknown here.
 
         With `of_acting_leaders`, this includes runs that only an acting leader can have started.
@@ -159,12 +161,12 @@
         instances = (
             instance for instance in self.by_id.values() if instance.info.service == service
         )
-        there = [
+        remaining = [
             instance
             for instance in instances
             if not (instance.is_over or instance.draining or instance.is_managed_elsewhere)
         ]
-        return bool(there) and all(instance.is_evacuated for instance in there)
+        return bool(remaining) and all(instance.is_evacuated for instance in remaining)
 
     def get_health(self, instance: Instance) -> UpstreamHealth:
         """Return the health record of an instance."""
@@ -183,18 +185,18 @@
             if self.accepts_work(instance, now):
                 by_service.setdefault(instance.info.service, []).append(instance)
         for service, instances in by_service.items():
-            well = [
+            healthy = [
                 instance
                 for instance in instances
                 if not self.get_health(instance).is_suspended(now)
             ]
-            if len(well) >= len(instances) * (1.0 - MAX_SUSPENDED_SHARE):
-                by_service[service] = well
+            if len(healthy) >= len(instances) * (1.0 - MAX_SUSPENDED_SHARE):
+                by_service[service] = healthy
         return by_service
 
     def accepts_work(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an instance accepts work at all, set aside or not."""
-        instance.is_on_trial = self.get_health(instance).is_on_probation
+        instance.is_on_probation = self.get_health(instance).is_on_probation
         return instance.accepts_work(now) and not self._may_be_full(instance, now)
 
     def _may_be_full(self, instance: Instance, now: timedelta) -> bool:
@@ -204,17 +206,17 @@
         """
         if not instance.has_orphaned_runs and self._is_report_valid(instance, now):
             return False
-        return instance.info.service in self._list_unguarded()
+        return instance.info.service in self._find_unchecked_services()
 
-    def _list_unguarded(self) -> set[ServiceName]:
+    def _find_unchecked_services(self) -> set[ServiceName]:
         """Return the services whose upstreams start runs without checking their own capacity."""
         configuration = self._term.records.configuration
         services = configuration.services if configuration is not None else ()
         return {service.name for service in services if not service.rejects_overload}
 
-    def find_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
+    def mark_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
         """Return upstreams that do not check their capacity and have just missed a heartbeat."""
-        unguarded = self._list_unguarded()
+        unguarded = self._find_unchecked_services()
         if not unguarded:
             return []
         doubted = [
@@ -236,10 +238,13 @@
 
     def list_availability_changes(self, instance: Instance) -> list[timedelta]:
         """Return the times at which it begins or ceases to accept work without any event."""
-        moments = [instance.avoid_until, self.get_health(instance).suspended_until]
-        if instance.reported_at is not None and instance.info.service in self._list_unguarded():
-            moments.append(instance.reported_at + self._term.reports.valid_for)
-        return moments
+        times = [instance.avoid_until, self.get_health(instance).suspended_until]
+        if (
+            instance.reported_at is not None
+            and instance.info.service in self._find_unchecked_services()
+        ):
+            times.append(instance.reported_at + self._term.reports.valid_for)
+        return times
 
     def _is_report_valid(self, instance: Instance, now: timedelta) -> bool:
         """Return whether the last report is recent.
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -28,13 +28,13 @@
     """How long an upstream lets a lease last."""
 
     longest: timedelta
-    delivery: timedelta = timedelta()
+    max_delivery_delay: timedelta = timedelta()
     """Longest delay between deciding on an order and its arrival at an upstream."""
 
     @property
     def lapse_after(self) -> timedelta:
         """The time after which a lease that is requested now has certainly ended."""
-        return self.delivery + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
+        return self.max_delivery_delay + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
 
 
 def choose_lease_terms(
@@ -55,10 +55,10 @@
     """One run of an upstream's process, from its start to its exit or crash."""
 
     info: UpstreamInfo
-    terms: LeaseTerms
+    lease_terms: LeaseTerms
     recorded_through: int
     """Number of the last run end that the replicated state has recorded."""
-    number: int = 0
+    arrival_number: int = 0
     """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
     draining: bool = False
     is_evacuated: bool = False
@@ -83,7 +83,7 @@
     """The earliest time at which its last capacity report can have been sent; None if unknown."""
     is_capacity_doubted: bool = False
     """Whether the replicated state says that a heartbeat was missed."""
-    is_unreadable: bool = False
+    has_unreadable_capacity: bool = False
     """Whether the capacity in its last report could not be read."""
     refusals: int = 0
     """Starts refused for lack of capacity since the last successful start or capacity report."""
@@ -97,7 +97,7 @@
     ignored."""
     poll_due: timedelta = timedelta()
     probe_due: timedelta = timedelta()
-    is_on_trial: bool = False
+    is_on_probation: bool = False
     """Whether it gets one run at a time, after it was found failing, stalled or slow."""
     is_listening: bool = True
     """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
@@ -108,7 +108,7 @@
     """Whether it is to be polled soon although nothing runs there."""
     lost_at: timedelta | None = None
     """When it was first found not to answer; None once it has answered again."""
-    lost: ActiveTasks = NO_ACTIVE_TASKS
+    lost_tasks: ActiveTasks = NO_ACTIVE_TASKS
     """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
     lapse_at: timedelta = timedelta()
     """From then on nothing can run there unless a lease is renewed."""
@@ -160,8 +160,8 @@
         clock_ms = self._estimate_clock(now)
         if clock_ms is None:
             return None
-        self.lapse_at = max(self.lapse_at, now + self.terms.lapse_after)
-        return int(clock_ms) + to_milliseconds(self.terms.longest)
+        self.lapse_at = max(self.lapse_at, now + self.lease_terms.lapse_after)
+        return int(clock_ms) + to_milliseconds(self.lease_terms.longest)
 
     def add_run(self, run: Run) -> None:
         """Add a run and count its needs as used."""
@@ -203,11 +203,11 @@
         Each orphaned run, whose needs are unknown, counts as much as the task.
         """
         capacity = self.info.capacity
-        alike = 1 + self._orphaned
+        counted_tasks = 1 + self._orphaned
         return (
-            needs.cpu_millis * alike <= capacity.cpu_millis - self._used_cpu
-            and needs.memory_mb * alike <= capacity.memory_mb - self._used_memory
-            and needs.gpus * alike <= capacity.gpus - self._used_gpus
+            needs.cpu_millis * counted_tasks <= capacity.cpu_millis - self._used_cpu
+            and needs.memory_mb * counted_tasks <= capacity.memory_mb - self._used_memory
+            and needs.gpus * counted_tasks <= capacity.gpus - self._used_gpus
         )
 
     def accepts_work(self, now: timedelta) -> bool:
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -26,7 +26,7 @@
     for instance in instances:
         if not instance.has_free_capacity(batch.needs) or not _is_allowed(batch, instance):
             continue
-        if (instance.is_on_trial or needs_empty) and instance.runs:
+        if (instance.is_on_probation or needs_empty) and instance.runs:
             continue
         rack = batch.step.data_rack
         is_far = 1 if rack and rack not in instance.info.labels else 0
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -31,7 +31,7 @@
 
         With `of_acting_leaders`, runs of acting leaders count as well.
         """
-        return self._instances.is_any_unseen(of_acting_leaders=of_acting_leaders)
+        return self._instances.may_have_unknown_runs(of_acting_leaders=of_acting_leaders)
 
     def request_recheck(self) -> None:
         """Check again whether tasks are unknown."""
@@ -45,14 +45,14 @@
             self.is_reconciled = True
             self._term.counts.settled_after_ms = to_milliseconds(now - self._term.began_at)
             self._term.log_decision(
-                "term_settled", {"term": self._term.number, "unseen": len(self._instances.unseen)}
+                "term_settled", {"term": self._term.token, "unseen": len(self._instances.unseen)}
             )
         if not self._jobs.may_have_unknown_tasks:
             return
         self._jobs.may_have_unknown_tasks = False
-        is_unsure = {each: self.may_miss_runs(of_acting_leaders=each) for each in (False, True)}
+        may_miss = {each: self.may_miss_runs(of_acting_leaders=each) for each in (False, True)}
         for job in self._jobs.jobs.values():
-            if now >= job.reconcile_at or not is_unsure[job.may_be_of_acting_leader]:
+            if now >= job.reconcile_at or not may_miss[job.may_be_of_acting_leader]:
                 self._jobs.queue_unknown(job)
             elif job.has_unknown_tasks():
                 self._jobs.may_have_unknown_tasks = True
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -37,7 +37,7 @@
     ONE_UNANSWERED,
     ActiveTasks,
     CrashCounts,
-    LostRuns,
+    LostTasks,
     SuspectRecord,
 )
 from .evacuations import EvacuationRecord, Evacuations
@@ -125,7 +125,7 @@
     it."""
     is_capacity_doubted: bool = False
     """Whether a heartbeat has been missed since then."""
-    lost: ActiveTasks = NO_ACTIVE_TASKS
+    lost_tasks: ActiveTasks = msgspec.field(name="lost", default=NO_ACTIVE_TASKS)
     """Tasks that were active when it became unreachable, kept until it answers again."""
 
 
@@ -183,7 +183,7 @@
             for upstream in command.upstreams:
                 self._set_cordoned(upstream, True)
             for each in command.lost:
-                self._record_lost_runs(each)
+                self._record_lost_tasks(each)
         elif isinstance(command, RecordCrash):
             self._record_crash(command)
         elif isinstance(command, UncordonUpstream):
@@ -273,12 +273,12 @@
         if record is not None:
             record.is_cordoned = is_cordoned
             if not is_cordoned:
-                record.lost = NO_ACTIVE_TASKS
+                record.lost_tasks = NO_ACTIVE_TASKS
 
-    def _record_lost_runs(self, lost: LostRuns) -> None:
+    def _record_lost_tasks(self, lost: LostTasks) -> None:
         record = self.upstreams.get(lost.upstream)
         if record is not None:
-            record.lost = lost.at_work
+            record.lost_tasks = lost.active_tasks
 
     def _record_crash(self, command: RecordCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -12,7 +12,7 @@
 from .term import Term
 
 
-class Registry:
+class UpstreamRegistry:
     """Processes heartbeats, and proposes to the log what every later leader must know."""
 
     def __init__(self, *, term: Term, instances: InstanceTable) -> None:
@@ -81,9 +81,9 @@
 
     def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
-        if heartbeat.has_no_capacity and not instance.is_unreadable:
+        if heartbeat.has_no_capacity and not instance.has_unreadable_capacity:
             self._term.log_decision("capacity_unreadable", {"upstream": instance.info.id})
-        instance.is_unreadable = heartbeat.has_no_capacity
+        instance.has_unreadable_capacity = heartbeat.has_no_capacity
         before, capacity = instance.info.capacity, heartbeat.info.capacity
         sent_at = now - instance.find_age(heartbeat.clock_ms, now)
         if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
@@ -129,6 +129,6 @@
 
         The next coordinator then knows that their capacity may have changed.
         """
-        doubted = self._instances.find_newly_doubted(now)
+        doubted = self._instances.mark_newly_doubted(now)
         if doubted and self._term.keeps_log:
             self._term.proposals.append(DoubtCapacities(upstreams=tuple(doubted)))
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -173,7 +173,7 @@
             batch.first_tried_at = now
         is_early = now < batch.first_tried_at + THIRD_START_DELAY
         return batch.restriction is StartRestriction.BARRED or (
-            batch.restriction is StartRestriction.HELD and is_early
+            batch.restriction is StartRestriction.ALONE_DELAYED and is_early
         )
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
@@ -182,7 +182,9 @@
         if batch.restriction is StartRestriction.NONE or since is None:
             return False
         return now < since + EXCLUSIVE_WAIT + (
-            THIRD_START_DELAY if batch.restriction is StartRestriction.HELD else timedelta()
+            THIRD_START_DELAY
+            if batch.restriction is StartRestriction.ALONE_DELAYED
+            else timedelta()
         )
 
     def _start_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -61,7 +61,7 @@
     `number` rises from leader to leader; it is the fencing token of all orders.
     """
 
-    number: int
+    token: int
     began_at: timedelta
     records: Records
     lease: LeaseTerms
@@ -108,4 +108,4 @@
     @property
     def first_run(self) -> RunNumber:
         """The lowest run number of this term."""
-        return RunNumber(self.number * RUNS_PER_TERM)
+        return RunNumber(self.token * RUNS_PER_TERM)
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -8,7 +8,7 @@
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
 from .commands import CordonUpstreams, RemoveUpstreams, UncordonUpstream
-from .crashes import NO_ACTIVE_TASKS, LostRuns
+from .crashes import NO_ACTIVE_TASKS, LostTasks
 from .instance_table import InstanceTable
 from .instances import Instance
 from .open_job import OpenJob
@@ -47,7 +47,7 @@
 SILENT_POLL_EVERY = timedelta(seconds=5)
 """Interval between polls of such an instance: a later one at its address answers that it is over.
 """
-FORGOTTEN_AFTER = timedelta(hours=1)
+FORGET_PARTITIONED_AFTER = timedelta(hours=1)
 """Longer than domains are usually cut off (minutes)."""
 MAX_MOVES = 2
 """How often a task is moved: one that makes no progress anywhere is not moved forever."""
@@ -115,13 +115,13 @@
         """
         if instance.is_over:
             return None
-        moments = [
+        times = [
             instance.lapse_at if instance.runs else None,
             self._find_poll_due(instance, now),
             *(self._find_stop_due(run) for run in instance.runs.values()),
             *self._instances.list_availability_changes(instance),
         ]
-        return min((each for each in moments if each is not None and each > now), default=None)
+        return min((each for each in times if each is not None and each > now), default=None)
 
     def _find_poll_due(self, instance: Instance, now: timedelta) -> timedelta | None:
         if instance.is_managed_elsewhere:
@@ -299,7 +299,7 @@
             elif total is not None:
                 health.record_run_time_ratio(total / self._predict(job, run), now)
 
-    def lapse(self, instance: Instance, now: timedelta) -> None:
+    def abandon_lapsed_runs(self, instance: Instance, now: timedelta) -> None:
         """Abandon all runs of an instance whose lease has certainly ended without an answer."""
         if not instance.runs or now < instance.lapse_at:
             return
@@ -310,7 +310,7 @@
                 "upstream": instance.info.id,
                 "runs": len(instance.runs),
                 "asked_ms_ago": to_milliseconds(
-                    now - instance.lapse_at + instance.terms.lapse_after
+                    now - instance.lapse_at + instance.lease_terms.lapse_after
                 ),
                 "failed_looks": instance.failed_polls,
                 "disputed": int(instance.has_disputed),
@@ -337,7 +337,7 @@
         )
         runs = (
             *(run.task.job for run in instance.runs.values()),
-            *(task.job for task in instance.lost.tasks),
+            *(task.job for task in instance.lost_tasks.confirmed),
         )
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
         self._jobs.crash_tracker.record_instance_end(instance, queues, now)
@@ -371,18 +371,18 @@
             self._term.log_decision("upstream_cordoned", {"upstream": instance.info.id})
         cordoned = tuple(instance.info.id for instance in idle)
         lost = tuple(
-            LostRuns(upstream=instance.info.id, at_work=instance.lost)
+            LostTasks(upstream=instance.info.id, active_tasks=instance.lost_tasks)
             for instance in idle
-            if instance.lost != NO_ACTIVE_TASKS
+            if instance.lost_tasks != NO_ACTIVE_TASKS
         )
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
-        is_out_of_sight = not instance.is_fenced and instance.failed_polls >= POLLS_BEFORE_CORDON
+        is_unreachable = not instance.is_fenced and instance.failed_polls >= POLLS_BEFORE_CORDON
         is_lapsed = not instance.runs and now >= max(
             instance.lapse_at, self._term.earlier_leases_lapsed_at
         )
-        return is_out_of_sight and is_lapsed and not (instance.is_cordoned or instance.is_over)
+        return is_unreachable and is_lapsed and not (instance.is_cordoned or instance.is_over)
 
     def request_uncordon(self, instance: Instance) -> None:
         """Propose to use an upstream again; until that is committed it is not used."""
@@ -411,13 +411,15 @@
         for instance in self._instances.by_id.values():
             if instance.is_over or instance.runs or not _is_silent(instance, now, SILENT_AFTER):
                 continue
-            may_be_kept = not (instance.draining or _is_silent(instance, now, FORGOTTEN_AFTER))
+            may_be_kept = not (
+                instance.draining or _is_silent(instance, now, FORGET_PARTITIONED_AFTER)
+            )
             if may_be_kept and may_be_used():
                 self._cordon_silent(instance)
                 continue
             instance.is_over = True
             self._term.log_decision("upstream_silent", {"upstream": instance.info.id})
-            if instance.lost != NO_ACTIVE_TASKS:
+            if instance.lost_tasks != NO_ACTIVE_TASKS:
                 self._jobs.crash_tracker.record_removal(instance)
             else:
                 self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -260,7 +260,7 @@
         settings = self._settings
         terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
         if settings.orders is OrderDelivery.HEARTBEAT:
-            return LeaseTerms(longest=settings.longest_lease, delivery=MAX_DELIVERY_DELAY)
+            return LeaseTerms(longest=settings.longest_lease, max_delivery_delay=MAX_DELIVERY_DELAY)
         return terms
 
     async def _forward_idempotent(self, leader: str, call: Call) -> Answer:
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -32,8 +32,8 @@
 class GatewayRegistry:
     """Known gateways by the address that they send in keep-alives."""
 
-    def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
-        self.failover_log = FailoverStateLog(term=term, takes_calls=takes_calls)
+    def __init__(self, *, term: int, token: int, clock: Clock, accepts_calls: bool = True) -> None:
+        self.failover_log = FailoverStateLog(term=term, accepts_calls=accepts_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
         """Called with the age of each keep-alive when it was handled, in milliseconds."""
         self._confirmed_until = timedelta()
@@ -164,10 +164,10 @@
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.failover_log.is_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_next_part_large(records, known) and not self._may_send_part():
             return None
         return self.failover_log.build(
-            records, gateways, keeps_jobs=self._has_durable_jobs, known=known
+            records, gateways, has_durable_jobs=self._has_durable_jobs, known=known
         )
 
     def is_current(self, known: str) -> bool:
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -130,7 +130,7 @@
             term=int(authority.term),
             token=self.token,
             clock=clock,
-            takes_calls=not settings.orders_by_heartbeat,
+            accepts_calls=not settings.orders_by_heartbeat,
         )
         self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -29,7 +29,7 @@
 """Longer than any lease, so that a lease may end under a run."""
 SPEC = build_spec(tasks=1, run_ms=1_600)
 QUEUE = build_queue(max_attempts=50, target_ms=60_000)
-NEAR = milliseconds(1)
+CALL_DELAY = milliseconds(1)
 SUBMITTED_AT = milliseconds(100)
 FAULTS_UNTIL = milliseconds(900)
 """Faults strike until then; the play continues with their consequences."""
@@ -49,8 +49,8 @@
     ORDER_LOST = "the order is lost"
     ANSWER_LOST = "its answer is lost"
     DELAYED = "it is carried out 0.5 s later, unanswered"
-    STARTS_AGAIN = "its upstream starts again"
-    CUT = "its upstream is cut off"
+    UPSTREAM_RESTARTED = "its upstream starts again"
+    UPSTREAM_CUT_OFF = "its upstream is cut off"
     LEADER_LOST = "the leader is lost"
     GATEWAY_LOST = "the gateway is lost"
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Outcome:
+class PlayResult:
     """The result of a play."""
 
     problem: str = ""
@@ -79,15 +79,18 @@
     hosts: dict[str, WireHost] = field(init=False)
     records: Records = field(default_factory=Records)
     leaders: list[WireLeader] = field(default_factory=list)
-    outcome: Outcome = field(default_factory=Outcome)
+    outcome: PlayResult = field(default_factory=PlayResult)
 
     def __post_init__(self) -> None:
         self.hosts = build_hosts(self.world, 2, run_ms=lambda: RUN / milliseconds(1), rate=0.98)
         for number, host in enumerate(self.hosts.values()):
             host.process.clock_began_ms = 5_000_000 + number
-            self.world.at(NEAR * number, lambda host=host: send_heartbeats(host, self._find_leader))  # type: ignore[misc]
+            self.world.at(
+                CALL_DELAY * number,
+                lambda host=host: send_heartbeats(host, self._find_leader),  # type: ignore[misc]
+            )
 
-    def run(self) -> Outcome:
+    def run(self) -> PlayResult:
         """Play the script to its end."""
         self._lead()
         try:
@@ -106,7 +109,7 @@
 
     def _may_have_crashed(self, ended: JobState | None) -> bool:
         """Return whether a job may have failed: two upstreams crashed under one of its tasks."""
-        starts = list(self.script.values()).count(Fault.STARTS_AGAIN)
+        starts = list(self.script.values()).count(Fault.UPSTREAM_RESTARTED)
         return ended is JobState.FAILED and starts >= MAX_CRASHES
 
     def _find_leader(self) -> WireLeader:
@@ -123,7 +126,7 @@
             token=(len(self.leaders) + 1) * TOKENS_PER_TERM,
             terms=TERMS,
             hosts=self.hosts,
-            choose_delivery=self._choose_fate,
+            choose_delivery=self._choose_delivery,
         )
         if self.leaders:
             leader.cut_off = self.leaders[-1].cut_off
@@ -135,9 +138,9 @@
             for job in (JOB, OTHER):
                 leader.submit(job, SPEC, QUEUE, may_have_begun=may_have_begun)
 
-    def _choose_fate(self, host: WireHost) -> CallDelivery:
+    def _choose_delivery(self, host: WireHost) -> CallDelivery:
         """Return the fate of the next order, and have its fault strike."""
-        usual = CallDelivery(request_delay=NEAR, reply_delay=NEAR)
+        usual = CallDelivery(request_delay=CALL_DELAY, reply_delay=CALL_DELAY)
         if self.world.now > FAULTS_UNTIL or self.world.now < SUBMITTED_AT:
             return usual
         number = self.outcome.orders
@@ -149,16 +152,16 @@
         if fault is Fault.ORDER_LOST:
             return CallDelivery(request_delay=None, reply_delay=None)
         if fault is Fault.ANSWER_LOST:
-            return CallDelivery(request_delay=NEAR, reply_delay=None)
+            return CallDelivery(request_delay=CALL_DELAY, reply_delay=None)
         if fault is Fault.DELAYED:
             return CallDelivery(
-                request_delay=NEAR, reply_delay=None, execution_delay=milliseconds(500)
+                request_delay=CALL_DELAY, reply_delay=None, execution_delay=milliseconds(500)
             )
-        if fault is Fault.STARTS_AGAIN:
+        if fault is Fault.UPSTREAM_RESTARTED:
             # Its clock starts again, far below or above the old reading.
             host.restart()
             host.process.clock_began_ms = (1_000_000, 9_000_000)[number % 2]
-        elif fault is Fault.CUT:
+        elif fault is Fault.UPSTREAM_CUT_OFF:
             self._find_leader().cut_off.add(host.info.id)
             self.world.at(CUT_FOR, lambda: self._find_leader().cut_off.discard(host.info.id))
         elif fault is Fault.LEADER_LOST:
@@ -186,34 +189,34 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Explored:
+class Exploration:
     """The result of an exploration."""
 
     plays: int = 0
-    broken: list[Script] = field(default_factory=list)
+    failing_scripts: list[Script] = field(default_factory=list)
 
 
-def explore(most_faults: int, *, most_orders: int | None = None, stop_at: int = 1) -> Explored:
+def explore(max_faults: int, *, max_orders: int | None = None, stop_at: int = 1) -> Exploration:
     """Play all scripts of up to `most_faults` faults, those with fewer faults first."""
-    explored = Explored()
+    exploration = Exploration()
     first = Play(script={}).run()
     assert not first.problem, first
     level: list[tuple[Script, int]] = [((), first.orders)]
-    for _ in range(most_faults):
+    for _ in range(max_faults):
         extended: list[tuple[Script, int]] = []
         for script, orders in level:
-            last = min(orders, most_orders) if most_orders is not None else orders
+            last = min(orders, max_orders) if max_orders is not None else orders
             for longer in _extend(script, last):
                 outcome = Play(script=dict(longer)).run()
-                explored.plays += 1
+                exploration.plays += 1
                 if outcome.problem:
-                    explored.broken.append(longer)
-                    if len(explored.broken) >= stop_at:
-                        return explored
+                    exploration.failing_scripts.append(longer)
+                    if len(exploration.failing_scripts) >= stop_at:
+                        return exploration
                 elif outcome.orders > longer[-1][0] + 1:
                     extended.append((longer, outcome.orders))
         level = extended
-    return explored
+    return exploration
 
 
 def _extend(script: Script, orders: int) -> Iterator[Script]:
--- a/cottonlug/tests/test_cluster_capacity_index.py
+++ b/cottonlug/tests/test_cluster_capacity_index.py
@@ -91,7 +91,7 @@
 def build_index(*cpus: int) -> tuple[CapacityIndex, list[Instance]]:
     """Return an index and instances with so much CPU, in the order in which they were added."""
     term = Term(
-        number=1,
+        token=1,
         began_at=timedelta(),
         records=Records(),
         lease=TERMS,
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -41,7 +41,7 @@
 RACK = 4
 """Upstreams of a rack."""
 ELECTION_SECONDS = 0.4
-IN_TOUCH_AFTER = timedelta(seconds=3)
+CONNECTED_AFTER = timedelta(seconds=3)
 """The platform counts starts of a host only once the control hosts were without faults this long.
 """
 LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
@@ -102,7 +102,7 @@
         """Have another host lead, once it is elected and has applied all that was committed."""
         if self.leaders:
             self.leader.is_over = True
-            self.world.connected_from = self.world.now + IN_TOUCH_AFTER
+            self.world.connected_from = self.world.now + CONNECTED_AFTER
             self.run_for(ELECTION_SECONDS)
         token = term * TOKENS_PER_TERM
         leader = Leader(
@@ -212,7 +212,7 @@
     assert site.count_crashes(job) == 2
 
 
-def test_the_next_leader_counts_a_crash_whose_beginning_the_last_one_recorded() -> None:
+def test_a_new_leader_counts_a_crash_of_which_its_predecessor_recorded_only_the_silence() -> None:
     """The leader is lost when it knows only that the upstream is silent; the log holds that.
 
     Of the second crash, less than a lease earlier, it has recorded nothing: that one does not
@@ -257,10 +257,10 @@
     ((_, where),) = site.world.running.items()
     site.leader.cut_off = {UpstreamId(where)}
     site.run_for(2.0)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost != NO_ACTIVE_TASKS
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost_tasks != NO_ACTIVE_TASKS
     site.leader.cut_off = set()
     site.run_for(10)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost == NO_ACTIVE_TASKS
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost_tasks == NO_ACTIVE_TASKS
     assert not site.records.suspects
     assert site.find_state(job) is JobState.COMPLETED
 
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_task_is_started_three_times_after_three_crashes(seed: int) -> None:
+def test_no_task_is_started_three_more_times_after_three_crashes(seed: int) -> None:
     """Crashed upstreams stay away for up to 9 s, and leaders are lost meanwhile."""
     play_campaign(seed)
 
@@ -315,14 +315,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_sound_jobs_complete_though_racks_go_down(seed: int) -> None:
+def test_sound_jobs_complete_even_if_racks_go_down(seed: int) -> None:
     play_campaign(seed, racks_down=True)
 
 
 # Without a site
 
 
-def lose(number: int, at_ms: float, rack: int = 0, domain: str = "d") -> Loss:
+def build_loss(number: int, at_ms: float, rack: int = 0, domain: str = "d") -> Loss:
     return Loss(
         upstream=UpstreamId(f"u{number}"),
         at=milliseconds(at_ms),
@@ -337,12 +337,12 @@
 @pytest.mark.parametrize(
     ("losses", "expected"),
     [
-        ([lose(1, 0)], False),
-        ([lose(1, 0), lose(2, 10, rack=1), lose(3, 20, rack=2)], False),
-        ([lose(1, 0), lose(2, 10, rack=0)], True),
-        ([lose(1, 0), lose(2, 500, rack=0)], False),
-        ([lose(1, 0), *(lose(each, 10, rack=each) for each in (2, 3, 4))], True),
-        ([lose(1, 0), *(lose(each, 10_000, rack=each) for each in (2, 3, 4))], False),
+        ([build_loss(1, 0)], False),
+        ([build_loss(1, 0), build_loss(2, 10, rack=1), build_loss(3, 20, rack=2)], False),
+        ([build_loss(1, 0), build_loss(2, 10, rack=0)], True),
+        ([build_loss(1, 0), build_loss(2, 500, rack=0)], False),
+        ([build_loss(1, 0), *(build_loss(each, 10, rack=each) for each in (2, 3, 4))], True),
+        ([build_loss(1, 0), *(build_loss(each, 10_000, rack=each) for each in (2, 3, 4))], False),
     ],
 )
 def test_simultaneous_losses_have_a_common_cause(losses: list[Loss], expected: bool) -> None:
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -44,7 +44,7 @@
     return leader, UpstreamId(where)
 
 
-def test_an_acting_leader_does_not_prolong_what_the_leader_has_abandoned() -> None:
+def test_an_acting_leader_does_not_renew_the_lease_of_a_run_that_the_leader_has_abandoned() -> None:
     """The leader has started the run again elsewhere."""
     leader, where = start_long_run(1)
     leader.cut_off = {where}
@@ -70,7 +70,7 @@
     assert acting_leader.world.starts == 1
 
 
-def test_a_leader_does_not_prolong_what_an_acting_leader_has_abandoned() -> None:
+def test_a_leader_does_not_renew_the_lease_of_a_run_that_an_acting_leader_has_abandoned() -> None:
     """An acting leader that no longer reaches an upstream starts its run again elsewhere."""
     leader, where = start_long_run(3)
     world = leader.world
@@ -125,7 +125,7 @@
     assert world.starts >= 10
 
 
-def test_runs_of_a_silent_gateway_end_with_their_lease_though_no_stop_arrives(
+def test_runs_of_a_silent_gateway_end_with_their_lease_even_if_no_stop_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a lease that stays alive through renewals for other runs there."""
@@ -177,7 +177,7 @@
     return acting_leader, leader, where
 
 
-def test_the_end_of_an_adopted_run_says_nothing_about_upstreams_not_seen_yet() -> None:
+def test_a_task_is_not_started_twice_after_the_end_of_an_adopted_run() -> None:
     """Guards against an alert that is sent twice.
 
     It happened while upstreams were replaced and a failure domain was cut off. After the network
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -198,7 +198,7 @@
 
 
 def build_life(name: str, cpu: int) -> Instance:
-    return Instance(info=build_info(name, cpu), terms=TERMS, recorded_through=0)
+    return Instance(info=build_info(name, cpu), lease_terms=TERMS, recorded_through=0)
 
 
 def test_the_tightest_fit_is_chosen() -> None:
@@ -329,7 +329,7 @@
     assert health.record_stall(timedelta())
     assert health.is_on_probation
     instance = build_life("u1", 32_000)
-    instance.is_on_trial = True
+    instance.is_on_probation = True
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=7_000)
     assert choose_instance(batch, [instance]) is instance
     ref = TaskRef(JobId("a"), 0, 0, 0)
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -79,7 +79,7 @@
     assert leader.world.starts == 4
 
 
-def test_unreachable_upstreams_are_not_polled_by_many_calls(
+def test_unreachable_upstreams_are_not_polled_by_many_calls_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A domain that is cut off does not answer, however often it is polled."""
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -131,13 +131,13 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_was_acknowledged_last_holds_through_any_faults(seed: int) -> None:
+def test_the_last_acknowledged_order_holds_through_any_faults(seed: int) -> None:
     day = play_day(seed)
     assert not day.find_problems(), day.faults
     assert sum(operator.orders for operator in day.operators) > 3
 
 
-def test_an_order_that_a_frozen_host_carries_out_late_undoes_nothing() -> None:
+def test_an_order_that_a_frozen_host_forwards_late_does_not_undo_a_later_one() -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         leader = get_leader(world)
         frozen, other = [machine for machine in machines if machine is not leader][:2]
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -67,7 +67,7 @@
 # Replicated state
 
 
-def test_of_two_orders_from_one_revision_the_first_in_the_log_holds() -> None:
+def test_of_two_orders_with_the_same_base_revision_only_the_first_in_the_log_is_applied() -> None:
     evacuations = Evacuations()
     assert evacuations.apply(build_command(HOME, order="first"))
     assert not evacuations.apply(build_command(HOME, is_evacuated=False, order="second"))
@@ -75,7 +75,7 @@
     assert evacuations.get(HOME).order == "first"
 
 
-def test_an_order_that_was_delayed_does_not_undo_a_later_one() -> None:
+def test_a_delayed_order_does_not_undo_a_later_one() -> None:
     evacuations = Evacuations()
     order = build_command(HOME)
     assert evacuations.apply(order)
@@ -123,7 +123,7 @@
     )
 
 
-def test_a_domain_that_is_taken_back_gets_work_again() -> None:
+def test_a_domain_gets_work_again_after_its_evacuation() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
@@ -134,7 +134,7 @@
     assert count_domains(leader)[HOME] == 4
 
 
-def test_a_domain_that_is_taken_back_is_used_last_until_its_upstreams_report_to_be_warm() -> None:
+def test_a_domain_is_used_last_after_its_evacuation_until_its_upstreams_report_to_be_warm() -> None:
     leader = build_leader(1, run_ms=3_000)
     commit(leader, HOME)
     leader.world.run_until(leader.world.now + milliseconds(100))
@@ -189,7 +189,7 @@
     assert set(count_domains(leader)) == {DOMAINS[0]}
 
 
-def test_the_next_leader_starts_nothing_there_from_its_first_decision_on() -> None:
+def test_a_new_leader_starts_nothing_in_an_evacuated_domain() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     leader.is_over = True
@@ -240,7 +240,7 @@
     assert leader.dispatch.find_rejection(queue, spec, timedelta(), leader.world.now) is None
 
 
-def test_an_acting_leader_of_an_evacuated_domain_rejects_at_once() -> None:
+def test_an_acting_leader_of_an_evacuated_domain_rejects_jobs_at_once() -> None:
     leader = build_leader(1)
     commit(leader, HOME)
     records = Records()
@@ -270,7 +270,7 @@
     )
 
 
-def test_orders_are_idempotent_and_the_last_acknowledged_one_holds() -> None:
+def test_repeated_orders_are_idempotent_and_outdated_ones_are_refused() -> None:
     async def play() -> None:
         leadership, replicated = lead(IdlePort(), commits=True)
         evacuations = replicated.records.evacuations
@@ -319,22 +319,22 @@
 # Requests of the platform
 
 
-def ask(
+def send_request(
     method: str, path: str, body: bytes = b"", *, answer: Answer | None = None
 ) -> tuple[HttpResponse, list[Call]]:
     calls: list[Call] = []
 
-    async def take(call: Call) -> Answer:
+    async def handle_call(call: Call) -> Answer:
         calls.append(call)
         return answer or Answer(outcome=Outcome.DONE)
 
     request = HttpRequest(method=method, path=path, headers={}, body=body)
-    return asyncio.run(build_control_handler(take)(request)), calls
+    return asyncio.run(build_control_handler(handle_call)(request)), calls
 
 
 @pytest.mark.parametrize(("method", "is_evacuated"), [("POST", True), ("DELETE", False)])
 def test_an_order_is_decoded(method: str, is_evacuated: bool) -> None:
-    response, calls = ask(method, "/evacuation/ridge-hut")
+    response, calls = send_request(method, "/evacuation/ridge-hut")
     assert response.status == 200
     assert calls == [Evacuate(domain=DomainName("ridge-hut"), is_evacuated=is_evacuated)]
 
@@ -350,7 +350,7 @@
 def test_an_invalid_order_is_refused_and_not_forwarded(
     method: str, path: str, body: bytes, status: int
 ) -> None:
-    response, calls = ask(method, path, body)
+    response, calls = send_request(method, path, body)
     assert response.status == status and not calls
 
 
@@ -368,16 +368,16 @@
         "seq_no": 7,
         "cold_left_ms": cold_left,
     }
-    _, calls = ask("PUT", "/instances/i-1", msgspec.json.encode(body))
+    _, calls = send_request("PUT", "/instances/i-1", msgspec.json.encode(body))
     assert isinstance(calls[0], ForwardHeartbeat)
     assert (calls[0].heartbeat.cold_left_ms, calls[0].heartbeat.sequence) == (read, 7)
 
 
 def test_an_unknown_domain_is_a_404_and_a_lost_race_is_a_503() -> None:
     unknown = Answer(outcome=Outcome.NO_DOMAIN, detail="no failure domain 'x' is known")
-    response, _ = ask("POST", "/evacuation/x", answer=unknown)
+    response, _ = send_request("POST", "/evacuation/x", answer=unknown)
     assert response.status == 404 and b"no failure domain" in response.body
-    response, _ = ask("POST", "/evacuation/x", answer=Answer(outcome=Outcome.UNAVAILABLE))
+    response, _ = send_request("POST", "/evacuation/x", answer=Answer(outcome=Outcome.UNAVAILABLE))
     assert response.status == 503
 
 
@@ -385,7 +385,7 @@
     evacuations = Evacuations()
     evacuations.apply(build_command(HOME))
     answer = Answer(outcome=Outcome.DONE, evacuations=evacuations.records)
-    response, calls = ask("GET", "/evacuation", answer=answer)
+    response, calls = send_request("GET", "/evacuation", answer=answer)
     assert calls == [AskEvacuations()]
     assert msgspec.json.decode(response.body) == {
         "evacuations": [{"zone": HOME, "since_ms": 1_000, "revision": 1}]
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -25,21 +25,21 @@
     assert outcome.orders >= PAIRS_UP_TO
 
 
-def test_no_fault_alone_has_a_task_run_twice_or_a_job_not_end() -> None:
-    explored = explore(1)
-    assert [describe(script) for script in explored.broken] == []
-    assert explored.plays >= len(Fault) * PAIRS_UP_TO
+def test_no_single_fault_makes_a_task_run_twice_or_keeps_a_job_from_ending() -> None:
+    exploration = explore(1)
+    assert [describe(script) for script in exploration.failing_scripts] == []
+    assert exploration.plays >= len(Fault) * PAIRS_UP_TO
 
 
-def test_no_pair_of_faults_has_a_task_run_twice_or_a_job_not_end() -> None:
-    explored = explore(2, most_orders=PAIRS_UP_TO)
-    assert [describe(script) for script in explored.broken] == []
-    assert explored.plays >= (len(Fault) * PAIRS_UP_TO) ** 2 / 4
+def test_no_pair_of_faults_makes_a_task_run_twice_or_keeps_a_job_from_ending() -> None:
+    exploration = explore(2, max_orders=PAIRS_UP_TO)
+    assert [describe(script) for script in exploration.failing_scripts] == []
+    assert exploration.plays >= (len(Fault) * PAIRS_UP_TO) ** 2 / 4
 
 
 def reintroduce_shared_instance_ids(patch: pytest.MonkeyPatch) -> None:
     """Identify an instance by the id of its upstream alone."""
-    patch.setattr(heartbeats, "build_instance_id", lambda name, born: name)
+    patch.setattr(heartbeats, "build_instance_id", lambda name, started_ms: name)
     reintroduce_unchecked_lists(patch)
 
 
@@ -68,11 +68,14 @@
 @pytest.mark.parametrize(
     ("reintroduce", "script"),
     [
-        (reintroduce_shared_instance_ids, ((0, Fault.STARTS_AGAIN),)),
-        (reintroduce_unchecked_lists, ((0, Fault.STARTS_AGAIN),)),
-        (reintroduce_ends_of_any_upstream, ((5, Fault.CUT),)),
-        (reintroduce_fast_clock, ((0, Fault.GATEWAY_LOST), (6, Fault.CUT))),
-        (reintroduce_leaders_that_do_not_wait, ((0, Fault.LEADER_LOST), (1, Fault.CUT))),
+        (reintroduce_shared_instance_ids, ((0, Fault.UPSTREAM_RESTARTED),)),
+        (reintroduce_unchecked_lists, ((0, Fault.UPSTREAM_RESTARTED),)),
+        (reintroduce_ends_of_any_upstream, ((5, Fault.UPSTREAM_CUT_OFF),)),
+        (reintroduce_fast_clock, ((0, Fault.GATEWAY_LOST), (6, Fault.UPSTREAM_CUT_OFF))),
+        (
+            reintroduce_leaders_that_do_not_wait,
+            ((0, Fault.LEADER_LOST), (1, Fault.UPSTREAM_CUT_OFF)),
+        ),
     ],
 )
 def test_a_reintroduced_fault_is_found_by_its_script(
@@ -89,8 +92,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     reintroduce_ends_of_any_upstream(monkeypatch)
-    explored = explore(1)
-    assert len(explored.broken) == 1
-    longer = ((0, Fault.ANSWER_LOST), *explored.broken[0])
-    assert describe(longer) == describe(explored.broken[0])
+    exploration = explore(1)
+    assert len(exploration.failing_scripts) == 1
+    longer = ((0, Fault.ANSWER_LOST), *exploration.failing_scripts[0])
+    assert describe(longer) == describe(exploration.failing_scripts[0])
     assert "runs at u1 and u2" in describe(longer)
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -33,7 +33,7 @@
 )
 
 
-def test_a_failover_state_contains_what_an_acting_leader_needs_and_no_more() -> None:
+def test_a_failover_state_contains_only_what_an_acting_leader_needs() -> None:
     clock = build_clock()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
     gateways.handle_keepalive(build_keepalive("10.0.0.2:7000"))
@@ -162,7 +162,7 @@
     assert len(state.upstreams) == 999
 
 
-def test_many_changes_come_in_parts() -> None:
+def test_many_changes_are_sent_in_parts_of_bounded_size() -> None:
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
     for number in range(3 * MAX_UPSTREAMS_PER_PART):
@@ -185,7 +185,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_gateway_ends_with_the_recorded_state_whatever_changes_meanwhile(seed: int) -> None:
+def test_a_gateway_receives_the_whole_state_despite_concurrent_changes_and_lost_parts(
+    seed: int,
+) -> None:
     chance = random.Random(seed)
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
@@ -211,7 +213,7 @@
     assert {each.info.id: each for each in known.upstreams} == records.upstreams
 
 
-def test_a_gateway_acts_as_leader_by_its_last_whole_state() -> None:
+def test_a_gateway_never_acts_as_leader_by_an_incomplete_state() -> None:
     gateway = build_gateway(build_clock())
     whole = build_failover_state()
     gateway.link.receive_failover_state(whole)
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -222,7 +222,7 @@
     assert MAX_DELIVERY_DELAY >= MAX_QUEUE_TIME + ANSWER_EXPIRY
     assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer in transit may be processed until then"
     called = LeaseTerms(longest=timedelta(seconds=1))
-    answered = LeaseTerms(longest=timedelta(seconds=1), delivery=MAX_DELIVERY_DELAY)
+    answered = LeaseTerms(longest=timedelta(seconds=1), max_delivery_delay=MAX_DELIVERY_DELAY)
     assert answered.lapse_after == called.lapse_after + MAX_DELIVERY_DELAY
 
 
--- a/cottonlug/tests/test_instances_on_every_path.py
+++ b/cottonlug/tests/test_instances_on_every_path.py
@@ -50,7 +50,7 @@
     return records
 
 
-def test_the_log_and_its_snapshots_keep_the_counts_of_instances_apart() -> None:
+def test_the_log_and_its_snapshots_do_not_mix_up_two_instances() -> None:
     records = build_records()
     shrunk = Capacity(cpu_millis=1)
     records.apply(ResizeUpstream(upstream=SECOND.id, capacity=shrunk, sequence=2))
@@ -87,8 +87,8 @@
     world.run_until(milliseconds(500))
     host.restart()
     records = Records()
-    for born in (earlier, host.started_ms):
-        info = msgspec.structs.replace(host.info, id=build_instance_id(host.name, born))
+    for started_ms in (earlier, host.started_ms):
+        info = msgspec.structs.replace(host.info, id=build_instance_id(host.name, started_ms))
         records.apply(AddUpstream(info=info))
     acting_leader = WireLeader(
         world=world,
@@ -105,7 +105,7 @@
     assert list(acting_leader.dispatch.instances) == [build_instance_id(host.name, host.started_ms)]
 
 
-def test_a_host_that_does_not_lead_forwards_the_first_heartbeat_of_a_later_instance() -> None:
+def test_a_follower_does_not_answer_the_first_heartbeat_of_a_later_instance_itself() -> None:
     responder, records, _ = build_responder()
     send_reports(responder)
     records.apply(AddUpstream(info=FIRST, sequence=5))
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -69,7 +69,7 @@
     return leader
 
 
-def test_a_job_continues_beside_an_abandoned_one() -> None:
+def test_a_job_continues_at_an_upstream_whose_other_job_was_abandoned() -> None:
     for seed in range(SEEDS):
         leader = play_abandoned_job(seed, starts_again=False)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
@@ -78,7 +78,7 @@
 
 # Guards against duplicate runs: the lease of an upstream that had restarted outlived the time that
 # was counted.
-def test_a_lease_is_counted_by_the_clock_of_the_restarted_upstream() -> None:
+def test_a_lease_is_measured_by_the_clock_of_the_restarted_upstream() -> None:
     for seed in range(SEEDS):
         leader = play_abandoned_job(seed, starts_again=True)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
