--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -14,7 +14,7 @@
 
 
 class RunAdopter:
-    """Keeps runs of an earlier leader or of an acting leader going where their jobs are known."""
+    """Lets runs that another leader or acting leader started continue if their jobs are known."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
@@ -71,15 +71,15 @@
         self._adopt(job, instance, run)
 
     def _adopt(self, job: OpenJob, instance: Instance, run: Run) -> None:
-        """Let a run continue that this leader did not start, or stop it if it is of no use."""
+        """Let a run continue that another host started, or stop it if its task does not need it."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
         unassigned_phases = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
         if task is None or task.phase not in unassigned_phases:
             run.stop_requested = True
             return
-        # A run that is being stopped holds its task as well: no other run of the task may begin
-        # until this one has ended.
+        # A run that is being stopped occupies its task as well: no other run of the task may
+        # begin until this one has ended.
         if task.phase is TaskPhase.QUEUED:
             self._jobs.unqueue(run.task)
         # The host that began this run may begin the task again, at an upstream not seen yet, once
--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -79,7 +79,7 @@
 
 
 class DoubtCapacities(Value, frozen=True, tag="doubt_capacities"):
-    """Mark capacities as doubtful: they may have changed, since heartbeats were missed."""
+    """Mark capacities as doubtful: a heartbeat that may have reported a change was missed."""
 
     upstreams: tuple[UpstreamId, ...]
 
@@ -105,16 +105,16 @@
 
 
 class SetDraining(Value, frozen=True, tag="drain"):
-    """Mark an upstream as leaving: under no leader does it get new work."""
+    """Mark an upstream as leaving, so that no leader starts anything there."""
 
     upstream: UpstreamId
 
 
 class CordonUpstreams(Value, frozen=True, tag="cordon"):
-    """Cordon upstreams: nothing runs there, and nothing is started there once this is proposed.
+    """Cordon idle upstreams; from the proposal on, nothing is started there.
 
     `lost` lists the tasks that were active when an upstream became unreachable. If it turns out to
-    have crashed, these tasks may have caused that, whoever leads by then.
+    have crashed, these tasks may have caused the crash, even under a later leader.
     """
 
     upstreams: tuple[UpstreamId, ...]
@@ -122,19 +122,19 @@
 
 
 class UncordonUpstream(Value, frozen=True, tag="uncordon"):
-    """Use an upstream again; committed before the first start there."""
+    """Lift the cordon of an upstream; committed before the first start there."""
 
     upstream: UpstreamId
 
 
 class SetConfiguration(Value, frozen=True, tag="configure"):
-    """Activate a configuration unless the active one is as new."""
+    """Activate a configuration unless the active one has the same or a later version."""
 
     configuration: Configuration
 
 
 class SetEvacuation(Value, frozen=True, tag="evacuate"):
-    """Begin or end the evacuation of a domain, unless its revision is past `base_revision`."""
+    """Begin or end the evacuation of a domain, if its revision is still `base_revision`."""
 
     domain: DomainName
     is_evacuated: bool
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks which tasks one leader suspects of crashing upstreams, from what was active at losses."""
+"""Tracks which tasks a leader suspects of crashing upstreams, by what was active at lost ones."""
 
 from __future__ import annotations
 
@@ -30,7 +30,8 @@
 from .term import Term
 
 KEEP_LOSSES = timedelta(seconds=30)
-"""An upstream that has crashed is back after some seconds, and then shows that it had."""
+"""How long a loss is remembered: a crashed upstream is back after some seconds, and only then is it
+known that it crashed."""
 
 LARGEST_RACK = 64
 """A label that more upstreams have than this does not name a rack."""
@@ -76,7 +77,7 @@
         )
 
     def _request_neighbour_polls(self, instance: Instance) -> None:
-        """Poll the upstreams that would be lost together with one, such as those of its rack.
+        """Have the upstreams polled that may have been lost with this one, as those of its rack.
 
         Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
         upstream would look like a crash of that one.
@@ -102,7 +103,10 @@
         return cleared
 
     def record_lapse(self, instance: Instance, now: timedelta) -> None:
-        """Remember the tasks that were active at an upstream that may turn out to have crashed."""
+        """Remember the tasks that were active when the lease of an upstream lapsed or it ended.
+
+        They are suspects until it is known whether the upstream crashed.
+        """
         self._set_lost(instance, _find_active_tasks(instance, now))
 
     def forget_instance(self, instance: Instance) -> tuple[TaskRef, ...]:
@@ -112,7 +116,7 @@
         return lost
 
     def record_reported_suspects(self, suspects: Iterable[Suspect]) -> None:
-        """Record the crashes that earlier coordinators have counted for a gateway's job."""
+        """Record the counts of earlier coordinators that a gateway reports with a job."""
         for suspect in suspects:
             more = suspect.counts.subtract(self.get_counts(suspect.task))
             self._reported[suspect.task] = self._reported.get(suspect.task, NO_CRASHES).add(more)
@@ -126,7 +130,7 @@
         return tuple(Suspect(task=task, counts=self.get_counts(task)) for task in of_job)
 
     def get_counts(self, task: TaskRef) -> CrashCounts:
-        """Return the known counts of upstream ends under a task."""
+        """Return the upstream ends counted against a task, in the log or reported by gateways."""
         counts = self._term.records.get_crash_counts(task)
         return counts.add(self._reported.get(task, NO_CRASHES))
 
@@ -168,7 +172,7 @@
         )
 
     def record_removal(self, instance: Instance) -> None:
-        """Record that a lost upstream does not come back; why it ended is unknown."""
+        """Propose to remove an upstream that was lost for good; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             RecordCrash(
@@ -195,7 +199,7 @@
         return StartRestriction.ALONE_DELAYED if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
-        """Return whether any task may be restricted."""
+        """Return whether the starts of any task may be restricted."""
         return bool(self._unresolved_starts or self._reported or self._term.records.suspects)
 
     def _set_lost(self, instance: Instance, active_tasks: ActiveTasks) -> None:
@@ -229,7 +233,7 @@
 
 
 def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
-    """Return the tasks that are active at an upstream and were started recently."""
+    """Return the tasks recently started and still active at an upstream, and those lost there."""
     young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
     found = ActiveTasks(
         confirmed=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -41,9 +41,9 @@
 """Share of a rack or a domain that must be lost at the same time to explain the loss of each
 member."""
 CRASH_ON_START_WITHIN = timedelta(seconds=10)
-"""A run that has lasted longer did not crash its upstream by its start."""
+"""Older runs did not crash their upstream by their start, and are not blamed."""
 EXCLUSIVE_WAIT = timedelta(seconds=1)
-"""How long a suspect waits for an upstream where nothing runs; after that any other will do."""
+"""How long a suspect waits for an upstream where nothing runs, before it may start anywhere."""
 THIRD_START_DELAY = timedelta(seconds=2)
 """How long a task's third start waits while it is unknown whether two earlier ones caused crashes.
 
@@ -58,12 +58,13 @@
 
     NONE = "none"
     ALONE = "alone"
-    """Only where nothing else runs: one upstream may have crashed with it active."""
+    """Only where nothing else runs, for up to `EXCLUSIVE_WAIT`: one upstream may have crashed with
+    it active."""
     ALONE_DELAYED = "held"
-    """Only where nothing else runs, and after a delay: two upstreams may have crashed."""
+    """The same, after `THIRD_START_DELAY`: two upstreams may have crashed with it active."""
     BARRED = "barred"
-    """Not at all until it is known whether they crashed: three upstreams that had confirmed the
-    run, or four in all."""
+    """Not until it is known whether upstreams crashed: three that had confirmed the run, or four in
+    all."""
 
 
 class CrashCounts(Value, frozen=True):
@@ -72,9 +73,9 @@
     crashes: int = 0
     """Ends that nothing else explains."""
     losses: int = 0
-    """All ends of upstreams that had confirmed that they run the task."""
+    """Ends, explained or not, of upstreams that had confirmed that they run the task."""
     unanswered: int = 0
-    """Ends of upstreams that had not answered the start, perhaps sent only after they ended."""
+    """Ends of upstreams that had not answered the start, which may have been sent after the end."""
 
     @property
     def starts(self) -> int:
@@ -165,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Loss:
-    """A lost upstream, and the time of its last sign of life, at the latest."""
+    """A lost upstream, and when it was found not to answer."""
 
     upstream: UpstreamId
     at: timedelta
--- a/cottonlug/core/cluster/evacuations.py
+++ b/cottonlug/core/cluster/evacuations.py
@@ -51,7 +51,7 @@
         return self._by_domain.get(domain, EvacuationRecord(domain=domain))
 
     def apply(self, command: SetEvacuation) -> bool:
-        """Carry out an order; return False if another order was committed before it."""
+        """Carry out an order; return False if its base revision is no longer the current one."""
         current = self.get(command.domain)
         if command.base_revision != current.revision:
             return False
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -1,9 +1,10 @@
 """Failover state: what a gateway must know to act as leader.
 
-It is sent once and then as changes, in parts of a bounded size. With 176 upstreams and 44 gateways,
-sending the whole state of 35 KB for each change of one upstream would take 1.5 MB, on links of 1.5
-MB/s. With 999 upstreams it has 225 KB: sending that takes longer on such a link than the answer to
-a keep-alive is waited for, so that it was sent again and again and never arrived.
+A gateway gets the whole state once and then only changes, in parts of a bounded size. With 176
+upstreams and 44 gateways, sending the whole state of 35 KB for each change of one upstream would
+take 1.5 MB, on links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending
+that takes longer than the timeout of a keep-alive, so that a state sent whole was requested again
+and again and never arrived.
 """
 
 from __future__ import annotations
@@ -31,19 +32,20 @@
 from .records import Records
 
 MAX_KEPT_CHANGES = 512
-"""A gateway that has missed more changes than this gets the whole state again."""
+"""Changes that are kept; a gateway that has missed more gets the whole state again."""
 MAX_UPSTREAMS_PER_PART = 128
 """Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
 MAX_UPSTREAMS_IN_SMALL_PART = 16
-"""Upstreams in an answer that costs hardly more than one without any."""
+"""With up to this many upstreams, an answer costs hardly more than one without any."""
 _FIRST = UpstreamId("")
 """Sorts before all ids of upstreams."""
 OWN_DOMAIN_QUERIED = 3
 OTHER_DOMAINS_QUERIED = 2
 """Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
 MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER = 64
-"""Upstreams; a gateway has half a core, and twice as many overload it."""
+"""Most upstreams that one acting leader manages for all domains: a gateway has half a core, and
+twice as many upstreams overload it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -188,7 +190,7 @@
 
 
 def find_acting_domain(state: FailoverState, own: str) -> DomainName | None:
-    """Return the one domain that an acting leader manages, or None where one manages all."""
+    """Return the domain that the acting leader at address `own` manages; None means all domains."""
     if len(state.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
     return next((each.domain for each in state.gateways if each.address == own), None)
@@ -197,7 +199,7 @@
 def merge_failover_state(
     known: FailoverState | None, received: FailoverState
 ) -> FailoverState | None:
-    """Return the state after merging what was received; None if that does not follow on `known`."""
+    """Return the received state, or `known` with received changes if these follow it, or None."""
     if not received.base:
         return received
     if known is None or known.version != received.base:
@@ -217,11 +219,11 @@
 
 
 def choose_queried_gateways(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
-    """Return the gateways that a gateway queries if it reaches no leader.
+    """Return the gateways that the gateway at address `own` queries if it reaches no leader.
 
-    These are the lowest addresses of each domain, because the lowest gateway that can be reached
-    acts as leader. If each gateway queried all others, the number of calls would grow with the
-    square of their number, at the worst of times.
+    These have the lowest addresses of each domain, because the reachable gateway with the lowest
+    address acts as leader. If each gateway queried all others, the number of calls would grow with
+    the square of the number of gateways, at a time of failures.
     """
     home = next((each.domain for each in gateways if each.address == own), DomainName(""))
     queried: list[str] = []
--- a/cottonlug/core/cluster/instance_ids.py
+++ b/cottonlug/core/cluster/instance_ids.py
@@ -1,7 +1,7 @@
-"""Ids of instances: an upstream may restart under the id that it had before.
+"""Ids of instances, which differ even if an upstream restarts under the id that it had before.
 
-An instance is named by the id that the upstream announces and, where the upstream tells it, by the
-Unix millisecond of its start: `i-7f3a91c2#1790000000000`. Counters, run ends, clock, lease and runs
+The id consists of the id that the upstream announces and, if the upstream reports it, the Unix
+millisecond of its start: `i-7f3a91c2#1790000000000`. Counters, run ends, clock, lease and runs
 belong to one instance, so that nothing of an earlier instance is ever attributed to the present
 one.
 """
@@ -11,11 +11,11 @@
 from ..ids import UpstreamId
 
 SEPARATOR = "#"
-"""Never part of an upstream's own id."""
+"""Separates both parts; never part of an upstream's own id."""
 
 
 def build_instance_id(name: str, started_ms: int | None) -> UpstreamId:
-    """Return the id of an instance; `started_ms` is None if the upstream does not tell it."""
+    """Return the id of an instance; `started_ms` is None if the upstream does not report it."""
     return UpstreamId(name if started_ms is None else f"{name}{SEPARATOR}{started_ms}")
 
 
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -1,4 +1,4 @@
-"""Tracks all instances of upstreams that a leader knows, and which of them accept work."""
+"""Tracks the instances of upstreams that a leader knows, and which of them accept work."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 USABLE_CORES_CACHED_FOR = timedelta(milliseconds=20)
 """How long the measured capacity is reused: it only changes as upstreams come and go."""
 ORPHAN_GRACE = timedelta(milliseconds=800)
-"""How long a new leader keeps run ends of unknown jobs, and counts on upstreams that it has not
-seen: gateways submit their jobs again, as a rule within 0.1 s."""
+"""How long a new leader keeps run ends of unknown jobs, and counts the cores of upstreams that have
+not answered it: gateways submit their jobs again, as a rule within 0.1 s."""
 
 
 class InstanceTable:
@@ -45,7 +45,8 @@
             instance.lost_tasks = record.lost_tasks
             if not record.is_capacity_doubted:
                 instance.reported_at = term.known_until - term.reports.valid_for
-            # An acting leader may have used it all the same, and the record may be an old one.
+            # An acting leader ignores cordons: its copy of the record may be out of date, and an
+            # earlier acting leader may have used the upstream.
             instance.is_cordoned = record.is_cordoned and term.keeps_log
             if not instance.is_cordoned:
                 self.unseen.add(record.info.id)
@@ -57,7 +58,7 @@
     def add(
         self, info: UpstreamInfo, recorded_through: int, draining: bool, now: timedelta
     ) -> Instance:
-        """Begin to track an instance, and poll an earlier one at its address or under its name."""
+        """Track an instance; have an earlier one at its address or under its name polled."""
         self._added += 1
         instance = Instance(
             info=info,
@@ -85,7 +86,7 @@
     def _request_poll_of_earlier(
         self, earlier: UpstreamId | None, instance: Instance, now: timedelta
     ) -> None:
-        """Poll an earlier instance: only an answer shows which of the two is running now."""
+        """Have an earlier instance polled: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
         if found is None or found is instance:
             return
@@ -123,7 +124,7 @@
     def may_have_unknown_runs(self, *, of_acting_leaders: bool) -> bool:
         """Return whether any instance may have runs of another leader that are unknown here.
 
-        With `of_acting_leaders`, this includes runs that only an acting leader can have started.
+        With `of_acting_leaders`, cordoned instances count: only acting leaders start runs there.
         """
         return any(
             not (instance.is_fenced or instance.is_over)
@@ -139,7 +140,7 @@
             )
 
     def apply_evacuation(self, domain: DomainName, now: timedelta) -> int:
-        """Apply whether a domain is evacuated; return how many runs are active there."""
+        """Update the instances of a domain after an evacuation order; return their active runs."""
         is_evacuated = domain in self._term.records.evacuations.evacuated
         instances = [instance for instance in self.by_id.values() if instance.info.domain == domain]
         for instance in instances:
@@ -176,9 +177,9 @@
         return health
 
     def find_accepting(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
-        """Return the instances that accept work, by service, without those set aside.
+        """Return the instances that accept work, by service, without suspended ones.
 
-        If too large a share of a service would be set aside, none of it is.
+        If too large a share of a service is suspended, suspensions are ignored there.
         """
         by_service: dict[ServiceName, list[Instance]] = {}
         for instance in self.by_id.values():
@@ -195,7 +196,7 @@
         return by_service
 
     def accepts_work(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether an instance accepts work at all, set aside or not."""
+        """Return whether an instance accepts work, suspended or not."""
         instance.is_on_probation = self.get_health(instance).is_on_probation
         return instance.accepts_work(now) and not self._may_be_full(instance, now)
 
@@ -215,7 +216,7 @@
         return {service.name for service in services if not service.rejects_overload}
 
     def mark_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
-        """Return upstreams that do not check their capacity and have just missed a heartbeat."""
+        """Mark and return upstreams that do not check their capacity and missed a heartbeat."""
         unguarded = self._find_unchecked_services()
         if not unguarded:
             return []
@@ -237,7 +238,7 @@
         return instance.reported_at is None or now >= instance.reported_at + missed_after
 
     def list_availability_changes(self, instance: Instance) -> list[timedelta]:
-        """Return the times at which it begins or ceases to accept work without any event."""
+        """Return the times at which an instance may begin or cease to accept work without event."""
         times = [instance.avoid_until, self.get_health(instance).suspended_until]
         if (
             instance.reported_at is not None
@@ -247,15 +248,15 @@
         return times
 
     def _is_report_valid(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether the last report is recent.
+        """Return whether the last capacity report is recent enough to rely on.
 
-        Until then starts are tolerated even if the capacity has shrunk since the report.
+        Starts beyond a capacity that has shrunk since such a report are tolerated.
         """
         reported_at = instance.reported_at
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
     def measure_usable_cores(self, now: timedelta) -> float:
-        """Return the usable cores; early in a term also those of upstreams not seen yet."""
+        """Return the usable cores; in the grace period also those of upstreams not seen yet."""
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
         is_new = self.is_in_grace_period(now)
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -20,14 +20,15 @@
 LAPSE_MARGIN = timedelta(milliseconds=60)
 """Added to the end of a lease before anybody relies on it, for timers that fire late."""
 MIN_LEASE = timedelta(milliseconds=500)
-"""A shorter lease would not outlast a change of leader."""
+"""Lower bound of leases: a shorter one would not outlast a change of leader."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseTerms:
-    """How long an upstream lets a lease last."""
+    """Limits from which a leader derives when a lease has certainly ended."""
 
     longest: timedelta
+    """Longest lease, by the clock of the upstream."""
     max_delivery_delay: timedelta = timedelta()
     """Longest delay between deciding on an order and its arrival at an upstream."""
 
@@ -59,18 +60,19 @@
     recorded_through: int
     """Number of the last run end that the replicated state has recorded."""
     arrival_number: int = 0
-    """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
+    """Position in the order in which this leader learned of instances; breaks ties."""
     draining: bool = False
     is_evacuated: bool = False
     """Whether its failure domain is evacuated: active runs continue, nothing is started."""
     is_over: bool = False
+    """Whether it has ended or was forgotten, so that its removal is proposed."""
     is_cordoned: bool = False
     """Whether no run started by a leader can be active there, so that nothing may be started
     either."""
     is_uncordoning: bool = False
     """Whether a command to use it again has been proposed to the log."""
     is_managed_elsewhere: bool = False
-    """Whether another host sends its orders in this term."""
+    """Whether the orders to it come from another host in this term."""
     is_fenced: bool = False
     """Whether it has answered a poll of this leader's term, so that its runs are known."""
     proposed_through: int = 0
@@ -88,8 +90,11 @@
     refusals: int = 0
     """Starts refused for lack of capacity since the last successful start or capacity report."""
     heard_at: timedelta | None = None
+    """When its last heartbeat was received, or when this leader learned of it."""
     contact_at: timedelta | None = None
+    """When it last answered a poll."""
     failed_polls: int = 0
+    """Polls that have failed since it last answered one."""
     is_poll_pending: bool = False
     is_probe_pending: bool = False
     listed_ms: int = -1
@@ -102,6 +107,7 @@
     is_listening: bool = True
     """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
     avoid_until: timedelta = timedelta()
+    """Until then nothing is started there, after a refused or unanswered start."""
     cold_until: timedelta = timedelta()
     """Until then tasks take longer there than usual, so that it is used last."""
     must_poll: bool = False
@@ -109,9 +115,9 @@
     lost_at: timedelta | None = None
     """When it was first found not to answer; None once it has answered again."""
     lost_tasks: ActiveTasks = NO_ACTIVE_TASKS
-    """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
+    """Tasks active when its lease lapsed or it ended, kept until it is known whether it crashed."""
     lapse_at: timedelta = timedelta()
-    """From then on nothing can run there unless a lease is renewed."""
+    """When each lease that it may hold has certainly ended: from then on nothing can run there."""
     response_timeout: ResponseTimeout = field(default_factory=ResponseTimeout)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
@@ -146,7 +152,7 @@
         return is_news
 
     def find_age(self, clock_ms: int | None, now: timedelta) -> timedelta:
-        """Return the least age of something that the upstream sent at a time on its own clock."""
+        """Return the minimum age of a message that the upstream sent at a time on its own clock."""
         known = self._estimate_clock(now)
         if known is None or clock_ms is None:
             return timedelta()
@@ -176,7 +182,7 @@
         return run
 
     def mark_disputed(self, key: RunKey) -> None:
-        """Renew no lease here until a run is gone, because another host relies on its end."""
+        """Renew no lease until a run is gone, because another host relies on that lease ending."""
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
             run.is_disputed = True
@@ -194,13 +200,13 @@
 
     @property
     def has_disputed(self) -> bool:
-        """Whether a run's lease must run out: nothing is started or renewed here."""
+        """Whether a run's lease must run out, so that nothing is started and no lease renewed."""
         return self._disputed > 0
 
     def has_free_capacity(self, needs: Needs) -> bool:
-        """Return whether a task fits.
+        """Return whether a task fits into the free capacity.
 
-        Each orphaned run, whose needs are unknown, counts as much as the task.
+        Each orphaned run, whose needs are unknown, is assumed to need as much as the task.
         """
         capacity = self.info.capacity
         counted_tasks = 1 + self._orphaned
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartOrder:
-    """Starts a run; void once the upstream's clock has passed `expires_ms`."""
+    """Starts a run; the upstream refuses it once its own clock has passed `expires_ms`."""
 
     upstream: UpstreamInfo
     task: TaskRef
@@ -21,7 +21,7 @@
     checkpoint: str
     expires_ms: int
     response_timeout: timedelta = MAX_RESPONSE_TIMEOUT
-    """How long its answer is waited for."""
+    """How long to wait for the answer."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -51,23 +51,28 @@
     is_probe: bool = False
     """Whether it is sent beside a long poll, to learn at once what became of a run."""
     response_timeout: timedelta = MAX_RESPONSE_TIMEOUT
-    """How long its answer is waited for, beyond `wait`."""
+    """How long to wait for the answer, beyond `wait`."""
 
 
 Order = StartOrder | StopOrder | PollOrder
 
 
 class StartOutcome(Enum):
-    """Outcomes of a start; only `UNKNOWN` leaves open whether it may run."""
+    """Outcomes of a start; only `UNKNOWN` leaves open whether the run may be active."""
 
     STARTED = "started"
     FENCED = "fenced"
+    """Refused: the upstream has seen a higher token than ours."""
     OUTDATED = "outdated"
+    """Refused: this run of the task, or a later one, has already ended or been stopped there."""
     LATE = "late"
+    """Refused: it arrived after `expires_ms`."""
     NO_ROOM = "no_room"
+    """Refused for lack of capacity."""
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
     INSTANCE_ENDED = "life_ended"
+    """Another instance answered."""
     IGNORED = "ignored"
     """Received but not carried out, for an unknown reason."""
     NOT_SENT = "not_sent"
@@ -75,9 +80,10 @@
 
 
 class CallFailure(Enum):
-    """Reasons why a stop or a poll brought no answer."""
+    """Reasons why a stop or a poll failed."""
 
     INSTANCE_ENDED = "life_ended"
+    """Another instance answered."""
     NO_ANSWER = "no_answer"
     FENCED = "fenced"
     """The upstream has seen a higher token than ours."""
@@ -88,8 +94,10 @@
     """How certain the leader is that a run is active."""
 
     STARTING = "starting"
+    """Its start is awaiting an answer."""
     RUNNING = "running"
     UNSURE = "unsure"
+    """Its start was not answered, so that it may be active or may still begin."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -101,6 +109,7 @@
     needs: Needs
     phase: RunPhase
     since: timedelta
+    """When this leader sent its start, or first saw it listed."""
     percent: int = 0
     """Progress reported by its upstream, as of `seen_at`."""
     first_percent: int = 0
@@ -108,7 +117,7 @@
     seen_at: timedelta | None = None
     """When its upstream last listed it as running."""
     advanced_at: timedelta = timedelta()
-    """When it was last seen to have made progress, at the earliest its start."""
+    """When it was last seen to make progress, or first known to be active."""
     resumes: bool = False
     """Whether it resumed from a checkpoint, so that it makes no progress at first."""
     is_exclusive: bool = False
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -1,4 +1,4 @@
-"""Reconciles what earlier leaders may have started, and tells when none of it can be active."""
+"""Determines when no unknown run of an earlier leader can be active any more."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
     @property
     def initial_phase(self) -> TaskPhase:
-        """The phase of a task that comes up now and that an earlier leader may have started."""
+        """The first phase of a task that comes up now and that another leader may have started."""
         return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
 
     def may_miss_runs(self, *, of_acting_leaders: bool) -> bool:
@@ -34,11 +34,11 @@
         return self._instances.may_have_unknown_runs(of_acting_leaders=of_acting_leaders)
 
     def request_recheck(self) -> None:
-        """Check again whether tasks are unknown."""
+        """Have the next `reconcile` check for unknown tasks again."""
         self._jobs.may_have_unknown_tasks = True
 
     def reconcile(self, now: timedelta) -> None:
-        """Queue what an earlier leader left open, once no unknown run of it can be active."""
+        """Queue unknown tasks once no run of them by another leader can be active."""
         if not self.is_reconciled and (
             not self._instances.unseen or now >= self._term.earlier_leases_lapsed_at
         ):
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -119,7 +119,7 @@
     recorded_through: int = msgspec.field(name="noted", default=0)
     draining: bool = False
     is_cordoned: bool = False
-    """Whether no leader has anything active there."""
+    """Whether no leader has anything active there, or may start anything."""
     sequence: int = 0
     """Sequence number of the heartbeat that reported the capacity; older heartbeats do not change
     it."""
@@ -218,7 +218,7 @@
         self.evacuations = Evacuations(saved.evacuations)
 
     def find_leaving(self, id: UpstreamId) -> UpstreamRecord | None:
-        """Return the instance that leaves under an id, which may lack the start time.
+        """Return the instance meant by a leave message, whose id may lack the start time.
 
         Without a start time, an instance of that name that is already leaving is preferred, then
         the newest.
@@ -234,12 +234,12 @@
         )
 
     def get_crash_counts(self, task: TaskRef) -> CrashCounts:
-        """Return the counts of upstream ends under a task."""
+        """Return the upstream ends counted against a task."""
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
 
     def activate_configuration(self, configuration: Configuration | None) -> None:
-        """Use a configuration from now on."""
+        """Make a configuration the active one; None leaves no configuration active."""
         self.configuration = configuration
         self.queues = None if configuration is None else QueueIndex(configuration=configuration)
 
@@ -346,7 +346,7 @@
 
 
 def end_job(job: JobRecord, state: JobState, at_ms: int) -> None:
-    """End a job and drop what only an open job needs."""
+    """End a job, and drop its task records and payload, which only an open job needs."""
     job.state = state
     job.ended_ms = at_ms
     job.tasks = {}
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -1,4 +1,4 @@
-"""Processes heartbeats of upstreams: existence, capacity, and leaving."""
+"""Processes heartbeats of upstreams, by which they join, report their capacity and leave."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     def handle_reported_heartbeat(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record that another host has answered a heartbeat that contained nothing new."""
+        """Record a heartbeat without changes that another host has answered for the leader."""
         instance = self._instances.by_id.get(id)
         if instance is None or sequence < instance.sequence:
             return
@@ -107,7 +107,7 @@
         self._term.proposals.append(resize)
 
     def handle_leave(self, upstream: UpstreamId) -> None:
-        """Send no more work to an upstream."""
+        """Record that an upstream is leaving, so that it gets no more work."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None and not instance.draining:
             instance.draining = True
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -1,4 +1,4 @@
-"""Handles the ends of runs: learns from them, records them and acts on them."""
+"""Handles run ends: updates run-time estimates and upstream health, and records results."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     def handle_listed_ends(
         self, instance: Instance, ended: tuple[RunEndReport, ...], now: timedelta
     ) -> None:
-        """Record ends that an upstream has listed: here, or through the log for durable jobs."""
+        """Record new ends that an upstream has listed, those of durable jobs through the log."""
         new = tuple(
             end
             for end in ended
@@ -90,7 +90,7 @@
             self._apply_recorded_end(end, None, now)
 
     def forget_orphaned_ends(self, now: timedelta) -> None:
-        """Drop ends of jobs that nobody has submitted again in time."""
+        """Drop ends whose jobs were not submitted again within the grace period."""
         if self._orphaned and not self._instances.is_in_grace_period(now):
             self._orphaned.clear()
 
@@ -129,7 +129,7 @@
             },
         )
         if job.record.spec.long_running:
-            # The run time of a long-running task says nothing about its upstream.
+            # How long a long-running task runs says nothing about its upstream.
             return
         if end.how is RunEndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
@@ -162,7 +162,7 @@
         if task is None:
             return
         if job.record.get_task(end.task).is_done:
-            # A run that was abandoned may have ended as done before its lease did.
+            # An abandoned run may have completed before its lease ended.
             if task.phase is TaskPhase.RUNNING and task.instance is not None:
                 self._instances.request_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
@@ -171,7 +171,7 @@
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
         elif task.phase is TaskPhase.RECORDING and task.is_unknown:
-            # The end of one run says nothing of a later run at an upstream not seen yet.
+            # The task may have another run, at an upstream that has not answered this leader yet.
             task.phase = TaskPhase.UNKNOWN
             self._reconciliation.request_recheck()
         elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -20,9 +20,9 @@
 """Returns the wall-clock time in milliseconds."""
 
 TOKENS_PER_TERM = 1_000_000
-"""Space for the tokens of acting leaders between those of two leaders."""
+"""The token of a leader is its term times this; acting leaders use the tokens in between."""
 RUNS_PER_TERM = 4_096
-"""Run numbers of a later term are higher than all of an earlier one."""
+"""Run numbers per token, so that those under a higher token are all higher."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -51,14 +51,14 @@
     evacuated_rejections: int = 0
     """Jobs rejected because all upstreams of their service are in evacuated domains."""
     settled_after_ms: int = 0
-    """Time until no run of an earlier leader could be active without being known."""
+    """Time into the term until no unknown run of an earlier leader could be active."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Term:
     """One term: its parameters, its pending orders and proposals, and its counts.
 
-    `number` rises from leader to leader; it is the fencing token of all orders.
+    `token` is the fencing token of all orders, which rises from leader to leader.
     """
 
     token: int
@@ -77,10 +77,9 @@
     proposals: list[Command] = field(default_factory=list)
     reports: ReportTerms = DEFAULT_REPORT_TERMS
     known_until: timedelta = timedelta()
-    """Until then the capacities in the replicated state are valid without a report to this leader.
-    """
+    """Until then the recorded capacities can be relied on without a report to this leader."""
     is_superseded: bool = False
-    """Whether an upstream has accepted orders under a higher token: this term has ended there."""
+    """Whether an upstream is known to have accepted a higher token, which ends this term there."""
 
     @property
     def may_start(self) -> bool:
@@ -102,7 +101,7 @@
 
     @property
     def earlier_leases_lapsed_at(self) -> timedelta:
-        """From then on no run of an earlier term can be active at an upstream not heard since."""
+        """From then on no run of an earlier term is active at upstreams not heard from since."""
         return self.began_at + self.lease.lapse_after
 
     @property
--- a/cottonlug/core/cluster/validation.py
+++ b/cottonlug/core/cluster/validation.py
@@ -1,4 +1,4 @@
-"""Validates configurations and jobs; problems are worded for whoever sent them."""
+"""Validates configurations and jobs; the problems found are shown to operators and callers."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 MAX_TASKS = 4_096
 """Most tasks of a job; the design size is 1,100."""
 MAX_TIMED_TASKS = 65_536
+"""Most tasks of a job in all its occurrences together."""
 
 
 def find_configuration_problem(configuration: Configuration) -> str | None:
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -23,16 +23,20 @@
 MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
 """Shorter long polls would cost more calls than their answers are worth."""
 POLL_RETRY = timedelta(milliseconds=100)
+"""Increase of the delay before a failed poll is repeated, with each failure; also the interval of
+probes while an unanswered start is being resolved."""
 MAX_STRAGGLERS_SHARE = 0.1
 """While a smaller share of the upstreams than this has not answered a new leader, these are polled
 by several calls at once: all jobs wait for what runs there."""
 STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
+"""How long an unanswered poll of such an upstream is waited for before the next one is sent."""
 PROBE_CHECK_EVERY = timedelta(milliseconds=20)
 """Whether an upstream is one of the last depends on all others, so it is checked again this often.
 """
 MAX_STRAGGLER_POLLS = 8
 """After this many failed polls an upstream counts as unreachable, and is polled like any other."""
 MAX_RETRY_STEPS = 10
+"""The delay stops growing after this many failures."""
 ORPHAN_TOLERATED_FOR = timedelta(milliseconds=300)
 """How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
 that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
@@ -42,30 +46,30 @@
 POLLS_BEFORE_CORDON = 2
 """Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
-"""Silence, with nothing running, after which an instance is forgotten, unless it may be beyond a
-network partition, where an acting leader uses it."""
+"""Silence, with nothing running, after which an instance is forgotten, unless an acting leader may
+use it beyond a network partition."""
 SILENT_POLL_EVERY = timedelta(seconds=5)
-"""Interval between polls of such an instance: a later one at its address answers that it is over.
+"""Interval between polls of such an instance: a later instance at its address shows that it ended.
 """
 FORGET_PARTITIONED_AFTER = timedelta(hours=1)
-"""Longer than domains are usually cut off (minutes)."""
+"""Silence after which an instance is forgotten even if it may be beyond a partition: longer than
+domains are usually cut off (minutes)."""
 MAX_MOVES = 2
-"""How often a task is moved: one that makes no progress anywhere is not moved forever."""
+"""How often a task is moved to another upstream at most: one may make no progress anywhere."""
 
 
 class Watcher:
-    """Keeps leases alive and finds out what has become of runs."""
+    """Renews leases, and detects runs that have stalled and instances that are lost."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
         self._instances = instances
         self._jobs = jobs
         self._unreachable: dict[UpstreamId, Instance] = {}
-        """Instances whose last poll failed, or that have answered since and are not yet removed
-        here."""
+        """Instances with failed polls; `cordon_idle` removes those that have answered since."""
 
     def poll(self, instance: Instance, now: timedelta) -> None:
-        """Poll an upstream if its lease or its run ends require it."""
+        """Poll an upstream if a poll or a probe is due."""
         if instance.is_over or instance.is_managed_elsewhere:
             return
         is_straggler = self._is_straggler(instance)
@@ -95,7 +99,7 @@
         self._send_poll(instance, wait, now)
 
     def is_calm(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether nothing at an upstream depends on the clock but its lease's end."""
+        """Return whether nothing falls due at an upstream before the end of its lease."""
         return (
             instance.is_fenced
             and instance.failed_polls == 0
@@ -139,8 +143,8 @@
         return self._find_tolerated_until(run) if run.is_orphaned else None
 
     def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
-        # A poll that is not answered may still renew the lease, which then would not lapse for as
-        # long as polls are repeated: the lease is extended only for upstreams that answer.
+        # An unanswered poll may still renew the lease, which would then never lapse while polls are
+        # repeated: leases are renewed only at upstreams that answer.
         renews = bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed
         expires_ms = instance.grant_lease(now) if renews else None
         is_probe = instance.is_poll_pending
@@ -176,7 +180,7 @@
         return max(wait, MIN_LONG_POLL_WAIT)
 
     def _find_first_end(self, instance: Instance, now: timedelta) -> timedelta:
-        """Return the time until the first of the runs is expected to end."""
+        """Return the time until the first run is expected to end; zero if one is overdue."""
         ends = (
             run.since + self._predict(job, run)
             for run in instance.runs.values()
@@ -303,7 +307,7 @@
         """Abandon all runs of an instance whose lease has certainly ended without an answer."""
         if not instance.runs or now < instance.lapse_at:
             return
-        # A run cannot outlive the lease, whatever the last polls reported.
+        # No run outlives the lease, whatever the last polls reported.
         self._term.log_decision(
             "lease_lapsed",
             {
@@ -327,7 +331,7 @@
             self._jobs.requeue(run.task, run.run, instance.info.id)
 
     def end_instance(self, instance: Instance, now: timedelta) -> None:
-        """Handle that a later instance holds the address: nothing of this one can run any more."""
+        """Handle the end of an instance: another one holds its address, so all its runs ended."""
         if instance.is_over:
             return
         instance.is_over = True
@@ -341,7 +345,7 @@
         )
         queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
         self._jobs.crash_tracker.record_instance_end(instance, queues, now)
-        # Until the log has counted the end, the tasks that ran there may have caused a crash.
+        # Until the log has counted the end, the tasks that ran there are suspects.
         self._jobs.crash_tracker.record_lapse(instance, now)
         self._abandon_runs(instance)
 
@@ -349,8 +353,8 @@
         """Propose to cordon unreachable upstreams that certainly run nothing.
 
         A leader knows at which upstreams it has started something. The next leader does not, and
-        without this would have to wait for the leases of all upstreams that it has not seen,
-        however long they have been gone.
+        without cordons would have to wait for the leases of all upstreams that it has not seen,
+        however long these have been gone.
         """
         if not (self._unreachable and self._term.keeps_log):
             return
@@ -391,7 +395,7 @@
             self._term.proposals.append(UncordonUpstream(upstream=instance.info.id))
 
     def uncordon(self, upstream: UpstreamId) -> None:
-        """Use an upstream again, now that every later leader will know."""
+        """Use an upstream again, now that the log records it for every later leader."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None:
             instance.is_cordoned = instance.is_uncordoning = False
@@ -401,9 +405,10 @@
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
         """Forget instances that have been silent while nothing ran there.
 
-        Where `may_be_used` tells that an acting leader may send orders to those that are not
-        leaving, beyond a network partition, they stay in the replicated state, cordoned, so that
-        jobs which an acting leader has started wait for them.
+        If `may_be_used` returns True, an acting leader beyond a network partition may send orders
+        to those that are not leaving. They stay in the replicated state for up to
+        `FORGET_PARTITIONED_AFTER`, cordoned, so that jobs which an acting leader may have started
+        wait for them.
         """
         if not self._term.keeps_log:
             # Acting leaders get no heartbeats.
