--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -29,7 +29,7 @@
 from .orders import RunPhase
 from .term import Term
 
-KEEP_LOSSES = timedelta(seconds=30)
+LOSS_RETENTION = timedelta(seconds=30)
 """How long a loss is remembered: a crashed upstream is back after some seconds, and only then is it
 known that it crashed."""
 
@@ -66,7 +66,7 @@
         instance.lost_at = now
         if instance.runs:
             self._request_neighbour_polls(instance)
-        self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
+        self._losses = [each for each in self._losses if now - each.at < LOSS_RETENTION]
         self._losses.append(
             Loss(
                 upstream=instance.info.id,
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -126,7 +126,7 @@
     at_ms: int
 
 
-KEEP_SUSPECTS_MS = 60_000
+SUSPECT_RETENTION_MS = 60_000
 """How long suspects of best-effort jobs are remembered: their callers send them again within
 seconds, or not at all."""
 
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -457,7 +457,7 @@
             self._scheduler.schedule(now, None if is_full_scan else instances)
         changed = (*instances, *self._instances.pop_changed())
         for id, instance in {each.info.id: each for each in changed}.items():
-            self._watcher.poll(instance, now)
+            self._watcher.poll_if_due(instance, now)
             if self._watcher.is_calm(instance, now) and (self._timers.has(id) or not instance.runs):
                 # Nothing is due before its lease ends, and renewals only postpone that.
                 continue
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -29,7 +29,7 @@
     UncordonUpstream,
 )
 from .crashes import (
-    KEEP_SUSPECTS_MS,
+    SUSPECT_RETENTION_MS,
     NO_ACTIVE_TASKS,
     NO_CRASHES,
     ONE_CRASH,
@@ -290,7 +290,7 @@
             self._count_crash(task, ONE_LOSS, command.at_ms)
         for task in command.unanswered:
             self._count_crash(task, ONE_UNANSWERED, command.at_ms)
-        oldest = command.at_ms - KEEP_SUSPECTS_MS
+        oldest = command.at_ms - SUSPECT_RETENTION_MS
         self.suspects = {
             task: suspect
             for task, suspect in self.suspects.items()
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -22,7 +22,7 @@
 """Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
 MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
 """Shorter long polls would cost more calls than their answers are worth."""
-POLL_RETRY = timedelta(milliseconds=100)
+POLL_RETRY_STEP = timedelta(milliseconds=100)
 """Increase of the delay before a failed poll is repeated, with each failure; also the interval of
 probes while an unanswered start is being resolved."""
 MAX_STRAGGLERS_SHARE = 0.1
@@ -30,7 +30,7 @@
 by several calls at once: all jobs wait for what runs there."""
 STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
 """How long an unanswered poll of such an upstream is waited for before the next one is sent."""
-PROBE_CHECK_EVERY = timedelta(milliseconds=20)
+PROBE_CHECK_INTERVAL = timedelta(milliseconds=20)
 """Whether an upstream is one of the last depends on all others, so it is checked again this often.
 """
 MAX_STRAGGLER_POLLS = 8
@@ -43,12 +43,12 @@
 renewed."""
 DISPUTED_TOLERATED_FOR = timedelta(milliseconds=100)
 """The same for a run that an acting leader, or a leader beside one, may still coordinate."""
-POLLS_BEFORE_CORDON = 2
+FAILED_POLLS_BEFORE_CORDON = 2
 """Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
 """Silence, with nothing running, after which an instance is forgotten, unless an acting leader may
 use it beyond a network partition."""
-SILENT_POLL_EVERY = timedelta(seconds=5)
+SILENT_POLL_INTERVAL = timedelta(seconds=5)
 """Interval between polls of such an instance: a later instance at its address shows that it ended.
 """
 FORGET_PARTITIONED_AFTER = timedelta(hours=1)
@@ -68,7 +68,7 @@
         self._unreachable: dict[UpstreamId, Instance] = {}
         """Instances with failed polls; `cordon_idle` removes those that have answered since."""
 
-    def poll(self, instance: Instance, now: timedelta) -> None:
+    def poll_if_due(self, instance: Instance, now: timedelta) -> None:
         """Poll an upstream if a poll or a probe is due."""
         if instance.is_over or instance.is_managed_elsewhere:
             return
@@ -81,7 +81,7 @@
             and now >= instance.probe_due
         ):
             # The long poll answers only when a run ends.
-            instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY)
+            instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY_STEP)
             self._send_poll(instance, timedelta(), now)
             return
         if (
@@ -135,7 +135,7 @@
         may_be_probed = not instance.is_fenced or self._awaits_stop(instance)
         if instance.is_probe_pending or not may_be_probed:
             return None
-        return max(instance.probe_due, now + PROBE_CHECK_EVERY)
+        return max(instance.probe_due, now + PROBE_CHECK_INTERVAL)
 
     def _find_stop_due(self, run: Run) -> timedelta | None:
         if run.stop_requested:
@@ -212,9 +212,9 @@
             return
         is_gone = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
         retry = (
-            SILENT_POLL_EVERY
+            SILENT_POLL_INTERVAL
             if is_gone
-            else POLL_RETRY * min(instance.failed_polls, MAX_RETRY_STEPS)
+            else POLL_RETRY_STEP * min(instance.failed_polls, MAX_RETRY_STEPS)
         )
         instance.poll_due = now if self._is_straggler(instance) else now + retry
         instance.failed_polls += 1
@@ -281,8 +281,8 @@
             if total is not None:
                 job.record_run_time(run.task.step, instance.info.id, total)
             sibling = job.find_sibling_run_time(run.task.step, instance.info.id)
-            pace = classify_progress(run, self._predict(job, run), sibling)
-            if pace is ProgressRate.NORMAL:
+            progress_rate = classify_progress(run, self._predict(job, run), sibling)
+            if progress_rate is ProgressRate.NORMAL:
                 continue
             task.moves += 1
             self._term.counts.moved_runs += 1
@@ -292,13 +292,13 @@
                 {
                     "upstream": instance.info.id,
                     "job": run.task.job,
-                    "pace": pace.value,
+                    "pace": progress_rate.value,
                     "percent": run.percent,
                     "watched_ms": to_milliseconds(now - run.since),
                 },
             )
             health = self._instances.get_health(instance)
-            if pace is ProgressRate.STALLED:
+            if progress_rate is ProgressRate.STALLED:
                 health.record_stall(now)
             elif total is not None:
                 health.record_run_time_ratio(total / self._predict(job, run), now)
@@ -339,11 +339,13 @@
         self._term.log_decision(
             "upstream_gone", {"upstream": instance.info.id, "runs": len(instance.runs)}
         )
-        runs = (
+        job_ids = (
             *(run.task.job for run in instance.runs.values()),
             *(task.job for task in instance.lost_tasks.confirmed),
         )
-        queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
+        queues = {
+            id: self._jobs.jobs[id].record.queue.key for id in job_ids if id in self._jobs.jobs
+        }
         self._jobs.crash_tracker.record_instance_end(instance, queues, now)
         # Until the log has counted the end, the tasks that ran there are suspects.
         self._jobs.crash_tracker.record_lapse(instance, now)
@@ -382,7 +384,9 @@
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
-        is_unreachable = not instance.is_fenced and instance.failed_polls >= POLLS_BEFORE_CORDON
+        is_unreachable = (
+            not instance.is_fenced and instance.failed_polls >= FAILED_POLLS_BEFORE_CORDON
+        )
         is_lapsed = not instance.runs and now >= max(
             instance.lapse_at, self._term.earlier_leases_lapsed_at
         )
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -34,12 +34,12 @@
 FAULTS_UNTIL = milliseconds(900)
 """Faults strike until then; the play continues with their consequences."""
 ENDED_BY = timedelta(seconds=12)
-CUT_FOR = milliseconds(1_500)
+CUT_OFF_FOR = milliseconds(1_500)
 """Longer than any lease."""
 WITHOUT_LEADER = milliseconds(300)
-GATEWAY_AFTER = milliseconds(60)
+GATEWAY_RESUBMITS_AFTER = milliseconds(60)
 """Time from a change of leader until a gateway submits its jobs again."""
-CALLER_AFTER = milliseconds(1_300)
+CALLER_RESUBMITS_AFTER = milliseconds(1_300)
 """Time from the loss of its gateway until a caller submits its job again."""
 
 
@@ -163,7 +163,7 @@
             host.process.clock_began_ms = (1_000_000, 9_000_000)[number % 2]
         elif fault is Fault.UPSTREAM_CUT_OFF:
             self._find_leader().cut_off.add(host.info.id)
-            self.world.at(CUT_FOR, lambda: self._find_leader().cut_off.discard(host.info.id))
+            self.world.at(CUT_OFF_FOR, lambda: self._find_leader().cut_off.discard(host.info.id))
         elif fault is Fault.LEADER_LOST:
             self._lose_leader()
         else:
@@ -173,14 +173,14 @@
     def _lose_leader(self) -> None:
         self._find_leader().is_over = True
         self.world.at(WITHOUT_LEADER, self._lead)
-        again = WITHOUT_LEADER + GATEWAY_AFTER
+        again = WITHOUT_LEADER + GATEWAY_RESUBMITS_AFTER
         self.world.at(again, lambda: self._submit(may_have_begun=True))
 
     def _lose_gateway(self) -> None:
         leader = self._find_leader()
         # The coordinator abandons a gateway's jobs once it has not heard the gateway for 0.3 s.
         self.world.at(milliseconds(300), lambda: self._abandon(leader))
-        self.world.at(CALLER_AFTER, lambda: self._submit(may_have_begun=False))
+        self.world.at(CALLER_RESUBMITS_AFTER, lambda: self._submit(may_have_begun=False))
 
     def _abandon(self, leader: WireLeader) -> None:
         if not leader.is_over:
--- a/cottonlug/tests/test_cluster_timers.py
+++ b/cottonlug/tests/test_cluster_timers.py
@@ -46,7 +46,7 @@
     """Processing all of them every 20 ms takes a fifth of the time of a leader of 270."""
     leader = build(UPSTREAMS)
     looked: list[UpstreamId] = []
-    look = Watcher.poll
+    look = Watcher.poll_if_due
 
     def count(self: Watcher, instance: Instance, now: timedelta) -> None:
         looked.append(instance.info.id)
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -225,11 +225,11 @@
         """Accept a call; return a function that executes it later, in this process or in none."""
         process = self.process
 
-        def carry_out() -> None:
+        def execute() -> None:
             if process.is_up and process is self.process:
                 self.handle_call(exchange, lambda reply: None)
 
-        return carry_out
+        return execute
 
     def _execute_order(self, path: str, body: dict[str, Any]) -> str:
         """Execute an order; return the reason if it was refused, otherwise an empty string."""
