--- a/cottonlug/tests/test_cluster_timers.py
+++ b/cottonlug/tests/test_cluster_timers.py
@@ -52,7 +52,7 @@
         looked.append(instance.info.id)
         look(self, instance, now)
 
-    monkeypatch.setattr(Watcher, "poll", count)
+    monkeypatch.setattr(Watcher, "poll_if_due", count)
     leader.submit(f"{1:016x}", build_spec(tasks=2, run_ms=3_000), build_queue())
     span = timedelta(seconds=1)
     leader.world.run_until(leader.world.now + span)
