--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -1,9 +1,10 @@
 """Plays a small site with every fault at every order, alone and in pairs, instead of at random.
 
-A play is determined by its script: the fault that strikes when the order with a given number is
-sent. Without a script nothing goes wrong. The explorer plays all scripts of up to a number of
-faults. A fault changes only what comes after it, so each script is extended at later orders only,
-and one whose faults changed nothing is not extended. The wire model asserts the invariants.
+A play is one simulation, determined by its script: the fault that is injected when the order with a
+given number is sent. With an empty script nothing fails. The explorer plays all scripts of up to a
+number of faults. A fault changes only what comes after it, so each script is extended at later
+orders only, and a script whose last fault changed nothing is not extended. The wire model asserts
+the invariants.
 """
 
 from __future__ import annotations
@@ -30,9 +31,10 @@
 SPEC = build_spec(tasks=1, run_ms=1_600)
 QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 CALL_DELAY = milliseconds(1)
+"""Delay of a request or a reply; heartbeats of successive hosts are offset by it too."""
 SUBMITTED_AT = milliseconds(100)
 FAULTS_UNTIL = milliseconds(900)
-"""Faults strike until then; the play continues with their consequences."""
+"""Faults are injected until then; the play continues with their consequences."""
 ENDED_BY = timedelta(seconds=12)
 CUT_OFF_FOR = milliseconds(1_500)
 """Longer than any lease."""
@@ -44,7 +46,7 @@
 
 
 class Fault(Enum):
-    """Faults that strike as an order is sent."""
+    """Faults that are injected when an order is sent."""
 
     ORDER_LOST = "the order is lost"
     ANSWER_LOST = "its answer is lost"
@@ -56,7 +58,7 @@
 
 
 Script = tuple[tuple[int, Fault], ...]
-"""Ascending numbers of orders, each with the fault that strikes there."""
+"""Ascending numbers of orders, each with the fault that is injected there."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -66,7 +68,7 @@
     problem: str = ""
     """The violated invariant; empty if there is none."""
     orders: int = 0
-    """Orders sent while faults could strike."""
+    """Orders sent while faults could be injected."""
     timeline: list[str] = field(default_factory=list)
 
 
@@ -139,7 +141,7 @@
                 leader.submit(job, SPEC, QUEUE, may_have_begun=may_have_begun)
 
     def _choose_delivery(self, host: WireHost) -> CallDelivery:
-        """Return the fate of the next order, and have its fault strike."""
+        """Return the delivery of the next order, and inject its fault, if the script has one."""
         usual = CallDelivery(request_delay=CALL_DELAY, reply_delay=CALL_DELAY)
         if self.world.now > FAULTS_UNTIL or self.world.now < SUBMITTED_AT:
             return usual
@@ -158,7 +160,7 @@
                 request_delay=CALL_DELAY, reply_delay=None, execution_delay=milliseconds(500)
             )
         if fault is Fault.UPSTREAM_RESTARTED:
-            # Its clock starts again, far below or above the old reading.
+            # The clock of the new process reads far less or far more than that of the old one.
             host.restart()
             host.process.clock_began_ms = (1_000_000, 9_000_000)[number % 2]
         elif fault is Fault.UPSTREAM_CUT_OFF:
@@ -197,7 +199,7 @@
 
 
 def explore(max_faults: int, *, max_orders: int | None = None, stop_at: int = 1) -> Exploration:
-    """Play all scripts of up to `most_faults` faults, those with fewer faults first."""
+    """Play all scripts of up to `max_faults` faults, those with fewer faults first."""
     exploration = Exploration()
     first = Play(script={}).run()
     assert not first.problem, first
@@ -227,7 +229,7 @@
 
 
 def describe(script: Script) -> str:
-    """Return the timeline of a script, without the faults that it does not need."""
+    """Return the timeline of a script, without the faults that its problem does not need."""
     for each in script:
         shorter = tuple(other for other in script if other is not each)
         if shorter and Play(script=dict(shorter)).run().problem:
--- a/cottonlug/tests/test_cluster_cordon.py
+++ b/cottonlug/tests/test_cluster_cordon.py
@@ -1,4 +1,4 @@
-"""Upstreams that are cordoned in the log as idle, so that no later leader waits for them."""
+"""Unreachable upstreams that the log records as idle, so that no later leader waits for them."""
 
 from __future__ import annotations
 
@@ -104,9 +104,9 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_upstreams_that_come_and_go(seed: int) -> None:
-    """The model fails the test if a task runs twice.
+    """Guards against a task that runs twice, which the model detects.
 
-    Two of these seeds do that if starts do not wait for the log.
+    Two of these seeds fail if starts do not wait until the log has lifted the cordon.
     """
     world, upstreams = build_world(seed + 500, late_share=0.02)
     chance = random.Random(seed)
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -99,7 +99,7 @@
         self.world.at(milliseconds(500), lambda: self.beat(upstream))
 
     def lead(self, term: int) -> None:
-        """Have another host lead, once it is elected and has applied all that was committed."""
+        """Replace the leader by another host, after the time that an election takes."""
         if self.leaders:
             self.leader.is_over = True
             self.world.connected_from = self.world.now + CONNECTED_AFTER
@@ -176,7 +176,7 @@
 
 
 def test_neighbours_of_a_suspect_complete() -> None:
-    """Tasks that ran beside it are retried alone as well, and have no second crash."""
+    """Guards against quarantine of sound tasks: they are retried alone, without a second crash."""
     site = build_site(3, racks=1, run_ms=400)
     sound = [site.submit(durable=True, run_ms=400) for _ in range(4)]
     poisoned = site.submit(durable=True, poison=1)
@@ -319,7 +319,7 @@
     play_campaign(seed, racks_down=True)
 
 
-# Without a site
+# The rules alone
 
 
 def build_loss(number: int, at_ms: float, rack: int = 0, domain: str = "d") -> Loss:
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -1,4 +1,7 @@
-"""Runs whose lease another host relies on to end: an acting leader beside an unreachable leader."""
+"""Leases that must not be renewed, since another host starts their runs again once they have ended.
+
+This happens to a leader and an acting leader that do not reach each other.
+"""
 
 from __future__ import annotations
 
@@ -45,7 +48,7 @@
 
 
 def test_an_acting_leader_does_not_renew_the_lease_of_a_run_that_the_leader_has_abandoned() -> None:
-    """The leader has started the run again elsewhere."""
+    """Guards against a duplicate run: the leader has started the task again elsewhere."""
     leader, where = start_long_run(1)
     leader.cut_off = {where}
     leader.world.run_until(leader.world.now + ACTS_AS_LEADER_AFTER)
@@ -71,7 +74,7 @@
 
 
 def test_a_leader_does_not_renew_the_lease_of_a_run_that_an_acting_leader_has_abandoned() -> None:
-    """An acting leader that no longer reaches an upstream starts its run again elsewhere."""
+    """Guards against a duplicate run: the acting leader starts the task again elsewhere."""
     leader, where = start_long_run(3)
     world = leader.world
     world.run_until(milliseconds(3_000))
@@ -101,7 +104,10 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_campaign_of_a_leader_and_an_acting_leader_side_by_side(seed: int) -> None:
-    """Each has jobs of its own; each upstream is reached by one of them, by both, or by none."""
+    """Guards against duplicate runs, which the model detects.
+
+    Each leader has jobs of its own; each upstream is reached by one of them, by both, or by none.
+    """
     world, upstreams = build_world(seed + 900, late_share=0.02)
     chance = random.Random(seed)
     for upstream in upstreams.values():
@@ -150,9 +156,9 @@
 
 
 def let_leader_stop_run_of_acting_leader(seed: int) -> tuple[Leader, Leader, UpstreamId]:
-    """Return an acting leader, and a leader that reaches only the upstream of that one's run.
+    """Return an acting leader, a leader that reaches only the upstream of its run, and the latter.
 
-    Nobody has submitted the job to the leader in time, so the leader has had the run stopped. The
+    The job was not submitted to the leader in time, so the leader has had the run stopped. The
     acting leader has an earlier long poll parked there, and continues to coordinate.
     """
     first, _ = start_long_run(seed)
--- a/cottonlug/tests/test_cluster_reconciliation.py
+++ b/cottonlug/tests/test_cluster_reconciliation.py
@@ -1,4 +1,4 @@
-"""How soon a new leader knows what runs at all upstreams if some orders are not answered.
+"""Time until a new leader knows what runs at all upstreams if some orders are not answered.
 
 Load pattern: one order in twenty is left unanswered, or carried out seconds late, when a leader is
 lost. Active jobs wait for the last upstream, so that with hundreds of upstreams some poll is lost
@@ -50,7 +50,7 @@
 
 
 def lose_polls(monkeypatch: pytest.MonkeyPatch, lost: dict[UpstreamId, int]) -> None:
-    """Have the first polls of some upstreams never arrive, as many as are given."""
+    """Lose the first polls of some upstreams; `lost` gives how many of each."""
     send = Leader._send
 
     def lose(self: Leader, order: Order) -> None:
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -31,7 +31,7 @@
 
 
 async def send_order(world: World, machine: Machine, method: str, domain: str) -> int:
-    """Return the status of one call; 0 if none came within the time that operators wait."""
+    """Send one order and return its status; 0 if none came within the operator's timeout."""
     request = HttpRequest(method=method, path=f"/evacuation/{domain}", headers={}, body=b"")
     try:
         async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
@@ -43,7 +43,7 @@
 
 
 class Operator:
-    """Evacuates one domain and takes it back, in turn, repeating orders until acknowledged."""
+    """Begins and ends the evacuation of one domain in turn; repeats orders until acknowledged."""
 
     def __init__(self, world: World, domain: DomainName, chance: random.Random) -> None:
         self.domain = domain
@@ -79,7 +79,7 @@
 
 
 class EvacuationDay(Day):
-    """A random day with two operators; the coordinator must obey what was acknowledged."""
+    """A random day with two operators; the leader's state must follow acknowledged orders."""
 
     def __init__(self, world: World, seed: int) -> None:
         super().__init__(world, seed)
--- a/cottonlug/tests/test_evacuations.py
+++ b/cottonlug/tests/test_evacuations.py
@@ -110,7 +110,7 @@
     commit(leader, HOME)
     after = [submit(leader, 100 + number, HOME, tasks=4) for number in range(4)]
     world.run_until(world.now + milliseconds(100))
-    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2, "what ran there goes on"
+    assert count_domains(leader)[HOME] == UPSTREAMS_PER_DOMAIN * 2, "active runs continue"
     world.run_until(world.now + milliseconds(150))
     assert count_domains(leader)[HOME] == 0
     world.run_until(world.now + milliseconds(2_000))
@@ -141,11 +141,11 @@
     commit(leader, HOME, is_evacuated=False)
     submit(leader, 1, HOME, tasks=4)
     leader.world.run_until(leader.world.now + milliseconds(30))
-    assert count_domains(leader)[HOME] == 0, "others have room"
+    assert count_domains(leader)[HOME] == 0, "others have free capacity"
     elsewhere = (len(DOMAINS) - 1) * UPSTREAMS_PER_DOMAIN * 2
     submit(leader, 2, HOME, tasks=elsewhere)
     leader.world.run_until(leader.world.now + milliseconds(30))
-    assert count_domains(leader)[HOME] == 4, "nobody waits while there is room"
+    assert count_domains(leader)[HOME] == 4, "no task waits while there is free capacity"
 
 
 def test_a_domain_whose_upstreams_report_to_be_warm_is_used_at_once() -> None:
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -16,7 +16,8 @@
 from .fault_explorer import Fault, Play, Script, describe, explore
 
 PAIRS_UP_TO = 3
-"""Orders at which pairs of faults strike in the test suite; a manual exploration covers all."""
+"""In the test suite, pairs of faults are injected at this many orders; a manual exploration covers
+all."""
 
 
 def test_a_play_without_faults_has_enough_orders_for_faults_to_strike() -> None:
@@ -49,7 +50,7 @@
 
 
 def reintroduce_fast_clock(patch: pytest.MonkeyPatch) -> None:
-    """Count a lease as ended by our clock although the upstream's clock may be slower."""
+    """Count a lease as ended by the leader's clock although the upstream's clock may be slower."""
     patch.setattr(instances, "MIN_CLOCK_RATE", 1.0)
     patch.setattr(instances, "LAPSE_MARGIN", instances.LAPSE_MARGIN * 0)
 
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -110,7 +110,7 @@
 
 
 def collect(gateways: GatewayRegistry, records: Records, version: str) -> tuple[FailoverState, int]:
-    """Return the state of a gateway that asks until it has everything, and how often it asked."""
+    """Return the whole state as a gateway collects it, and the number of requests."""
     known: FailoverState | None = None
     for asked in range(1, 100):
         part = gateways.build_failover_state(records, version)
@@ -121,7 +121,7 @@
         version = known.version
         if not known.is_partial:
             return known, asked
-    raise AssertionError("it never ends")
+    raise AssertionError("the state is still incomplete after 99 parts")
 
 
 def test_a_gateway_that_missed_too_much_or_knows_another_term_gets_the_whole_state() -> None:
@@ -140,9 +140,9 @@
 def test_no_answer_is_too_large_for_the_timeout_of_a_keep_alive() -> None:
     """Load pattern: 999 upstreams and 99 gateways find a new leader after all hosts were lost.
 
-    Their state of 225 KB takes 144 ms on a link of 12.5 Mbit/s, and a keep-alive times out after
-    100 ms: sent whole, each gateway would ask for it again and again, over new connections, and
-    never get it.
+    The state of 225 KB takes 144 ms on a link of 12.5 Mbit/s, and a keep-alive times out after 100
+    ms. If it were sent whole, each gateway would ask for it again and again, over new connections,
+    and never get it.
     """
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=build_clock())
     records = Records()
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -19,7 +19,7 @@
 from .wire_site import WireHost, WireLeader, build_hosts, send_heartbeats
 
 TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
-"""As on the users' platform: 0.92 s, where upstreams grant 1 s at most."""
+"""As on the users' platform: leases of 0.92 s, where upstreams grant 1 s at most."""
 SEEDS = 20
 JOB = "a" * 16
 OTHER = "c" * 16
@@ -109,7 +109,7 @@
     assert world.starts == 12
 
 
-# Guards against starts and leases that a later instance takes for its own, in random plays.
+# Guards against a later instance that takes starts and leases of an earlier one for its own.
 @pytest.mark.parametrize("seed", range(12))
 def test_no_task_runs_twice_while_upstreams_restart(seed: int) -> None:
     leader, jobs = play_at_random(seed)
--- a/cottonlug/tests/wire_site.py
+++ b/cottonlug/tests/wire_site.py
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class _Connection:
-    """A connection to the process that is up when its first call arrives, and to no other."""
+    """A connection to the process that is up at its first call; it breaks when that one ends."""
 
     identity: str = ""
     process: ModelUpstream | None = None
@@ -149,7 +149,7 @@
     process: ModelUpstream = field(init=False)
     started_ms: int = field(init=False)
     pending: list[Callable[[], None]] = field(default_factory=list)
-    """Callbacks that break the calls the process has not answered, for when it crashes."""
+    """Callbacks that fail the unanswered calls of the process when it crashes."""
 
     def __post_init__(self) -> None:
         self._start_process()
