--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -187,10 +187,10 @@
     def find_restriction(self, task: TaskRef) -> StartRestriction:
         """Return how the next start of a task is restricted by the outcomes of earlier ones."""
         counts = self.get_counts(task)
-        unsure = self._unresolved_starts[task]
-        if not unsure:
+        unresolved = self._unresolved_starts[task]
+        if not unresolved:
             return StartRestriction.ALONE if counts.crashes else StartRestriction.NONE
-        starts = counts.starts + unsure
+        starts = counts.starts + unresolved
         if (
             starts >= MAX_UNRESOLVED_STARTS
             or counts.losses + self._unresolved_losses[task] >= MAX_LOSSES
@@ -234,9 +234,9 @@
 
 def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
     """Return the tasks recently started and still active at an upstream, and those lost there."""
-    young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
+    recent = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
     found = ActiveTasks(
-        confirmed=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
-        unconfirmed=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
+        confirmed=tuple(run.task for run in recent if run.phase is RunPhase.RUNNING),
+        unconfirmed=tuple(run.task for run in recent if run.phase is not RunPhase.RUNNING),
     )
     return found.join(instance.lost_tasks)
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -210,8 +210,10 @@
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
         return [task for task in tasks if known.get(task, NO_CRASHES).crashes == worst]
-    of_such_queues = [task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)]
-    return of_such_queues or list(tasks)
+    of_suspect_queues = [
+        task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)
+    ]
+    return of_suspect_queues or list(tasks)
 
 
 _NO_QUEUE = QueueKey("", "")
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -458,10 +458,12 @@
         changed = (*instances, *self._instances.pop_changed())
         for id, instance in {each.info.id: each for each in changed}.items():
             self._watcher.poll_if_due(instance, now)
-            if self._watcher.is_calm(instance, now) and (self._timers.has(id) or not instance.runs):
+            if self._watcher.has_nothing_due(instance, now) and (
+                self._timers.has(id) or not instance.runs
+            ):
                 # Nothing is due before its lease ends, and renewals only postpone that.
                 continue
-            self._timers.set(id, self._watcher.find_timer(instance, now))
+            self._timers.set(id, self._watcher.find_next_due(instance, now))
         if is_full_scan:
             self._scan_all(now)
 
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -27,7 +27,7 @@
         self.unseen: set[UpstreamId] = set()
         """Instances from earlier terms that have not answered in this one."""
         self._changed: dict[UpstreamId, Instance] = {}
-        self._added = 0
+        self._last_arrival_number = 0
         self.may_have_orphaned_runs = False
         """Whether any upstream may have a run whose job is unknown."""
         self._cached_usable_cores: tuple[timedelta, float] | None = None
@@ -59,12 +59,12 @@
         self, info: UpstreamInfo, recorded_through: int, draining: bool, now: timedelta
     ) -> Instance:
         """Track an instance; have an earlier one at its address or under its name polled."""
-        self._added += 1
+        self._last_arrival_number += 1
         instance = Instance(
             info=info,
             lease_terms=self._term.lease,
             recorded_through=recorded_through,
-            arrival_number=self._added,
+            arrival_number=self._last_arrival_number,
             proposed_through=recorded_through,
             draining=draining,
             is_evacuated=info.domain in self._term.records.evacuations.evacuated,
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -123,9 +123,9 @@
     _used_cpu: int = 0
     _used_memory: int = 0
     _used_gpus: int = 0
-    _orphaned: int = 0
-    _disputed: int = 0
-    _exclusive: int = 0
+    _orphaned_runs: int = 0
+    _disputed_runs: int = 0
+    _exclusive_runs: int = 0
     _clock_ms: float | None = None
     _clock_at: timedelta = timedelta()
 
@@ -186,7 +186,7 @@
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
             run.is_disputed = True
-            self._disputed += 1
+            self._disputed_runs += 1
 
     @property
     def free_cpu(self) -> int:
@@ -196,12 +196,12 @@
     @property
     def has_orphaned_runs(self) -> bool:
         """Whether there are runs whose jobs, and therefore whose needs, are unknown."""
-        return self._orphaned > 0
+        return self._orphaned_runs > 0
 
     @property
-    def has_disputed(self) -> bool:
+    def has_disputed_runs(self) -> bool:
         """Whether a run's lease must run out, so that nothing is started and no lease renewed."""
-        return self._disputed > 0
+        return self._disputed_runs > 0
 
     def has_free_capacity(self, needs: Needs) -> bool:
         """Return whether a task fits into the free capacity.
@@ -209,7 +209,7 @@
         Each orphaned run, whose needs are unknown, is assumed to need as much as the task.
         """
         capacity = self.info.capacity
-        counted_tasks = 1 + self._orphaned
+        counted_tasks = 1 + self._orphaned_runs
         return (
             needs.cpu_millis * counted_tasks <= capacity.cpu_millis - self._used_cpu
             and needs.memory_mb * counted_tasks <= capacity.memory_mb - self._used_memory
@@ -223,8 +223,8 @@
             and not self.is_cordoned
             and not self.draining
             and not self.is_evacuated
-            and not self.has_disputed
-            and not self._exclusive
+            and not self.has_disputed_runs
+            and not self._exclusive_runs
             and not self.is_over
             and self.failed_polls == 0
             and now >= self.avoid_until
@@ -238,9 +238,9 @@
         self._used_cpu += sign * run.needs.cpu_millis
         self._used_memory += sign * run.needs.memory_mb
         self._used_gpus += sign * run.needs.gpus
-        self._orphaned += sign * run.is_orphaned
-        self._disputed += sign * run.is_disputed
-        self._exclusive += sign * run.is_exclusive
+        self._orphaned_runs += sign * run.is_orphaned
+        self._disputed_runs += sign * run.is_disputed
+        self._exclusive_runs += sign * run.is_exclusive
 
     def _estimate_clock(self, now: timedelta) -> float | None:
         if self._clock_ms is None:
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -33,7 +33,7 @@
         self._instances = instances
         self._jobs = jobs
         self._reconciliation = reconciliation
-        self._orphaned: dict[JobId, list[RunEndReport]] = {}
+        self._orphaned_ends: dict[JobId, list[RunEndReport]] = {}
         """Ends of jobs that are unknown so far but may be submitted again."""
 
     def handle_listed_ends(
@@ -85,14 +85,14 @@
 
     def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
         """Apply ends that were listed before their job was submitted again."""
-        for end in self._orphaned.pop(record.id, []):
+        for end in self._orphaned_ends.pop(record.id, []):
             record_run_end(record, end, self._term.wall_ms())
             self._apply_recorded_end(end, None, now)
 
     def forget_orphaned_ends(self, now: timedelta) -> None:
         """Drop ends whose jobs were not submitted again within the grace period."""
-        if self._orphaned and not self._instances.is_in_grace_period(now):
-            self._orphaned.clear()
+        if self._orphaned_ends and not self._instances.is_in_grace_period(now):
+            self._orphaned_ends.clear()
 
     def _detect_other_coordinator(self, instance: Instance, run: Run, end: RunEndReport) -> None:
         """Detect, from a stop that another host sent, that a host with a higher token coordinates.
@@ -146,7 +146,7 @@
             record_run_end(job.record, end, self._term.wall_ms())
             self._apply_recorded_end(end, upstream, now)
         elif self._instances.is_in_grace_period(now):
-            self._orphaned.setdefault(end.task.job, []).append(end)
+            self._orphaned_ends.setdefault(end.task.job, []).append(end)
 
     def _apply_recorded_end(
         self, end: RunEndReport, upstream: UpstreamId | None, now: timedelta
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -98,7 +98,7 @@
         wait = self._find_poll_wait(instance, now) if instance.runs and is_calm else timedelta()
         self._send_poll(instance, wait, now)
 
-    def is_calm(self, instance: Instance, now: timedelta) -> bool:
+    def has_nothing_due(self, instance: Instance, now: timedelta) -> bool:
         """Return whether nothing falls due at an upstream before the end of its lease."""
         return (
             instance.is_fenced
@@ -111,7 +111,7 @@
             )
         )
 
-    def find_timer(self, instance: Instance, now: timedelta) -> timedelta | None:
+    def find_next_due(self, instance: Instance, now: timedelta) -> timedelta | None:
         """Return the next time at which something is due at an upstream, or None.
 
         Called once everything that was due is done. None means that only an event can change
@@ -145,7 +145,9 @@
     def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
         # An unanswered poll may still renew the lease, which would then never lapse while polls are
         # repeated: leases are renewed only at upstreams that answer.
-        renews = bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed
+        renews = (
+            bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed_runs
+        )
         expires_ms = instance.grant_lease(now) if renews else None
         is_probe = instance.is_poll_pending
         if not is_probe and not instance.is_fenced:
@@ -317,7 +319,7 @@
                     now - instance.lapse_at + instance.lease_terms.lapse_after
                 ),
                 "failed_looks": instance.failed_polls,
-                "disputed": int(instance.has_disputed),
+                "disputed": int(instance.has_disputed_runs),
             },
         )
         instance.is_fenced = False
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -77,7 +77,7 @@
         self.upstreams[info.id] = upstream
         return upstream
 
-    def start_again(self, crashed: ModelUpstream) -> None:
+    def restart(self, crashed: ModelUpstream) -> None:
         """Start another instance at the address of an upstream that has crashed."""
 
         def begin() -> None:
@@ -85,20 +85,20 @@
             name = f"{crashed.info.id.partition('v')[0]}v{next(self.instances)}"
             fresh = self.add(name, 0, crashed.info.domain)
             fresh.info = msgspec.structs.replace(fresh.info, labels=crashed.info.labels)
-            self.beat(fresh)
+            self.send_heartbeats(fresh)
 
         self.world.at(self.back_after(), begin)
 
-    def beat(self, upstream: ModelUpstream) -> None:
+    def send_heartbeats(self, upstream: ModelUpstream) -> None:
         """Send heartbeats for as long as the upstream is up."""
         if not upstream.is_up:
             return
         if not self.leader.is_over and upstream.info.id not in self.leader.cut_off:
             self.leader.dispatch.handle_heartbeat(upstream.build_heartbeat(), self.world.now)
             self.leader.act()
-        self.world.at(milliseconds(500), lambda: self.beat(upstream))
+        self.world.at(milliseconds(500), lambda: self.send_heartbeats(upstream))
 
-    def lead(self, term: int) -> None:
+    def elect_leader(self, term: int) -> None:
         """Replace the leader by another host, after the time that an election takes."""
         if self.leaders:
             self.leader.is_over = True
@@ -140,10 +140,10 @@
         back_after=lambda: timedelta(seconds=back_after),
         run_ms=lambda: run_ms,
     )
-    site.world.on_crash = site.start_again
-    site.lead(1)
+    site.world.on_crash = site.restart
+    site.elect_leader(1)
     for number in range(racks * RACK):
-        site.beat(site.add(f"u{number + 1}", number // RACK, f"d{number % 2}"))
+        site.send_heartbeats(site.add(f"u{number + 1}", number // RACK, f"d{number % 2}"))
     site.run_for(0.1)
     return site
 
@@ -206,7 +206,7 @@
     job = site.submit(durable=True, poison=1)
     site.run_for(2.6)
     assert site.count_crashes(job) >= 1
-    site.lead(2)
+    site.elect_leader(2)
     site.run_for(20)
     assert site.find_state(job) is JobState.FAILED
     assert site.count_crashes(job) == 2
@@ -223,7 +223,7 @@
     site.run_for(1.4)
     assert site.count_crashes(job) >= 1
     assert not site.records.suspects
-    site.lead(2)
+    site.elect_leader(2)
     site.run_for(4.0)
     assert site.records.suspects
     site.run_for(20)
@@ -269,7 +269,7 @@
     site = build_site(9)
     job = site.submit(durable=False, poison=1)
     site.run_for(20)
-    site.lead(2)
+    site.elect_leader(2)
     assert site.leader.dispatch.has_quarantined_task(job)
 
 
@@ -296,7 +296,7 @@
                 if rack in upstream.info.labels and upstream.is_up:
                     upstream.crash()
         if chance.random() < 0.05:
-            site.lead(len(site.leaders) + 1)
+            site.elect_leader(len(site.leaders) + 1)
         site.run_for(0.3)
     site.run_for(30)
     states = [site.find_state(job) for job in sound]
