--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -36,7 +36,8 @@
 LARGEST_RACK = 64
 """A label that more upstreams have than this does not name a rack."""
 MAX_REPORTED_SUSPECTS = 1_000
-"""Suspects that gateways have reported; the oldest belong to jobs that ended long ago."""
+"""Most suspects kept of those that gateways have reported; the oldest, which are dropped first,
+belong to jobs that ended long ago."""
 
 
 class CrashTracker:
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -58,7 +58,7 @@
     info: UpstreamInfo
     lease_terms: LeaseTerms
     recorded_through: int
-    """Number of the last run end that the replicated state has recorded."""
+    """Number of the last run end that is recorded, and so can be confirmed to the upstream."""
     arrival_number: int = 0
     """Position in the order in which this leader learned of instances; breaks ties."""
     draining: bool = False
@@ -76,15 +76,15 @@
     is_fenced: bool = False
     """Whether it has answered a poll of this leader's term, so that its runs are known."""
     proposed_through: int = 0
-    """Number of the last run end that was proposed to the log."""
+    """Number of the last run end that was proposed to the log or recorded without it."""
     confirmed_through: int = 0
     """Number of the last run end whose recording was confirmed to the upstream."""
     sequence: int = 0
     """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
     reported_at: timedelta | None = None
-    """The earliest time at which its last capacity report can have been sent; None if unknown."""
+    """The latest time at which its last capacity report can have been sent; None if unknown."""
     is_capacity_doubted: bool = False
-    """Whether the replicated state says that a heartbeat was missed."""
+    """Whether a heartbeat has been missed since the last capacity report."""
     has_unreadable_capacity: bool = False
     """Whether the capacity in its last report could not be read."""
     refusals: int = 0
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -21,28 +21,29 @@
 LONG_POLL_WAIT = timedelta(milliseconds=200)
 """Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
 MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
-"""Shorter long polls would cost more calls than their answers are worth."""
+"""Shortest time that a long poll is held: with less, polls would cost more calls than their answers
+are worth."""
 POLL_RETRY_STEP = timedelta(milliseconds=100)
 """Increase of the delay before a failed poll is repeated, with each failure; also the interval of
 probes while an unanswered start is being resolved."""
 MAX_STRAGGLERS_SHARE = 0.1
-"""While a smaller share of the upstreams than this has not answered a new leader, these are polled
-by several calls at once: all jobs wait for what runs there."""
+"""While at most this share of the upstreams has not answered a new leader, these stragglers are
+polled by several calls at once: all jobs wait for what runs there."""
 STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
-"""How long an unanswered poll of such an upstream is waited for before the next one is sent."""
+"""Time after which another poll is sent to a straggler beside an unanswered one."""
 PROBE_CHECK_INTERVAL = timedelta(milliseconds=20)
-"""Whether an upstream is one of the last depends on all others, so it is checked again this often.
-"""
+"""Whether an upstream is a straggler depends on all others, so it is checked again this often."""
 MAX_STRAGGLER_POLLS = 8
-"""After this many failed polls an upstream counts as unreachable, and is polled like any other."""
+"""After this many failed polls a straggler counts as unreachable, and is polled like any other."""
 MAX_RETRY_STEPS = 10
-"""The delay stops growing after this many failures."""
+"""The delay before a failed poll is repeated stops growing after this many failures."""
 ORPHAN_TOLERATED_FOR = timedelta(milliseconds=300)
 """How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
 that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
 renewed."""
 DISPUTED_TOLERATED_FOR = timedelta(milliseconds=100)
-"""The same for a run that an acting leader, or a leader beside one, may still coordinate."""
+"""The same for a run whose job an acting leader, or a leader that an acting leader does not reach,
+may still coordinate."""
 FAILED_POLLS_BEFORE_CORDON = 2
 """Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -3,8 +3,8 @@
 A play is one simulation, determined by its script: the fault that is injected when the order with a
 given number is sent. With an empty script nothing fails. The explorer plays all scripts of up to a
 number of faults. A fault changes only what comes after it, so each script is extended at later
-orders only, and a script whose last fault changed nothing is not extended. The wire model asserts
-the invariants.
+orders only, and not at all if no order follows its last fault. The wire model asserts the
+invariants.
 """
 
 from __future__ import annotations
