--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -26,7 +26,7 @@
 ) -> Metrics:
     """Return the metrics of a control host; `idle` are its connections to upstreams."""
 
-    def count() -> dict[str, float]:
+    def read_counters() -> dict[str, float]:
         counts: dict[str, float] = dict.fromkeys(_DISPATCH_COUNTS, 0.0)
         if host.leadership is not None:
             counts.update(dataclasses.asdict(host.leadership.dispatch.counts))
@@ -37,7 +37,7 @@
         counts["log_lines_left_out"] = output.dropped
         return counts
 
-    def gauge() -> dict[str, float]:
+    def read_gauges() -> dict[str, float]:
         gauges = {"term": float(host.replica.term), "is_leader": float(host.replica.is_leader)}
         gauges.update(dict.fromkeys(_DISPATCH_GAUGES, 0.0))
         gauges["jobs_kept"] = len(host.replicated.records.jobs)
@@ -47,7 +47,7 @@
             gauges.update(_read_dispatch_gauges(host))
         return gauges
 
-    metrics = Metrics(counters=count, gauges=gauge)
+    metrics = Metrics(counters=read_counters, gauges=read_gauges)
     host.record_keepalive_age = metrics.add_histogram("greeting_age_ms", DELAY_BOUNDS_MS)
     host.record_decision_gap = metrics.add_histogram("between_decisions_ms", DELAY_BOUNDS_MS)
     return metrics
@@ -56,21 +56,21 @@
 def build_gateway_metrics(gateway: Gateway, output: LogOutput) -> Metrics:
     """Return the metrics of a gateway, including the duration of its calls."""
 
-    def count() -> dict[str, float]:
+    def read_counters() -> dict[str, float]:
         counts = {f"calls_{name}": float(value) for name, value in gateway.outcomes.items()}
-        counts["calls_held_to_end"] = gateway.held_to_end
-        counts["calls_held_back"] = gateway.held_back
+        counts["calls_held_to_end"] = gateway.timeout_failure_count
+        counts["calls_held_back"] = gateway.withheld_count
         counts["log_lines_left_out"] = output.dropped
         return counts
 
-    def gauge() -> dict[str, float]:
+    def read_gauges() -> dict[str, float]:
         return {
             "ready": float(gateway.is_ready()),
             "is_deputy": float(gateway.acting_leader is not None),
             "peak_memory_mb": _read_peak_memory(),
         }
 
-    metrics = Metrics(counters=count, gauges=gauge)
+    metrics = Metrics(counters=read_counters, gauges=read_gauges)
     gateway.record_refusal = metrics.add_histogram("refusal_over_objective", REFUSAL_BOUNDS)
     gateway.link.record_change = metrics.add_histogram("without_decider_ms", CALL_BOUNDS_MS)
     gateway.record_call = metrics.add_histogram("call_ms", CALL_BOUNDS_MS)
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -81,17 +81,17 @@
         self.replicated = ReplicatedRecords()
         self.record_keepalive_age: Callable[[float], object] = lambda age_ms: None
         """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
-        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
+        self.record_decision_gap: Callable[[float], object] = lambda gap_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
         self._clock = clock
         self._port = port
         self._on_failure = on_failure
         self._pools = ConnectionPools(port=settings.urgent_port)
-        self._order_pools = ConnectionPools(port=settings.urgent_port)
+        self._idempotent_pools = ConnectionPools(port=settings.urgent_port)
         """Used for idempotent calls only. A call forwarded for a gateway is abandoned and its
         connection closed as soon as it is late, and a busy leader accepts new connections late."""
-        self._job_lines = JobChannelServer(
+        self._job_channels = JobChannelServer(
             answer=self.answer, clock=clock, find_slack=self._find_slack
         )
         self._idempotent_calls = IdempotentCalls(
@@ -151,7 +151,7 @@
         self._update_leadership()
         await self.replica.stop()
         self._pools.close()
-        self._order_pools.close()
+        self._idempotent_pools.close()
 
     async def answer(self, call: Call, *, is_forwarded: bool = False) -> Answer:
         """Answer a call here if this host is the leader, else forward it to the leader."""
@@ -188,7 +188,7 @@
 
         A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
-        taken = self._job_lines.handle_at_once(request)
+        taken = self._job_channels.handle_at_once(request)
         if taken is not None:
             return taken
         if self.leadership is None or not self.replica.has_lease():
@@ -201,8 +201,8 @@
     async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
         """Answer a request from another host of the cluster."""
         try:
-            if self._job_lines.handles(request.path):
-                return await self._job_lines.handle(request)
+            if self._job_channels.handles(request.path):
+                return await self._job_channels.handle(request)
             if request.path == MESSAGES_PATH:
                 batch = msgspec.json.decode(request.body, type=ConsensusBatch)
                 return _reply(self.replica.receive(batch))
@@ -220,12 +220,12 @@
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=404)
 
-    async def _report_heartbeats(self, heard: ReportHeartbeats) -> Answer:
+    async def _report_heartbeats(self, report: ReportHeartbeats) -> Answer:
         """Report to the leader which upstreams' heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no other host leads")
-        return await self._forward(leader, heard, HEARTBEAT_REPORT_TIMEOUT, self._pools)
+        return await self._forward(leader, report, HEARTBEAT_REPORT_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
@@ -237,8 +237,8 @@
 
     async def _wait_for_leader(self) -> None:
         """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
-        give_up_at = self._clock.monotonic() + KEEPALIVE_PARK_TIME
-        while self._clock.monotonic() < give_up_at and not self._is_stopping:
+        deadline = self._clock.monotonic() + KEEPALIVE_PARK_TIME
+        while self._clock.monotonic() < deadline and not self._is_stopping:
             leader = self.replica.leader_host
             if leader is not None and leader != str(self._settings.listen.peers):
                 return
@@ -283,7 +283,7 @@
 
     async def _forward_with_retry(self, leader: str, call: Call) -> Answer:
         """Forward a call, and repeat it over a new connection if there is no answer in time."""
-        pools = self._order_pools
+        pools = self._idempotent_pools
         answer = await self._forward(leader, call, FIRST_ATTEMPT_TIMEOUT, pools)
         if answer.outcome is not Outcome.UNKNOWN:
             return answer
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -289,10 +289,10 @@
             return True
         self.confirmations.record_contact(answer)
         self.follow(host if via is Via.RELAY else answer.leader or host, via)
-        self._receive_answered_state(answer)
+        self._receive_failover_state_of_answer(answer)
         return True
 
-    def _receive_answered_state(self, answer: Answer) -> None:
+    def _receive_failover_state_of_answer(self, answer: Answer) -> None:
         """Store the failover state in a leader's answer, which has none if nothing has changed."""
         if self.failover_store.receive_answer(answer):
             self._acting_periods = 0
@@ -461,7 +461,7 @@
         if not answer.is_acting_leader:
             self.confirmations.record_contact(answer)
             self.follow(gateway, Via.RELAY)
-            self._receive_answered_state(answer)
+            self._receive_failover_state_of_answer(answer)
         elif self._clock.monotonic() - self._leader_seen_at >= ACT_AS_LEADER_AFTER_SILENCE:
             self.confirmations.record_contact(answer)
             self.follow(gateway, Via.ACTING_LEADER)
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -179,7 +179,7 @@
         if isinstance(known, JobAnswer):
             return Success(known)
         if not known.ended:
-            await self._wait_end(known, min(wait_seconds, MAX_WAIT_SECONDS))
+            await self._wait_for_end(known, min(wait_seconds, MAX_WAIT_SECONDS))
         if not known.ended:
             return Success(build_status(known))
         self._unfetched.discard(id)
@@ -208,7 +208,7 @@
             return Success(status)
         known = self.dispatcher.store.jobs[status.id]
         while not known.ended:
-            await self._wait_end(known, MAX_WAIT_SECONDS)
+            await self._wait_for_end(known, MAX_WAIT_SECONDS)
         self._unfetched.discard(known.id)
         return Success(build_answer(known))
 
@@ -290,7 +290,7 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def _wait_end(self, job: Job, seconds: float) -> None:
+    async def _wait_for_end(self, job: Job, seconds: float) -> None:
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         waiters = self._job_waiters.setdefault(job.id, [])
         waiters.append(waiter)
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -73,12 +73,14 @@
         """Called with the duration of each call in milliseconds."""
         self.record_refusal: Callable[[float], object] = lambda share: None
         """Called for each job that was not served with the time taken divided by its objective."""
-        self.held_to_end = 0
+        self.timeout_failure_count = 0
         """Number of failed calls that were answered only when their callers' wait timed out."""
-        self.held_back = 0
+        self.withheld_count = 0
         """How often a job was withheld from a coordinator whose answer was overdue."""
         self._clock = clock
-        self.calls = PeerCalls(own=str(settings.listen.peers), urgent_port=settings.urgent_port)
+        self.calls = PeerCalls(
+            own_address=str(settings.listen.peers), urgent_port=settings.urgent_port
+        )
         self._job_channels = JobChannelServer(
             answer=self.answer_peer, clock=clock, find_slack=self._find_slack
         )
@@ -200,7 +202,7 @@
         self.record_call(took / timedelta(milliseconds=1))
         if answer.outcome in _EXPECTED_OUTCOMES:
             return
-        self.held_to_end += took >= timeout - MIN_TRY_TIME
+        self.timeout_failure_count += took >= timeout - MIN_TRY_TIME
         queue = self._find_queue(call) if isinstance(call, Submit) else None
         if isinstance(call, Submit) and queue is not None:
             self.record_refusal(took / find_declared_objective(queue, call.spec))
@@ -228,17 +230,17 @@
             ):
                 break
             via = self.link.via
-            deputy_term = self.link.acting_leader_term if via is Via.ACTING_LEADER else 0
+            acting_leader_term = self.link.acting_leader_term if via is Via.ACTING_LEADER else 0
             if isinstance(call, Submit):
                 waited_ms = to_milliseconds(now - began_at)
                 call = msgspec.structs.replace(call, waited_ms=waited_ms)
             answer = await self._try_once(call, left)
-            is_open = answer.outcome in (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
+            is_undecided = answer.outcome in (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
             if answer.outcome is Outcome.UNKNOWN:
                 is_unknown = True
                 unavailable_since = None
                 if isinstance(call, Submit):
-                    call = _mark_begun(call, deputy_term, via)
+                    call = _mark_begun(call, acting_leader_term, via)
                     call = _add_suspects(call, answer)
             elif answer.outcome is Outcome.UNAVAILABLE:
                 unavailable_since = now if unavailable_since is None else unavailable_since
@@ -248,7 +250,7 @@
             else:
                 return answer
             waited = self._clock.monotonic() - began_at
-            if is_open and isinstance(call, Submit) and self._is_hopeless(call, waited):
+            if is_undecided and isinstance(call, Submit) and self._is_hopeless(call, waited):
                 break
             await self.link.wait_for_change(RETRY_SECONDS)
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
@@ -277,14 +279,14 @@
 
     async def _try_once(self, call: Call, timeout: timedelta) -> Answer:
         if self.acting_leader is not None:
-            return await _call_itself(self.acting_leader, call, timeout)
+            return await _call_own_acting_leader(self.acting_leader, call, timeout)
         host = self.link.coordinator
         if host is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no coordinator is known")
         if isinstance(call, Submit) and self.link.is_overdue():
-            self.held_back += 1
+            self.withheld_count += 1
             return Answer(outcome=Outcome.UNAVAILABLE, detail=COORDINATOR_OVERDUE)
-        sent_call = _to_acting_leader(call) if self.link.via is Via.ACTING_LEADER else call
+        sent_call = _clear_acting_leader_term(call) if self.link.via is Via.ACTING_LEADER else call
         answer = await self.calls.ask(host, sent_call, timeout)
         is_still_coordinator = answer.detail in (
             NO_CONFIGURATION,
@@ -342,12 +344,12 @@
         return answer
 
 
-def _mark_begun(call: Submit, deputy_term: int, via: Via) -> Submit:
+def _mark_begun(call: Submit, acting_leader_term: int, via: Via) -> Submit:
     """Return a submission marked as possibly started, by an acting leader of that term if any."""
     return msgspec.structs.replace(
         call,
         may_have_begun=True,
-        acting_leader_term=max(deputy_term, call.acting_leader_term),
+        acting_leader_term=max(acting_leader_term, call.acting_leader_term),
         # A relay may have begun to act as leader before it handled the call.
         may_be_of_acting_leader=call.may_be_of_acting_leader or via is not Via.LEADER,
     )
@@ -358,7 +360,7 @@
     return msgspec.structs.replace(call, suspects=answer.suspects or call.suspects)
 
 
-def _to_acting_leader(call: Call) -> Call:
+def _clear_acting_leader_term(call: Call) -> Call:
     """Return a call as sent to an acting leader.
 
     The term of an earlier acting leader is cleared, since the new one has a higher fencing token.
@@ -368,23 +370,25 @@
     return call
 
 
-async def _call_itself(acting_leader: ActingLeader, call: Call, timeout: timedelta) -> Answer:
+async def _call_own_acting_leader(
+    acting_leader: ActingLeader, call: Call, timeout: timedelta
+) -> Answer:
     """Answer a call of this gateway's own callers while it acts as leader, within a timeout."""
     try:
         async with asyncio.timeout(timeout.total_seconds()):
-            return await acting_leader.leadership.answer(_to_itself(call))
+            return await acting_leader.leadership.answer(_clear_own_gateway(call))
     except TimeoutError:
         return Answer(outcome=Outcome.UNKNOWN, detail="no reply in time")
 
 
-def _to_itself(call: Call) -> Call:
+def _clear_own_gateway(call: Call) -> Call:
     """Return a call as this gateway answers it itself.
 
     The gateway's address is cleared: it cannot lose contact with itself.
     """
     if isinstance(call, Submit | Abandon):
         call = msgspec.structs.replace(call, gateway="")
-    return _to_acting_leader(call)
+    return _clear_acting_leader_term(call)
 
 
 def _get_relay_timeout(call: Call) -> timedelta:
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -40,7 +40,7 @@
         """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
         """Until then no gateway can exceed the contact timeout."""
-        self.on_silence: Callable[[str], object] = lambda gateway: None
+        self.on_reconnect: Callable[[str], object] = lambda gateway: None
         """Called when a gateway is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
         """Called when a keep-alive comes from a new process at the address of a gateway."""
@@ -103,7 +103,7 @@
         """
         known = self._sent_at.get(gateway)
         if known is not None and not self.is_connected(gateway):
-            self.on_silence(gateway)
+            self.on_reconnect(gateway)
         self._sent_at[gateway] = max(sent_at, known or sent_at)
 
     def build_contact(self) -> Contact:
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -47,7 +47,7 @@
 """An order that was not sent within this time, for want of a heartbeat, is withdrawn."""
 ANSWER_EXPIRY = timedelta(seconds=1)
 """An upstream stops waiting for the answer to its heartbeat after this time."""
-RESOLVED_WITHIN = ANSWER_EXPIRY + timedelta(milliseconds=500)
+RESOLUTION_TIMEOUT = ANSWER_EXPIRY + timedelta(milliseconds=500)
 MAX_DELIVERY_DELAY = MAX_QUEUE_TIME + ANSWER_EXPIRY
 """The longest time from the decision on an order to its arrival at the upstream."""
 ORDER_CHECK_SECONDS = 0.05
@@ -74,7 +74,7 @@
     waiting: list[_QueuedOrder] = field(default_factory=list)
     sent: list[_QueuedOrder] = field(default_factory=list)
     last_seen: int = 0
-    has_news: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class HeartbeatPort:
@@ -97,7 +97,7 @@
         """Answer all parked heartbeats, without orders."""
         self._is_over = True
         for queue in self._queues.values():
-            queue.has_news.set()
+            queue.changed.set()
 
     # Orders of the coordinator
 
@@ -106,12 +106,12 @@
         item = await self._queue_order(order)
         if item.sent_at is None:
             return StartOutcome.NOT_SENT, None
-        lists = item.resolved.result() if item.resolved.done() else None
-        if lists is None:
+        run_lists = item.resolved.result() if item.resolved.done() else None
+        if run_lists is None:
             return StartOutcome.UNKNOWN, None
         key = (order.task, order.run)
-        is_there = _has_run(lists, key)
-        return (StartOutcome.STARTED if is_there else StartOutcome.IGNORED), lists.clock_ms
+        has_run = _has_run(run_lists, key)
+        return (StartOutcome.STARTED if has_run else StartOutcome.IGNORED), run_lists.clock_ms
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop with the next answer; return None once it has arrived."""
@@ -121,8 +121,8 @@
     async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
         """Renew a lease with the next answer, and return the lists of the heartbeat after it."""
         item = await self._queue_order(order)
-        lists = item.resolved.result() if item.resolved.done() else None
-        return lists if lists is not None else CallFailure.NO_ANSWER
+        run_lists = item.resolved.result() if item.resolved.done() else None
+        return run_lists if run_lists is not None else CallFailure.NO_ANSWER
 
     async def _queue_order(self, order: Order) -> _QueuedOrder:
         """Queue an order and wait until it is resolved or can no longer be."""
@@ -130,7 +130,7 @@
         resolved: asyncio.Future[PollReply | None] = asyncio.get_running_loop().create_future()
         item = _QueuedOrder(order=order, queued_at=self._clock.monotonic(), resolved=resolved)
         queue.waiting.append(item)
-        queue.has_news.set()
+        queue.changed.set()
         while not resolved.done():
             await asyncio.wait([resolved], timeout=ORDER_CHECK_SECONDS)
             now = self._clock.monotonic()
@@ -138,7 +138,7 @@
                 if item in queue.waiting:
                     queue.waiting.remove(item)
                 return item
-            if item.sent_at is not None and now - item.sent_at > RESOLVED_WITHIN:
+            if item.sent_at is not None and now - item.sent_at > RESOLUTION_TIMEOUT:
                 return item
         return item
 
@@ -159,17 +159,17 @@
         self._on_listening_change(heartbeat.info.id, False)
         return self._build_orders(queue, token)
 
-    def _resolve_sent(self, queue: _UpstreamQueue, lists: PollReply) -> None:
+    def _resolve_sent(self, queue: _UpstreamQueue, run_lists: PollReply) -> None:
         sent, queue.sent = queue.sent, []
         for item in sent:
             if not item.resolved.done():
-                item.resolved.set_result(lists)
+                item.resolved.set_result(run_lists)
 
     async def _park(self, queue: _UpstreamQueue, heartbeat: Heartbeat) -> None:
         """Park an answer until there is an order to send or the upstream is to report again."""
         began_at = self._clock.monotonic()
         while not self._is_over and heartbeat.sequence == queue.sequence:
-            queue.has_news.clear()
+            queue.changed.clear()
             if any(not isinstance(item.order, PollOrder) for item in queue.waiting):
                 return
             left = began_at + _find_park_time(queue, heartbeat) - self._clock.monotonic()
@@ -177,7 +177,7 @@
                 return
             try:
                 async with asyncio.timeout(left.total_seconds()):
-                    await queue.has_news.wait()
+                    await queue.changed.wait()
             except TimeoutError:
                 continue
 
@@ -217,22 +217,22 @@
         )
 
 
-def _has_run(lists: PollReply, key: tuple[TaskRef, RunNumber]) -> bool:
-    return any((run.task, run.run) == key for run in lists.running) or any(
-        (end.task, end.run) == key for end in lists.ended
+def _has_run(run_lists: PollReply, key: tuple[TaskRef, RunNumber]) -> bool:
+    return any((run.task, run.run) == key for run in run_lists.running) or any(
+        (end.task, end.run) == key for end in run_lists.ended
     )
 
 
 def _find_park_time(queue: _UpstreamQueue, heartbeat: Heartbeat) -> timedelta:
     """Return how long an answer is parked while there is no start or stop to send with it."""
-    looks = [item.order for item in queue.waiting if isinstance(item.order, PollOrder)]
-    if not looks:
+    polls = [item.order for item in queue.waiting if isinstance(item.order, PollOrder)]
+    if not polls:
         return (
             CONFIRMATION_PARK_TIME if heartbeat.draining or _is_busy(heartbeat) else IDLE_PARK_TIME
         )
-    if any(not order.wait for order in looks):
+    if any(not order.wait for order in polls):
         return CONFIRMATION_PARK_TIME
-    until_report = min(order.first_end for order in looks) - MIN_HEARTBEAT_GAP
+    until_report = min(order.first_end for order in polls) - MIN_HEARTBEAT_GAP
     return min(max(until_report, timedelta()), MAX_BUSY_PARK_TIME)
 
 
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -77,7 +77,7 @@
             self._reported_at = asked_at
 
     def _build_report(self, now: timedelta) -> ReportHeartbeats:
-        heard, self._unreported = self._unreported, {}
+        reported, self._unreported = self._unreported, {}
         return ReportHeartbeats(
             responder=self._control_address,
             upstreams=tuple(
@@ -87,7 +87,7 @@
                     clock_ms=heartbeat.clock_ms,
                     age_ms=to_milliseconds(now - at),
                 )
-                for id, (heartbeat, at) in heard.items()
+                for id, (heartbeat, at) in reported.items()
             ),
         )
 
@@ -115,9 +115,9 @@
 class ResponderDirectory:
     """The responders that the leader has heard, and the assignment of upstreams to them."""
 
-    def __init__(self, *, clock: Clock, own: str | None) -> None:
+    def __init__(self, *, clock: Clock, own_address: str | None) -> None:
         self._clock = clock
-        self._own = own
+        self._own_address = own_address
         self._reported_at: dict[str, timedelta] = {}
 
     def record_report(self, responder: str) -> None:
@@ -133,7 +133,7 @@
         """Return where an upstream sends its heartbeats; stable while the responders are."""
         responders = self.list_active()
         if not responders:
-            return self._own
+            return self._own_address
         return responders[_hash_upstream(upstream) % len(responders)]
 
 
--- a/cottonlug/runtime/idempotent_calls.py
+++ b/cottonlug/runtime/idempotent_calls.py
@@ -21,7 +21,7 @@
 from ..core.cluster.records import Records, UpstreamRecord
 from ..core.ids import HostId
 
-HANG_UP_GRACE_SECONDS = 0.03
+DISCONNECT_GRACE_SECONDS = 0.03
 """How long an evacuation order is delayed before it counts as received.
 
 After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
@@ -47,7 +47,7 @@
 
     async def assign_order_id(self, call: Evacuate) -> Evacuate:
         """Return an order with a new id and the domain's revision at its receipt."""
-        await asyncio.sleep(HANG_UP_GRACE_SECONDS)
+        await asyncio.sleep(DISCONNECT_GRACE_SECONDS)
         revision = self._get_records().evacuations.get(call.domain).revision
         order = OrderId(f"{self._prefix}.{next(self._numbers)}")
         return msgspec.structs.replace(call, base_revision=revision, order=order)
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -54,7 +54,7 @@
         caller_retry: timedelta,
         propose: Callable[[Command, Hashable], Awaitable[Answer]],
         wait: Callable[[Hashable], Awaitable[Answer]],
-        wake: Callable[[], None],
+        schedule_decision: Callable[[], None],
     ) -> None:
         self._authority = authority
         self._term = authority.term
@@ -66,10 +66,10 @@
         self._terms = terms
         self._caller_retry = caller_retry
         self._propose = propose
-        self._wait = wait
+        self._wait_for_commit = wait
         self._abandoned: dict[tuple[str, int], timedelta] = {}
         """Abandoned submissions, by gateway and number, with the time when they were abandoned."""
-        self._wake = wake
+        self._schedule_decision = schedule_decision
 
     async def answer_submit(self, call: Submit) -> Answer:
         """Accept a job; a best-effort job is answered when it has ended."""
@@ -97,9 +97,9 @@
         if call.spec.best_effort and self._dispatch.jobs.is_open(job):
             submission = self._build_submission(call, sent_at or timedelta())
             self._dispatch.merge_submission(job, submission, self._clock.monotonic())
-            return await self._wait_end(job)
+            return await self._wait_for_end(job)
         if ("job", job) in self._waiters:
-            return await self._wait(("job", job))
+            return await self._wait_for_commit(("job", job))
         if JOB_ID_PATTERN.fullmatch(job) is None:
             return Answer(outcome=Outcome.INVALID, detail="the id is not 16 hexadecimal digits")
         problem = find_job_problem(call.spec)
@@ -115,7 +115,7 @@
             return _reject(job, rejection)
         if call.spec.best_effort:
             return await self._run_to_end(job, queue, call, sent_at or timedelta())
-        at_ms = self._read_wall() - call.waited_ms
+        at_ms = self._read_wall_ms() - call.waited_ms
         command = AcceptJob(job=job, queue=queue, spec=call.spec, at_ms=at_ms)
         return await self._propose(command, ("job", job))
 
@@ -125,7 +125,7 @@
         if isinstance(found, Answer):
             return found
         self._dispatch.abandon(found[1], call.gateway, self._clock.monotonic())
-        self._wake()
+        self._schedule_decision()
         return Answer(outcome=Outcome.DONE)
 
     def abandon_submission(self, gateway: str, submission: AbandonedSubmission) -> bool:
@@ -170,14 +170,14 @@
             return found
         _, job = found
         if self._dispatch.cancel(job, self._clock.monotonic()):
-            self._wake()
+            self._schedule_decision()
             return Answer(outcome=Outcome.DONE)
         record = self._records.jobs.get(job)
         if record is None and ("job", job) not in self._waiters:
             return Answer(outcome=Outcome.NO_JOB)
         if record is not None and not record.is_open:
             return Answer(outcome=Outcome.DONE, state=record.state)
-        command = CancelJob(job=job, at_ms=self._read_wall())
+        command = CancelJob(job=job, at_ms=self._read_wall_ms())
         return await self._propose(command, ("cancel", job))
 
     def _find_queue(self, host: str, path: str) -> tuple[Queue, JobId] | Answer:
@@ -191,12 +191,12 @@
         self, job: JobId, queue: Queue, call: Submit, sent_at: timedelta
     ) -> Answer:
         """Run a best-effort job, and answer when it has ended."""
-        record = JobRecord(id=job, queue=queue, spec=call.spec, accepted_ms=self._read_wall())
+        record = JobRecord(id=job, queue=queue, spec=call.spec, accepted_ms=self._read_wall_ms())
         now = self._clock.monotonic()
         submission = self._build_submission(call, sent_at)
         self._dispatch.submit(record, submission, now)
-        self._wake()
-        return await self._wait_end(job)
+        self._schedule_decision()
+        return await self._wait_for_end(job)
 
     def _build_submission(self, call: Submit, sent_at: timedelta) -> Submission:
         longest = self._terms.lapse_after + GATEWAY_TIMEOUT
@@ -212,7 +212,7 @@
             waited=timedelta(milliseconds=call.waited_ms),
         )
 
-    async def _wait_end(self, job: JobId) -> Answer:
+    async def _wait_for_end(self, job: JobId) -> Answer:
         if self._dispatch.jobs.is_open(job) and not await self._waiters.wait_for(("end", job)):
             suspects = self._dispatch.jobs.crash_tracker.list_suspects(job)
             detail = "this host is no longer the leader"
@@ -227,7 +227,7 @@
             return Answer(outcome=Outcome.UNKNOWN, detail="the job was abandoned")
         return Answer(outcome=Outcome.DONE, state=state)
 
-    def _read_wall(self) -> int:
+    def _read_wall_ms(self) -> int:
         return int(self._clock.now().timestamp() * 1000)
 
 
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -108,8 +108,8 @@
                 continue
             channel.received_through = job.number
             channel.running_count += 1
-            last_use = now + self._find_slack(job.submit)
-            entry = (last_use, next(self._order), job.number, channel, job.submit)
+            latest_start = now + self._find_slack(job.submit)
+            entry = (latest_start, next(self._order), job.number, channel, job.submit)
             heapq.heappush(self._waiting, entry)
         if self._waiting and not self._is_start_scheduled:
             self._is_start_scheduled = True
--- a/cottonlug/runtime/keepalive_tracker.py
+++ b/cottonlug/runtime/keepalive_tracker.py
@@ -23,20 +23,20 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._asked_at: dict[str, timedelta] = {}
+        self._sent_at: dict[str, timedelta] = {}
         """Time of the first keep-alive to each host since it last answered."""
 
     def record_sent(self, host: str) -> None:
         """Record that a keep-alive is sent, unless an earlier one is still unanswered."""
-        self._asked_at.setdefault(host, self._clock.monotonic())
+        self._sent_at.setdefault(host, self._clock.monotonic())
 
     def record_answered(self, host: str) -> bool:
         """Record that a host has answered; return whether the answer was overdue."""
         was_overdue = self.is_overdue(host)
-        self._asked_at.pop(host, None)
+        self._sent_at.pop(host, None)
         return was_overdue
 
     def is_overdue(self, host: str) -> bool:
         """Return whether a keep-alive to a host is unanswered for too long."""
-        asked_at = self._asked_at.get(host)
-        return asked_at is not None and self._clock.monotonic() - asked_at >= OVERDUE_AFTER
+        sent_at = self._sent_at.get(host)
+        return sent_at is not None and self._clock.monotonic() - sent_at >= OVERDUE_AFTER
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -119,20 +119,22 @@
             self._heartbeat_port = HeartbeatPort(
                 clock=clock,
                 lease=settings.lease_terms.longest,
-                on_listening_change=lambda id, is_there: self.dispatch.set_listening(id, is_there),
+                on_listening_change=lambda id, is_listening: self.dispatch.set_listening(
+                    id, is_listening
+                ),
             )
         self._port = self._heartbeat_port or port
         self._clock = clock
         self._settings = settings
         self._control_address = settings.control_address
-        self._responders = ResponderDirectory(clock=clock, own=settings.control_address)
+        self._responders = ResponderDirectory(clock=clock, own_address=settings.control_address)
         self.gateways = GatewayRegistry(
             term=int(authority.term),
             token=self.token,
             clock=clock,
             takes_calls=not settings.orders_by_heartbeat,
         )
-        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
+        self.record_decision_gap: Callable[[float], object] = lambda gap_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._decided_at = clock.monotonic()
         self._has_skipped_decision = False
@@ -162,7 +164,7 @@
             caller_retry=settings.caller_retry,
             propose=self._propose_and_wait,
             wait=self._wait_for_commit,
-            wake=self._schedule_decision,
+            schedule_decision=self._schedule_decision,
         )
         self._operator_answers = OperatorAnswers(
             authority=authority,
@@ -172,8 +174,8 @@
             read_wall_ms=self._read_wall_ms,
         )
         self.dispatch.may_have_acting_leader = self._may_have_acting_leader
-        self.gateways.on_silence = self._abandon_jobs_of_silent
-        self.gateways.on_restart = self._abandon_jobs_of
+        self.gateways.on_reconnect = self._abandon_jobs_of_reconnected
+        self.gateways.on_restart = self._abandon_jobs_of_restarted
         self._proposals: list[Command] = []
         self._is_decision_scheduled = False
         self._is_over = False
@@ -250,9 +252,9 @@
         if isinstance(call, Cancel):
             return await self._job_answers.answer_cancel(call)
         if isinstance(call, ForwardHeartbeat):
-            return await self._answer_beat(call)
+            return await self._answer_heartbeat(call)
         if isinstance(call, ReportHeartbeats):
-            return self._answer_heard(call)
+            return self._answer_reported_heartbeats(call)
         if isinstance(call, ForwardLeave):
             return await self._answer_leave(call)
         if isinstance(call, Configure):
@@ -273,13 +275,13 @@
             # An acting leader knows nothing beyond the failover state that the gateway has, too.
             return Answer(outcome=Outcome.DONE, contact=self.gateways.build_contact())
         self.gateways.record_durable_jobs(self.dispatch.jobs.has_durable_jobs())
-        roster = self.gateways.build_failover_state(self._records, call.failover_version)
+        failover_state = self.gateways.build_failover_state(self._records, call.failover_version)
         contact = self.gateways.build_contact()
-        is_due = roster is None and not self.gateways.is_current(call.failover_version)
+        has_more = failover_state is None and not self.gateways.is_current(call.failover_version)
         return Answer(
             outcome=Outcome.DONE,
-            failover_state=roster,
-            has_more_failover_state=is_due,
+            failover_state=failover_state,
+            has_more_failover_state=has_more,
             contact=contact,
         )
 
@@ -292,17 +294,17 @@
             if self._job_answers.abandon_submission(keepalive.gateway, each):
                 self._schedule_decision()
 
-    def _abandon_jobs_of_silent(self, gateway: str) -> None:
+    def _abandon_jobs_of_reconnected(self, gateway: str) -> None:
         self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self._clock.monotonic())
 
     def _may_have_acting_leader(self) -> bool:
         domains = {record.info.domain for record in self._records.upstreams.values()}
         return self.gateways.may_act_as_leader(domains)
 
-    def _abandon_jobs_of(self, gateway: str) -> None:
+    def _abandon_jobs_of_restarted(self, gateway: str) -> None:
         self.dispatch.abandon_gateway(gateway, self._clock.monotonic())
 
-    async def _answer_beat(self, call: ForwardHeartbeat) -> Answer:
+    async def _answer_heartbeat(self, call: ForwardHeartbeat) -> Answer:
         heartbeat = call.heartbeat
         self.dispatch.handle_heartbeat(heartbeat, self._clock.monotonic())
         self._schedule_decision()
@@ -318,12 +320,12 @@
 
     def _choose_responder(self, heartbeat: Heartbeat) -> str | None:
         """Return the address to which an upstream is to send its next heartbeats."""
-        is_few = (
+        answers_all = (
             len(self._records.upstreams) < SPREAD_MIN_UPSTREAMS or self._heartbeat_port is not None
         )
-        return self._control_address if is_few else self._responders.choose(heartbeat.info.id)
+        return self._control_address if answers_all else self._responders.choose(heartbeat.info.id)
 
-    def _answer_heard(self, call: ReportHeartbeats) -> Answer:
+    def _answer_reported_heartbeats(self, call: ReportHeartbeats) -> Answer:
         """Record the heartbeats that another control host has answered."""
         self._responders.record_report(call.responder)
         now = self._clock.monotonic()
--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -38,7 +38,7 @@
 
     def __init__(self, *, own: Address, seeds: tuple[Address, ...], pools: ConnectionPools) -> None:
         self.hosts: set[str] = {str(seed) for seed in seeds}
-        self._own = str(own)
+        self._own_address = str(own)
         self._seeds = sorted(str(seed) for seed in seeds)
         self._pools = pools
         self._joiners: dict[str, MemberId] = {}
@@ -60,7 +60,7 @@
     async def ask_to_join(self, member: MemberId) -> list[Hello]:
         """Send a join request to all known hosts; return the hellos of those that answer."""
         request = msgspec.json.encode(JoinRequest(member=member))
-        others = self.hosts - {self._own}
+        others = self.hosts - {self._own_address}
         found = await asyncio.gather(*(self._ask(host, request) for host in others))
         hellos = [hello for hello in found if hello is not None]
         for hello in hellos:
@@ -75,16 +75,16 @@
         by_host = {str(hello.host): hello for hello in (*hellos, own)}
         if any(seed not in by_host or not by_host[seed].is_empty for seed in self._seeds):
             return None
-        beginners = [seed for seed in self._seeds if by_host[seed].may_begin]
-        if not beginners or beginners[0] != self._own:
+        bootstrap_seeds = [seed for seed in self._seeds if by_host[seed].may_begin]
+        if not bootstrap_seeds or bootstrap_seeds[0] != self._own_address:
             return None
         return Members(voters=tuple(by_host[seed].member for seed in self._seeds))
 
     def plan_member_change(self, leader: Member, now: timedelta) -> Members | None:
         """Return the next step towards a set of members that are all reachable, or None."""
         lost = leader.find_silent_members(now, LOST_AFTER)
-        most = compute_max_voters(leader.members, lost)
-        return plan_change(leader, self._joiners, lost, most) or plan_removal(leader, lost)
+        max_voters = compute_max_voters(leader.members, lost)
+        return plan_change(leader, self._joiners, lost, max_voters) or plan_removal(leader, lost)
 
     async def _ask(self, host: str, request: bytes) -> Hello | None:
         address = parse_address(host)
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -60,8 +60,8 @@
 class PeerCalls:
     """Sends calls, and keeps track of those in progress by the host that is to answer them."""
 
-    def __init__(self, *, own: str = "", urgent_port: int | None = None) -> None:
-        self._own = own
+    def __init__(self, *, own_address: str = "", urgent_port: int | None = None) -> None:
+        self._own_address = own_address
         self._pools = ConnectionPools(max_connections=MAX_CALL_CONNECTIONS, port=urgent_port)
         self._job_pools = ConnectionPools(max_connections=JOB_CHANNEL_CONNECTIONS)
         self._job_channels: dict[str, JobChannel] = {}
@@ -109,7 +109,7 @@
         channel = self._job_channels.get(host)
         if channel is None:
             channel = self._job_channels[host] = JobChannel(
-                own_address=self._own,
+                own_address=self._own_address,
                 open_pool=lambda: self._job_pools.get(address),
                 stamp=lambda call: self.stamp(call),
             )
@@ -128,10 +128,10 @@
                 timeout=timeout,
             )
         )
-        losing = asyncio.create_task(abandoned.wait())
+        abandonment = asyncio.create_task(abandoned.wait())
         try:
-            await asyncio.wait([sending, losing], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([sending, abandonment], return_when=asyncio.FIRST_COMPLETED)
             return sending.result() if sending.done() else None
         finally:
             sending.cancel()
-            losing.cancel()
+            abandonment.cancel()
--- a/cottonlug/runtime/refused_heartbeats.py
+++ b/cottonlug/runtime/refused_heartbeats.py
@@ -18,16 +18,16 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._line_due = clock.monotonic()
+        self._next_log_at = clock.monotonic()
         self.count = 0
 
     def record(self, name: str, reason: str) -> None:
         """Count a refused heartbeat; log the reason at most once per second."""
         self.count += 1
         now = self._clock.monotonic()
-        if now < self._line_due:
+        if now < self._next_log_at:
             return
-        self._line_due = now + LOG_INTERVAL
+        self._next_log_at = now + LOG_INTERVAL
         log_event(
             Event.HEARTBEAT_REFUSED,
             upstream=name[:MAX_FIELD_CHARS],
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -82,7 +82,7 @@
         self._on_failure = on_failure
         self._journal: Journal | None = None
         self._state = ConfigurationState()
-        self._watch = ChangeNotifier()
+        self._change_notifier = ChangeNotifier()
         self._pending_changes: dict[str, list[asyncio.Future[ChangeOutcome]]] = {}
         self._outbox: dict[str, ConsensusBatch] = {}
         self._has_messages: dict[str, asyncio.Event] = {}
@@ -104,8 +104,8 @@
         opened = open_journal(files, new_id)
         if isinstance(opened, Err):
             _report_storage(opened.failure())
-            why: str = opened.failure().message
-            return why
+            message: str = opened.failure().message
+            return message
         self._journal = opened.unwrap()
         if self._journal.cut_bytes:
             log_event(Event.STORAGE_TORN, cut_bytes=self._journal.cut_bytes)
@@ -176,7 +176,7 @@
         if member is None or member.leader is None:
             return Err(build_unknown_refusal("no leader is known at the moment"))
         if member.role is not Role.LEADER:
-            return await self._pass_on(member.leader, command)
+            return await self._forward_change(member.leader, command)
         future: asyncio.Future[ChangeOutcome] = asyncio.get_running_loop().create_future()
         self._pending_changes.setdefault(command.request_id, []).append(future)
         member.propose(encode_command(command), self._clock.monotonic())
@@ -189,7 +189,7 @@
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
         """Return the active configuration; wait up to `seconds` for one newer than `after`."""
         if self._rulebook.version <= after:
-            await self._watch.wait(seconds)
+            await self._change_notifier.wait(seconds)
         book = self._rulebook
         return ConfigurationView(version=book.version, text=book.text, is_stale=self.is_stale())
 
@@ -224,7 +224,7 @@
             if output.restore and output.snapshot is not None:
                 self._state = decode_state(output.snapshot.data)
                 activate_rules(self._rulebook, self._state.version, self._state.text)
-                self._watch.notify()
+                self._change_notifier.notify()
             self._apply_committed(output)
         self._record_leader()
 
@@ -255,7 +255,7 @@
         for entry in output.committed:
             self._apply(entry)
         activate_rules(self._rulebook, self._state.version, self._state.text)
-        self._watch.notify()
+        self._change_notifier.notify()
         log = self.member.log
         if log.last_index - log.snapshot.index > COMPACT_AFTER_ENTRIES:
             self.member.compact(encode_state(self._state), last)
@@ -316,7 +316,7 @@
                 self.member.receive(message, self._clock.monotonic())
         self._process_output()
 
-    async def _pass_on(
+    async def _forward_change(
         self, leader: MemberId, command: ChangeCommand
     ) -> Result[ChangeOutcome, Refusal]:
         client = self._change_clients.get(get_host(leader))
--- a/cottonlug/runtime/voter_client.py
+++ b/cottonlug/runtime/voter_client.py
@@ -31,7 +31,7 @@
         self._settings = settings
         self._clock = clock
         self._rulebook = rulebook
-        self._watch = ChangeNotifier()
+        self._change_notifier = ChangeNotifier()
         self._polled_at: timedelta | None = None
         self._voter_is_stale = False
         poll_seconds = POLL_MS / 1000 + _TIMEOUT_MARGIN_SECONDS
@@ -76,7 +76,7 @@
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
         """Return the active configuration, after waiting for one newer than `after`."""
         if self._rulebook.version <= after:
-            await self._watch.wait(seconds)
+            await self._change_notifier.wait(seconds)
         book = self._rulebook
         return ConfigurationView(version=book.version, text=book.text, is_stale=self.is_stale())
 
@@ -97,7 +97,7 @@
         self._voter_is_stale = view.is_stale
         self._polled_at = self._clock.monotonic()
         activate_rules(self._rulebook, view.version, view.text)
-        self._watch.notify()
+        self._change_notifier.notify()
         return not view.is_stale
 
 
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -475,15 +475,15 @@
         connection = await self._connect(own, machine, idle)
         if isinstance(connection, TransportError):
             return Err(connection)
-        await self._travel(own, machine)
+        await self._delay_message(own, machine)
         if connection.is_silent or machine.is_powered_off:
             await asyncio.Event().wait()
         if connection.process is not machine.process:
             return Err(TransportError(message="connection lost", unsent=False))
         process = connection.process
-        hang_up: Any = asyncio.Event()
+        disconnected: Any = asyncio.Event()
         handling = process.handlers[address.port](request)
-        answering = process.run(_handle_while_connected(handling, hang_up.wait))
+        answering = process.run(_handle_while_connected(handling, disconnected.wait))
         try:
             while not answering.done():
                 await asyncio.wait([answering], timeout=1.0)
@@ -494,9 +494,9 @@
             response = answering.result()
         finally:
             if not answering.done() and process.is_alive:
-                process.enqueue(asyncio.Handle(hang_up.set, (), self.loop, process.context))
+                process.enqueue(asyncio.Handle(disconnected.set, (), self.loop, process.context))
         assert response is not None, "the caller has not hung up"
-        await self._travel(own, machine)
+        await self._delay_message(own, machine)
         if connection.is_silent:
             await asyncio.Event().wait()
         idle.append(connection)
@@ -518,7 +518,7 @@
             return TransportError(message="cannot connect", unsent=True)
         return _Connection(machine.process)
 
-    async def _travel(self, own: Machine | None, other: Machine) -> None:
+    async def _delay_message(self, own: Machine | None, other: Machine) -> None:
         await asyncio.sleep(LINK_DELAY_SECONDS * (1.0 + self.chance.random()))
         resend = FIRST_RETRANSMIT_SECONDS
         while self._is_cut(own, other):
@@ -658,7 +658,7 @@
         await self.send("PUT", "/config", body)
         return self._world.loop.time()
 
-    async def beat(self, upstream: ModelUpstream, *, draining: bool = False) -> float:
+    async def send_heartbeat(self, upstream: ModelUpstream, *, draining: bool = False) -> float:
         upstream.sequence += 1
         body = msgspec.json.encode(
             {
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -57,7 +57,7 @@
     home: DomainName
     busy_until: timedelta = timedelta()
     decided_at: timedelta = timedelta()
-    heard: dict[str, timedelta] = field(default_factory=dict)
+    contacted_at: dict[str, timedelta] = field(default_factory=dict)
     abandoned: set[int] = field(default_factory=set)
     """Numbers of the calls that their gateways have abandoned."""
 
@@ -73,14 +73,14 @@
         now = self.world.now
         if self.is_over or now < self.busy_until:
             return
-        was_held_up, self.decided_at = now - self.decided_at > LONG_DECISION_GAP, now
-        if was_held_up:
+        was_delayed, self.decided_at = now - self.decided_at > LONG_DECISION_GAP, now
+        if was_delayed:
             return
-        self.dispatch.abandon_silent_gateways(self.is_heard, now)
+        self.dispatch.abandon_silent_gateways(self.is_connected, now)
         Leader.act(self)
 
-    def is_heard(self, gateway: str) -> bool:
-        return self.world.now - self.heard.get(gateway, -GATEWAY_TIMEOUT) < GATEWAY_TIMEOUT
+    def is_connected(self, gateway: str) -> bool:
+        return self.world.now - self.contacted_at.get(gateway, -GATEWAY_TIMEOUT) < GATEWAY_TIMEOUT
 
     def is_valid_contact(self, contact: Contact | None) -> bool:
         """Whether a message was sent to this host, and recently, according to its contact."""
@@ -92,10 +92,10 @@
         """Record contact with a gateway from when it sent a message, as `Gateways` does."""
         if contact is None or not self.is_valid_contact(contact):
             return
-        if gateway in self.heard and not self.is_heard(gateway):
+        if gateway in self.contacted_at and not self.is_connected(gateway):
             self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self.world.now)
-        known = self.heard.get(gateway, contact.sent_at)
-        self.heard[gateway] = max(contact.sent_at, known)
+        known = self.contacted_at.get(gateway, contact.sent_at)
+        self.contacted_at[gateway] = max(contact.sent_at, known)
 
     def handle_abandoned(self, gateway: str, calls: list[ModelCall]) -> None:
         """Abandon the calls that a gateway has abandoned, and refuse those yet to arrive."""
@@ -114,7 +114,7 @@
             if call.at is self:
                 call.at, call.has_arrived = None, False
             return
-        if not self.is_acting and call.deputy_term * TOKENS_PER_TERM >= self.token:
+        if not self.is_acting and call.acting_leader_term * TOKENS_PER_TERM >= self.token:
             # An acting leader's token is higher: only a leader of a later term may continue.
             self.site.lead_from(self.home)
             return
@@ -177,7 +177,7 @@
     has_arrived: bool = False
     may_have_begun: bool = False
     may_be_of_acting_leader: bool = False
-    deputy_term: int = 0
+    acting_leader_term: int = 0
     number: int = field(default_factory=itertools.count().__next__)
 
 
@@ -192,7 +192,7 @@
     coordinator: ModelCoordinator | None = None
     answered_at: timedelta = timedelta()
     """When the coordinator that it follows last answered."""
-    led_at: timedelta = timedelta()
+    leader_seen_at: timedelta = timedelta()
     calls: list[ModelCall] = field(default_factory=list)
     is_answered: bool = False
     """Whether the coordinator that it follows has answered, so that it can confirm its calls."""
@@ -203,13 +203,13 @@
         site, now = self.site, self.site.world.now
         if not self.is_up:
             return
-        greeted = {id(each): each for each in (site.leader, self.coordinator) if each is not None}
-        for each in greeted.values():
-            self._greet(each)
+        contacted = {id(each): each for each in (site.leader, self.coordinator) if each is not None}
+        for each in contacted.values():
+            self._send_keepalive(each)
         coordinator = self.coordinator
         if coordinator is not None and now - self.answered_at >= CALLS_LOST_AFTER:
             self.leave_coordinator()
-        if self.coordinator is None and now - self.led_at >= site.find_acting_leader_delay(
+        if self.coordinator is None and now - self.leader_seen_at >= site.find_acting_leader_delay(
             self.domain
         ):
             self.coordinator = site.find_acting_leader(self)
@@ -218,32 +218,34 @@
                 # The acting leader has been asked, and so has answered, before it is followed.
                 self.is_answered = True
         for call in list(self.calls):
-            self._pass_on(call)
+            self._forward(call)
 
     def _find_contact(self, coordinator: ModelCoordinator) -> Contact | None:
-        is_there = self.coordinator is coordinator and self.is_answered
-        return Contact(decider=coordinator, sent_at=self.site.world.now) if is_there else None
+        is_following = self.coordinator is coordinator and self.is_answered
+        return Contact(decider=coordinator, sent_at=self.site.world.now) if is_following else None
 
     def leave_coordinator(self) -> None:
         """Leave the coordinator; the outcome of all calls is unknown, and they go elsewhere."""
         self.coordinator, self.is_answered = None, False
         for call in self.calls:
-            self._lose(call)
+            self._mark_unanswered(call)
 
-    def _lose(self, call: ModelCall) -> None:
+    def _mark_unanswered(self, call: ModelCall) -> None:
         if call.at is not None:
             call.may_have_begun = True
             if call.at.is_acting:
                 call.may_be_of_acting_leader = True
-                call.deputy_term = max(call.deputy_term, call.at.token // TOKENS_PER_TERM)
+                call.acting_leader_term = max(
+                    call.acting_leader_term, call.at.token // TOKENS_PER_TERM
+                )
         call.at, call.has_arrived = None, False
 
-    def _greet(self, coordinator: ModelCoordinator) -> None:
+    def _send_keepalive(self, coordinator: ModelCoordinator) -> None:
         world, sent_at = self.site.world, self.site.world.now
         contact = self._find_contact(coordinator)
         abandoned = [call for at, call in self.abandoned if sent_at - at < ABANDONED_REPORT_PERIOD]
 
-        def hear() -> None:
+        def receive() -> None:
             coordinator.handle_abandoned(self.name, abandoned)
             coordinator.record_contact(self.name, contact)
             world.at(HOP_DELAY, receive_answer)
@@ -253,7 +255,7 @@
             if is_late or not self.is_up or not self.site.can_reach(coordinator.home, self.domain):
                 return
             if coordinator is self.site.leader:
-                self.led_at = world.now
+                self.leader_seen_at = world.now
                 if self.coordinator is not coordinator:
                     self.leave_coordinator()
                     self.coordinator = coordinator
@@ -263,9 +265,9 @@
                 self.is_answered = True
 
         if self.site.can_reach(self.domain, coordinator.home):
-            world.at(HOP_DELAY, lambda: coordinator.when_free(hear))
+            world.at(HOP_DELAY, lambda: coordinator.when_free(receive))
 
-    def _pass_on(self, call: ModelCall) -> None:
+    def _forward(self, call: ModelCall) -> None:
         world, coordinator = self.site.world, call.at
         if (
             coordinator is not None
@@ -275,7 +277,7 @@
             if coordinator.dispatch.jobs.find_ended(call.job) is not None:
                 self.calls.remove(call)
                 return
-            self._lose(call)
+            self._mark_unanswered(call)
         if world.now >= call.give_up_at:
             self.calls.remove(call)
             self._abandon(call)
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -122,16 +122,16 @@
         id = self.chance.choice(staying)
         self.leaving.add(id)
         at = self.world.loop.time()
-        sending = self.begin(self.operator.beat(self.world.upstreams[id], draining=True))
+        sending = self.begin(self.operator.send_heartbeat(self.world.upstreams[id], draining=True))
         self.orders[f"leaving of {id} of {at:.2f}"] = sending
 
-    async def beat_forever(self, upstream: ModelUpstream) -> None:
+    async def send_heartbeats_forever(self, upstream: ModelUpstream) -> None:
         await asyncio.sleep(self.chance.random() * 1.5)
         while upstream.id not in self.leaving:
-            await self.operator.beat(upstream)
+            await self.operator.send_heartbeat(upstream)
             await asyncio.sleep(1.5)
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         while True:
             await asyncio.sleep(self.chance.uniform(0.3, 2.0))
             if self.chance.random() < 0.7:
@@ -298,10 +298,10 @@
             )
             self.begin(keepalive)
         for upstream in self.world.upstreams.values():
-            self.begin(self.beat_forever(upstream))
+            self.begin(self.send_heartbeats_forever(upstream))
         self.send_configuration()
         await asyncio.sleep(6.0)
-        ordering = self.begin(self.order_forever())
+        ordering = self.begin(self.send_orders_forever())
         fault_task = self.begin(self.inject_faults())
         await asyncio.sleep(FAULT_SECONDS)
         await fault_task
@@ -605,7 +605,7 @@
         operator = Operator(world, random.Random(1))
         async with asyncio.timeout(ACKNOWLEDGED_WITHIN):
             await operator.configure(1)
-            await operator.beat(world.upstreams[UpstreamId("i-1")], draining=True)
+            await operator.send_heartbeat(world.upstreams[UpstreamId("i-1")], draining=True)
 
     play_core(1, day)
 
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -85,7 +85,7 @@
         return answer
 
 
-def build_leading(clock: ManualClock) -> Leadership:
+def build_leadership(clock: ManualClock) -> Leadership:
     """Return a leader with one upstream."""
     replicated = ReplicatedRecords()
     replicated.records.activate_configuration(build_failover_state().configuration)
@@ -141,7 +141,7 @@
 def prepare_link() -> tuple[Gateway, ModelLink, ManualClock]:
     clock = build_clock()
     (gateway,) = build_gateways(1, clock)
-    model_link = ModelLink(gateway=gateway, leadership=build_leading(clock))
+    model_link = ModelLink(gateway=gateway, leadership=build_leadership(clock))
     gateway.calls.ask = model_link.ask  # type: ignore[method-assign]
     return gateway, model_link, clock
 
@@ -201,16 +201,16 @@
     clock = build_clock()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
 
-    def hear(gateway: str) -> None:
+    def receive_keepalive(gateway: str) -> None:
         contact = gateways.build_contact()
         gateways.handle_keepalive(
             msgspec.structs.replace(build_keepalive(gateway), contact=contact)
         )
 
     assert not gateways.may_have_timed_out()
-    hear("a")
+    receive_keepalive("a")
     clock.advance(milliseconds(100))
-    hear("b")
+    receive_keepalive("b")
     clock.advance(GATEWAY_TIMEOUT - milliseconds(101))
     assert not gateways.may_have_timed_out()
     clock.advance(milliseconds(1))
@@ -220,7 +220,7 @@
     assert gateways.may_have_timed_out() and not gateways.is_connected("b")
     clock.advance(timedelta(seconds=9))
     assert not gateways.may_have_timed_out()
-    hear("a")
+    receive_keepalive("a")
     clock.advance(GATEWAY_TIMEOUT)
     assert gateways.may_have_timed_out()
 
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -160,7 +160,7 @@
         calling = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
         await asyncio.sleep(0.02)
         assert not sent
-        assert gateway.held_back
+        assert gateway.withheld_count
         gateway.link.follow("10.0.1.2:7000", Via.LEADER)
         assert (await calling).outcome is Outcome.DONE
         ((host, call),) = sent
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -53,7 +53,7 @@
     asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     assert shares == [0.0]
-    assert gateway.held_to_end == 0
+    assert gateway.timeout_failure_count == 0
 
 
 def test_an_answer_delayed_until_its_caller_times_out_is_counted() -> None:
@@ -61,7 +61,7 @@
     answer_in_turn(gateway, [])
     answer = asyncio.run(gateway.call(build_submit(), milliseconds(10)))
     assert answer.outcome is Outcome.UNAVAILABLE
-    assert gateway.held_to_end == 1
+    assert gateway.timeout_failure_count == 1
 
 
 def test_the_time_without_a_coordinator_is_measured() -> None:
--- a/cottonlug/tests/test_cluster_site.py
+++ b/cottonlug/tests/test_cluster_site.py
@@ -52,7 +52,7 @@
         return
 
     def restart() -> None:
-        gateway.is_up, gateway.led_at = True, site.world.now
+        gateway.is_up, gateway.leader_seen_at = True, site.world.now
 
     site.kill(gateway)
     site.world.at(milliseconds(1_500), restart)
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -144,7 +144,7 @@
 
 def test_upstreams_are_spread_over_the_hosts_that_answer_and_stay_there() -> None:
     clock = build_clock()
-    responders = ResponderDirectory(clock=clock, own="own")
+    responders = ResponderDirectory(clock=clock, own_address="own")
     ids = [UpstreamId(f"i-{number:08x}") for number in range(1_000)]
     assert {responders.choose(id) for id in ids} == {"own"}
     hosts = [f"10.1.0.{number}:80" for number in range(5)]
--- a/cottonlug/tests/test_control_orders.py
+++ b/cottonlug/tests/test_control_orders.py
@@ -94,7 +94,7 @@
     return asyncio.run(run())
 
 
-def build_beat(*, draining: bool) -> ForwardHeartbeat:
+def build_forwarded_heartbeat(*, draining: bool) -> ForwardHeartbeat:
     return ForwardHeartbeat(heartbeat=Heartbeat(info=INFO, sequence=3, draining=draining))
 
 
@@ -105,7 +105,7 @@
 
     async def script(host: ControlHost) -> Answer:
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
-        return await host.answer(build_beat(draining=True))
+        return await host.answer(build_forwarded_heartbeat(draining=True))
 
     answer, _ = play(OrderDelivery.HEARTBEAT, 0.1, script, tmp_path, monkeypatch)
     assert answer.orders is not None and answer.orders.lease_ms
@@ -121,7 +121,7 @@
     """
 
     async def script(host: ControlHost) -> Answer:
-        return await host.answer(build_beat(draining=False))
+        return await host.answer(build_forwarded_heartbeat(draining=False))
 
     answer, sent = play(orders, 0.5, script, tmp_path, monkeypatch)
     assert len(sent) == 1
@@ -135,7 +135,7 @@
         host.replicated.records.apply(SetDraining(upstream=INFO.id))
         leaving = await host.answer(ForwardLeave(upstream=INFO.id))
         assert leaving.outcome is Outcome.DONE
-        return await host.answer(build_beat(draining=True))
+        return await host.answer(build_forwarded_heartbeat(draining=True))
 
     answer, _ = play(OrderDelivery.CALL, 10.0, script, tmp_path, monkeypatch)
     assert answer.outcome is Outcome.DONE
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -54,7 +54,7 @@
         self._world = world
         self._chance = chance
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         while True:
             await asyncio.sleep(self._chance.uniform(0.3, 3.0))
             begin = not self.expected
@@ -89,11 +89,11 @@
         ]
         self.problems: list[str] = []
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         for operator in self.operators:
-            self.begin(operator.order_forever())
+            self.begin(operator.send_orders_forever())
         self.begin(self.watch_forever())
-        await super().order_forever()
+        await super().send_orders_forever()
 
     async def watch_forever(self) -> None:
         while True:
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -37,7 +37,7 @@
     ANSWER_EXPIRY,
     MAX_DELIVERY_DELAY,
     MAX_QUEUE_TIME,
-    RESOLVED_WITHIN,
+    RESOLUTION_TIMEOUT,
     HeartbeatPort,
 )
 from .gateway_builders import build_clock
@@ -58,11 +58,11 @@
         self.port = HeartbeatPort(
             clock=self.clock,
             lease=timedelta(seconds=1),
-            on_listening_change=lambda id, is_there: self.listening.append(is_there),
+            on_listening_change=lambda id, is_listening: self.listening.append(is_listening),
         )
         self.sequence = 0
 
-    async def beat(
+    async def send_heartbeat(
         self,
         running: tuple[RunReport, ...] = (),
         ended: tuple[RunEndReport, ...] = (),
@@ -91,7 +91,7 @@
     )
 
 
-def build_look(last_seen: int = 0) -> PollOrder:
+def build_poll(last_seen: int = 0) -> PollOrder:
     return PollOrder(upstream=INFO, last_seen=last_seen, expires_ms=2_000, wait=timedelta())
 
 
@@ -102,15 +102,15 @@
 
 def test_start_is_sent_with_a_parked_answer_and_resolved_by_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
-        kept = asyncio.create_task(exchange.beat())
+        parked = asyncio.create_task(exchange.send_heartbeat())
         await run_callbacks()
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
-        orders = await kept
+        orders = await parked
         assert orders.starts == (HeartbeatStart(task=REF, run=RUN, payload="text"),)
         assert (orders.token, orders.lease_ms) == (TOKEN, 1_000)
         assert not starting.done()
         report = RunReport(task=REF, run=RUN)
-        again = asyncio.create_task(exchange.beat(running=(report,)))
+        again = asyncio.create_task(exchange.send_heartbeat(running=(report,)))
         assert await starting == (StartOutcome.STARTED, 1_000)
         exchange.port.close()
         assert (await again).starts == ()
@@ -123,12 +123,12 @@
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
-        await exchange.beat()
+        await exchange.send_heartbeat()
         end = RunEndReport(number=1, task=REF, run=RUN, how=RunEndKind.DONE)
-        kept = asyncio.create_task(exchange.beat(ended=(end,)))
+        parked = asyncio.create_task(exchange.send_heartbeat(ended=(end,)))
         assert (await starting)[0] is StartOutcome.STARTED
         exchange.port.close()
-        await kept
+        await parked
 
     play(scenario)
 
@@ -137,11 +137,11 @@
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
-        await exchange.beat()
-        kept = asyncio.create_task(exchange.beat())
+        await exchange.send_heartbeat()
+        parked = asyncio.create_task(exchange.send_heartbeat())
         assert (await starting)[0] is StartOutcome.IGNORED
         exchange.port.close()
-        await kept
+        await parked
 
     play(scenario)
 
@@ -150,9 +150,9 @@
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
-        orders = await exchange.beat()
+        orders = await exchange.send_heartbeat()
         assert orders.starts
-        late = await exchange.beat(sequence=0)
+        late = await exchange.send_heartbeat(sequence=0)
         assert late == HeartbeatOrders(token=TOKEN, last_seen=0)
         await run_callbacks()
         assert not starting.done()
@@ -167,7 +167,7 @@
         await run_callbacks()
         exchange.clock.advance(MAX_QUEUE_TIME + milliseconds(1))
         assert (await starting)[0] is StartOutcome.NOT_SENT
-        orders = asyncio.create_task(exchange.beat())
+        orders = asyncio.create_task(exchange.send_heartbeat())
         await run_callbacks()
         exchange.port.close()
         assert (await orders).starts == ()
@@ -179,8 +179,8 @@
     async def scenario(exchange: Exchange) -> None:
         starting = asyncio.create_task(exchange.port.start(build_start(), TOKEN))
         await run_callbacks()
-        assert (await exchange.beat()).starts
-        exchange.clock.advance(RESOLVED_WITHIN + milliseconds(1))
+        assert (await exchange.send_heartbeat()).starts
+        exchange.clock.advance(RESOLUTION_TIMEOUT + milliseconds(1))
         assert (await starting)[0] is StartOutcome.UNKNOWN
 
     play(scenario)
@@ -188,39 +188,39 @@
 
 def test_poll_renews_the_lease_and_returns_the_lists_of_the_next_heartbeat() -> None:
     async def scenario(exchange: Exchange) -> None:
-        looking = asyncio.create_task(exchange.port.poll(build_look(last_seen=5), TOKEN))
+        polling = asyncio.create_task(exchange.port.poll(build_poll(last_seen=5), TOKEN))
         stopping = asyncio.create_task(
             exchange.port.stop(StopOrder(upstream=INFO, task=REF, run=RUN), TOKEN)
         )
         await run_callbacks()
-        orders = await exchange.beat()
+        orders = await exchange.send_heartbeat()
         assert (orders.last_seen, orders.lease_ms) == (5, 1_000)
         assert orders.stops == ((REF, RUN),)
         end = RunEndReport(number=6, task=REF, run=RUN, how=RunEndKind.STOPPED)
-        kept = asyncio.create_task(exchange.beat(ended=(end,)))
-        reply = await looking
+        parked = asyncio.create_task(exchange.send_heartbeat(ended=(end,)))
+        reply = await polling
         assert isinstance(reply, PollReply)
         assert reply.ended == (end,)
         assert await stopping is None
         exchange.port.close()
-        await kept
+        await parked
 
     play(scenario)
 
 
 def test_poll_of_a_silent_upstream_fails() -> None:
     async def scenario(exchange: Exchange) -> None:
-        looking = asyncio.create_task(exchange.port.poll(build_look(), TOKEN))
+        polling = asyncio.create_task(exchange.port.poll(build_poll(), TOKEN))
         await run_callbacks()
         exchange.clock.advance(MAX_QUEUE_TIME + milliseconds(1))
-        assert await looking is CallFailure.NO_ANSWER
+        assert await polling is CallFailure.NO_ANSWER
 
     play(scenario)
 
 
 def test_leases_count_from_the_latest_arrival_of_an_order() -> None:
     assert MAX_DELIVERY_DELAY >= MAX_QUEUE_TIME + ANSWER_EXPIRY
-    assert RESOLVED_WITHIN > ANSWER_EXPIRY, "an answer in transit may be processed until then"
+    assert RESOLUTION_TIMEOUT > ANSWER_EXPIRY, "an answer in transit may be processed until then"
     called = LeaseTerms(longest=timedelta(seconds=1))
     answered = LeaseTerms(longest=timedelta(seconds=1), delivery=MAX_DELIVERY_DELAY)
     assert answered.lapse_after == called.lapse_after + MAX_DELIVERY_DELAY
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -47,16 +47,16 @@
             await asyncio.Event().wait()
             raise AssertionError("unreachable")
 
-        lines = JobChannelServer(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
+        channels = JobChannelServer(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
 
         async def answer(request: HttpRequest) -> HttpResponse:
-            if lines.handles(request.path):
-                return await lines.handle(request)
+            if channels.handles(request.path):
+                return await channels.handle(request)
             assert isinstance(call_decoder.decode(request.body), KeepAlive)
             return HttpResponse(status=200, body=msgspec.json.encode(Answer(outcome=Outcome.DONE)))
 
         address = Address("127.0.0.1", find_base_port() + 2)
-        app = build_asgi(answer, lambda: 1_000_000, lines.handle_at_once)
+        app = build_asgi(answer, lambda: 1_000_000, channels.handle_at_once)
         listener = Listener(app=app, address=address)
         assert await listener.start() is None
         calls = PeerCalls()
