--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -48,7 +48,7 @@
         return gauges
 
     metrics = Metrics(counters=read_counters, gauges=read_gauges)
-    host.record_keepalive_age = metrics.add_histogram("greeting_age_ms", DELAY_BOUNDS_MS)
+    host.record_message_age = metrics.add_histogram("greeting_age_ms", DELAY_BOUNDS_MS)
     host.record_decision_gap = metrics.add_histogram("between_decisions_ms", DELAY_BOUNDS_MS)
     return metrics
 
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -79,7 +79,7 @@
     ) -> None:
         self.leadership: Leadership | None = None
         self.replicated = ReplicatedRecords()
-        self.record_keepalive_age: Callable[[float], object] = lambda age_ms: None
+        self.record_message_age: Callable[[float], object] = lambda age_ms: None
         """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
         self.record_decision_gap: Callable[[float], object] = lambda gap_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
@@ -176,9 +176,9 @@
             # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
         if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrderDelivery.CALL:
-            taken = self.heartbeat_responder.answer_routine(call.heartbeat)
-            if taken is not None:
-                return taken
+            routine_answer = self.heartbeat_responder.answer_routine(call.heartbeat)
+            if routine_answer is not None:
+                return routine_answer
         if self._idempotent_calls.is_idempotent(call):
             return await self._forward_idempotent(leader, call)
         return await self._forward(leader, call, FORWARD_TIMEOUT, self._pools)
@@ -188,9 +188,9 @@
 
         A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
-        taken = self._job_channels.handle_at_once(request)
-        if taken is not None:
-            return taken
+        response = self._job_channels.handle_at_once(request)
+        if response is not None:
+            return response
         if self.leadership is None or not self.replica.has_lease():
             return None
         keepalive = decode_keepalive(request)
@@ -381,7 +381,7 @@
                     known_until=self._find_known_until(reports),
                 ),
             )
-            self.leadership.gateways.record_age = self.record_keepalive_age
+            self.leadership.gateways.record_age = self.record_message_age
             self.leadership.record_decision_gap = self.record_decision_gap
 
     def _log_lease_change(self) -> None:
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -89,7 +89,7 @@
             return None
         now = self._clock.monotonic()
         sent_at = timedelta(milliseconds=contact.answered_ms + contact.since_ms)
-        self._record_keepalive_age(gateway, now - sent_at, now)
+        self._record_message_age(gateway, now - sent_at, now)
         if now - sent_at >= GATEWAY_TIMEOUT:
             return None
         self._confirmed_until = max(self._confirmed_until, sent_at + GATEWAY_TIMEOUT)
@@ -110,7 +110,7 @@
         """Return the contact that a gateway sends back after an answer that is sent now."""
         return Contact(token=self._token, answered_ms=to_milliseconds(self._clock.monotonic()))
 
-    def _record_keepalive_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
+    def _record_message_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
         if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
             self._late_log_due = now + LATE_LOG_INTERVAL
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -53,7 +53,7 @@
         terms: LeaseTerms,
         caller_retry: timedelta,
         propose: Callable[[Command, Hashable], Awaitable[Answer]],
-        wait: Callable[[Hashable], Awaitable[Answer]],
+        wait_for_commit: Callable[[Hashable], Awaitable[Answer]],
         schedule_decision: Callable[[], None],
     ) -> None:
         self._authority = authority
@@ -66,7 +66,7 @@
         self._terms = terms
         self._caller_retry = caller_retry
         self._propose = propose
-        self._wait_for_commit = wait
+        self._wait_for_commit = wait_for_commit
         self._abandoned: dict[tuple[str, int], timedelta] = {}
         """Abandoned submissions, by gateway and number, with the time when they were abandoned."""
         self._schedule_decision = schedule_decision
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -137,14 +137,14 @@
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
         for _ in range(min(MAX_STARTS_PER_TURN, len(self._waiting))):
             _, _, number, channel, submit = heapq.heappop(self._waiting)
-            task = asyncio.create_task(self._carry_out(channel, number, submit))
+            task = asyncio.create_task(self._run_job(channel, number, submit))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         self._is_start_scheduled = bool(self._waiting)
         if self._is_start_scheduled:
             asyncio.get_running_loop().call_soon(self._start_next)
 
-    async def _carry_out(self, channel: _Channel, number: int, submit: Submit) -> None:
+    async def _run_job(self, channel: _Channel, number: int, submit: Submit) -> None:
         try:
             answer = await self._answer(submit)
         except Exception as error:
@@ -158,13 +158,13 @@
         channel.answers.append((channel.answer_count, NumberedAnswer(number=number, answer=answer)))
         channel.changed.set()
 
-    def _get_channel(self, caller: str, number: int) -> _Channel:
+    def _get_channel(self, caller: str, channel_id: int) -> _Channel:
         now = self._clock.monotonic()
-        channel = self._channels.get((caller, number))
+        channel = self._channels.get((caller, channel_id))
         if channel is None:
             self._drop_idle(now)
             self._numbering += 1
-            channel = self._channels[(caller, number)] = _Channel(
+            channel = self._channels[(caller, channel_id)] = _Channel(
                 used_at=now, numbering=self._numbering
             )
         channel.used_at = now
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -163,7 +163,7 @@
             terms=settings.lease_terms,
             caller_retry=settings.caller_retry,
             propose=self._propose_and_wait,
-            wait=self._wait_for_commit,
+            wait_for_commit=self._wait_for_commit,
             schedule_decision=self._schedule_decision,
         )
         self._operator_answers = OperatorAnswers(
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -579,8 +579,8 @@
         leader = get_leader(world)
         member = get_control(leader).replica.member
         assert member is not None
-        heir = next(voter for voter in member.members.voters if voter != member.id)
-        other = next(each for each in machines if str(each.peers) == get_host(heir))
+        successor = next(voter for voter in member.members.voters if voter != member.id)
+        other = next(each for each in machines if str(each.peers) == get_host(successor))
         stopping = [asyncio.ensure_future(world.terminate(each)) for each in (leader, other)]
         await asyncio.sleep(0.5)
         assert world.find_leader() not in (None, leader, other)
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -36,18 +36,20 @@
     """A gateway whose waiting jobs used all connections to a host lost contact with it."""
 
     async def play() -> Answer:
-        held = 0
-        all_held = asyncio.Event()
-
-        async def hold(call: Call) -> Answer:
-            nonlocal held
-            held += 1
-            if held == WAITING_JOBS:
-                all_held.set()
+        waiting_count = 0
+        all_waiting = asyncio.Event()
+
+        async def wait_forever(call: Call) -> Answer:
+            nonlocal waiting_count
+            waiting_count += 1
+            if waiting_count == WAITING_JOBS:
+                all_waiting.set()
             await asyncio.Event().wait()
             raise AssertionError("unreachable")
 
-        channels = JobChannelServer(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
+        channels = JobChannelServer(
+            answer=wait_forever, clock=build_clock(), find_slack=lambda submit: 1.0
+        )
 
         async def answer(request: HttpRequest) -> HttpResponse:
             if channels.handles(request.path):
@@ -64,7 +66,7 @@
             asyncio.create_task(calls.ask(str(address), build_submit(), timedelta(seconds=10)))
             for _ in range(WAITING_JOBS)
         ]
-        await asyncio.wait_for(all_held.wait(), 5)
+        await asyncio.wait_for(all_waiting.wait(), 5)
         answer_to_keepalive = await calls.ask(
             str(address), build_keepalive("10.0.0.2:7000"), KEEPALIVE_TIMEOUT
         )
