--- a/cottonlug/runtime/acting_leader.py
+++ b/cottonlug/runtime/acting_leader.py
@@ -1,4 +1,4 @@
-"""A gateway that acts as leader while none can be reached, so that jobs without a log are served.
+"""A gateway that acts as leader while none can be reached, so that best-effort jobs are served.
 
 Used when all control hosts are down for seconds, or when a failure domain is cut off together with
 its gateways and upstreams. Best-effort jobs need no log, so any single host may schedule them, as
@@ -36,10 +36,15 @@
 from .replicated import ReplicatedRecords
 
 ACT_AS_LEADER_AFTER = timedelta(milliseconds=900)
-"""If control hosts answer but have no leader: longer than an election takes (0.35 to 0.7 s)."""
+"""How long no leader must be reached before a gateway acts as leader, if control hosts answer.
+
+Longer than an election takes (0.35 to 0.7 s).
+"""
 ACT_AS_LEADER_AFTER_SILENCE = timedelta(milliseconds=520)
-"""If no majority of them answers, no leader can be elected; longer than `GATEWAY_TIMEOUT`, with a
-margin."""
+"""The same if no majority of control hosts answers, so that no leader can be elected.
+
+Longer than `GATEWAY_TIMEOUT`, with a margin.
+"""
 
 
 class ActingLeaderAuthority:
--- a/cottonlug/runtime/confirmations.py
+++ b/cottonlug/runtime/confirmations.py
@@ -19,7 +19,7 @@
 """How long keep-alives report an abandoned submission. A coordinator that gets no keep-alive for a
 third of this time abandons all jobs of the gateway."""
 MAX_ABANDONED = 256
-"""Abandoned submissions of a gateway within a second: 20 KB of a keep-alive."""
+"""Most abandoned submissions that a keep-alive reports; they take 20 KB of it."""
 
 
 class Confirmations:
@@ -37,6 +37,7 @@
         self._abandoned: deque[tuple[timedelta, AbandonedSubmission]] = deque(maxlen=MAX_ABANDONED)
         """Abandoned submissions, with the time when each was abandoned."""
         self._paused_until = timedelta()
+        """Until then this gateway confirms nothing, since it has too many abandoned submissions."""
 
     def record_contact(self, answer: Answer) -> None:
         """Record the contact in an answer of the coordinator."""
--- a/cottonlug/runtime/control.py
+++ b/cottonlug/runtime/control.py
@@ -69,7 +69,7 @@
 
 
 class LocalControl:
-    """Control of a host without voters: its rules come from its settings and need a restart."""
+    """Control of a host without voters: its settings name its rules until a restart."""
 
     def __init__(self, *, rulebook: Rulebook) -> None:
         self._rulebook = rulebook
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -62,8 +62,11 @@
 _UNDECIDED = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
 STEP_DOWN_RETRY_INTERVAL = timedelta(milliseconds=100)
 FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=400)
-"""The sender of an idempotent call waits 1 s for the answer, and a commit takes 20 ms. Without an
-answer by then the connection may have gone silent, and a second attempt still succeeds in time."""
+"""How long the first attempt at forwarding an idempotent call may take.
+
+The sender of the call waits 1 s for the answer, and a commit takes 20 ms. Without an answer by then
+the connection may have gone silent, and a second attempt still succeeds in time.
+"""
 
 
 class ControlHost:
@@ -80,7 +83,7 @@
         self.leadership: Leadership | None = None
         self.replicated = ReplicatedRecords()
         self.record_message_age: Callable[[float], object] = lambda age_ms: None
-        """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
+        """Called with the age in milliseconds of each message of a gateway when it is handled."""
         self.record_decision_gap: Callable[[float], object] = lambda gap_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
@@ -108,9 +111,10 @@
         self._is_stopping = False
         self._had_lease = False
         self._leased_at = clock.monotonic()
+        """When this host was last fit to lead, or did not lead."""
         self._step_down_tried_at = clock.monotonic()
         self._other_leader_seen_at: timedelta | None = None
-        """When this host last knew another leader, heard at most `LONGEST_ELECTION` before that."""
+        """When this host last knew another leader, at most `MAX_ELECTION_TIME` after hearing it."""
         self._stepped_down_in = Term(0)
         """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -57,6 +57,7 @@
 CONTROL_HOST_TIMEOUT = timedelta(milliseconds=250)
 """A control host that has not answered for this long cannot take part in an election."""
 LEVELS_PER_ACTING_PERIOD = 1_000
+"""Each gateway uses a level of its own in each period, so there may be this many gateways."""
 STEP_DOWN_DELAY = timedelta(milliseconds=400)
 """An acting leader whose process was delayed for this long may have been replaced."""
 ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
@@ -108,7 +109,9 @@
         self._calls = calls
         self._on_failure = on_failure
         self._reached_at: timedelta | None = None
+        """When this gateway last had contact with the coordinator."""
         self._leader_seen_at = clock.monotonic()
+        """When it last had contact with a leader, directly or through a relay."""
         self._contacted: set[str] = set()
         """Hosts that get a keep-alive in this round, so that they are not contacted again when
         other hosts name them as leader."""
@@ -118,6 +121,7 @@
         self._was_ready = False
         self._was_silent = False
         self._checked_at = clock.monotonic()
+        """When `replace_leader` was last called, or this gateway began to act as leader."""
         self._fenced_off_at: timedelta | None = None
         """When upstreams last fenced this host off as acting leader."""
         self._changed = asyncio.Event()
@@ -293,7 +297,7 @@
         return True
 
     def _receive_failover_state_of_answer(self, answer: Answer) -> None:
-        """Store the failover state in a leader's answer, which has none if nothing has changed."""
+        """Store the failover state that a leader's answer carries, if any."""
         if self.failover_store.receive_answer(answer):
             self._acting_periods = 0
 
@@ -514,6 +518,7 @@
         log_event(Event.ACTING_AS_LEADER, term=failover_state.term, at_level=level)
 
     def _register_itself(self, acting_leader: ActingLeader) -> None:
+        """Record contact of this gateway with its own acting leader."""
         gateways = acting_leader.leadership.gateways
         keepalive = msgspec.structs.replace(
             self._build_keepalive(), contact=gateways.build_contact()
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -83,6 +83,7 @@
         self._dispatch_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
         self._unfetched: set[SubmissionId] = set()
+        """Jobs whose answers no caller has fetched yet; a shutdown waits a little for them."""
         self._on_failure: Callable[[BaseException], None] | None = None
 
     # Lifecycle
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -50,8 +50,9 @@
 NO_LEADER = "neither an acting leader nor connected to a leader"
 COORDINATOR_OVERDUE = "the coordinator has not answered lately"
 DURABLE_COORDINATOR_WAIT = timedelta(milliseconds=800)
-"""The same for a durable job: an acting leader cannot accept it, and an election takes 0.7 s. If no
-majority of control hosts answers, no leader can be elected, and its caller is told at once."""
+"""How long a durable job waits for a coordinator: an acting leader cannot accept it, and an
+election takes 0.7 s. If no majority of control hosts answers, no leader can be elected, and its
+caller is told at once."""
 DEFAULT_MAX_BODY_BYTES = 262_144
 _EXPECTED_OUTCOMES = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
 
@@ -72,7 +73,7 @@
         self.record_call: Callable[[float], object] = lambda took_ms: None
         """Called with the duration of each call in milliseconds."""
         self.record_refusal: Callable[[float], object] = lambda share: None
-        """Called for each job that was not served with the time taken divided by its objective."""
+        """Called for each job that was not served, with the time taken divided by its objective."""
         self.timeout_failure_count = 0
         """Number of failed calls that were answered only when their callers' wait timed out."""
         self.withheld_count = 0
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -16,8 +16,11 @@
 """Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
 move them to another coordinator any sooner."""
 SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
-"""Each submission confirms its own job for a span of its own; half of the time between two
-scheduling rounds."""
+"""How often timeouts are checked while submissions confirm jobs.
+
+Each submission confirms its own job alone, for a span of its own. The interval is half of the time
+between two scheduling rounds.
+"""
 MAX_PARTS_PER_SECOND = 600
 """Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
 CPU time. A gateway that gets no part now asks again with its next keep-alive."""
@@ -35,7 +38,7 @@
     def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
         self.failover_log = FailoverStateLog(term=term, takes_calls=takes_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
-        """Called with the age of each keep-alive when it was handled, in milliseconds."""
+        """Called with the age in ms of each keep-alive or submission when it is handled."""
         self._confirmed_until = timedelta()
         """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
@@ -62,7 +65,7 @@
             self.failover_log.record_other_change()
 
     def handle_keepalive(self, keepalive: KeepAlive) -> None:
-        """Record a gateway and its contact, if that is recent enough."""
+        """Record a gateway, and its contact if that is recent enough."""
         gateway = keepalive.gateway
         if not gateway:
             return
@@ -97,7 +100,7 @@
         return sent_at
 
     def _record_contact(self, gateway: str, sent_at: timedelta) -> None:
-        """Record contact with a gateway; call `on_silence` if it had timed out.
+        """Record contact with a gateway; call `on_reconnect` if it had timed out.
 
         A gateway has moved the jobs that it submitted before a timeout to another coordinator.
         """
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -48,6 +48,10 @@
 ANSWER_EXPIRY = timedelta(seconds=1)
 """An upstream stops waiting for the answer to its heartbeat after this time."""
 RESOLUTION_TIMEOUT = ANSWER_EXPIRY + timedelta(milliseconds=500)
+"""The outcome of an order is unknown if no heartbeat has resolved it this long after it was sent.
+
+Longer than `ANSWER_EXPIRY`: until then the upstream may still process the answer.
+"""
 MAX_DELIVERY_DELAY = MAX_QUEUE_TIME + ANSWER_EXPIRY
 """The longest time from the decision on an order to its arrival at the upstream."""
 ORDER_CHECK_SECONDS = 0.05
@@ -62,7 +66,7 @@
     order: Order
     queued_at: timedelta
     resolved: asyncio.Future[PollReply | None]
-    """The lists of the heartbeat after the one whose answer carried the order."""
+    """The run lists of the heartbeat after the one whose answer carried the order."""
     sent_at: timedelta | None = None
 
 
@@ -74,6 +78,7 @@
     waiting: list[_QueuedOrder] = field(default_factory=list)
     sent: list[_QueuedOrder] = field(default_factory=list)
     last_seen: int = 0
+    """Ended runs up to this number are confirmed."""
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
 
@@ -119,7 +124,7 @@
         return None if item.resolved.done() and item.sent_at is not None else CallFailure.NO_ANSWER
 
     async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
-        """Renew a lease with the next answer, and return the lists of the heartbeat after it."""
+        """Renew a lease with the next answer, and return the run lists of the next heartbeat."""
         item = await self._queue_order(order)
         run_lists = item.resolved.result() if item.resolved.done() else None
         return run_lists if run_lists is not None else CallFailure.NO_ANSWER
@@ -145,7 +150,7 @@
     # Heartbeats of the upstreams
 
     async def handle_heartbeat(self, heartbeat: Heartbeat, token: int) -> HeartbeatOrders:
-        """Process the lists of a heartbeat, and return the orders for its answer."""
+        """Process the run lists of a heartbeat, and return the orders for its answer."""
         queue = self._queues.setdefault(heartbeat.info.id, _UpstreamQueue())
         if heartbeat.sequence <= queue.sequence or heartbeat.held is None:
             # Overtaken by a later heartbeat, which gets an answer of its own.
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -3,8 +3,8 @@
 Load pattern: thousands of upstreams, each with a heartbeat every second or two. Handled by the
 leader alone, they took two thirds of its file descriptors and a third of its time. With many
 upstreams, the leader therefore spreads the heartbeats over the other control hosts (responders). A
-responder answers heartbeats without news for its own log, and reports to the leader in one call
-which upstreams it has heard. It forwards all other heartbeats to the leader.
+responder answers heartbeats that say nothing beyond its own log, and reports to the leader in one
+call which upstreams they came from. It forwards all other heartbeats to the leader.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 SPREAD_MIN_UPSTREAMS = 500
 """With fewer upstreams the leader answers all heartbeats itself, without any detour."""
 REPORT_INTERVAL = timedelta(milliseconds=250)
-"""How much the detour delays a heartbeat; the leader tolerates ten seconds of silence."""
+"""How often a responder reports, and so how late the leader may learn of a heartbeat.
+
+The leader tolerates ten seconds of silence.
+"""
 RESPONDER_TRUST_PERIOD = timedelta(seconds=1)
 """How long heartbeats are answered here after a report that the leader has acknowledged.
 
@@ -44,6 +47,7 @@
         self._get_records = get_records
         self._unreported: dict[UpstreamId, tuple[Heartbeat, timedelta]] = {}
         self._reported_at: timedelta | None = None
+        """When the last report that the leader has acknowledged was sent."""
         self.answered = 0
         """Number of heartbeats that were answered here."""
 
@@ -52,7 +56,7 @@
         return len(self._get_records().upstreams) >= SPREAD_MIN_UPSTREAMS
 
     def answer_routine(self, heartbeat: Heartbeat) -> Answer | None:
-        """Answer a heartbeat without news; return None if it must go to the leader."""
+        """Answer a heartbeat that says nothing new; return None if it must go to the leader."""
         now = self._clock.monotonic()
         is_trusted = (
             self._reported_at is not None and now - self._reported_at < RESPONDER_TRUST_PERIOD
@@ -130,7 +134,7 @@
         return sorted(responder for responder, at in self._reported_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
-        """Return where an upstream sends its heartbeats; stable while the responders are."""
+        """Return where an upstream sends its heartbeats; changes only with the responders."""
         responders = self.list_active()
         if not responders:
             return self._own_address
--- a/cottonlug/runtime/idempotent_calls.py
+++ b/cottonlug/runtime/idempotent_calls.py
@@ -25,7 +25,7 @@
 """How long an evacuation order is delayed before it counts as received.
 
 After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
-has then long gone to another host.
+has long since sent it to another host.
 """
 
 
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -35,7 +35,10 @@
 """How long a state query waits for a job whose end is being committed; a commit takes 20 ms."""
 
 ABANDONED_RETENTION = timedelta(seconds=2)
-"""A submission that is older than `GATEWAY_TIMEOUT` is refused in any case."""
+"""How long abandoned submissions are remembered.
+
+A submission that is older than `GATEWAY_TIMEOUT` is refused in any case.
+"""
 
 
 class JobAnswers:
--- a/cottonlug/runtime/job_channel.py
+++ b/cottonlug/runtime/job_channel.py
@@ -79,6 +79,7 @@
         self._numbers = itertools.count(1)
         self._pending: dict[int, _PendingJob] = {}
         self._numbering = self._received_through = 0
+        """The numbering of the last answers, and up to which number they have arrived."""
         self._changed = asyncio.Event()
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -35,7 +35,7 @@
 """Jobs started per iteration of the event loop. Each takes some 0.3 ms including the start of its
 first task; keep-alives are answered between iterations."""
 CHANNEL_RETENTION = timedelta(seconds=30)
-"""A live host polls every 0.3 s."""
+"""How long an unused channel is kept; a live host polls every 0.3 s."""
 
 _MAX_NUMBERING = 1 << 52
 """Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -73,10 +73,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeadershipSettings:
-    """Settings that are the same for all terms of a host."""
+    """Settings of the leadership of one term."""
 
     lease_terms: LeaseTerms
     keep_ended: timedelta
+    """How long ended jobs are kept in the records."""
     caller_retry: timedelta
     """The shortest time that a caller waits before it resubmits a job after losing its gateway."""
     control_address: str | None
@@ -295,6 +296,7 @@
                 self._schedule_decision()
 
     def _abandon_jobs_of_reconnected(self, gateway: str) -> None:
+        """Abandon the jobs that a gateway submitted before it timed out."""
         self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self._clock.monotonic())
 
     def _may_have_acting_leader(self) -> bool:
@@ -302,6 +304,7 @@
         return self.gateways.may_act_as_leader(domains)
 
     def _abandon_jobs_of_restarted(self, gateway: str) -> None:
+        """Abandon the jobs that an earlier process of a gateway submitted."""
         self.dispatch.abandon_gateway(gateway, self._clock.monotonic())
 
     async def _answer_heartbeat(self, call: ForwardHeartbeat) -> Answer:
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -38,7 +38,7 @@
 MAX_CALL_CONNECTIONS = 8
 """Enough for one keep-alive at a time and occasional queries or cancellations."""
 JOB_CHANNEL_CONNECTIONS = 4
-"""One for a batch of jobs, one for a request for answers, and a spare for each of them."""
+"""One for a batch of jobs, one for a poll for answers, and a spare for each of them."""
 
 
 def decode_keepalive(request: HttpRequest) -> KeepAlive | None:
--- a/cottonlug/runtime/refused_heartbeats.py
+++ b/cottonlug/runtime/refused_heartbeats.py
@@ -8,7 +8,8 @@
 from .events import Event, log_event
 
 LOG_INTERVAL = timedelta(seconds=1)
-"""A faulty sender fails with every heartbeat; the logged count says how often."""
+"""Minimum time between log lines: a faulty sender fails with every heartbeat, and the logged count
+says how often."""
 MAX_FIELD_CHARS = 200
 """Most characters of a log field whose content comes from the sender."""
 
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -1,7 +1,7 @@
 """One host of a replicated log: its disk, its messages and its timers.
 
 The state machine on top is passed in. A leader sends entries before it has synced them and counts
-itself towards the majority only afterwards (`Member.note_saved`): with all voters healthy, two
+itself towards the majority only afterwards (`Member.record_saved`): with all voters healthy, two
 other disks are the majority, and the leader's event loop does not wait for its own.
 """
 
--- a/cottonlug/runtime/voter_client.py
+++ b/cottonlug/runtime/voter_client.py
@@ -74,7 +74,7 @@
         return Err(refusal)
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
-        """Return the active configuration, after waiting for one newer than `after`."""
+        """Return the active configuration; wait up to `seconds` for one newer than `after`."""
         if self._rulebook.version <= after:
             await self._change_notifier.wait(seconds)
         book = self._rulebook
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -448,7 +448,7 @@
         request: HttpRequest,
         idle: list[_Connection],
     ) -> Result[HttpReply, TransportError]:
-        """Deliver a request to another machine and return its answer; cancelling hangs up."""
+        """Deliver a request to another machine and return its answer; cancelling disconnects."""
         carrying = self.loop.create_task(
             self._carry(own, address, request, idle), context=contextvars.Context()
         )
@@ -495,7 +495,7 @@
         finally:
             if not answering.done() and process.is_alive:
                 process.enqueue(asyncio.Handle(disconnected.set, (), self.loop, process.context))
-        assert response is not None, "the caller has not hung up"
+        assert response is not None, "the caller has not disconnected"
         await self._delay_message(own, machine)
         if connection.is_silent:
             await asyncio.Event().wait()
@@ -561,7 +561,7 @@
     token: int = 0
     sequence: int = 0
     coordinator: str = ""
-    """The machine to which it was told to send its heartbeats."""
+    """The machine that the last answer named for its next heartbeats."""
 
 
 class ModelPort:
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -89,7 +89,7 @@
         return self.world.now - contact.sent_at < GATEWAY_TIMEOUT
 
     def record_contact(self, gateway: str, contact: Contact | None) -> None:
-        """Record contact with a gateway from when it sent a message, as `Gateways` does."""
+        """Record contact with a gateway from when it sent a message, as `GatewayRegistry` does."""
         if contact is None or not self.is_valid_contact(contact):
             return
         if gateway in self.contacted_at and not self.is_connected(gateway):
