--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -72,7 +72,9 @@
 
     metrics = Metrics(counters=read_counters, gauges=read_gauges)
     gateway.record_refusal = metrics.add_histogram("refusal_over_objective", REFUSAL_BOUNDS)
-    gateway.link.record_change = metrics.add_histogram("without_decider_ms", CALL_BOUNDS_MS)
+    gateway.link.record_coordinator_change = metrics.add_histogram(
+        "without_decider_ms", CALL_BOUNDS_MS
+    )
     gateway.record_call = metrics.add_histogram("call_ms", CALL_BOUNDS_MS)
     return metrics
 
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -101,7 +101,7 @@
         self.failover_store = FailoverStore(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
-        self.record_change: Callable[[float], object] = lambda silence_ms: None
+        self.record_coordinator_change: Callable[[float], object] = lambda silence_ms: None
         """Called when the coordinator changes, with the milliseconds since the last contact."""
         self._settings = settings
         self._clock = clock
@@ -173,7 +173,7 @@
         if host != self.coordinator or via is not self.via:
             if self._reached_at is not None:
                 silence = self._clock.monotonic() - self._reached_at
-                self.record_change(silence / timedelta(milliseconds=1))
+                self.record_coordinator_change(silence / timedelta(milliseconds=1))
             if self.coordinator is not None and host != self.coordinator:
                 self._calls.abandon_calls(self.coordinator)
             self.coordinator = host
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -96,11 +96,11 @@
         self._on_listening_change = on_listening_change
         self._lease = lease
         self._queues: dict[UpstreamId, _UpstreamQueue] = {}
-        self._is_over = False
+        self._is_closed = False
 
     def close(self) -> None:
         """Answer all parked heartbeats, without orders."""
-        self._is_over = True
+        self._is_closed = True
         for queue in self._queues.values():
             queue.changed.set()
 
@@ -159,7 +159,7 @@
         self._resolve_sent(queue, heartbeat.held)
         self._on_listening_change(heartbeat.info.id, True)
         await self._park(queue, heartbeat)
-        if self._is_over or heartbeat.sequence != queue.sequence:
+        if self._is_closed or heartbeat.sequence != queue.sequence:
             return HeartbeatOrders(token=token, last_seen=0)
         self._on_listening_change(heartbeat.info.id, False)
         return self._build_orders(queue, token)
@@ -173,7 +173,7 @@
     async def _park(self, queue: _UpstreamQueue, heartbeat: Heartbeat) -> None:
         """Park an answer until there is an order to send or the upstream is to report again."""
         began_at = self._clock.monotonic()
-        while not self._is_over and heartbeat.sequence == queue.sequence:
+        while not self._is_closed and heartbeat.sequence == queue.sequence:
             queue.changed.clear()
             if any(not isinstance(item.order, PollOrder) for item in queue.waiting):
                 return
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -223,7 +223,7 @@
     process: Process | None = None
     is_powered_off: bool = False
     """Without power it answers nothing; not even connections are refused."""
-    starts: int = 0
+    start_count: int = 0
     slowness: float = 1.0
 
     @property
@@ -311,7 +311,7 @@
 
     def start(self, machine: Machine, seeds: list[Machine], *, may_begin: bool = False) -> None:
         assert machine.process is None
-        machine.starts += 1
+        machine.start_count += 1
         machine.is_powered_off = False
         process = Process(machine, self.loop)
         machine.process = process
@@ -449,19 +449,19 @@
         idle: list[_Connection],
     ) -> Result[HttpReply, TransportError]:
         """Deliver a request to another machine and return its answer; cancelling disconnects."""
-        carrying = self.loop.create_task(
-            self._carry(own, address, request, idle), context=contextvars.Context()
+        delivering = self.loop.create_task(
+            self._deliver(own, address, request, idle), context=contextvars.Context()
         )
-        self._exchanges.add(carrying)
-        carrying.add_done_callback(self._exchanges.discard)
+        self._exchanges.add(delivering)
+        delivering.add_done_callback(self._exchanges.discard)
         try:
-            await asyncio.wait([carrying])
-            return carrying.result()
+            await asyncio.wait([delivering])
+            return delivering.result()
         finally:
             if not self.loop.is_closed():
-                carrying.cancel()
+                delivering.cancel()
 
-    async def _carry(
+    async def _deliver(
         self,
         own: Machine | None,
         address: Address,
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -148,14 +148,14 @@
             return leader
         return self.chance.choice(running)
 
-    def seeds(self) -> list[Machine]:
+    def choose_seeds(self) -> list[Machine]:
         """Return the seeds in the settings of a host that starts now."""
         return self.chance.sample(list(self.world.machines.values()), 3)
 
     async def start_after(self, machine: Machine, seconds: float) -> None:
         await asyncio.sleep(seconds)
         if machine.process is None:
-            self.world.start(machine, self.seeds())
+            self.world.start(machine, self.choose_seeds())
 
     def may_lose(self, machines: list[Machine], seconds: float) -> bool:
         """Return whether these disks may be lost now, and count them as lost if so."""
@@ -207,7 +207,7 @@
         for machine in self.world.machines.values():
             await asyncio.sleep(self.chance.uniform(0.0, 0.05))
             if machine.process is None:
-                self.world.start(machine, self.seeds())
+                self.world.start(machine, self.choose_seeds())
 
     async def freeze(self) -> None:
         machine = self.pick_machine()
@@ -246,7 +246,7 @@
         await asyncio.sleep(1.0)
         added = self.world.add(f"{machine.name}n", machine.domain, f"{machine.ip}9")
         if added.process is None:
-            self.world.start(added, self.seeds())
+            self.world.start(added, self.choose_seeds())
 
     async def silence(self) -> None:
         self.world.silence_connections()
@@ -311,7 +311,7 @@
         self.world.heal()
         for machine in self.world.machines.values():
             if machine.process is None:
-                self.world.start(machine, self.seeds())
+                self.world.start(machine, self.choose_seeds())
         at = self.world.loop.time()
         if self.chance.random() < 0.4:
             await asyncio.sleep(CATCH_UP_SECONDS)
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -68,7 +68,7 @@
     clock = build_clock()
     gateway = build_gateway(clock)
     spans: list[float] = []
-    gateway.link.record_change = spans.append
+    gateway.link.record_coordinator_change = spans.append
     gateway.link.follow("10.0.1.1:7000", Via.LEADER)
     clock.advance(milliseconds(80))
     gateway.link.follow("10.0.1.1:7000", Via.LEADER)
@@ -83,7 +83,7 @@
         gateway = build_gateway(build_clock())
         metrics = build_gateway_metrics(gateway, LogOutput(descriptor=sink.fileno()))
         gateway.record_refusal(0.2)
-        gateway.link.record_change(450.0)
+        gateway.link.record_coordinator_change(450.0)
         lines = metrics.render().splitlines()
     assert "cottonlug_calls_held_to_end 0" in lines
     assert 'cottonlug_refusal_over_objective_bucket{le="0.25"} 1' in lines
