--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -344,7 +344,7 @@
         return min(max(by_count, KEEPALIVE_SECONDS_WITHOUT_LEADER), MAX_FAILOVER_CHECK_SECONDS)
 
     async def replace_leader(self) -> bool:
-        """Without a leader, check the acting leader or relay, find one, or act as leader here.
+        """Without a leader, check the acting leader or relay, find another, or act as leader here.
 
         Return whether the next check is due at once.
         """
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -32,7 +32,7 @@
 IDLE_PARK_TIME = timedelta(milliseconds=700)
 """Longest parking for an idle upstream.
 
-On the deployment platform an upstream without an answer for 1 s turns to another host.
+On the deployment platform an upstream without an answer for 1 s calls another host.
 """
 MIN_HEARTBEAT_GAP = timedelta(milliseconds=50)
 """Shortest time from an answer to the upstream's next heartbeat on the deployment platform."""
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -117,7 +117,7 @@
 
 
 class ResponderDirectory:
-    """The responders that the leader has heard, and the assignment of upstreams to them."""
+    """The responders that report to the leader, and the assignment of upstreams to them."""
 
     def __init__(self, *, clock: Clock, own_address: str | None) -> None:
         self._clock = clock
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -434,7 +434,7 @@
         self._had_lease = True
         if gap > LONG_DECISION_GAP and not self._has_skipped_decision:
             # Process the messages that have arrived during the delay first, and decide in the next
-            # turn, even if that one is late, too.
+            # iteration of the event loop, even if that one is late, too.
             self._has_skipped_decision = True
             return
         self._has_skipped_decision = False
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Peer:
-    """Another member, the messages waiting for it, and the time of its last answer."""
+    """Another member, the messages waiting for it, and its last acknowledgement."""
 
     address: Address
     has_messages: asyncio.Event
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -59,12 +59,14 @@
 LINK_DELAY_SECONDS = 0.0005
 """How long a message takes to arrive."""
 CONNECT_SECONDS = 0.5
+"""How long it takes until a connection to an unreachable machine has failed."""
 FIRST_RETRANSMIT_SECONDS = 0.2
 """Lost bytes are retransmitted after this time, and then after twice as long each time."""
 SYNC_SECONDS = 0.009
 CALLBACK_SECONDS = 0.00003
 RESTART_SECONDS = 0.4
 HAND_OVER_SECONDS = 1.5
+"""From a request to stop, with which a process transfers leadership, to the end of the process."""
 CLIENT_TIMEOUT_SECONDS = 1.0
 """How long an operator or an upstream waits for an answer, before it asks another host."""
 
@@ -162,7 +164,7 @@
         asyncio.SelectorEventLoop.call_at(self._loop, at, self._run_queue, context=empty)
 
     def _run_queue(self) -> None:
-        """Run the queued callbacks, as one turn of an event loop."""
+        """Run the queued callbacks, as one iteration of an event loop."""
         self._is_due = False
         if not self.is_alive:
             return
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -1,6 +1,6 @@
 """A model of a site: gateways, successive leaders, acting leaders by domain, network cuts.
 
-Gateways use the time-outs of `runtime.coordinator_link`: they leave a coordinator that has not
+Gateways use the timeouts of `runtime.coordinator_link`: they leave a coordinator that has not
 answered for 0.35 s and follow an acting leader after 0.52 s (0.9 s if an election is possible). A
 caller submits a job again 1.3 s after its gateway was lost or has abandoned the job. A delayed host
 processes what has arrived, and schedules, only when it continues. `ModelUpstream` fails the test at
@@ -51,13 +51,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelCoordinator(Leader):
-    """A leader or acting leader on a host that may be delayed, with the gateways it has heard."""
+    """A leader or acting leader on a host that may be delayed, with its contacts to gateways."""
 
     site: Site
     home: DomainName
     busy_until: timedelta = timedelta()
     decided_at: timedelta = timedelta()
     contacted_at: dict[str, timedelta] = field(default_factory=dict)
+    """When each gateway sent the last message that has arrived here."""
     abandoned: set[int] = field(default_factory=set)
     """Numbers of the calls that their gateways have abandoned."""
 
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -437,7 +437,7 @@
 
 
 def test_member_without_a_vote_forgets_a_leader_after_a_timeout() -> None:
-    """The cause of the fault above: a member without a vote never forgot its last leader.
+    """Guards the cause of the fault in the test above: such a member never forgot its last leader.
 
     It forwarded orders to it and did not ask to join, since only voters had a timeout.
     """
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -5,7 +5,7 @@
 the second one. A coordinator abandons a gateway's jobs 0.3 s after it last heard from it, and the
 gateway sends them elsewhere 0.52 s after its last answer. A busy leader processed late what had
 arrived before the cut, and a message counted from its processing instead of its sending, so the
-two time-outs were unrelated. The leader could start that run only if it had heard from the gateway
+two timeouts were unrelated. The leader could start that run only if it had heard from the gateway
 within 0.3 s, although nothing sent after the cut could reach it; delaying the messages as below
 reproduces this every time.
 """
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -83,7 +83,7 @@
 def test_keepalive_does_not_wait_behind_job_connections() -> None:
     """Hundreds of jobs wait for a host that restarts, and each opens a connection.
 
-    After a power failure of all hosts the leader accepted one connection per event loop turn. For
+    After a power failure of all hosts the leader accepted one connection per loop iteration. For
     six seconds keep-alives were 0.4 to 0.85 s late: jobs were abandoned and submitted again.
     """
 
@@ -153,7 +153,7 @@
 
 
 def test_immediate_answer_creates_no_task() -> None:
-    """On a busy host each turn of the event loop is long, and a task takes two turns."""
+    """On a busy host each iteration of the event loop is long, and a task takes two of them."""
 
     async def play() -> tuple[list[int], int]:
         async def never(request: HttpRequest) -> HttpResponse:
