--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -157,7 +157,7 @@
         if machine.process is None:
             self.world.start(machine, self.choose_seeds())
 
-    def may_lose(self, machines: list[Machine], seconds: float) -> bool:
+    def reserve_disk_loss(self, machines: list[Machine], seconds: float) -> bool:
         """Return whether these disks may be lost now, and count them as lost if so."""
         now = self.world.loop.time()
         lost = {name for name, until in self.lost_disks.items() if until > now}
@@ -179,16 +179,16 @@
         machine = self.pick_machine()
         power = self.chance.random() < 0.5
         seconds = self.chance.uniform(RESTART_SECONDS, 8.0)
-        wipe = self.chance.random() < 0.4 and self.may_lose([machine], seconds)
+        wipe = self.chance.random() < 0.4 and self.reserve_disk_loss([machine], seconds)
         self.world.kill(machine, power=power, wipe=wipe)
         self.send_until_answered(machine)
         await self.start_after(machine, seconds)
 
-    async def lose_two(self) -> None:
+    async def kill_two(self) -> None:
         running = [each for each in self.world.machines.values() if each.process is not None]
         both = self.chance.sample(running, min(2, len(running)))
         seconds = self.chance.uniform(1.0, 8.0)
-        wipe = self.chance.random() < 0.5 and self.may_lose(both, seconds)
+        wipe = self.chance.random() < 0.5 and self.reserve_disk_loss(both, seconds)
         for machine in both:
             self.world.kill(machine, power=True, wipe=wipe)
         for machine in both:
@@ -199,7 +199,7 @@
         seconds = self.chance.uniform(0.8, 6.0)
         machines = list(self.world.machines.values())
         wiped = self.chance.sample(machines, self.chance.choice([0, 0, 1, 2]))
-        if not self.may_lose(wiped, seconds):
+        if not self.reserve_disk_loss(wiped, seconds):
             wiped = []
         for machine in machines:
             self.world.kill(machine, power=True, wipe=machine in wiped)
@@ -238,7 +238,7 @@
 
     async def replace(self) -> None:
         machine = self.pick_machine()
-        if not self.may_lose([machine], 1.0):
+        if not self.reserve_disk_loss([machine], 1.0):
             return
         self.lost_disks[f"{machine.name}n"] = self.lost_disks.pop(machine.name)
         self.world.kill(machine, power=True)
@@ -271,7 +271,7 @@
     async def inject_faults(self) -> None:
         kinds = (
             self.kill,
-            self.lose_two,
+            self.kill_two,
             self.lose_power,
             self.freeze,
             self.cut,
--- a/cottonlug/tests/test_cluster_acting_leader.py
+++ b/cottonlug/tests/test_cluster_acting_leader.py
@@ -323,7 +323,7 @@
     gateway.link.receive_failover_state(build_failover_state())
     gateway.link.follow("10.0.0.2:7000", Via.ACTING_LEADER)
 
-    async def lose_acting_leader(call: Call, timeout: timedelta) -> Answer:
+    async def answer_during_change(call: Call, timeout: timedelta) -> Answer:
         # The failover state of the next leader arrives while the call is pending.
         gateway.link.receive_failover_state(msgspec.structs.replace(build_failover_state(), term=6))
         assert not isinstance(call, Submit) or call.acting_leader_term in (0, 5)
@@ -331,7 +331,7 @@
             return Answer(outcome=Outcome.DONE)
         return Answer(outcome=Outcome.UNKNOWN)
 
-    gateway._try_once = lose_acting_leader  # type: ignore[method-assign]
+    gateway._try_once = answer_during_change  # type: ignore[method-assign]
     assert asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT)).outcome is Outcome.DONE
 
 
