--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -110,7 +110,8 @@
             decision=Decision.CONFLICT,
             version=state.version,
             winner=state.winner,
-            detail=f"version {state.version} is active, the change is based on "
+            # Part of a replicated outcome: voters of different builds must store the same text.
+            detail=f"version {state.version} is in force, the change starts from "
             f"{command.base_version}",
         )
     problem = validate(command.text)
