--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -59,12 +59,12 @@
     outcomes: dict[str, ChangeOutcome] = {}
 
 
-Validate = Callable[[str], str | None]
+Validator = Callable[[str], str | None]
 """Returns what is wrong with a document, or None if it is valid."""
 
 
 def apply_change(
-    state: ConfigurationState, command: ChangeCommand, validate: Validate
+    state: ConfigurationState, command: ChangeCommand, validate: Validator
 ) -> ChangeOutcome:
     """Decide on a change and return the outcome; a known request id gets its original outcome."""
     known = state.outcomes.get(command.request_id)
@@ -103,7 +103,9 @@
     return msgspec.json.decode(data, type=ChangeCommand)
 
 
-def _decide(state: ConfigurationState, command: ChangeCommand, validate: Validate) -> ChangeOutcome:
+def _decide(
+    state: ConfigurationState, command: ChangeCommand, validate: Validator
+) -> ChangeOutcome:
     if command.base_version != state.version:
         return ChangeOutcome(
             request_id=command.request_id,
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -33,7 +33,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    Stored,
+    StoredState,
     Term,
     TransferRequest,
     VoteReply,
@@ -58,9 +58,9 @@
         self,
         *,
         id: MemberId,
-        stored: Stored,
+        stored: StoredState,
         timing: Timing,
-        chance: RandomFloat,
+        random_float: RandomFloat,
         now: timedelta,
         saves_after_sending: bool = False,
     ) -> None:
@@ -75,12 +75,12 @@
         self.members = self.log.find_members()
         self._voted_for = stored.hard_state.voted_for
         self._timing = timing
-        self._chance = chance
+        self._random_float = random_float
         self._now = now
         self._votes: set[MemberId] = set()
         self._progress: dict[MemberId, Progress] = {}
         self._heard_leader_at: timedelta | None = None
-        self._votes_without_leader = 0
+        self._elections_without_leader = 0
         """Number of elections started before any leader was heard."""
         self._heartbeat_due = now
         self._output = Output()
@@ -156,7 +156,7 @@
         ]
         if not candidates:
             return None
-        successor = candidates[int(self._chance() * len(candidates))]
+        successor = candidates[int(self._random_float() * len(candidates))]
         self._send(successor, TransferRequest(term=self.term, sender=self.id))
         return successor
 
@@ -236,7 +236,7 @@
 
     def _reset_election_timer(self, span: timedelta | None = None) -> None:
         span = span if span is not None else self._timing.election
-        self._election_due = self._now + span * (1.0 + self._chance())
+        self._election_due = self._now + span * (1.0 + self._random_float())
 
     def _compute_vote_timeout(self) -> timedelta:
         """Return the minimum wait for the votes of the election that starts now.
@@ -247,8 +247,8 @@
         """
         if self._heard_leader_at is not None:
             return self._timing.election
-        self._votes_without_leader += 1
-        span: timedelta = self._timing.first_election * 2**self._votes_without_leader
+        self._elections_without_leader += 1
+        span: timedelta = self._timing.first_election * 2**self._elections_without_leader
         return min(span, self._timing.election)
 
     def _has_leader(self) -> bool:
@@ -386,8 +386,8 @@
         self.members = self.log.find_members()
         if self.role is not Role.LEADER:
             return
-        everybody = (*self.members.voters, *self.members.learners)
-        others = [member for member in everybody if member != self.id]
+        all_members = (*self.members.voters, *self.members.learners)
+        others = [member for member in all_members if member != self.id]
         # In list order, so that a run with the same random numbers is reproducible.
         for member in others:
             if member in self._progress:
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -284,10 +284,10 @@
                 self.counters.probations += 1
                 self.session_table.notices.append(Notice(NoticeKind.PROBATION, session.upstream))
             detail = f"the task failed at {session.upstream}: {_describe(result.value)}"
-            self._end_task(job, key, TaskState.FAILED, detail, now)
+            self._retry_or_fail(job, key, TaskState.FAILED, detail, now)
         else:
             detail = f"the task was stopped at {session.upstream}"
-            self._end_task(job, key, TaskState.UNKNOWN, detail, now)
+            self._retry_or_fail(job, key, TaskState.UNKNOWN, detail, now)
 
     def _find_job_awaiting(self, key: TaskKey) -> Job | None:
         """Return the active job that still waits for this attempt, or None."""
@@ -304,13 +304,13 @@
         self._enqueue(job)
 
     def _end_tasks_as_unknown(
-        self, keys: list[TaskKey], upstream: UpstreamId, why: str, now: timedelta
+        self, keys: list[TaskKey], upstream: UpstreamId, cause: str, now: timedelta
     ) -> None:
         for key in keys:
             job = self._find_job_awaiting(key)
             if job is not None:
-                detail = f"{why} ({upstream}) while the task may have been running"
-                self._end_task(job, key, TaskState.UNKNOWN, detail, now)
+                detail = f"{cause} ({upstream}) while the task may have been running"
+                self._retry_or_fail(job, key, TaskState.UNKNOWN, detail, now)
 
     def _stop_unwanted_tasks(self, session: Session, request: ExchangeRequest) -> None:
         """Stop the held tasks whose result this host no longer waits for."""
@@ -319,7 +319,7 @@
             if self._find_job_awaiting(key) is None or key not in session.outstanding:
                 session.stops.append(name)
 
-    def _end_task(
+    def _retry_or_fail(
         self, job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta
     ) -> None:
         if state is TaskState.UNKNOWN:
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -117,7 +117,7 @@
         self.running: dict[TaskKey, Assignment] = {}
         self.waiting: dict[TaskKey, Assignment] = {}
         self.pending_stops: deque[TaskKey] = deque()
-        self._held: Counter[SubmissionId] = Counter()
+        self._held_counts: Counter[SubmissionId] = Counter()
         self._incarnation = incarnation
         self._delays = delays
 
@@ -156,7 +156,7 @@
             return None
         if not link.pending or self.leaving:
             return timedelta()
-        return link.pending_since + self._get_delay(link)
+        return link.pending_since + self._get_report_delay(link)
 
     def has_updates(self, link: Link) -> bool:
         """Whether there is something to send although a request is already open."""
@@ -214,7 +214,7 @@
                     rank_ms=now_ms + group.rank_ms,
                 )
                 self.waiting[key] = assignment
-                self._held[key.submission] += 1
+                self._held_counts[key.submission] += 1
         if self.leaving:
             self.return_waiting_tasks()
         for name in reply.stops:
@@ -259,7 +259,7 @@
             link.pending or any(link.unacknowledged.values()) for link in self.links.values()
         )
 
-    def _get_delay(self, link: Link) -> timedelta:
+    def _get_report_delay(self, link: Link) -> timedelta:
         if link.backlog == 0 and all(self._may_hold(item) for item in link.pending):
             return self._delays.hold
         if 2 * len(self.running) >= self.announcement.slots:
@@ -270,7 +270,7 @@
         """Whether this is a success and the submission has more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
-        return self._held[item.key.submission] > 0
+        return self._held_counts[item.key.submission] > 0
 
     def _stop(self, key: TaskKey) -> None:
         waiting = self.waiting.pop(key, None)
@@ -279,12 +279,14 @@
         elif key in self.running:
             self.pending_stops.append(key)
 
-    def _report(self, assignment: Assignment, status: ResultStatus, value: Raw, us: int) -> None:
+    def _report(
+        self, assignment: Assignment, status: ResultStatus, value: Raw, ran_us: int
+    ) -> None:
         key = assignment.key
-        self._held[key.submission] -= 1
-        if not self._held[key.submission]:
-            del self._held[key.submission]
-        result = TaskResult(key.task, key.attempt, status, value, us)
+        self._held_counts[key.submission] -= 1
+        if not self._held_counts[key.submission]:
+            del self._held_counts[key.submission]
+        result = TaskResult(key.task, key.attempt, status, value, ran_us)
         self.links[assignment.host].pending.append(AssignmentResult(key, result))
 
     def _list_held(self, link: Link) -> list[TaskName]:
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -21,9 +21,9 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class _Record:
+class _FailureRecord:
     failures: int = 0
-    limit: int | None = None
+    start_limit: int | None = None
     pause: timedelta = FIRST_PAUSE
     paused_until: timedelta = timedelta()
 
@@ -32,7 +32,7 @@
     """Tracks consecutive failures of each upstream and limits its concurrent starts."""
 
     def __init__(self) -> None:
-        self._records: dict[UpstreamId, _Record] = {}
+        self._records: dict[UpstreamId, _FailureRecord] = {}
 
     def record_success(self, upstream: UpstreamId) -> None:
         """Record a success; on probation it doubles the limit until the limit is lifted."""
@@ -40,18 +40,18 @@
         if record is None:
             return
         record.failures = 0
-        if record.limit is None:
+        if record.start_limit is None:
             return
-        record.limit *= 2
-        if record.limit >= PROBATION_EXIT_LIMIT:
-            record.limit = None
+        record.start_limit *= 2
+        if record.start_limit >= PROBATION_EXIT_LIMIT:
+            record.start_limit = None
             record.pause = FIRST_PAUSE
 
     def record_failure(self, upstream: UpstreamId, now: timedelta) -> bool:
         """Record a failure; True if it puts the upstream on probation."""
-        record = self._records.setdefault(upstream, _Record())
+        record = self._records.setdefault(upstream, _FailureRecord())
         record.failures += 1
-        if record.limit is not None:
+        if record.start_limit is not None:
             self._pause(record, now)
             return False
         if record.failures < FAILURES_TO_PROBATION or self._is_probation_share_reached():
@@ -62,28 +62,28 @@
     def get_start_limit(self, upstream: UpstreamId, now: timedelta) -> int | None:
         """Return how many concurrent starts the upstream may have, or None for no limit."""
         record = self._records.get(upstream)
-        if record is None or record.limit is None:
+        if record is None or record.start_limit is None:
             return None
-        return record.limit if now >= record.paused_until else 0
+        return record.start_limit if now >= record.paused_until else 0
 
     def is_on_probation(self, upstream: UpstreamId) -> bool:
         """Whether the upstream is on probation."""
         record = self._records.get(upstream)
-        return record is not None and record.limit is not None
+        return record is not None and record.start_limit is not None
 
     def add(self, upstream: UpstreamId) -> None:
         """Count an upstream as connected."""
-        self._records.setdefault(upstream, _Record())
+        self._records.setdefault(upstream, _FailureRecord())
 
     def remove(self, upstream: UpstreamId) -> None:
         """Drop the record of an upstream that has disconnected."""
         self._records.pop(upstream, None)
 
-    def _pause(self, record: _Record, now: timedelta) -> None:
-        record.limit = 1
+    def _pause(self, record: _FailureRecord, now: timedelta) -> None:
+        record.start_limit = 1
         record.paused_until = now + record.pause
         record.pause = min(2 * record.pause, LONGEST_PAUSE)
 
     def _is_probation_share_reached(self) -> bool:
-        limited = sum(1 for record in self._records.values() if record.limit is not None)
+        limited = sum(1 for record in self._records.values() if record.start_limit is not None)
         return limited + 1 > max(1.0, MAX_PROBATION_SHARE * len(self._records))
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -57,9 +57,9 @@
 
     def update(self, session: Session) -> None:
         """Add a new entry for a session that changed; its earlier entries become outdated."""
-        session.version = next(self._versions)
+        session.entry_version = next(self._versions)
         if self._get_free_capacity(session) > 0:
-            heapq.heappush(self._heap, _Entry(self._rank(session), session.version, session))
+            heapq.heappush(self._heap, _Entry(self._rank(session), session.entry_version, session))
 
     def choose_session(self, spec: JobSpec) -> Session | None:
         """Return the first session where a task of the job fits, or None."""
@@ -68,7 +68,7 @@
         while self._heap and chosen is None:
             entry = self._heap[0]
             session = entry.session
-            if entry.version != session.version or self._get_free_capacity(session) <= 0:
+            if entry.version != session.entry_version or self._get_free_capacity(session) <= 0:
                 heapq.heappop(self._heap)
             elif fits_now(session, spec):
                 chosen = session
@@ -83,7 +83,7 @@
         while self._heap:
             entry = self._heap[0]
             if (
-                entry.version == entry.session.version
+                entry.version == entry.session.entry_version
                 and self._get_free_capacity(entry.session) > 0
             ):
                 return False
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -48,7 +48,7 @@
     def __init__(self, *, work_factor: float, fair_teams: bool) -> None:
         self._work_factor = work_factor
         self._fair_teams = fair_teams
-        self._classes: dict[int, dict[TeamName, _TeamQueue]] = {}
+        self._teams_by_priority: dict[int, dict[TeamName, _TeamQueue]] = {}
         self._weights: dict[TeamName, float] = {}
         self._virtual_now: dict[int, float] = {}
         self._queued_ids: set[SubmissionId] = set()
@@ -57,7 +57,7 @@
     def set_weight(self, team: TeamName, weight: float) -> None:
         """Set a team's weight relative to other teams; the default is 1."""
         self._weights[team] = weight
-        for teams in self._classes.values():
+        for teams in self._teams_by_priority.values():
             if team in teams:
                 teams[team].weight = weight
 
@@ -66,7 +66,7 @@
         if job.id in self._queued_ids:
             return
         self._queued_ids.add(job.id)
-        teams = self._classes.setdefault(job.spec.priority, {})
+        teams = self._teams_by_priority.setdefault(job.spec.priority, {})
         floor = self._virtual_now.get(job.spec.priority, 0.0)
         name = self._get_team(job)
         team = teams.get(name)
@@ -87,26 +87,26 @@
         Between two steps the caller starts tasks and reports them with `charge`. A job of which the
         caller starts none is offered again only on the next call.
         """
-        for priority in sorted(self._classes):
+        for priority in sorted(self._teams_by_priority):
             skipped: list[tuple[_TeamQueue, _Entry]] = []
             try:
-                yield from self._iterate_class(priority, skipped)
+                yield from self._iterate_priority(priority, skipped)
             finally:
                 for team, entry in skipped:
                     heapq.heappush(team.entries, entry)
 
     def charge(self, job: Job, work: timedelta) -> None:
         """Add started work to the virtual time of the job's team."""
-        team = self._classes[job.spec.priority][self._get_team(job)]
+        team = self._teams_by_priority[job.spec.priority][self._get_team(job)]
         team.virtual_time += work.total_seconds() / team.weight
 
     def _get_team(self, job: Job) -> TeamName:
         return job.spec.team if self._fair_teams else _SHARED_TEAM
 
-    def _iterate_class(
+    def _iterate_priority(
         self, priority: int, skipped: list[tuple[_TeamQueue, _Entry]]
     ) -> Generator[Turn]:
-        teams = self._classes[priority]
+        teams = self._teams_by_priority[priority]
         while True:
             waiting = [team for team in teams.values() if team.entries]
             if not waiting:
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -119,10 +119,10 @@
         self.ready.update(session)
         self.mark_reply_due(session.upstream)
 
-    def close_session(self, session: Session, why: str) -> list[TaskKey]:
+    def close_session(self, session: Session, cause: str) -> list[TaskKey]:
         """End a session and return the starts whose outcome is unknown."""
         session.state = SessionState.CLOSED
-        self.notices.append(Notice(NoticeKind.GONE, session.upstream, why))
+        self.notices.append(Notice(NoticeKind.GONE, session.upstream, cause))
         self.by_upstream.pop(session.upstream, None)
         self.guard.remove(session.upstream)
         self._answer_open_requests(session)
@@ -178,9 +178,9 @@
         """Return every reply that is due; their starts are removed from the mapping."""
         deliveries = self._final_replies
         self._final_replies = []
-        touched = [name for name in self._maybe_due if name in self.by_upstream]
+        candidates = [name for name in self._maybe_due if name in self.by_upstream]
         self._maybe_due = {}
-        for name in touched:
+        for name in candidates:
             session = self.by_upstream[name]
             while session.open_requests:
                 reply = self._build_reply_if_due(session, starts.pop(name, []), queue)
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -29,7 +29,7 @@
     last_heard: timedelta
     expires_at: timedelta
     credit: int = 0
-    version: int = 0
+    entry_version: int = 0
     ordinal: int = 0
     state: SessionState = SessionState.ACTIVE
     outstanding: dict[TaskKey, Needs] = field(default_factory=dict)
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -26,7 +26,7 @@
     Output,
     Record,
     Snapshot,
-    Stored,
+    StoredState,
     Term,
 )
 from .files import Files
@@ -121,19 +121,19 @@
     """What one member has saved; after a failed write it accepts no further records."""
 
     def __init__(
-        self, *, files: Files, member: MemberId, content: _JournalContent, cut: int
+        self, *, files: Files, member: MemberId, content: _JournalContent, cut_bytes: int
     ) -> None:
         self.member = member
-        self.cut_bytes = cut
+        self.cut_bytes = cut_bytes
         self._files = files
         self._content = content
-        self._failed: StorageError | None = None
+        self._failure: StorageError | None = None
 
     @property
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """Return everything that is saved."""
         content = self._content
-        return Stored(
+        return StoredState(
             hard_state=content.hard_state,
             snapshot=content.snapshot,
             entries=tuple(content.entries),
@@ -163,8 +163,8 @@
         return self._append([AppliedRecord(index=index)])
 
     def _append(self, records: list[JournalRecord]) -> Result[None, StorageError]:
-        if self._failed is not None:
-            return Err(self._failed)
+        if self._failure is not None:
+            return Err(self._failure)
         data = b"".join(_encode_record(record) for record in records)
         try:
             self._files.append(JOURNAL_FILE, data)
@@ -178,8 +178,8 @@
         self, snapshot: Snapshot, restore: bool, records: list[JournalRecord]
     ) -> Result[None, StorageError]:
         """Replace the file by the snapshot and the records that follow it."""
-        if self._failed is not None:
-            return Err(self._failed)
+        if self._failure is not None:
+            return Err(self._failure)
         content = self._content
         for record in records:
             content.apply_record(record)
@@ -204,8 +204,8 @@
     def _record_write_failure(self, error: OSError) -> Result[None, StorageError]:
         # It is unknown how much of the write reached the disk, so nothing may be appended to it.
         message = f"cannot write the journal: {error.strerror or error}"
-        self._failed = StorageError(message=message, damaged=False)
-        return Err(self._failed)
+        self._failure = StorageError(message=message, damaged=False)
+        return Err(self._failure)
 
 
 def open_journal(files: Files, new_member: MemberId) -> Result[Journal, StorageError]:
@@ -215,7 +215,7 @@
         if not data:
             files.replace(JOURNAL_FILE, _encode_record(IdentityRecord(member=new_member)))
             return Success(
-                Journal(files=files, member=new_member, content=_JournalContent(), cut=0)
+                Journal(files=files, member=new_member, content=_JournalContent(), cut_bytes=0)
             )
         # An earlier process may have been killed between a write and its sync.
         files.sync(JOURNAL_FILE)
@@ -231,7 +231,7 @@
     if content.member is None:
         return Err(StorageError(message="the journal has no identity", damaged=True))
     journal = Journal(
-        files=files, member=content.member, content=content, cut=len(data) - valid_size
+        files=files, member=content.member, content=content, cut_bytes=len(data) - valid_size
     )
     return Success(journal)
 
@@ -250,11 +250,11 @@
         if payload is None:
             if _is_torn_write(data, offset):
                 break
-            return Err(_report_damage(offset))
+            return Err(_build_damage_error(offset))
         try:
             content.apply_record(_decoder.decode(payload))
         except msgspec.MsgspecError:
-            return Err(_report_damage(offset))
+            return Err(_build_damage_error(offset))
         offset += _HEADER.size + len(payload)
     return Success((content, offset))
 
@@ -294,7 +294,7 @@
     return data.endswith(b"\0")
 
 
-def _report_damage(offset: int) -> StorageError:
+def _build_damage_error(offset: int) -> StorageError:
     message = (
         f"the journal is damaged at byte {offset}; this disk cannot be trusted: empty the data "
         "folder, and the host joins again as a new member"
--- a/cottonlug/tests/conftest.py
+++ b/cottonlug/tests/conftest.py
@@ -21,20 +21,22 @@
     if len(lines) > MAX_LINES:
         raise pytest.UsageError(f"{KNOWN_RED.name} has {len(lines)} lines, {MAX_LINES} at most")
     named = [line.partition(": ") for line in lines]
-    return {name.strip(): why.strip() for name, _, why in named}
+    return {name.strip(): reason.strip() for name, _, reason in named}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     known = read_known_red()
     for item in items:
         # One line covers all parametrized cases of a test.
-        why = known.get(item.nodeid.partition("[")[0])
-        if why is not None:
+        reason = known.get(item.nodeid.partition("[")[0])
+        if reason is not None:
             # A failure by any other exception than these is not the known one.
-            known_ways = (AssertionError, TimeoutError)
-            item.add_marker(pytest.mark.xfail(reason=why, strict=True, raises=known_ways))
+            expected_exceptions = (AssertionError, TimeoutError)
+            item.add_marker(
+                pytest.mark.xfail(reason=reason, strict=True, raises=expected_exceptions)
+            )
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for name, why in read_known_red().items():
-        terminalreporter.write_line(f"KNOWN RED {name}: {why}")
+    for name, reason in read_known_red().items():
+        terminalreporter.write_line(f"KNOWN RED {name}: {reason}")
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -31,7 +31,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    Stored,
+    StoredState,
     Term,
     VoteReply,
     VoteRequest,
@@ -43,25 +43,25 @@
 SNAPSHOT = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(A, B, C)), data="")
 
 
-def build_member(stored: Stored) -> Member:
-    return Member(id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta())
+def build_member(stored: StoredState) -> Member:
+    return Member(id=A, stored=stored, timing=Timing(), random_float=lambda: 0.0, now=timedelta())
 
 
-def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> Stored:
-    return Stored(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
+def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> StoredState:
+    return StoredState(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
 
 
 def build_entry(index: int, term: int, data: str = "x") -> Entry:
     return Entry(index=Index(index), term=Term(term), data=data)
 
 
-def ask_vote(sender: MemberId, term: int) -> VoteRequest:
+def build_vote_request(sender: MemberId, term: int) -> VoteRequest:
     return VoteRequest(
         term=Term(term), sender=sender, last_index=Index(9), last_term=Term(9), pre=False
     )
 
 
-def read_vote(member: Member) -> bool:
+def read_last_vote(member: Member) -> bool:
     message = member.take_output().messages[-1].message
     assert isinstance(message, VoteReply)
     return message.granted
@@ -82,7 +82,9 @@
 
 
 def build_fast_member(id: MemberId, now: timedelta) -> Member:
-    return Member(id=id, stored=build_stored(3), timing=FAST_TIMING, chance=lambda: 0.0, now=now)
+    return Member(
+        id=id, stored=build_stored(3), timing=FAST_TIMING, random_float=lambda: 0.0, now=now
+    )
 
 
 def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
@@ -157,15 +159,15 @@
     journal = open_journal(FakeFiles(random.Random(1)), A).unwrap()
     journal.save(Output(snapshot=SNAPSHOT, restore=True)).unwrap()
     member = build_member(journal.stored)
-    member.receive(ask_vote(B, 5), timedelta())
+    member.receive(build_vote_request(B, 5), timedelta())
     output = member.take_output()
     assert output.hard_state == HardState(term=Term(5), voted_for=B)
     journal.save(output).unwrap()
     again = build_member(journal.stored)
-    again.receive(ask_vote(C, 5), timedelta())
-    assert read_vote(again) is False
-    again.receive(ask_vote(B, 5), timedelta())
-    assert read_vote(again) is True
+    again.receive(build_vote_request(C, 5), timedelta())
+    assert read_last_vote(again) is False
+    again.receive(build_vote_request(B, 5), timedelta())
+    assert read_last_vote(again) is True
 
 
 def test_entries_of_an_older_term_are_not_committed_by_counting_replicas() -> None:
@@ -202,18 +204,18 @@
 
 def test_returning_member_does_not_depose_a_leader() -> None:
     member = build_member(build_stored(2))
-    beat = AppendRequest(
+    heartbeat = AppendRequest(
         term=Term(2),
         sender=B,
         previous_index=Index(1),
         previous_term=Term(0),
         commit=Index(1),
     )
-    member.receive(beat, timedelta())
+    member.receive(heartbeat, timedelta())
     member.take_output()
-    member.receive(ask_vote(C, 7), timedelta(milliseconds=100))
+    member.receive(build_vote_request(C, 7), timedelta(milliseconds=100))
     assert member.term == 2
-    assert read_vote(member) is False
+    assert read_last_vote(member) is False
 
 
 def test_only_one_voter_changes_at_a_time() -> None:
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -141,7 +141,7 @@
             id=node.journal.member,
             stored=stored,
             timing=Timing(),
-            chance=self.chance.random,
+            random_float=self.chance.random,
             now=self.now,
         )
         node.state = decode_state(stored.snapshot.data)
@@ -282,10 +282,10 @@
                 if planned is not None:
                     node.member.change_members(planned, self.now)
 
-    def for_each_running(self, act: object) -> None:
+    def for_each_running(self, action: object) -> None:
         for node in self.nodes.values():
             if node.member is not None:
-                act(node.member)  # type: ignore[operator]
+                action(node.member)  # type: ignore[operator]
                 self.process_output(node)
 
     def propose_last(self) -> None:
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -37,7 +37,7 @@
     reply: ExchangeReply | None = None
 
 
-class World:
+class ExchangeScenario:
     """One entry host, its upstreams and all messages between them."""
 
     def __init__(self, seed: int) -> None:
@@ -147,8 +147,8 @@
         if not executor.running:
             return
         key = self.chance.choice(list(executor.running))
-        is_good = self.chance.random() < 0.97
-        status = ResultStatus.SUCCEEDED if is_good else ResultStatus.FAILED
+        succeeds = self.chance.random() < 0.97
+        status = ResultStatus.SUCCEEDED if succeeds else ResultStatus.FAILED
         executor.finish(key, status, build_value(key), 1_000, self.now)
 
     def restart_upstream(self) -> None:
@@ -243,22 +243,22 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_guarantees_hold_over_a_faulty_network(seed: int) -> None:
-    world = World(seed)
-    world.run(STEPS)
-    world.run_without_faults()
-    assert world.answers, "a run without an answer proves nothing"
+def test_no_task_starts_twice_and_every_job_ends_over_a_faulty_network(seed: int) -> None:
+    scenario = ExchangeScenario(seed)
+    scenario.run(STEPS)
+    scenario.run_without_faults()
+    assert scenario.answers, "a run without an answer proves nothing"
 
 
 def test_random_runs_include_every_kind_of_job_end() -> None:
     ends: Counter[str] = Counter()
     returned = 0
     for seed in range(100, 115):
-        world = World(seed)
-        world.run(STEPS)
-        world.run_without_faults()
-        returned += world.dispatcher.counters.returned_unstarted
-        for answer in world.answers.values():
+        scenario = ExchangeScenario(seed)
+        scenario.run(STEPS)
+        scenario.run_without_faults()
+        returned += scenario.dispatcher.counters.returned_unstarted
+        for answer in scenario.answers.values():
             ends[answer.failure.reason.value if answer.failure else "complete"] += 1
     assert {"complete", "task_failed", "task_unknown", "cancelled", "deadline"} <= set(ends)
     assert returned > 0, "no task whose reply was lost was returned to the queue"
