--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -28,7 +28,7 @@
     Index,
     MemberId,
     Members,
-    Message,
+    ConsensusMessage,
     Output,
     Role,
     Snapshot,
@@ -101,7 +101,7 @@
                 # A member without a vote cannot start an election; it has to find the new leader.
                 self.leader = None
 
-    def receive(self, message: Message, now: timedelta) -> None:
+    def receive(self, message: ConsensusMessage, now: timedelta) -> None:
         """Process a message from another member."""
         self._now = now
         if self._is_from_older_term(message):
@@ -203,16 +203,16 @@
 
     # Terms
 
-    def _is_from_older_term(self, message: Message) -> bool:
+    def _is_from_older_term(self, message: ConsensusMessage) -> bool:
         return message.term < self.term
 
-    def _answer_older_term(self, message: Message) -> None:
+    def _answer_older_term(self, message: ConsensusMessage) -> None:
         if isinstance(message, VoteRequest):
             self._send_vote(message, granted=False)
         elif isinstance(message, AppendRequest | SnapshotRequest):
             self._send_append_reply(message.sender, accepted=False, matched=Index(0))
 
-    def _adopt_newer_term(self, message: Message) -> None:
+    def _adopt_newer_term(self, message: ConsensusMessage) -> None:
         if message.term <= self.term:
             return
         if isinstance(message, VoteRequest):
@@ -515,7 +515,7 @@
         reply = AppendReply(term=self.term, sender=self.id, accepted=accepted, matched=matched)
         self._send(to, reply)
 
-    def _send(self, to: MemberId, message: Message) -> None:
+    def _send(self, to: MemberId, message: ConsensusMessage) -> None:
         self._output.messages.append(Envelope(to=to, message=message))
 
 
--- a/cottonlug/core/consensus/types.py
+++ b/cottonlug/core/consensus/types.py
@@ -134,14 +134,16 @@
     sender: MemberId
 
 
-Message = VoteRequest | VoteReply | AppendRequest | AppendReply | SnapshotRequest | TransferRequest
+ConsensusMessage = (
+    VoteRequest | VoteReply | AppendRequest | AppendReply | SnapshotRequest | TransferRequest
+)
 
 
 class Envelope(Record, frozen=True):
     """A message and the member that it is addressed to."""
 
     to: MemberId
-    message: Message
+    message: ConsensusMessage
 
 
 class Output(msgspec.Struct, kw_only=True):
--- a/cottonlug/core/control_messages.py
+++ b/cottonlug/core/control_messages.py
@@ -22,7 +22,7 @@
     """Consensus messages from one member to another; the replies come back as a batch, too."""
 
     sender: types.MemberId
-    messages: list[types.Message]
+    messages: list[types.ConsensusMessage]
 
 
 class ConfigurationView(Message, omit_defaults=False):
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -17,7 +17,7 @@
     AppendReply,
     Envelope,
     MemberId,
-    Message,
+    ConsensusMessage,
     SnapshotRequest,
     Term,
 )
@@ -39,7 +39,7 @@
 
     address: Address
     has_messages: asyncio.Event
-    outbox: list[Message]
+    outbox: list[ConsensusMessage]
     task: asyncio.Task[None] | None = None
     acked_at: timedelta | None = None
     """When the last batch was sent that it has answered in the current term."""
@@ -83,7 +83,7 @@
         peer.outbox.append(message)
         peer.has_messages.set()
 
-    def pop_messages(self, host: str) -> list[Message]:
+    def pop_messages(self, host: str) -> list[ConsensusMessage]:
         """Remove and return the messages for a peer that has just called, as its answer."""
         peer = self._peers.get(host)
         if peer is None:
@@ -125,7 +125,7 @@
             log_event(Event.INVARIANT_BROKEN, error=f"{type(error).__name__}: {error}")
             self._on_failure(error)
 
-    async def _send(self, peer: Peer, messages: list[Message]) -> None:
+    async def _send(self, peer: Peer, messages: list[ConsensusMessage]) -> None:
         sender, term = self._get_sender()
         batch = ConsensusBatch(sender=sender, messages=messages)
         sent_at = self._clock.monotonic()
