--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -1,9 +1,9 @@
 """The replicated configuration: one versioned rules document, changed by compare-and-set.
 
 Every voter applies commands in log order, so all reach the same state. A change names the version
-that it is based on; of two changes based on the same version exactly one is accepted. The decision
-for each request id is stored, so that an operator who lost the answer can repeat the request and
-gets the original decision.
+that it is based on; of two changes based on the same version, at most one is accepted. The outcome
+of each request id is stored, so that an operator who lost the answer can repeat the request and
+gets the original outcome.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .messages import Message
 
 MAX_REMEMBERED_OUTCOMES = 20_000
-"""Number of stored decisions: more than a day of changes at the size to design for."""
+"""Number of stored outcomes: more than one day of changes at the load designed for."""
 
 
 class Decision(Enum):
@@ -37,10 +37,10 @@
 
 
 class ChangeOutcome(Message, omit_defaults=False):
-    """Decision on a change.
+    """Decision on a change, as stored and returned to the operator.
 
     `version` is the active version after the decision; `winner`, where set, is the request id of
-    the change that made that version.
+    the change that created that version.
     """
 
     request_id: str
@@ -51,7 +51,10 @@
 
 
 class ConfigurationState(Message):
-    """The whole replicated state; a snapshot holds exactly this."""
+    """The whole replicated state, as a snapshot holds it.
+
+    `winner` is the request id of the change that created `version`.
+    """
 
     version: int = 0
     text: str = ""
@@ -66,7 +69,10 @@
 def apply_change(
     state: ConfigurationState, command: ChangeCommand, validate: Validator
 ) -> ChangeOutcome:
-    """Decide on a change and return the outcome; a known request id gets its original outcome."""
+    """Apply a change if it is accepted and return its outcome.
+
+    A known request id gets its original outcome and changes nothing.
+    """
     known = state.outcomes.get(command.request_id)
     if known is not None:
         return known
--- a/cottonlug/core/consensus/__init__.py
+++ b/cottonlug/core/consensus/__init__.py
@@ -2,5 +2,6 @@
 
 `member.Member` is the state machine. The embedding program delivers messages and ticks, then gets
 an `Output` and must, in this order: save the changes and sync them, send the messages, apply the
-committed entries.
+committed entries. With `saves_after_sending` a leader may send new entries before it saves them
+(see `member.Member.record_saved`).
 """
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotLeader:
-    """A proposal reached a member that cannot accept it; `leader`, if known, may be able to."""
+    """Why a proposal was not accepted; `leader` is the leader that this member knows, if any."""
 
     leader: MemberId | None
     reason: str
@@ -81,7 +81,7 @@
         self._progress: dict[MemberId, Progress] = {}
         self._heard_leader_at: timedelta | None = None
         self._elections_without_leader = 0
-        """Number of elections started before any leader was heard."""
+        """Number of elections that this member started before it heard any leader."""
         self._heartbeat_due = now
         self._output = Output()
         self._delivered_index = self.commit
@@ -190,14 +190,15 @@
     def record_saved(self) -> None:
         """Record that this member's whole log is on its disk, so that it counts for commitment.
 
-        For programs with `saves_after_sending`: on a leader they send entries before saving them.
+        Needed only with `saves_after_sending`: there a leader sends new entries before it saves
+        them, and its own copy counts towards a majority only once it is saved.
         """
         self._saved_index = self.log.last_index
         if self.role is Role.LEADER and self._advance_commit():
             self._replicate_all()
 
     def get_matched_index(self, member: MemberId) -> Index:
-        """Return up to which index another member's log is known to match; on the leader only."""
+        """Return the index up to which this leader knows another member's log to match."""
         progress = self._progress.get(member)
         return progress.matched if progress is not None else Index(0)
 
@@ -388,7 +389,7 @@
             return
         all_members = (*self.members.voters, *self.members.learners)
         others = [member for member in all_members if member != self.id]
-        # In list order, so that a run with the same random numbers is reproducible.
+        # In the order of the list, not of a set, so that runs with the same seed are repeatable.
         for member in others:
             if member in self._progress:
                 continue
@@ -443,7 +444,11 @@
             self._replicate(reply.sender)
 
     def _advance_commit(self) -> bool:
-        """Commit what a majority of voters has if its last entry is of the current term."""
+        """Commit what a majority of voters has if its last entry is of the current term.
+
+        An entry of an older term could still be overwritten by a later leader. Returns whether the
+        commit index advanced.
+        """
         matched = {member: progress.matched for member, progress in self._progress.items()}
         matched[self.id] = self._saved_index if self._saves_after_sending else self.log.last_index
         index = find_quorum_index(self.members.voters, matched)
--- a/cottonlug/core/consensus/progress.py
+++ b/cottonlug/core/consensus/progress.py
@@ -11,7 +11,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """Progress of one other member: the next index to send, the matched index, when last heard."""
+    """Progress of one other member.
+
+    `next_index` is the next entry to send to it, `matched` the index up to which its log is known
+    to match, `heard_at` when it last replied.
+    """
 
     next_index: Index
     matched: Index
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -55,7 +55,10 @@
 
 
 def plan_removal(leader: Member, lost: Collection[MemberId]) -> Members | None:
-    """Return the members without one lost voter, or None unless voters exceed the usual number."""
+    """Return the members without one lost voter.
+
+    None if no voter is lost, or if there are no more than `DEFAULT_VOTERS`.
+    """
     members = leader.members
     if len(members.voters) <= DEFAULT_VOTERS:
         return None
--- a/cottonlug/core/consensus/types.py
+++ b/cottonlug/core/consensus/types.py
@@ -111,7 +111,11 @@
 
 
 class AppendReply(Record, frozen=True, tag="append_reply"):
-    """If `accepted`, `matched` is the last matching index; otherwise, the one to resume after."""
+    """Reply to an append or snapshot request.
+
+    If `accepted`, the logs match up to `matched`; otherwise `matched` is a hint: the last index
+    that may match, after which the leader resumes.
+    """
 
     term: Term
     sender: MemberId
@@ -147,9 +151,10 @@
 
 
 class Output(msgspec.Struct, kw_only=True):
-    """What the embedding program must do, in the order of the fields.
+    """What the embedding program must save, send and apply, in this order.
 
-    With `restore` the snapshot came from the leader and replaces the whole log and the state.
+    `messages` are sent and `committed` is applied; everything else is saved. With `restore` the
+    snapshot came from the leader and replaces the whole log and the state.
     """
 
     hard_state: HardState | None = None
@@ -167,7 +172,7 @@
 
     @property
     def must_save(self) -> bool:
-        """Whether anything must be saved and synced before messages are sent."""
+        """Whether there is anything to save and sync."""
         return bool(
             self.hard_state is not None
             or self.snapshot is not None
--- a/cottonlug/core/control_messages.py
+++ b/cottonlug/core/control_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entry hosts about the replicated configuration."""
+"""Messages between hosts about a replicated log and the configuration in it."""
 
 from __future__ import annotations
 
@@ -8,7 +8,12 @@
 
 
 class Hello(Message, omit_defaults=False):
-    """What a voter reports about itself: its disk's member id and whether it ever took part."""
+    """What a host reports about itself and its log.
+
+    `member` is the member id of its disk; `is_empty` says that the disk never took part in the
+    consensus. With `may_begin` the host may bootstrap a new log. `hosts` are the hosts that it
+    knows.
+    """
 
     host: HostId
     member: types.MemberId
@@ -19,7 +24,7 @@
 
 
 class ConsensusBatch(Message):
-    """Consensus messages from one member to another; the replies come back as a batch, too."""
+    """Consensus messages from one member to another; the answer is a batch for the sender."""
 
     sender: types.MemberId
     messages: list[types.ConsensusMessage]
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -78,7 +78,7 @@
         """The sessions of all connected upstreams."""
         return self.session_table.by_upstream
 
-    # Calls of callers
+    # Calls from callers
 
     def submit(self, job: Job, run_time: timedelta | None) -> Result[JobStatus, Refusal]:
         """Accept a job, or attach to the existing job with the same id."""
@@ -133,10 +133,10 @@
         """Return an upstream's limit of concurrent starts, or None if it is not on probation."""
         return self.session_table.guard.get_start_limit(upstream, self.session_table.now)
 
-    # Calls of upstreams
+    # Calls from upstreams
 
     def exchange(self, request: ExchangeRequest, now: timedelta) -> Refusal | None:
-        """Process one upstream's message; `dispatch` returns the reply."""
+        """Process an upstream's request or refuse it; the reply is returned by `dispatch`."""
         self.session_table.now = now
         self.counters.exchanges += 1
         opened = self.session_table.open_session(request, now)
@@ -163,7 +163,7 @@
     def handle_disconnect(
         self, upstream: UpstreamId, number: int, seq: int, now: timedelta
     ) -> None:
-        """Handle a lost connection of an open request: no new starts until the upstream is back."""
+        """Handle the loss of the connection on which an open request waited for its reply."""
         self.session_table.handle_disconnect(upstream, number, seq, now)
 
     def dispatch(self, now: timedelta) -> list[Delivery]:
--- a/cottonlug/core/estimates.py
+++ b/cottonlug/core/estimates.py
@@ -1,4 +1,4 @@
-"""Run times learned per team and kind, robust against wrongly declared run times."""
+"""Expected run times per team and kind, learned so that wrong declarations matter only at first."""
 
 from __future__ import annotations
 
@@ -38,7 +38,11 @@
     def estimate(
         self, team: TeamName, kind: KindName, declared: timedelta | None = None
     ) -> timedelta:
-        """Return the expected run time of one task."""
+        """Return the expected run time of one task.
+
+        Until there are enough observations this is the declared run time or, without one, the
+        default.
+        """
         key = (team, kind)
         if self._counts.get(key, 0) >= _MIN_OBSERVATIONS:
             return timedelta(seconds=self._medians[key])
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -122,7 +122,11 @@
         self._delays = delays
 
     def begin_session(self, link: Link) -> None:
-        """Abandon the link's session; the next request opens a new one and reports held tasks."""
+        """Begin a new session on a link; replies to the link's earlier session are then ignored.
+
+        The first request announces the upstream, reports the tasks that it holds and sends the
+        results again that the host has not acknowledged.
+        """
         link.session += 1
         link.next_seq = 1
         link.announced = False
@@ -133,7 +137,10 @@
         link.unacknowledged = {}
 
     def get_credit(self, link: Link) -> int:
-        """Return this link's share of the slots; hosts with a backlog get most of them."""
+        """Return this link's credit: its share of the slots and, with a backlog, the prefetch.
+
+        Hosts with a backlog share all slots but one for each host without.
+        """
         if self.leaving or link.draining:
             return 0
         slots = self.announcement.slots
@@ -165,7 +172,7 @@
         return self.leaving and (not link.reported_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
-        """Return the link's next request; its results are acknowledged by the reply to it."""
+        """Return the link's next request, whose reply acknowledges the results that it carries."""
         require(link.open_requests < MAX_OPEN_REQUESTS, "too many open requests on one link")
         results = link.pending
         link.pending = []
@@ -221,7 +228,7 @@
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
     def start_next(self) -> Assignment | None:
-        """Move the first waiting task by rank to a free slot; None if there is no task or slot."""
+        """Start the waiting task of lowest rank; None if no task waits or no slot is free."""
         if not self.waiting or len(self.running) >= self.announcement.slots:
             return None
         key = min(self.waiting, key=lambda waiting: self.waiting[waiting].rank_ms)
@@ -267,7 +274,7 @@
         return timedelta()
 
     def _may_hold(self, item: AssignmentResult) -> bool:
-        """Whether this is a success and the submission has more tasks held here."""
+        """Whether this result may wait: a success of a submission with more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
         return self._held_counts[item.key.submission] > 0
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -1,8 +1,9 @@
 """Probation for upstreams that fail every task they start.
 
-An upstream whose latest results are all failures is put on probation: it gets one start after a
-pause, which doubles with each further failure, and successes raise its limit in steps. The share
-of upstreams on probation at once is bounded, so that one bad job cannot exclude all of them.
+An upstream whose last two results are failures is put on probation: after a pause it gets one start
+at a time. The pause doubles with each further failure; each success doubles the limit of concurrent
+starts. The share of upstreams on probation at once is bounded, so that one bad job cannot exclude
+all of them.
 """
 
 from __future__ import annotations
@@ -13,11 +14,13 @@
 from .ids import UpstreamId
 
 FAILURES_TO_PROBATION = 2
+"""Number of consecutive failures at which probation begins."""
 FIRST_PAUSE = timedelta(seconds=2)
 LONGEST_PAUSE = timedelta(seconds=60)
 PROBATION_EXIT_LIMIT = 8
 """Limit of concurrent starts at which probation ends."""
 MAX_PROBATION_SHARE = 0.34
+"""Share of the connected upstreams that may be on probation; one always may."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -35,7 +38,7 @@
         self._records: dict[UpstreamId, _FailureRecord] = {}
 
     def record_success(self, upstream: UpstreamId) -> None:
-        """Record a success; on probation it doubles the limit until the limit is lifted."""
+        """Record a success; on probation it doubles the limit or, at the exit limit, lifts it."""
         record = self._records.get(upstream)
         if record is None:
             return
--- a/cottonlug/core/ids.py
+++ b/cottonlug/core/ids.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ParsedId:
-    """The parts of a submission id."""
+    """The parts of a submission id; `minted` is the time since the generation began."""
 
     domain: DomainName
     host: HostId
--- a/cottonlug/core/intake.py
+++ b/cottonlug/core/intake.py
@@ -1,4 +1,4 @@
-"""Turns a caller's message into a checked job: bounds, the rule's decisions and a digest."""
+"""Turns a caller's request into a job: checks its bounds, applies a rule and computes a digest."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 def build_rule_input(
     request: SubmitRequest, domain: DomainName, idempotent: bool, time_of_day: time
 ) -> RuleInput:
-    """Return the attributes of a job that the rules are matched against."""
+    """Return the attributes of a job request that the rules are matched against."""
     return RuleInput(
         team=request.team,
         kind=request.kind,
--- a/cottonlug/core/jobs.py
+++ b/cottonlug/core/jobs.py
@@ -38,7 +38,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Job:
-    """State of one job; change it only through the functions of this module."""
+    """State of one job; the states of its tasks change only through the functions of this module.
+
+    Lists and dictionaries by task use the index of the task. `sent_to` names the upstream of each
+    sent task. `rank` orders the jobs of a team in the queue, lowest first.
+    """
 
     id: SubmissionId
     spec: JobSpec
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream for a task: the first one that it fits, in the order of the policy.
+"""Chooses the upstream for a task: in the order of the policy, the first that the task fits.
 
 Ready sessions are kept in a heap. Outdated entries are dropped only when they reach the top, so
 that a start costs O(log n) for n sessions rather than O(n).
@@ -27,7 +27,10 @@
 
 
 class _Entry(NamedTuple):
-    """Heap entry; tuples compare much faster than dataclasses, and versions are unique."""
+    """Heap entry; a tuple, since tuples compare much faster than dataclasses.
+
+    Versions are unique, so sessions are never compared.
+    """
 
     rank: float
     version: int
@@ -62,7 +65,7 @@
             heapq.heappush(self._heap, _Entry(self._rank(session), session.entry_version, session))
 
     def choose_session(self, spec: JobSpec) -> Session | None:
-        """Return the first session where a task of the job fits, or None."""
+        """Return the first session that a task of the job fits now, or None."""
         skipped: list[_Entry] = []
         chosen: Session | None = None
         while self._heap and chosen is None:
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -1,9 +1,9 @@
 """Job queue: ordered by priority, then weighted fairness between teams, then short work first.
 
-Fairness is start-time fair queueing: each team has a virtual time that grows by the work it was
-given divided by its weight, and the team with the lowest virtual time is served next. Within a
+Fairness is start-time fair queueing: each team has a virtual time that grows by the work that it
+starts divided by its weight, and the team with the lowest virtual time is served next. Within a
 team, jobs are ordered by arrival time plus a multiple of their expected work. This gives built-in
-ageing: a long job waits behind later short ones only for that fixed time.
+ageing: a long job is overtaken only by short ones that arrive within that fixed time.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
                     heapq.heappush(team.entries, entry)
 
     def charge(self, job: Job, work: timedelta) -> None:
-        """Add started work to the virtual time of the job's team."""
+        """Add started work, divided by the team's weight, to the virtual time of the job's team."""
         team = self._teams_by_priority[job.spec.priority][self._get_team(job)]
         team.virtual_time += work.total_seconds() / team.weight
 
--- a/cottonlug/core/rules.py
+++ b/cottonlug/core/rules.py
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class When:
-    """Conditions of a rule; None and an empty set match any value."""
+    """Conditions of a rule; None and an empty set match any value.
+
+    `after` and `before` limit the time of day; if `after` is later, the range spans midnight.
+    """
 
     teams: frozenset[TeamName] = frozenset()
     kinds: frozenset[KindName] = frozenset()
@@ -75,7 +78,9 @@
 
 
 Check = Callable[[RuleInput], bool]
+"""Whether one condition of a rule holds."""
 Matcher = Callable[[RuleInput], Rule | None]
+"""Returns the first rule that matches, or None."""
 
 
 def find_mismatch(when: When, rule_input: RuleInput) -> str | None:
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -32,12 +32,13 @@
 from .states import RefusalCode, SessionState
 
 PRIORITY_RANK_MS = 86_400_000
-"""Exceeds any difference of rank within one priority: deadlines are a day (86,400 s) at most."""
+"""Offset of rank between two priorities: one day, the longest deadline, so that it exceeds the
+difference of rank within one priority."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A reply to the open request of this upstream and session with the reply's `seq`."""
+    """A reply and where it goes: to the session's open request with the same `seq`."""
 
     upstream: UpstreamId
     session: SessionNumber
@@ -58,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueState:
-    """What replies report about the queue: its length, and whether it is drained for good."""
+    """What replies report about the queue: its length in tasks, and whether it is drained.
+
+    It is drained if it is empty and the host is shutting down.
+    """
 
     backlog: int
     drained: bool
@@ -134,7 +138,11 @@
     def handle_disconnect(
         self, upstream: UpstreamId, number: int, seq: int, now: timedelta
     ) -> None:
-        """Handle a lost connection of an open request: no new starts until the upstream is back."""
+        """Handle the loss of the connection on which an open request waited for its reply.
+
+        The lease is shortened and, unless the upstream is leaving, its session is suspect: it gets
+        no new starts until its next request.
+        """
         session = self.by_upstream.get(upstream)
         if session is None or session.number != number or seq not in session.open_requests:
             return
@@ -144,7 +152,7 @@
         session.expires_at = min(session.expires_at, now + self._limits.suspect_grace)
 
     def scan_sessions(self, now: timedelta) -> list[Session]:
-        """Mark sessions with parked requests for a reply; return those whose lease has expired."""
+        """Mark sessions with parked requests as maybe due for a reply; return the expired ones."""
         expired: list[Session] = []
         for session in self.by_upstream.values():
             if now > session.expires_at:
@@ -160,13 +168,13 @@
         self._maybe_due[upstream] = None
 
     def add_start(self, session: Session, placement: Placement) -> None:
-        """Charge a start to a session."""
+        """Add a start to the outstanding ones of a session, whose reply becomes due."""
         sessions.add_outstanding(session, placement.key, placement.job.spec.needs)
         self.ready.update(session)
         self.mark_reply_due(session.upstream)
 
     def stop_task(self, upstream: UpstreamId, key: TaskKey) -> None:
-        """Add a stop for a task that was sent to an upstream to its next reply."""
+        """Have the next reply to an upstream stop a task that was sent to it."""
         session = self.by_upstream.get(upstream)
         if session is not None and key in session.outstanding:
             session.stops.append(TaskName(key.submission, key.task, key.attempt))
@@ -175,7 +183,7 @@
     def build_due_replies(
         self, starts: dict[UpstreamId, list[Placement]], queue: QueueState
     ) -> list[Delivery]:
-        """Return every reply that is due; their starts are removed from the mapping."""
+        """Return every reply that is due; the starts that they carry are removed from `starts`."""
         deliveries = self._final_replies
         self._final_replies = []
         candidates = [name for name in self._maybe_due if name in self.by_upstream]
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -20,7 +20,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Session:
-    """State of one upstream's session at one entry host."""
+    """State of one upstream's session at one entry host.
+
+    `ordinal` counts the sessions in the order of opening. `entry_version` is the version of the
+    session's current entry among the ready sessions (see `placement`).
+    """
 
     upstream: UpstreamId
     incarnation: Incarnation
--- a/cottonlug/core/submissions.py
+++ b/cottonlug/core/submissions.py
@@ -33,7 +33,7 @@
 
 
 class SubmissionStore:
-    """The accepted jobs of one generation, by submission id."""
+    """The submission records of one home in one generation."""
 
     def __init__(
         self,
@@ -102,7 +102,7 @@
         self._ended.append(job)
 
     def forget(self, job: Job) -> None:
-        """Drop an ended job that no caller can query any more."""
+        """Drop the record of an ended job at once, since no caller can query it any more."""
         del self.jobs[job.id]
 
     def expire(self, now: timedelta) -> None:
--- a/cottonlug/storage/__init__.py
+++ b/cottonlug/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Storage in the data folder."""
+"""Storage in the data folder: the journal and the files that it is kept in."""
--- a/cottonlug/storage/files.py
+++ b/cottonlug/storage/files.py
@@ -111,6 +111,10 @@
 
 
 def _write(file: int, data: bytes) -> None:
-    """Write all in one call: of two unsynced writes the second may persist without the first."""
+    """Write all data in one call, and fail if only a part was written.
+
+    The rest must not follow in a second call: of two unsynced writes, a power failure may keep the
+    second without the first.
+    """
     if os.write(file, data) < len(data):
         raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -1,10 +1,10 @@
 """The journal of one consensus member: an append-only file of checksummed records.
 
 A record is its payload's length, the CRC-32 of that length and the CRC-32 of the payload (4 bytes
-each, big endian), then the payload in JSON. A tail that is too short, or that ends in zeros, is a
-write that a crash cut short before it was synced, so nothing relied on it: it is cut off. Any other
-checksum or decoding error is damage: the journal refuses to open, since cutting off the rest could
-lose an accepted change.
+each, big endian), then the payload in JSON. An invalid tail that is too short, or that ends in
+zeros, is a write that a crash cut short before it was synced, so nothing relied on it: it is cut
+off. Any other checksum or decoding error is damage: the journal refuses to open, since cutting off
+the rest could lose an accepted change.
 """
 
 from __future__ import annotations
@@ -118,7 +118,10 @@
 
 
 class Journal:
-    """What one member has saved; after a failed write it accepts no further records."""
+    """The open journal of one member; after a failed write it accepts no further records.
+
+    `cut_bytes` is the size of the torn tail that was cut off when it was opened.
+    """
 
     def __init__(
         self, *, files: Files, member: MemberId, content: _JournalContent, cut_bytes: int
@@ -131,7 +134,7 @@
 
     @property
     def stored(self) -> StoredState:
-        """Return everything that is saved."""
+        """Everything that is saved."""
         content = self._content
         return StoredState(
             hard_state=content.hard_state,
@@ -147,7 +150,11 @@
         return content.hard_state.term == 0 and content.snapshot.index == 0 and not content.entries
 
     def save(self, output: Output) -> Result[None, StorageError]:
-        """Save and sync a member's output; its messages must not be sent before this returns."""
+        """Save and sync a member's output.
+
+        Its messages must not be sent before this returns, except the entries of a leader with
+        `saves_after_sending`.
+        """
         records: list[JournalRecord] = []
         if output.hard_state is not None:
             records.append(HardStateRecord(hard_state=output.hard_state))
@@ -202,7 +209,7 @@
         return Success(None)
 
     def _record_write_failure(self, error: OSError) -> Result[None, StorageError]:
-        # It is unknown how much of the write reached the disk, so nothing may be appended to it.
+        # It is unknown how much of the write reached the disk, so nothing may be appended after it.
         message = f"cannot write the journal: {error.strerror or error}"
         self._failure = StorageError(message=message, damaged=False)
         return Err(self._failure)
--- a/cottonlug/tests/conftest.py
+++ b/cottonlug/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Expected failures: KNOWN-RED.txt at the root lists tests that fail for a known fault, at most 3.
+"""Expected failures: KNOWN-RED.txt at the root lists at most 3 tests that fail for a known fault.
 
 The listed tests still run. If one passes, the run fails, so that the fix also removes its line.
 """
@@ -30,7 +30,7 @@
         # One line covers all parametrized cases of a test.
         reason = known.get(item.nodeid.partition("[")[0])
         if reason is not None:
-            # A failure by any other exception than these is not the known one.
+            # A failure with any other exception is not the known one.
             expected_exceptions = (AssertionError, TimeoutError)
             item.add_marker(
                 pytest.mark.xfail(reason=reason, strict=True, raises=expected_exceptions)
--- a/cottonlug/tests/model_disk.py
+++ b/cottonlug/tests/model_disk.py
@@ -55,7 +55,7 @@
 
 
 class ModelDisk:
-    """One folder; replaces the module `os` in `storage.files`."""
+    """Model of one folder; replaces the module `os` in `storage.files`."""
 
     O_RDONLY, O_WRONLY, O_CREAT = os.O_RDONLY, os.O_WRONLY, os.O_CREAT
     O_APPEND, O_EXCL = os.O_APPEND, os.O_EXCL
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -1,4 +1,7 @@
-"""Focused tests of the replicated log and its journal, for cases that random runs rarely reach."""
+"""Focused tests of the replicated log, its journal and the configuration that it replicates.
+
+They cover cases that random runs rarely reach.
+"""
 
 from __future__ import annotations
 
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -104,7 +104,7 @@
 
 
 class Cluster:
-    """Three hosts, the messages between them, and all outcomes known to operators so far."""
+    """Three hosts, the messages between them, and all outcomes that operators may know so far."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -1,4 +1,4 @@
-"""Long random runs of one entry host and its upstreams over a network that loses and delays.
+"""Long random runs of one entry host and its upstreams over a network with losses and delays.
 
 Dispatcher and executor are the real ones; only the network between them is simulated. The
 guarantees are checked where they are observable: starts are counted at the upstreams.
@@ -38,7 +38,7 @@
 
 
 class ExchangeScenario:
-    """One entry host, its upstreams and all messages between them."""
+    """Random actions and faults of one entry host, its upstreams and the network between them."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -1,7 +1,8 @@
-"""What a host has counted itself for is durable, whatever the disk does with unsynced writes.
+"""What a member has relied on stays saved, whatever the disk does with unsynced writes.
 
-Failure pattern: a process is killed between a write and its sync, restarts, reads what it had
-written and counts itself for it; then the power fails, and the write never reached the disk.
+Failure pattern: a process is killed between a write and its sync, restarts, reads back what it had
+written and counts its own copy towards a majority; then the power fails, and the write never
+reached the disk.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 
 class Guarantees:
-    """What a member has counted itself for, so that it must still be on its disk."""
+    """What a member has relied on, so that it must still be on its disk."""
 
     def __init__(self) -> None:
         self.member: MemberId | None = None
