--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -33,7 +33,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    StoredState,
+    Stored,
     Term,
     TransferRequest,
     VoteReply,
@@ -58,9 +58,9 @@
         self,
         *,
         id: MemberId,
-        stored: StoredState,
+        stored: Stored,
         timing: Timing,
-        random_float: RandomFloat,
+        chance: RandomFloat,
         now: timedelta,
         saves_after_sending: bool = False,
     ) -> None:
@@ -75,7 +75,7 @@
         self.members = self.log.find_members()
         self._voted_for = stored.hard_state.voted_for
         self._timing = timing
-        self._random_float = random_float
+        self._chance = chance
         self._now = now
         self._votes: set[MemberId] = set()
         self._progress: dict[MemberId, Progress] = {}
@@ -156,7 +156,7 @@
         ]
         if not candidates:
             return None
-        successor = candidates[int(self._random_float() * len(candidates))]
+        successor = candidates[int(self._chance() * len(candidates))]
         self._send(successor, TransferRequest(term=self.term, sender=self.id))
         return successor
 
@@ -237,7 +237,7 @@
 
     def _reset_election_timer(self, span: timedelta | None = None) -> None:
         span = span if span is not None else self._timing.election
-        self._election_due = self._now + span * (1.0 + self._random_float())
+        self._election_due = self._now + span * (1.0 + self._chance())
 
     def _compute_vote_timeout(self) -> timedelta:
         """Return the minimum wait for the votes of the election that starts now.
--- a/cottonlug/core/consensus/types.py
+++ b/cottonlug/core/consensus/types.py
@@ -70,7 +70,7 @@
     voted_for: MemberId | None = None
 
 
-class StoredState(Record, frozen=True):
+class Stored(Record, frozen=True):
     """Everything that a member has saved, from which it restarts."""
 
     hard_state: HardState
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -297,7 +297,7 @@
             id=self._journal.member,
             stored=stored,
             timing=TIMING,
-            random_float=random.random,
+            chance=random.random,
             now=self._clock.monotonic(),
             saves_after_sending=True,
         )
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -202,7 +202,7 @@
             id=self._journal.member,
             stored=stored,
             timing=Timing(),
-            random_float=random.random,
+            chance=random.random,
             now=self._clock.monotonic(),
         )
         self._state = decode_state(stored.snapshot.data)
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -26,7 +26,7 @@
     Output,
     Record,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
 )
 from .files import Files
@@ -133,10 +133,10 @@
         self._failure: StorageError | None = None
 
     @property
-    def stored(self) -> StoredState:
+    def stored(self) -> Stored:
         """Everything that is saved."""
         content = self._content
-        return StoredState(
+        return Stored(
             hard_state=content.hard_state,
             snapshot=content.snapshot,
             entries=tuple(content.entries),
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -28,7 +28,7 @@
     MemberId,
     Members,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
 )
 from ..core.ids import UpstreamId
@@ -442,8 +442,8 @@
     It forwarded orders to it and did not ask to join, since only voters had a timeout.
     """
     snapshot = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(OTHER,)), data="")
-    stored = StoredState(hard_state=HardState(term=Term(0)), snapshot=snapshot)
-    member = Member(id=OWN, stored=stored, timing=TIMING, random_float=lambda: 0.5, now=timedelta())
+    stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
+    member = Member(id=OWN, stored=stored, timing=TIMING, chance=lambda: 0.5, now=timedelta())
     heartbeat = AppendRequest(
         term=Term(1), sender=OTHER, previous_index=Index(1), previous_term=Term(0), commit=Index(1)
     )
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -34,7 +34,7 @@
     Role,
     Snapshot,
     SnapshotRequest,
-    StoredState,
+    Stored,
     Term,
     VoteReply,
     VoteRequest,
@@ -46,12 +46,12 @@
 SNAPSHOT = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(A, B, C)), data="")
 
 
-def build_member(stored: StoredState) -> Member:
-    return Member(id=A, stored=stored, timing=Timing(), random_float=lambda: 0.0, now=timedelta())
+def build_member(stored: Stored) -> Member:
+    return Member(id=A, stored=stored, timing=Timing(), chance=lambda: 0.0, now=timedelta())
 
 
-def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> StoredState:
-    return StoredState(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
+def build_stored(term: int, entries: tuple[Entry, ...] = ()) -> Stored:
+    return Stored(hard_state=HardState(term=Term(term)), snapshot=SNAPSHOT, entries=entries)
 
 
 def build_entry(index: int, term: int, data: str = "x") -> Entry:
@@ -85,9 +85,7 @@
 
 
 def build_fast_member(id: MemberId, now: timedelta) -> Member:
-    return Member(
-        id=id, stored=build_stored(3), timing=FAST_TIMING, random_float=lambda: 0.0, now=now
-    )
+    return Member(id=id, stored=build_stored(3), timing=FAST_TIMING, chance=lambda: 0.0, now=now)
 
 
 def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -141,7 +141,7 @@
             id=node.journal.member,
             stored=stored,
             timing=Timing(),
-            random_float=self.chance.random,
+            chance=self.chance.random,
             now=self.now,
         )
         node.state = decode_state(stored.snapshot.data)
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -243,7 +243,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_task_starts_twice_and_every_job_ends_over_a_faulty_network(seed: int) -> None:
+def test_no_task_runs_twice_unless_idempotent_and_every_job_ends(seed: int) -> None:
     scenario = ExchangeScenario(seed)
     scenario.run(STEPS)
     scenario.run_without_faults()
--- a/cottonlug/tests/test_first_election.py
+++ b/cottonlug/tests/test_first_election.py
@@ -15,7 +15,7 @@
     Members,
     Role,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
 )
 from ..runtime.replica import TICK_SECONDS, TIMING
@@ -33,7 +33,7 @@
     chance = random.Random(seed)
     voters = tuple(MemberId(f"{name}/1") for name in "abcdefg"[:VOTERS])
     snapshot = Snapshot(index=Index(1), term=Term(0), members=Members(voters=voters), data="")
-    stored = StoredState(hard_state=HardState(term=Term(1)), snapshot=snapshot, entries=())
+    stored = Stored(hard_state=HardState(term=Term(1)), snapshot=snapshot, entries=())
     members: dict[MemberId, Member] = {}
     events: list[tuple[timedelta, int, MemberId, object]] = []
     counter = itertools.count()
@@ -47,7 +47,7 @@
         now, _, voter, message = heapq.heappop(events)
         if message == "start":
             members[voter] = Member(
-                id=voter, stored=stored, timing=TIMING, random_float=chance.random, now=now
+                id=voter, stored=stored, timing=TIMING, chance=chance.random, now=now
             )
         member = members.get(voter)
         if member is None:
--- a/cottonlug/tests/test_journal_disks.py
+++ b/cottonlug/tests/test_journal_disks.py
@@ -24,7 +24,7 @@
     Members,
     Output,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
 )
 from ..storage import files as files_module
@@ -57,7 +57,7 @@
         self.first = Index(1)
         """Index of the first entry after the snapshot."""
 
-    def update(self, stored: StoredState, member: MemberId) -> None:
+    def update(self, stored: Stored, member: MemberId) -> None:
         self.member = member
         self.term = stored.hard_state.term
         self.first = Index(stored.snapshot.index + 1)
--- a/cottonlug/tests/test_replica.py
+++ b/cottonlug/tests/test_replica.py
@@ -22,7 +22,7 @@
     Members,
     Role,
     Snapshot,
-    StoredState,
+    Stored,
     Term,
     VoteReply,
 )
@@ -42,12 +42,12 @@
     """Return a member that all voters have just elected."""
     members = Members(voters=voters)
     snapshot = Snapshot(index=Index(1), term=Term(0), members=members, data="")
-    stored = StoredState(hard_state=HardState(term=Term(0)), snapshot=snapshot)
+    stored = Stored(hard_state=HardState(term=Term(0)), snapshot=snapshot)
     member = Member(
         id=A,
         stored=stored,
         timing=Timing(),
-        random_float=lambda: 0.0,
+        chance=lambda: 0.0,
         now=timedelta(),
         saves_after_sending=True,
     )
