--- a/bench/callers.py
+++ b/bench/callers.py
@@ -68,9 +68,11 @@
     return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, wait_timeout_ms=1_500)
 
 
-async def submit_jobs(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
+async def submit_jobs(
+    leader: Address, gateway_count: int, rate: float, seconds: float
+) -> dict[str, int]:
     """Submit jobs at `rate` per second through the gateways in turn; return how many were done."""
-    gateways = [build_gateway(number, leader) for number in range(count)]
+    gateways = [build_gateway(number, leader) for number in range(gateway_count)]
     for gateway in gateways:
         gateway.start()
     await asyncio.sleep(WARM_UP_SECONDS)
@@ -79,7 +81,7 @@
 
     async def submit(number: int) -> None:
         call = draw_job(chance, number)
-        answer = await gateways[number % count].call(call, CALL_TIMEOUT)
+        answer = await gateways[number % gateway_count].call(call, CALL_TIMEOUT)
         counts[answer.outcome.value] = counts.get(answer.outcome.value, 0) + 1
 
     loop = asyncio.get_running_loop()
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -79,10 +79,10 @@
 
 
 def _summarise_variant(rows: dict[str, list[Measures]], variant: str) -> dict[str, Any]:
-    described: dict[str, Any] = {"means": compute_means(rows[variant])}
+    summary: dict[str, Any] = {"means": compute_means(rows[variant])}
     if variant != NO_CHANGE:
-        described["gain"] = asdict(compute_gain(rows[variant], rows[NO_CHANGE]))
-    return described
+        summary["gain"] = asdict(compute_gain(rows[variant], rows[NO_CHANGE]))
+    return summary
 
 
 def _check_names(names: Sequence[str] | None, known: Sequence[str]) -> list[str]:
@@ -118,11 +118,11 @@
         print(f"| {name} |", " | ".join(cells), "|")
 
 
-def _format_cell(described: dict[str, Any]) -> str:
+def _format_cell(summary: dict[str, Any]) -> str:
     """Return a table cell; a gain whose confidence interval contains zero is put in brackets."""
-    if "gain" not in described:
-        return f"{described['means']['worth']:.3f}"
-    gain = described["gain"]
+    if "gain" not in summary:
+        return f"{summary['means']['worth']:.3f}"
+    gain = summary["gain"]
     is_sure = gain["low"] > 0 or gain["high"] < 0
     text = f"{gain['mean']:+.3f}"
     return text if is_sure else f"({text})"
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -69,12 +69,12 @@
         run = Run(seed=SEED, upstream_count=upstreams, rate_factor=rate_factor)
         run.run_to_end()
     starts = run.world.starts
-    looks = run.leader.dispatch.counts.looks
+    polls = run.leader.dispatch.counts.looks
     return {
         "starts": starts,
         "us_a_start": round(1e6 * sum(spent.values()) / starts, 1),
         "tick_us_a_start": round(1e6 * spent["tick"] / starts, 1),
-        "looks_a_start": round(looks / starts, 2),
+        "looks_a_start": round(polls / starts, 2),
     }
 
 
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -135,7 +135,7 @@
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
             self.leadership.dispatch.handle_heartbeat(heartbeat, clock.monotonic())
-        self._lines = JobChannelServer(
+        self._job_channel_server = JobChannelServer(
             answer=self.leadership.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
@@ -147,9 +147,9 @@
         self._pools.close()
 
     def _answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        taken = self._lines.handle_at_once(request)
-        if taken is not None:
-            return taken
+        response = self._job_channel_server.handle_at_once(request)
+        if response is not None:
+            return response
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
@@ -157,8 +157,8 @@
         return _reply(self._add_host(self.leadership.answer_keepalive(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
-        if self._lines.handles(request.path):
-            return await self._lines.handle(request)
+        if self._job_channel_server.handles(request.path):
+            return await self._job_channel_server.handle(request)
         call: Call = call_decoder.decode(request.body)
         assert not isinstance(call, Submit), "jobs arrive in batches"
         return _reply(await self.leadership.answer(call))
--- a/bench/load.py
+++ b/bench/load.py
@@ -81,7 +81,7 @@
     spec: JobSpec
     worth: float
     objective: timedelta
-    at: timedelta
+    submitted_at: timedelta
     is_poisoned: bool = False
     """Whether one of its tasks crashes every upstream that starts it. Such a job is not counted."""
     was_sent: bool = False
@@ -94,7 +94,7 @@
         """Part of the worth that the caller got, by the time of the answer."""
         if self.ended_at is None:
             return 0.0
-        taken = self.ended_at - self.at
+        taken = self.ended_at - self.submitted_at
         if taken <= self.objective:
             return self.worth
         return self.worth * LATE_WORTH_SHARE if taken <= self.objective * LATE_FACTOR else 0.0
@@ -154,7 +154,10 @@
                 self.leader.deliver_heartbeat(upstream, self.token)
         for job, submitted in self.jobs.items():
             is_open = submitted.ended_at is None and submitted.refused_at is None
-            if is_open and self.world.now - submitted.at < submitted.objective * LATE_FACTOR:
+            if (
+                is_open
+                and self.world.now - submitted.submitted_at < submitted.objective * LATE_FACTOR
+            ):
                 self._submit_to_leader(job)
 
     def lose_leader(self, *, is_frozen: bool = False) -> None:
@@ -230,10 +233,10 @@
     def _find_burst_factor(self, at: float) -> float:
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
-    def _draw_around(self, mean: float, most: float) -> float:
+    def _draw_around(self, mean: float, maximum: float) -> float:
         """Return a log-normally distributed number with the given mean, limited to `most`."""
         drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
-        return min(mean * drawn, most)
+        return min(mean * drawn, maximum)
 
     def _create_job(self, kind: JobKind) -> None:
         job = JobId(f"{len(self.jobs):016x}")
@@ -254,7 +257,7 @@
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
             worth=kind.worth * min(0.3 + 0.7 * work, 4.0),
             objective=milliseconds(STRETCH * real_ms + TARGET_MS),
-            at=self.world.now,
+            submitted_at=self.world.now,
             is_poisoned=is_poisoned,
         )
         self._submit_to_leader(job)
@@ -267,7 +270,7 @@
             return
         queue = QUEUES[submitted.kind.name]
         now = self.world.now
-        waited = now - submitted.at
+        waited = now - submitted.submitted_at
         rejection = self.leader.dispatch.find_rejection(queue, submitted.spec, waited, now)
         if rejection is not None and not submitted.was_sent:
             submitted.refused_at = now
@@ -298,7 +301,7 @@
 def iterate_submitted(run: Run, first: float, last: float) -> Iterator[SubmittedJob]:
     """Yield the jobs submitted from second `first` to `last`, except those that crash upstreams."""
     for submitted in run.jobs.values():
-        if not submitted.is_poisoned and timedelta(seconds=first) <= submitted.at < timedelta(
-            seconds=last
-        ):
+        if not submitted.is_poisoned and timedelta(
+            seconds=first
+        ) <= submitted.submitted_at < timedelta(seconds=last):
             yield submitted
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -47,29 +47,30 @@
 
 def measure(run: Run, scenario: Scenario) -> Measures:
     """Return the measures of a run that has ended."""
-    day = [each for each in run.jobs.values() if not each.is_poisoned]
-    part = list(iterate_submitted(run, scenario.first_second, scenario.last_second))
+    all_jobs = [each for each in run.jobs.values() if not each.is_poisoned]
+    concerned_jobs = list(iterate_submitted(run, scenario.first_second, scenario.last_second))
     waits = [
-        (each.refused_at - each.at) / each.objective
-        for each in part
+        (each.refused_at - each.submitted_at) / each.objective
+        for each in concerned_jobs
         if each.refused_at is not None and each.ended_at is None
     ]
-    kinds = {each.kind.name for each in part}
+    kinds = {each.kind.name for each in concerned_jobs}
     return Measures(
-        worth=_share_of_worth(part),
-        worth_of_day=_share_of_worth(day),
-        in_time=sum(each.earned == each.worth for each in part) / len(part),
-        served=sum(each.ended_at is not None for each in part) / len(part),
-        refused=len(waits) / len(part),
+        worth=_compute_worth_share(concerned_jobs),
+        worth_of_day=_compute_worth_share(all_jobs),
+        in_time=sum(each.earned == each.worth for each in concerned_jobs) / len(concerned_jobs),
+        served=sum(each.ended_at is not None for each in concerned_jobs) / len(concerned_jobs),
+        refused=len(waits) / len(concerned_jobs),
         refused_early=sum(wait <= EARLY_REFUSAL_SHARE for wait in waits) / max(len(waits), 1),
         refusal_over_objective=statistics.median(waits) if waits else 0.0,
         worst_kind=min(
-            _share_of_worth([each for each in part if each.kind.name == kind]) for kind in kinds
+            _compute_worth_share([each for each in concerned_jobs if each.kind.name == kind])
+            for kind in kinds
         ),
     )
 
 
-def _share_of_worth(jobs: Sequence[SubmittedJob]) -> float:
+def _compute_worth_share(jobs: Sequence[SubmittedJob]) -> float:
     return sum(each.earned for each in jobs) / sum(each.worth for each in jobs)
 
 
--- a/bench/shortage.py
+++ b/bench/shortage.py
@@ -151,13 +151,13 @@
 
 
 def _is_in_time(job: SubmittedJob) -> bool:
-    return job.ended_at is not None and job.ended_at - job.at <= job.objective
+    return job.ended_at is not None and job.ended_at - job.submitted_at <= job.objective
 
 
 def _is_refused_early(job: SubmittedJob) -> bool:
     return (
         job.refused_at is not None
-        and job.refused_at - job.at <= job.objective * EARLY_REFUSAL_SHARE
+        and job.refused_at - job.submitted_at <= job.objective * EARLY_REFUSAL_SHARE
     )
 
 
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-JOURNAL_FILE = Path(__file__).parent.parent / "journal"
+JOURNAL_FOLDER = Path(__file__).parent.parent / "journal"
 _HEAD = """## Clusters: what sweeps of whole deployments show
 
 Control hosts and gateways on the users' platform, with the same work at several sizes: the newest
@@ -39,7 +39,7 @@
 
 
 def _read_all() -> Iterator[Sweep]:
-    for file in JOURNAL_FILE.glob("*.json"):
+    for file in JOURNAL_FOLDER.glob("*.json"):
         entry = json.loads(file.read_text())
         if entry.get("cmd") != "sweep" or not entry.get("days"):
             continue
--- a/bench/variants.py
+++ b/bench/variants.py
@@ -62,8 +62,10 @@
     return NO_TIME
 
 
-def _first_fit(batch: backlog.Batch, choice: Any) -> instances.Instance | None:
-    return next((instance for instance in choice if instance.has_free_capacity(batch.needs)), None)
+def _choose_first_fit(batch: backlog.Batch, candidates: Any) -> instances.Instance | None:
+    return next(
+        (instance for instance in candidates if instance.has_free_capacity(batch.needs)), None
+    )
 
 
 def _suspend_without_probation(self: Any, now: timedelta) -> bool:
@@ -95,7 +97,7 @@
     "no_rejection_at_the_door": build_variant(
         (scheduler.Scheduler, "find_rejection", lambda self, *rest: None)
     ),
-    "first_fit": build_variant((scheduler, "choose_instance", _first_fit)),
+    "first_fit": build_variant((scheduler, "choose_instance", _choose_first_fit)),
     "run_times_not_learnt": build_variant((forecast, "LEARNING_RATE", 0.0)),
     "no_moves": build_variant((watcher, "MAX_MOVES", 0)),
     "nobody_set_aside": build_variant((instance_table, "MAX_SUSPENDED_SHARE", -1.0)),
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -63,8 +63,8 @@
     peers = build_peer_listeners(
         host.handle_peer_request, settings, MAX_PEER_BODY_BYTES, host.answer_at_once
     )
-    shown = build_control_metrics(host, output, pools.idle, refused)
-    metrics = build_metrics_listeners(shown, settings.listen.metrics)
+    control_metrics = build_control_metrics(host, output, pools.idle, refused)
+    metrics = build_metrics_listeners(control_metrics, settings.listen.metrics)
     error = await host.start() or await start_listeners([*peers, control, *metrics])
     if error is not None:
         print(error, file=sys.stderr)
@@ -76,8 +76,8 @@
     log_event(Event.DRAINING, host=settings.host)
     await host.transfer_leadership()
     await asyncio.sleep(FORWARDING_GRACE_SECONDS)
-    left = find_drain_seconds(settings.drain_limit, FORWARDING_GRACE_SECONDS)
-    await stop_listeners([control, *peers, *metrics], left)
+    drain_seconds = find_drain_seconds(settings.drain_limit, FORWARDING_GRACE_SECONDS)
+    await stop_listeners([control, *peers, *metrics], drain_seconds)
     await host.stop()
     pools.close()
     log_event(Event.STOPPED, host=settings.host)
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -26,12 +26,12 @@
 """Large, as a whole snapshot is sent in one message."""
 
 
-def find_drain_seconds(limit: timedelta, gone_seconds: float) -> float:
+def find_drain_seconds(limit: timedelta, used_seconds: float) -> float:
     """Return for how many seconds open requests may still be answered.
 
     `limit` is the time allowed for the whole shutdown, `gone_seconds` the part already used.
     """
-    return max(limit.total_seconds() - gone_seconds - DRAIN_MARGIN_SECONDS, 0.0)
+    return max(limit.total_seconds() - used_seconds - DRAIN_MARGIN_SECONDS, 0.0)
 
 
 def start_logging(settings: ControlSettings | GatewaySettings) -> LogOutput:
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -29,9 +29,9 @@
 from .exits import ExitCode
 from .output import print_json, print_refusal, print_view
 
-POLL_MS = 1_000
+ANSWER_WAIT_MS = 1_000
 RETRY_CODES = {RefusalCode.HOME_UNREACHABLE, RefusalCode.OVERLOADED}
-MAX_RETRIES = 30
+MAX_CALL_ATTEMPTS = 30
 _DEFAULT_RETRY_MS = 500
 
 
@@ -88,7 +88,7 @@
     Waits as long as the refusal says, and returns the last refusal after `MAX_RETRIES` calls.
     Retries are safe: they carry the same id, or the request is idempotent.
     """
-    for _ in range(MAX_RETRIES):
+    for _ in range(MAX_CALL_ATTEMPTS):
         reply = await client.call(method, path, reply_type, message)
         if isinstance(reply, Success) or reply.failure().code not in RETRY_CODES:
             return reply
@@ -119,7 +119,7 @@
 
 
 async def _wait_for_answer(target: Target, client: ApiClient, id: SubmissionId) -> ExitCode:
-    path = f"/v1/jobs/{id}/answer?wait_ms={POLL_MS}"
+    path = f"/v1/jobs/{id}/answer?wait_ms={ANSWER_WAIT_MS}"
     while True:
         reply = await call_with_retries(client, "GET", path, JobView, None)
         if isinstance(reply, Err):
--- a/cottonlug/commands/serve.py
+++ b/cottonlug/commands/serve.py
@@ -24,7 +24,7 @@
 from .exits import ExitCode
 
 _LEAVE_TIMEOUT = timedelta(minutes=5)
-_STATE_BODY_BYTES = 65_536
+_MAX_STATE_BODY_BYTES = 65_536
 
 
 def serve_entry(config: Path) -> int:
@@ -86,5 +86,7 @@
         return None
     metrics = Metrics(counters=stand_in.get_counters, gauges=stand_in.get_gauges)
     handlers = build_state_handlers(stand_in.build_dump, metrics, settings.operator_token)
-    app = build_app(title="cottonlug upstream", handlers=handlers, max_body_bytes=_STATE_BODY_BYTES)
+    app = build_app(
+        title="cottonlug upstream", handlers=handlers, max_body_bytes=_MAX_STATE_BODY_BYTES
+    )
     return Listener(app=app, address=settings.listen)
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -11,7 +11,7 @@
 import yaml
 
 TOKEN_KINDS = ("callers", "operators", "upstreams", "peers")
-_RACK_SIZE = 8
+_UPSTREAMS_PER_RACK = 8
 
 
 class DeploymentName(Enum):
@@ -146,7 +146,7 @@
     return {
         "upstream": f"w{at + 1:02d}",
         "domain": domain,
-        "rack": f"{domain}-r{at % per_domain // _RACK_SIZE + 1}",
+        "rack": f"{domain}-r{at % per_domain // _UPSTREAMS_PER_RACK + 1}",
         "slots": deployment.slots,
         "processors": deployment.processors,
         "memory_mb": deployment.memory_mb,
--- a/cottonlug/config/files.py
+++ b/cottonlug/config/files.py
@@ -13,7 +13,7 @@
 from .loading import get_value, load_file, load_settings, raise_on_problems
 from .options import Problem
 
-_TOKEN_KINDS = 4
+_TOKEN_COUNT = 4
 
 
 def load_entry_settings(file: Path) -> EntrySettings:
@@ -51,7 +51,7 @@
         problems.append(Problem(path="rules", line=1, message=message))
     tokens = settings.tokens
     values = {tokens.callers, tokens.operators, tokens.upstreams, tokens.peers}
-    if len(values) < _TOKEN_KINDS:
+    if len(values) < _TOKEN_COUNT:
         message = "each kind of client requires a different token"
         problems.append(Problem(path="tokens", line=1, message=message))
     return problems
--- a/cottonlug/net/caller_app.py
+++ b/cottonlug/net/caller_app.py
@@ -75,7 +75,7 @@
         if isinstance(decoded, Err):
             return reply_refusal(decoded.failure())
         forwarded = await forward(decoded.unwrap().id, request)
-        return forwarded or _reply(host.submit(decoded.unwrap()), accepted=202)
+        return forwarded or _reply(host.submit(decoded.unwrap()), unfinished_status=202)
 
     @get("/v1/jobs/{id:str}", guards=guards)
     async def get_job(id: str, request: _Request) -> Response[bytes]:
@@ -95,7 +95,9 @@
         forwarded = await forward(SubmissionId(id), request)
         if forwarded is not None:
             return forwarded
-        return _reply(await host.wait_answer(SubmissionId(id), int(wait_ms) / 1000), accepted=202)
+        return _reply(
+            await host.wait_answer(SubmissionId(id), int(wait_ms) / 1000), unfinished_status=202
+        )
 
     @post("/v1/jobs/{id:str}/cancel", guards=guards)
     async def cancel_job(id: str, request: _Request) -> Response[bytes]:
@@ -136,10 +138,10 @@
     return [get_health, get_ready]
 
 
-def _reply(result: Result[Any, Refusal], accepted: int = 200) -> Response[bytes]:
+def _reply(result: Result[Any, Refusal], unfinished_status: int = 200) -> Response[bytes]:
     if isinstance(result, Err):
         return reply_refusal(result.failure())
     message = result.unwrap()
     is_final = isinstance(message, JobAnswer)
-    status = accepted if isinstance(message, JobStatus) and not is_final else 200
+    status = unfinished_status if isinstance(message, JobStatus) and not is_final else 200
     return reply_json(message, status)
--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -205,8 +205,8 @@
                     refused = await self._confirm_identity(connection, handshake, headers or {})
                     if refused is not None:
                         return refused
-                whole = body if isinstance(body, bytes) else body()
-                data = _build_request(self.address, method, path, whole, headers or {})
+                content = body if isinstance(body, bytes) else body()
+                data = _build_request(self.address, method, path, content, headers or {})
                 result = await self._exchange(connection, data)
                 if handshake is not None and isinstance(result, Success):
                     _record_identity(connection, handshake, result.unwrap())
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -16,7 +16,7 @@
     from litestar import Litestar
 
 _START_CHECK_SECONDS = 0.005
-_MAX_ACCEPTS_PER_TURN = 256
+_MAX_ACCEPTS_PER_ITERATION = 256
 _DESCRIPTOR_RETRY_SECONDS = 0.1
 
 
@@ -56,7 +56,7 @@
             self._loop.add_reader(self._listening.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_MAX_ACCEPTS_PER_TURN):
+        for _ in range(_MAX_ACCEPTS_PER_ITERATION):
             try:
                 accepted, _ = self._listening.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -67,9 +67,9 @@
     if request.path.startswith(INSTANCES_PATH):
         name = request.path[len(INSTANCES_PATH) :]
         if request.method == "DELETE":
-            return _check_decoded(name, decode_leave(name, request.body), on_refused)
+            return _unwrap_or_refuse(name, decode_leave(name, request.body), on_refused)
         if request.method == "PUT":
-            return _check_decoded(name, decode_heartbeat(name, request.body), on_refused)
+            return _unwrap_or_refuse(name, decode_heartbeat(name, request.body), on_refused)
     if request.path == CONFIGURATION_PATH:
         if request.method == "GET":
             return AskConfiguration()
@@ -94,7 +94,7 @@
     return Evacuate(domain=DomainName(zone), is_evacuated=request.method == "POST")
 
 
-def _check_decoded(
+def _unwrap_or_refuse(
     name: str,
     decoded: Result[ForwardHeartbeat, str] | Result[ForwardLeave, str],
     on_refused: Callable[[str, str], None],
--- a/cottonlug/tests/processes.py
+++ b/cottonlug/tests/processes.py
@@ -23,7 +23,7 @@
 from ..runtime.dump import UpstreamDump
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _START_LIMIT_SECONDS = 30.0
 _STOP_LIMIT_SECONDS = 15.0
 WAIT_LIMIT_SECONDS = 60.0
@@ -121,7 +121,7 @@
 def read_cpu_seconds(pid: int) -> float:
     """Return the processor time that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 def read_resident_mb(pid: int) -> float:
--- a/cottonlug/upstream/daemon.py
+++ b/cottonlug/upstream/daemon.py
@@ -168,8 +168,8 @@
             log_event(
                 Event.SESSION_LOST, upstream=self.settings.upstream, host=link.host, error=error
             )
-            lived = time.monotonic() - began
-            backoff = _FIRST_BACKOFF_SECONDS if lived > backoff else backoff * 2
+            session_seconds = time.monotonic() - began
+            backoff = _FIRST_BACKOFF_SECONDS if session_seconds > backoff else backoff * 2
             backoff = min(backoff, _MAX_BACKOFF_SECONDS)
             await asyncio.sleep(backoff)
 
