--- a/cottonlug/config/options.py
+++ b/cottonlug/config/options.py
@@ -17,7 +17,7 @@
 E = TypeVar("E", bound=Enum)
 
 _LOADER = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-_UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+_SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 _DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)\s*(ms|s|m|h|d)")
 _ADDRESS_PATTERN = re.compile(r"(\d{1,3}(?:\.\d{1,3}){3}):(\d{1,5})")
 
@@ -146,7 +146,7 @@
     if match is None:
         report.add(node, path, "expected a duration such as 250ms, 4s or 10m")
         return None
-    return timedelta(seconds=float(match[1]) * _UNITS[match[2]])
+    return timedelta(seconds=float(match[1]) * _SECONDS_PER_UNIT[match[2]])
 
 
 def read_time_of_day(node: yaml.Node, path: str, report: Report) -> time | None:
