--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -8,20 +8,25 @@
 
 from .sweeps import find_newest_sweeps, render_sweeps
 
+# The size to design for.
 WORKERS = 4_400
 ACCELERATORS = 6_900
 STARTS_PER_SECOND = 110_000
 DOMAINS = 7
 CHANGES_PER_DAY = 12_000
 SLOTS = 8
+# Limits of what control may take on one host and in all (see `_render_head`).
 NODE_CORE_SHARE = 0.017
 NODE_MB = 64
 NODE_BYTES_PER_SECOND = 15_000
 CONTROL_HOSTS = 12
+# Assumptions of the sizing.
 TARGET_LOAD = 0.6
+"""Share of a core that an entry host uses at the peak, with one failure domain down."""
 IDLE_PARK_SECONDS = 30
 RETENTION_SECONDS = 120
 QUEUED_SECONDS = 2
+"""Seconds of work that are queued at the peak."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -178,7 +178,7 @@
 
 
 async def measure_round(profile: cProfile.Profile | None) -> dict[str, Any]:
-    """Act as leader for one run of the load; return the processor time and polls per start.
+    """Run a leader under the load once; return its processor time and polls per start.
 
     A profile, if given, records the calls of this process during the load.
     """
--- a/bench/load.py
+++ b/bench/load.py
@@ -234,7 +234,7 @@
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
     def _draw_around(self, mean: float, maximum: float) -> float:
-        """Return a log-normally distributed number with the given mean, limited to `most`."""
+        """Return a log-normally distributed number with the given mean, limited to `maximum`."""
         drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
         return min(mean * drawn, maximum)
 
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -20,7 +20,7 @@
     """Shares of the jobs submitted in the seconds that a scenario's fault concerns.
 
     `worth`, `worth_of_day` and `worst_kind` are weighted by worth, the others are not;
-    `worth_of_day` is that of all jobs of the run.
+    `worth_of_day` covers all jobs of the run, whenever they were submitted.
     """
 
     worth: float
--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -53,6 +53,7 @@
     )
     refused = RefusedHeartbeats(clock=SystemClock())
     lifecycle.watch_signals(lambda: build_control_dump(host))
+    # There is nothing to reload, but without a handler SIGHUP would end the process.
     lifecycle.watch_reload(lambda: None)
     control = build_listener(
         build_control_handler(host.answer, refused.record),
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -29,7 +29,7 @@
 def find_drain_seconds(limit: timedelta, used_seconds: float) -> float:
     """Return for how many seconds open requests may still be answered.
 
-    `limit` is the time allowed for the whole shutdown, `gone_seconds` the part already used.
+    `limit` is the time allowed for the whole shutdown, `used_seconds` the part already used.
     """
     return max(limit.total_seconds() - used_seconds - DRAIN_MARGIN_SECONDS, 0.0)
 
@@ -52,7 +52,7 @@
 ) -> Listener:
     """Return a listener whose requests are answered by one handler.
 
-    See `Listener` for `takes_all`.
+    See `Listener` for `accepts_all`.
     """
     app: Any = build_asgi(handler, lambda: max_body_bytes, handle_immediately)
     return Listener(app=app, address=address, accepts_all=accepts_all)
--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -1,4 +1,4 @@
-"""`cottonlug demo`: one entry host and five stand-in upstreams in one process, run on real jobs."""
+"""`cottonlug demo`: example jobs on one entry host and five stand-in upstreams in one process."""
 
 from __future__ import annotations
 
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -35,7 +35,7 @@
 from .exits import ExitCode
 
 BALANCER_REMOVAL_SECONDS = 2.5
-"""How long a stopping gateway serves on while it reports that it is not ready.
+"""How long a stopping gateway keeps serving callers after it reports that it is not ready.
 
 The load balancer checks readiness once a second and removes a host after two failed checks.
 """
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -85,7 +85,7 @@
 ) -> Result[Any, Refusal]:
     """Send a call, and send it again while it is refused with a code that may be retried.
 
-    Waits as long as the refusal says, and returns the last refusal after `MAX_RETRIES` calls.
+    Waits as long as the refusal says, and returns the last refusal after `MAX_CALL_ATTEMPTS` calls.
     Retries are safe: they carry the same id, or the request is idempotent.
     """
     for _ in range(MAX_CALL_ATTEMPTS):
--- a/cottonlug/commands/workloads.py
+++ b/cottonlug/commands/workloads.py
@@ -12,7 +12,9 @@
 from ..core.messages import SubmitRequest
 
 _MEAN_MS = 100
+"""Mean run time of all tasks but the slow ones."""
 _SLOW_SHARE = 0.002
+"""Share of the tasks that take `_SLOW_MS`."""
 _SLOW_MS = 1_500
 
 
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -62,10 +62,14 @@
     listen: ControlListeners
     seeds: list[Address]
     may_begin: bool
+    """Whether this host may bootstrap the log; the first of the seeds that may does so."""
     data_folder: Path
     longest_lease: timedelta
+    """Maximum duration of an upstream's lease."""
     caller_retry: timedelta
+    """Time after which a caller that lost its gateway submits its job again."""
     keep_ended: timedelta
+    """How long the records of ended jobs are kept."""
     orders: OrderDelivery
     domains: list[DomainName] = field(default_factory=list)
     """All failure domains, so that one that has no upstreams at present can be evacuated too."""
@@ -85,7 +89,9 @@
     listen: GatewayListeners
     seeds: list[Address]
     longest_lease: timedelta
+    """Maximum duration of an upstream's lease."""
     caller_retry: timedelta
+    """Time after which a caller that lost its gateway submits its job again."""
     drain_limit: timedelta
     urgent_port: int | None = None
     """Port on all hosts, including this one, for calls that must not wait behind jobs."""
--- a/cottonlug/config/defaults.py
+++ b/cottonlug/config/defaults.py
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SubmissionSettings:
-    """How long submission ids and answers are kept."""
+    """How long a submission id may start a job, and how long an ended job's answer is kept."""
 
     id_lifetime: timedelta = timedelta(minutes=10)
     retention: timedelta = timedelta(minutes=2)
@@ -69,7 +69,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RetrySettings:
-    """Retries of idempotent requests; `budget` is a fraction of the first attempts."""
+    """Retries of idempotent requests.
+
+    Each first attempt allows `budget` retries; unused ones add up to at most `burst`.
+    """
 
     budget: float = 0.1
     burst: int = 10
@@ -101,13 +104,15 @@
     retries: RetrySettings
     bodies: BodySettings
     drain_limit: timedelta
+    """How long a stopping host waits for accepted jobs to end."""
     drain_linger: timedelta
+    """How long it then waits for callers to fetch their answers."""
     log: LogSettings
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EntryAddress:
-    """An entry host as an upstream sees it."""
+    """An entry host and the address of its listener for upstreams."""
 
     host: HostId
     address: Address
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -1,4 +1,4 @@
-"""Example deployments: settings files of both users' sites, for the loopback interface."""
+"""Example deployments, modelled on both users' sites: settings files for the loopback interface."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 class Deployment:
     """Sizes of one deployment; `hosts` is the number of entry hosts in each failure domain.
 
-    `prefetch`, starts accepted in advance, saves messages but increases response times; see
-    docs/design/policy.md.
+    `prefetch` is how many starts an upstream accepts in advance, which saves messages but increases
+    response times; see docs/design/policy.md.
     """
 
     name: str
--- a/cottonlug/config/options.py
+++ b/cottonlug/config/options.py
@@ -42,6 +42,7 @@
     """Collects the problems found in a file."""
 
     folder: Path
+    """Folder of the file, to which paths in it are relative."""
     problems: list[Problem] = field(default_factory=list)
 
     def add(self, node: yaml.Node, path: str, message: str) -> None:
@@ -60,6 +61,10 @@
 
 
 Reader = Callable[[yaml.Node, str, Report], T | None]
+"""Returns the value of a node, or None after adding to the report why the node is invalid.
+
+The text is the path of keys to the node, as in `listen.peers`.
+"""
 
 
 class _Required(Enum):
--- a/cottonlug/net/caller_app.py
+++ b/cottonlug/net/caller_app.py
@@ -139,6 +139,7 @@
 
 
 def _reply(result: Result[Any, Refusal], unfinished_status: int = 200) -> Response[bytes]:
+    """Build a reply; `unfinished_status` is its status code if it carries a `JobStatus`."""
     if isinstance(result, Err):
         return reply_refusal(result.failure())
     message = result.unwrap()
--- a/cottonlug/net/clients.py
+++ b/cottonlug/net/clients.py
@@ -1,4 +1,4 @@
-"""Small httpx clients for one address each: the cost of a client grows with its pool."""
+"""HTTP clients based on httpx, one per address: the cost of a client grows with its pool."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         return Success(HttpReply(status=reply.status_code, body=reply.content))
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close all connections."""
         await self._client.aclose()
 
 
@@ -71,7 +71,7 @@
         return Err(_build_unreachable_refusal(f"status {reply.status}"))
 
     async def close(self) -> None:
-        """Close the connection."""
+        """Close all connections."""
         await self._http.close()
 
 
--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -21,8 +21,8 @@
 from .transport import HttpReply, TransportError
 
 DEFAULT_CONNECT_TIMEOUT = timedelta(milliseconds=500)
-"""Longer than a lost opening packet delays a connection on an idle link, but shorter than a caller
-waits."""
+"""Long enough to open a connection over an idle link on which the opening packet is lost once, but
+shorter than a caller waits."""
 DEFAULT_MAX_CONNECTIONS = 32
 MAX_IDLE_CONNECTIONS = 1_500
 """Idle connections kept open to all addresses together. A host has 4,096 file descriptors and needs
@@ -217,7 +217,7 @@
             return Err(TransportError(message="no reply in time", unsent=False))
 
     def drop_idle(self) -> None:
-        """Close idle connections; like one that brought no answer, they may be dead."""
+        """Close the idle connections; once a call got no answer, these may be dead as well."""
         for connection in self._idle:
             self._all_idle.discard(connection)
             connection.close()
@@ -269,7 +269,7 @@
         return Success(reply)
 
     def _release(self, connection: _Connection) -> None:
-        """Return an open connection to the idle connections."""
+        """Keep a connection for later calls, if it is still open."""
         if connection.is_open:
             self._idle.append(connection)
             self._all_idle.add(connection)
--- a/cottonlug/net/homes.py
+++ b/cottonlug/net/homes.py
@@ -1,4 +1,4 @@
-"""Find a submission's home and forward calls to it."""
+"""Forwards calls to the home of a submission: the entry host that its id names."""
 
 from __future__ import annotations
 
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -10,7 +10,7 @@
 
 
 class RulesView(Message, omit_defaults=False):
-    """The rules that are active at one host."""
+    """The active rules of one host."""
 
     version: int
     text: str
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -62,7 +62,8 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Out of descriptors: pending connections would wake the loop in each iteration.
+                # Out of descriptors: accepting pauses, as pending connections would otherwise wake
+                # the loop in each iteration.
                 self._loop.remove_reader(self._listening.fileno())
                 self._loop.call_later(_DESCRIPTOR_RETRY_SECONDS, self._start_accepting)
                 return
@@ -125,8 +126,8 @@
     With `accepts_all` all pending connections are accepted in one iteration of the event loop,
     instead of one per iteration. It suits clients that call rarely and time out after a second:
     operators and upstreams. It does not suit gateways: when a leader is behind, connections that
-    are accepted together are also late together (under long overload 0.31 of the worth, against
-    0.51 with one connection per iteration).
+    are accepted together are also late together. Under long overload, jobs earned 0.31 of their
+    worth to callers, against 0.51 with one connection per iteration.
     """
 
     def __init__(self, *, app: Litestar | Any, address: Address, accepts_all: bool = False) -> None:
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -45,7 +45,7 @@
         try:
             return await answer(call, timeout)
         except asyncio.CancelledError:
-            # The caller has disconnected.
+            # The caller has disconnected; a durable job continues.
             if isinstance(call, Submit) and call.spec.best_effort:
                 abandon(call)
             raise
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -139,6 +139,6 @@
 
 
 def _read_cold_left(value: Any) -> int:
-    """Return for how many milliseconds a worker is still slow; 0 if the value is malformed."""
+    """Return for how many ms a worker still runs tasks slowly, or 0 if the value is invalid."""
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return int(value) if is_number and 0 < value < _MAX_AMOUNT else 0
--- a/cottonlug/platform/jobs.py
+++ b/cottonlug/platform/jobs.py
@@ -92,7 +92,7 @@
 
 
 def build_task_name(ref: TaskRef) -> str:
-    """Return the name of a task: ID.K.STEP.INDEX."""
+    """Return the name of a task: JOB.OCCURRENCE.STEP.INDEX."""
     return f"{ref.job}.{ref.occurrence}.{ref.step}.{ref.place}"
 
 
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -65,7 +65,7 @@
 
 
 class WorkerClient:
-    """The only client for the platform's workers; sends them the coordinator's orders."""
+    """Sends the coordinator's orders to the platform's workers; nothing else calls them."""
 
     def __init__(self, *, pools: ConnectionPools) -> None:
         self._pools = pools
@@ -149,7 +149,7 @@
 def _build_handshake(upstream: UpstreamInfo, token: int, is_own_handshake: bool) -> Handshake:
     """Return the handshake by which a worker confirms which of its instances answers.
 
-    The header names the id alone, which a later instance may share.
+    `INSTANCE_HEADER` carries only the worker's id, which a later instance may share.
     """
     return Handshake(
         identity=upstream.id,
--- a/cottonlug/tests/processes.py
+++ b/cottonlug/tests/processes.py
@@ -185,7 +185,7 @@
 
 
 def read_upstream_dump(fleet: Fleet, number: int) -> UpstreamDump:
-    """Return the state of a simulated upstream."""
+    """Return the state of a stand-in upstream."""
     port = fleet.deployment.base_port + 500 + number
     headers = {"Authorization": f"Bearer {fleet.get_token('operators')}"}
     url = f"http://127.0.0.1:{port}/v1/dump"
--- a/cottonlug/upstream/daemon.py
+++ b/cottonlug/upstream/daemon.py
@@ -158,6 +158,11 @@
         return all(link.closed for link in self.executor.links.values())
 
     async def _maintain_link(self, link: Link, clients: list[HttpClient]) -> None:
+        """Begin a new session whenever one is lost; return once one was closed.
+
+        The pause before a new session doubles each time, up to a limit; it starts again from the
+        shortest after a session that lasted longer than the last pause.
+        """
         backoff = _FIRST_BACKOFF_SECONDS
         while True:
             self.executor.begin_session(link)
@@ -200,6 +205,10 @@
             await asyncio.gather(*calls, return_exceptions=True)
 
     async def _is_request_due(self, link: Link) -> bool:
+        """Return whether to send a request now; if one is due later, plan a check for that time.
+
+        If no request is open, one is due at once, or after a pause while draining.
+        """
         if link.open_requests == 0:
             is_draining = link.draining or self.executor.leaving
             if is_draining and not self.executor.has_updates(link):
--- a/cottonlug/upstream/work.py
+++ b/cottonlug/upstream/work.py
@@ -50,7 +50,7 @@
 def choose_alert_recipients(fields: dict[str, Any]) -> Result[Any, str]:
     """Return which recipients to alert for a K-index and a cloud cover between 0 and 1.
 
-    Nobody is alerted under more than 70 percent of clouds.
+    Nobody is alerted if clouds cover more than 70 percent of the sky.
     """
     index = fields.get("k_index")
     clouds = fields.get("clouds", 0.0)
