--- a/bench/callers.py
+++ b/bench/callers.py
@@ -61,9 +61,13 @@
     kinds = [kind[0] for kind in KINDS]
     name = chance.choices(kinds, [kind[1] for kind in KINDS])[0]
     _, _, tasks, run_ms, size = KINDS[kinds.index(name)]
-    real_ms = min(run_ms * chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA), 4 * run_ms)
-    step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU_MILLIS), estimate_ms=int(real_ms))
-    payload = f"{real_ms:.0f} ".ljust(size, "x")
+    actual_run_ms = min(
+        run_ms * chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA), 4 * run_ms
+    )
+    step = StepSpec(
+        count=tasks, needs=Needs(cpu_millis=TASK_CPU_MILLIS), estimate_ms=int(actual_run_ms)
+    )
+    payload = f"{actual_run_ms:.0f} ".ljust(size, "x")
     spec = JobSpec(payload=payload, steps=(step,), best_effort=True)
     return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, wait_timeout_ms=1_500)
 
--- a/bench/load.py
+++ b/bench/load.py
@@ -109,8 +109,8 @@
     rate_factor: float = 1.0
     """Factor on the rates of `KINDS`, which are first scaled to the number of upstreams."""
     jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
-    real_ms: dict[JobId, float] = field(default_factory=dict)
-    slowness: dict[UpstreamId, float] = field(default_factory=dict)
+    actual_run_ms: dict[JobId, float] = field(default_factory=dict)
+    run_time_factors: dict[UpstreamId, float] = field(default_factory=dict)
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
     """Bursts as start and end in seconds, and the factor on the rate of jobs between them."""
     records: Records = field(default_factory=Records)
@@ -202,7 +202,7 @@
     def slow_down(self, count: int, factor: float) -> None:
         """Multiply the run times of tasks on the first `count` upstreams by `factor`."""
         for id in list(self.upstreams)[:count]:
-            self.slowness[id] = factor
+            self.run_time_factors[id] = factor
 
     def fail_tasks(self, count: int) -> None:
         """Make the first `count` upstreams, and no others, fail all tasks at once from now on."""
@@ -217,7 +217,9 @@
             world=self.world,
             info=info,
             rate=1.0,
-            run_times=lambda job: milliseconds(self.real_ms[job] * self.slowness.get(info.id, 1.0)),
+            run_times=lambda job: milliseconds(
+                self.actual_run_ms[job] * self.run_time_factors.get(info.id, 1.0)
+            ),
         )
         self.upstreams[info.id] = upstream
         return upstream
@@ -240,15 +242,15 @@
 
     def _create_job(self, kind: JobKind) -> None:
         job = JobId(f"{len(self.jobs):016x}")
-        real_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
+        actual_run_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
         count = max(1, round(self._draw_around(kind.tasks, kind.tasks * 4)))
         cpu_millis = int(TASK_CPU_MILLIS * self.chance.lognormvariate(0, CPU_LOG_SIGMA))
         needs = Needs(cpu_millis=min(cpu_millis, 20_000))
-        declared = max(1, int(real_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
+        declared = max(1, int(actual_run_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
         step = StepSpec(count=count, needs=needs, estimate_ms=declared)
-        work = real_ms * count / (kind.run_ms * kind.tasks)
+        work = actual_run_ms * count / (kind.run_ms * kind.tasks)
         self.world.needs[job] = needs
-        self.real_ms[job] = real_ms
+        self.actual_run_ms[job] = actual_run_ms
         is_poisoned = self.chance.random() < self.poisoned_share if self.poisoned_share else False
         if is_poisoned:
             self.world.poison.add(TaskRef(job, 0, 0, 0))
@@ -256,7 +258,7 @@
             kind=kind,
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
             worth=kind.worth * min(0.3 + 0.7 * work, 4.0),
-            objective=milliseconds(STRETCH * real_ms + TARGET_MS),
+            objective=milliseconds(STRETCH * actual_run_ms + TARGET_MS),
             submitted_at=self.world.now,
             is_poisoned=is_poisoned,
         )
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -47,7 +47,7 @@
 HOSTS = 3
 UPSTREAMS = 8
 SLOTS = 8
-ONE_WAY = milliseconds(0.5)
+ONE_WAY_DELAY = milliseconds(0.5)
 DURATION = timedelta(seconds=30)
 LOAD_SHARE = 0.6
 SEEDS = 5
@@ -197,7 +197,7 @@
                 self.stop_tasks(executor)
                 self.send_if_due(executor, link)
 
-            self.schedule(self.now + ONE_WAY, arrive)
+            self.schedule(self.now + ONE_WAY_DELAY, arrive)
 
     def send_if_due(self, executor: Executor, link: Link) -> None:
         """Send a request if one is due, or schedule the next check for when one is due.
@@ -215,7 +215,7 @@
             return
         request = executor.build_request(link)
         host = self.hosts[link.host]
-        self.schedule(self.now + ONE_WAY, lambda: self.deliver_request(host, request))
+        self.schedule(self.now + ONE_WAY_DELAY, lambda: self.deliver_request(host, request))
 
     def deliver_request(self, host: Dispatcher, request: ExchangeRequest) -> None:
         assert host.exchange(request, self.now) is None
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -11,7 +11,7 @@
 from ..net.asgi import build_asgi
 from ..net.connections import ConnectionPools
 from ..net.servers import Listener
-from ..platform.front import build_front_handler, build_readiness_handler
+from ..platform.front import build_caller_handler, build_readiness_handler
 from ..platform.workers import WorkerClient
 from ..runtime.clocks import SystemClock
 from ..runtime.cluster_dump import build_gateway_dump
@@ -59,7 +59,7 @@
     )
     lifecycle.watch_signals(lambda: build_gateway_dump(gateway))
     lifecycle.watch_reload(lambda: _reload_seeds(gateway, config))
-    handler = build_front_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
+    handler = build_caller_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
     callers = Listener(
         app=build_asgi(handler, lambda: gateway.max_body_bytes), address=settings.listen.callers
     )
--- a/cottonlug/platform/configurations.py
+++ b/cottonlug/platform/configurations.py
@@ -54,16 +54,16 @@
 def decode_configuration(body: bytes) -> Result[Configuration, str]:
     """Decode a configuration, or return the reason why the body is not a complete one."""
     try:
-        read = _decoder.decode(body)
+        parsed = _decoder.decode(body)
         document = body.decode()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
     return Success(
         Configuration(
-            version=ConfigurationVersion(read.version),
-            queues=tuple(_build_queue(route) for route in read.routes),
-            services=tuple(_build_service(service) for service in read.services),
-            max_body_bytes=read.limits.max_body_bytes,
+            version=ConfigurationVersion(parsed.version),
+            queues=tuple(_build_queue(route) for route in parsed.routes),
+            services=tuple(_build_service(service) for service in parsed.services),
+            max_body_bytes=parsed.limits.max_body_bytes,
             document=document,
         )
     )
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -36,7 +36,7 @@
 AnswerCall = Callable[[Call, timedelta], Awaitable[Answer]]
 
 
-def build_front_handler(
+def build_caller_handler(
     answer: AnswerCall, abandon: Callable[[Submit], None], is_stopping: Callable[[], bool]
 ) -> Handler:
     """Return the handler of the platform's API for callers."""
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -58,29 +58,29 @@
 def decode_heartbeat(name: str, body: bytes) -> Result[ForwardHeartbeat, str]:
     """Decode the heartbeat of the worker with this id, or return the reason why it is invalid."""
     try:
-        read = _heartbeat_decoder.decode(body)
+        parsed = _heartbeat_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
-    problem = _find_problem(name, read)
+    problem = _find_problem(name, parsed)
     if problem is not None:
         return Err(problem)
-    capacity = _read_capacity(read.capacity)
+    capacity = _read_capacity(parsed.capacity)
     info = UpstreamInfo(
-        id=_build_instance_id(name, read.born),
-        service=ServiceName(read.service),
-        address=read.address,
-        domain=DomainName(read.zone),
+        id=_build_instance_id(name, parsed.born),
+        service=ServiceName(parsed.service),
+        address=parsed.address,
+        domain=DomainName(parsed.zone),
         capacity=capacity or Capacity(),
-        labels=tuple(read.labels),
+        labels=tuple(parsed.labels),
     )
     heartbeat = Heartbeat(
         info=info,
-        sequence=read.seq_no,
-        draining=read.state == DRAINING,
-        clock_ms=read.clock_ms,
+        sequence=parsed.seq_no,
+        draining=parsed.state == DRAINING,
+        clock_ms=parsed.clock_ms,
         has_no_capacity=capacity is None,
-        cold_left_ms=_read_cold_left(read.cold_left_ms),
-        held=read_run_lists(read.clock_ms, read.running, read.finished),
+        cold_left_ms=_read_cold_left(parsed.cold_left_ms),
+        held=read_run_lists(parsed.clock_ms, parsed.running, parsed.finished),
     )
     return Success(ForwardHeartbeat(heartbeat=heartbeat))
 
@@ -88,32 +88,32 @@
 def decode_leave(name: str, body: bytes) -> Result[ForwardLeave, str]:
     """Decode the leave message of the worker with this id, or return why it is invalid."""
     try:
-        read = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
+        parsed = _leave_decoder.decode(body) if body.strip() else _LeaveBody()
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Err(str(error))
     if not _is_valid_name(name):
         return Err("the path names no worker")
-    if not _is_valid_start_time(read.born):
+    if not _is_valid_start_time(parsed.born):
         return Err("born is out of range")
-    return Success(ForwardLeave(upstream=_build_instance_id(name, read.born)))
+    return Success(ForwardLeave(upstream=_build_instance_id(name, parsed.born)))
 
 
-def _find_problem(name: str, read: _HeartbeatBody) -> str | None:
+def _find_problem(name: str, parsed: _HeartbeatBody) -> str | None:
     """Return the reason why a heartbeat is invalid, or None."""
     if not _is_valid_name(name):
         return "the path names no worker"
-    if read.state not in (READY, DRAINING):
-        return f"unknown state {read.state[:_MAX_NAME_CHARS]}"
-    if parse_address(read.address) is None:
+    if parsed.state not in (READY, DRAINING):
+        return f"unknown state {parsed.state[:_MAX_NAME_CHARS]}"
+    if parse_address(parsed.address) is None:
         return "the address is not of the form HOST:PORT"
-    texts = (read.service, read.zone, read.address, *read.labels)
-    if not read.service or not read.zone or max(map(len, texts)) > _MAX_NAME_CHARS:
+    texts = (parsed.service, parsed.zone, parsed.address, *parsed.labels)
+    if not parsed.service or not parsed.zone or max(map(len, texts)) > _MAX_NAME_CHARS:
         return "a name is empty or too long"
-    if len(read.labels) > _MAX_LABELS:
+    if len(parsed.labels) > _MAX_LABELS:
         return "too many labels"
-    if not (0 <= read.seq_no <= _MAX_COUNT and 0 <= (read.clock_ms or 0) <= _MAX_COUNT):
+    if not (0 <= parsed.seq_no <= _MAX_COUNT and 0 <= (parsed.clock_ms or 0) <= _MAX_COUNT):
         return "a count is out of range"
-    return None if _is_valid_start_time(read.born) else "born is out of range"
+    return None if _is_valid_start_time(parsed.born) else "born is out of range"
 
 
 def _is_valid_name(name: str) -> bool:
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -85,9 +85,9 @@
         if isinstance(sent, Err):
             return _classify_failed_start(sent.failure()), None
         reply = sent.unwrap()
-        read = _read_reply(reply)
-        clock_ms = read.clock_ms if read is not None else None
-        return _find_start_outcome(reply.status, read), clock_ms
+        parsed = _read_reply(reply)
+        clock_ms = parsed.clock_ms if parsed is not None else None
+        return _find_start_outcome(reply.status, parsed), clock_ms
 
     async def stop(self, order: StopOrder, token: int) -> CallFailure | None:
         """Send a stop; return the failure, or None if the worker accepted it."""
@@ -113,17 +113,17 @@
         failure = _find_failure(sent.unwrap())
         if failure is not None:
             return failure
-        read = _read_reply(sent.unwrap())
+        parsed = _read_reply(sent.unwrap())
         if (
-            read is not None
-            and read.born is not None
-            and not _is_same_instance(order.upstream, read)
+            parsed is not None
+            and parsed.born is not None
+            and not _is_same_instance(order.upstream, parsed)
         ):
             # An upstream recorded without a start time, as in logs of earlier versions, may be this
             # instance or another.
             is_known = find_start_ms(order.upstream.id) is not None
             return CallFailure.INSTANCE_ENDED if is_known else CallFailure.REFUSED
-        lists = read_run_lists(read.clock_ms, read.running, read.finished) if read else None
+        lists = read_run_lists(parsed.clock_ms, parsed.running, parsed.finished) if parsed else None
         return lists if lists is not None else CallFailure.REFUSED
 
     async def _call(
@@ -159,8 +159,8 @@
     )
 
 
-def _is_same_instance(upstream: UpstreamInfo, read: _ReplyBody | None) -> bool:
-    return read is not None and read.born == find_start_ms(upstream.id)
+def _is_same_instance(upstream: UpstreamInfo, parsed: _ReplyBody | None) -> bool:
+    return parsed is not None and parsed.born == find_start_ms(upstream.id)
 
 
 def _classify_failed_start(error: TransportError) -> StartOutcome:
@@ -189,11 +189,11 @@
         return None
 
 
-def _find_start_outcome(status: int, read: _ReplyBody | None) -> StartOutcome:
+def _find_start_outcome(status: int, parsed: _ReplyBody | None) -> StartOutcome:
     if status == 200:
         return StartOutcome.STARTED
     if status == 409:
-        reason = read.reason if read is not None else ""
+        reason = parsed.reason if parsed is not None else ""
         return _OUTCOME_BY_REASON.get(reason, StartOutcome.INVALID)
     if status in (429, 503):
         return StartOutcome.UNHEALTHY
@@ -209,8 +209,8 @@
         return None
     if reply.status == WRONG_INSTANCE_STATUS:
         return CallFailure.INSTANCE_ENDED
-    read = _read_reply(reply)
-    is_fenced = reply.status == 409 and read is not None and read.reason == FENCED_REASON
+    parsed = _read_reply(reply)
+    is_fenced = reply.status == 409 and parsed is not None and parsed.reason == FENCED_REASON
     return CallFailure.FENCED if is_fenced else CallFailure.REFUSED
 
 
--- a/cottonlug/tests/test_platform.py
+++ b/cottonlug/tests/test_platform.py
@@ -38,7 +38,7 @@
 from ..net.transport import HttpReply, TransportError
 from ..platform.configurations import decode_configuration
 from ..platform.control import build_control_handler
-from ..platform.front import build_front_handler, build_readiness_handler
+from ..platform.front import build_caller_handler, build_readiness_handler
 from ..platform.jobs import build_task_name, decode_job, parse_task_name
 from ..platform.workers import WorkerClient
 from .model_upstreams import build_info
@@ -220,14 +220,14 @@
     assert response.status == status
 
 
-def run_front(request: HttpRequest, answer: Answer) -> tuple[HttpResponse, list[Call]]:
+def run_caller_api(request: HttpRequest, answer: Answer) -> tuple[HttpResponse, list[Call]]:
     calls: list[Call] = []
 
     async def answer_call(call: Call, timeout: timedelta) -> Answer:
         calls.append(call)
         return answer
 
-    handler = build_front_handler(answer_call, lambda call: None, lambda: False)
+    handler = build_caller_handler(answer_call, lambda call: None, lambda: False)
     return asyncio.run(handler(request)), calls
 
 
@@ -245,7 +245,7 @@
     answer: Answer, status: int, retry_after: str | None
 ) -> None:
     body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
-    response, calls = run_front(
+    response, calls = run_caller_api(
         build_request("POST", "/p/0123456789abcdef", body, host="h"), answer
     )
     assert (response.status, response.headers.get("retry-after")) == (status, retry_after)
@@ -254,12 +254,14 @@
 
 def test_state_count_and_cancel_calls_are_translated() -> None:
     answer = Answer(outcome=Outcome.DONE, state=JobState.RUNNING)
-    response, calls = run_front(build_request("GET", "/p/1", host="h"), answer)
+    response, calls = run_caller_api(build_request("GET", "/p/1", host="h"), answer)
     assert response.body == b'{"state":"running"}'
     assert calls == [AskState(host="h", path="/p/1")]
-    response, _ = run_front(build_request("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3))
+    response, _ = run_caller_api(
+        build_request("GET", "/p/"), Answer(outcome=Outcome.DONE, pending=3)
+    )
     assert response.body == b'{"pending":3}'
-    response, calls = run_front(
+    response, calls = run_caller_api(
         build_request("DELETE", "/p/1", host="h"), Answer(outcome=Outcome.NO_JOB)
     )
     assert response.status == 410
@@ -274,7 +276,7 @@
         raise AssertionError
 
     async def run_scenario() -> None:
-        handler = build_front_handler(answer_never, abandoned.append, lambda: False)
+        handler = build_caller_handler(answer_never, abandoned.append, lambda: False)
         body = b'{"task_spec":"t","steps":[{"count":1}],"best_effort":true}'
         task = asyncio.create_task(handler(build_request("POST", "/p/0123456789abcdef", body)))
         await asyncio.sleep(0)
