--- a/bench/load.py
+++ b/bench/load.py
@@ -110,14 +110,18 @@
     """Factor on the rates of `KINDS`, which are first scaled to the number of upstreams."""
     jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
     actual_run_ms: dict[JobId, float] = field(default_factory=dict)
+    """Run time of each job's tasks, which the declared run time only approximates."""
     run_time_factors: dict[UpstreamId, float] = field(default_factory=dict)
+    """Factors on run times at slow upstreams."""
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
     """Bursts as start and end in seconds, and the factor on the rate of jobs between them."""
     records: Records = field(default_factory=Records)
     poisoned_share: float = 0.0
     """Share of the jobs that have a task that crashes upstreams."""
     is_frozen: bool = False
+    """Whether the lost leader is frozen, and so still receives jobs."""
     token: int = 0
+    """Fencing token of the current leader."""
     restart_count: int = 0
     chance: random.Random = field(init=False)
     world: World = field(init=False)
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Measures:
-    """Shares of the jobs submitted in the seconds that a scenario's fault concerns.
+    """Shares of the jobs submitted in the seconds that a scenario measures.
 
     `worth`, `worth_of_day` and `worst_kind` are weighted by worth, the others are not;
     `worth_of_day` covers all jobs of the run, whenever they were submitted.
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -50,10 +50,12 @@
 ONE_WAY_DELAY = milliseconds(0.5)
 DURATION = timedelta(seconds=30)
 LOAD_SHARE = 0.6
+"""Share of all slots that the submitted work takes on average."""
 SEEDS = 5
 SCAN_INTERVAL = milliseconds(250)
 TEAMS = 6
 BURST_AT = timedelta(seconds=10)
+"""Time of the burst, and of the kill of an upstream."""
 BURST_SECONDS = 2.0
 
 
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Scenario:
-    """A fault and the load it meets; it concerns the seconds `first_second` to `last_second`."""
+    """A fault, the load it meets, and the seconds whose jobs are measured: first to last."""
 
     first_second: float
     last_second: float
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -30,7 +30,7 @@
 
 
 class ExplainedRule(Message):
-    """A rule that was tried; `mismatch` is None for the rule that matched."""
+    """A rule that was tried; `mismatch` names its first condition not met, None if it matched."""
 
     rule: str
     mismatch: str | None = None
