--- a/cottonlug/net/apps.py
+++ b/cottonlug/net/apps.py
@@ -57,4 +57,5 @@
 
 
 def _handle_error(_: Request[Any, Any, Any], error: Exception) -> Response[bytes]:
+    """Propagate an unexpected error to the server."""
     raise error
