--- a/bench/callers.py
+++ b/bench/callers.py
@@ -61,16 +61,22 @@
     kinds = [kind[0] for kind in KINDS]
     name = chance.choices(kinds, [kind[1] for kind in KINDS])[0]
     _, _, tasks, run_ms, size = KINDS[kinds.index(name)]
-    real_ms = min(run_ms * chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA), 4 * run_ms)
-    step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU_MILLIS), estimate_ms=int(real_ms))
-    payload = f"{real_ms:.0f} ".ljust(size, "x")
+    actual_run_ms = min(
+        run_ms * chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA), 4 * run_ms
+    )
+    step = StepSpec(
+        count=tasks, needs=Needs(cpu_millis=TASK_CPU_MILLIS), estimate_ms=int(actual_run_ms)
+    )
+    payload = f"{actual_run_ms:.0f} ".ljust(size, "x")
     spec = JobSpec(payload=payload, steps=(step,), best_effort=True)
     return Submit(host="host", path=f"/{name}/{number:016x}", spec=spec, wait_timeout_ms=1_500)
 
 
-async def submit_jobs(leader: Address, count: int, rate: float, seconds: float) -> dict[str, int]:
+async def submit_jobs(
+    leader: Address, gateway_count: int, rate: float, seconds: float
+) -> dict[str, int]:
     """Submit jobs at `rate` per second through the gateways in turn; return how many were done."""
-    gateways = [build_gateway(number, leader) for number in range(count)]
+    gateways = [build_gateway(number, leader) for number in range(gateway_count)]
     for gateway in gateways:
         gateway.start()
     await asyncio.sleep(WARM_UP_SECONDS)
@@ -79,7 +85,7 @@
 
     async def submit(number: int) -> None:
         call = draw_job(chance, number)
-        answer = await gateways[number % count].call(call, CALL_TIMEOUT)
+        answer = await gateways[number % gateway_count].call(call, CALL_TIMEOUT)
         counts[answer.outcome.value] = counts.get(answer.outcome.value, 0) + 1
 
     loop = asyncio.get_running_loop()
--- a/bench/leader.py
+++ b/bench/leader.py
@@ -53,7 +53,7 @@
 from cottonlug.runtime.replicated import ReplicatedRecords
 from cottonlug.tests.gateway_builders import raise_error
 from cottonlug.tests.processes import find_base_port
-from cottonlug.tests.test_cluster_waiting import OwnOffice
+from cottonlug.tests.test_cluster_waiting import LogLeaderAuthority
 
 from .callers import KINDS
 from .standin import STARTED_MS, build_address
@@ -120,7 +120,7 @@
         self._pools = ConnectionPools(max_connections=16)
         clock = SystemClock()
         self.leadership = Leadership(
-            authority=OwnOffice(),
+            authority=LogLeaderAuthority(),
             replicated=replicated,
             port=WorkerClient(pools=self._pools),
             clock=clock,
@@ -135,7 +135,7 @@
         for info in infos:
             heartbeat = Heartbeat(info=info, sequence=1, draining=False, clock_ms=0)
             self.leadership.dispatch.handle_heartbeat(heartbeat, clock.monotonic())
-        self._lines = JobChannelServer(
+        self._job_channel_server = JobChannelServer(
             answer=self.leadership.answer, clock=clock, find_slack=lambda submit: 1.0
         )
         app = build_asgi(self._handle, lambda: 1 << 24, self._answer_at_once)
@@ -147,9 +147,9 @@
         self._pools.close()
 
     def _answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        taken = self._lines.handle_at_once(request)
-        if taken is not None:
-            return taken
+        response = self._job_channel_server.handle_at_once(request)
+        if response is not None:
+            return response
         if b'"greet"' not in request.body[:24]:
             return None
         call = call_decoder.decode(request.body)
@@ -157,8 +157,8 @@
         return _reply(self._add_host(self.leadership.answer_keepalive(call)))
 
     async def _handle(self, request: HttpRequest) -> HttpResponse:
-        if self._lines.handles(request.path):
-            return await self._lines.handle(request)
+        if self._job_channel_server.handles(request.path):
+            return await self._job_channel_server.handle(request)
         call: Call = call_decoder.decode(request.body)
         assert not isinstance(call, Submit), "jobs arrive in batches"
         return _reply(await self.leadership.answer(call))
@@ -178,7 +178,7 @@
 
 
 async def measure_round(profile: cProfile.Profile | None) -> dict[str, Any]:
-    """Act as leader for one run of the load; return the processor time and polls per start.
+    """Run a leader under the load once; return its processor time and polls per start.
 
     A profile, if given, records the calls of this process during the load.
     """
--- a/bench/load.py
+++ b/bench/load.py
@@ -19,7 +19,7 @@
 from cottonlug.core.cluster.term import TOKENS_PER_TERM
 from cottonlug.core.ids import UpstreamId
 from cottonlug.tests.model_upstreams import (
-    SETTLE_AFTER,
+    RECONCILE_AFTER,
     Leader,
     ModelUpstream,
     World,
@@ -81,7 +81,7 @@
     spec: JobSpec
     worth: float
     objective: timedelta
-    at: timedelta
+    submitted_at: timedelta
     is_poisoned: bool = False
     """Whether one of its tasks crashes every upstream that starts it. Such a job is not counted."""
     was_sent: bool = False
@@ -94,7 +94,7 @@
         """Part of the worth that the caller got, by the time of the answer."""
         if self.ended_at is None:
             return 0.0
-        taken = self.ended_at - self.at
+        taken = self.ended_at - self.submitted_at
         if taken <= self.objective:
             return self.worth
         return self.worth * LATE_WORTH_SHARE if taken <= self.objective * LATE_FACTOR else 0.0
@@ -109,15 +109,19 @@
     rate_factor: float = 1.0
     """Factor on the rates of `KINDS`, which are first scaled to the number of upstreams."""
     jobs: dict[JobId, SubmittedJob] = field(default_factory=dict)
-    real_ms: dict[JobId, float] = field(default_factory=dict)
-    slowness: dict[UpstreamId, float] = field(default_factory=dict)
+    actual_run_ms: dict[JobId, float] = field(default_factory=dict)
+    """Run time of each job's tasks, which the declared run time only approximates."""
+    run_time_factors: dict[UpstreamId, float] = field(default_factory=dict)
+    """Factors on run times at slow upstreams."""
     bursts: list[tuple[float, float, float]] = field(default_factory=list)
     """Bursts as start and end in seconds, and the factor on the rate of jobs between them."""
     records: Records = field(default_factory=Records)
     poisoned_share: float = 0.0
     """Share of the jobs that have a task that crashes upstreams."""
     is_frozen: bool = False
+    """Whether the lost leader is frozen, and so still receives jobs."""
     token: int = 0
+    """Fencing token of the current leader."""
     restart_count: int = 0
     chance: random.Random = field(init=False)
     world: World = field(init=False)
@@ -154,7 +158,10 @@
                 self.leader.deliver_heartbeat(upstream, self.token)
         for job, submitted in self.jobs.items():
             is_open = submitted.ended_at is None and submitted.refused_at is None
-            if is_open and self.world.now - submitted.at < submitted.objective * LATE_FACTOR:
+            if (
+                is_open
+                and self.world.now - submitted.submitted_at < submitted.objective * LATE_FACTOR
+            ):
                 self._submit_to_leader(job)
 
     def lose_leader(self, *, is_frozen: bool = False) -> None:
@@ -199,7 +206,7 @@
     def slow_down(self, count: int, factor: float) -> None:
         """Multiply the run times of tasks on the first `count` upstreams by `factor`."""
         for id in list(self.upstreams)[:count]:
-            self.slowness[id] = factor
+            self.run_time_factors[id] = factor
 
     def fail_tasks(self, count: int) -> None:
         """Make the first `count` upstreams, and no others, fail all tasks at once from now on."""
@@ -214,7 +221,9 @@
             world=self.world,
             info=info,
             rate=1.0,
-            run_times=lambda job: milliseconds(self.real_ms[job] * self.slowness.get(info.id, 1.0)),
+            run_times=lambda job: milliseconds(
+                self.actual_run_ms[job] * self.run_time_factors.get(info.id, 1.0)
+            ),
         )
         self.upstreams[info.id] = upstream
         return upstream
@@ -230,31 +239,31 @@
     def _find_burst_factor(self, at: float) -> float:
         return max((each[2] for each in self.bursts if each[0] <= at < each[1]), default=1.0)
 
-    def _draw_around(self, mean: float, most: float) -> float:
-        """Return a log-normally distributed number with the given mean, limited to `most`."""
+    def _draw_around(self, mean: float, maximum: float) -> float:
+        """Return a log-normally distributed number with the given mean, limited to `maximum`."""
         drawn = self.chance.lognormvariate(-LOG_SIGMA * LOG_SIGMA / 2, LOG_SIGMA)
-        return min(mean * drawn, most)
+        return min(mean * drawn, maximum)
 
     def _create_job(self, kind: JobKind) -> None:
         job = JobId(f"{len(self.jobs):016x}")
-        real_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
+        actual_run_ms = self._draw_around(kind.run_ms, kind.run_ms * 4)
         count = max(1, round(self._draw_around(kind.tasks, kind.tasks * 4)))
         cpu_millis = int(TASK_CPU_MILLIS * self.chance.lognormvariate(0, CPU_LOG_SIGMA))
         needs = Needs(cpu_millis=min(cpu_millis, 20_000))
-        declared = max(1, int(real_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
+        declared = max(1, int(actual_run_ms * self.chance.lognormvariate(0, LOG_SIGMA)))
         step = StepSpec(count=count, needs=needs, estimate_ms=declared)
-        work = real_ms * count / (kind.run_ms * kind.tasks)
+        work = actual_run_ms * count / (kind.run_ms * kind.tasks)
         self.world.needs[job] = needs
-        self.real_ms[job] = real_ms
+        self.actual_run_ms[job] = actual_run_ms
         is_poisoned = self.chance.random() < self.poisoned_share if self.poisoned_share else False
         if is_poisoned:
-            self.world.poison.add(TaskRef(job, 0, 0, 0))
+            self.world.crashing_tasks.add(TaskRef(job, 0, 0, 0))
         self.jobs[job] = SubmittedJob(
             kind=kind,
             spec=JobSpec(payload="", steps=(step,), best_effort=True),
             worth=kind.worth * min(0.3 + 0.7 * work, 4.0),
-            objective=milliseconds(STRETCH * real_ms + TARGET_MS),
-            at=self.world.now,
+            objective=milliseconds(STRETCH * actual_run_ms + TARGET_MS),
+            submitted_at=self.world.now,
             is_poisoned=is_poisoned,
         )
         self._submit_to_leader(job)
@@ -267,7 +276,7 @@
             return
         queue = QUEUES[submitted.kind.name]
         now = self.world.now
-        waited = now - submitted.at
+        waited = now - submitted.submitted_at
         rejection = self.leader.dispatch.find_rejection(queue, submitted.spec, waited, now)
         if rejection is not None and not submitted.was_sent:
             submitted.refused_at = now
@@ -279,7 +288,7 @@
             queue,
             may_have_begun=may_have_begun,
             # A job that was sent for the first time cannot have active runs yet.
-            reconcile_after=SETTLE_AFTER if may_have_begun else timedelta(),
+            reconcile_after=RECONCILE_AFTER if may_have_begun else timedelta(),
             waited=waited,
         )
 
@@ -298,7 +307,7 @@
 def iterate_submitted(run: Run, first: float, last: float) -> Iterator[SubmittedJob]:
     """Yield the jobs submitted from second `first` to `last`, except those that crash upstreams."""
     for submitted in run.jobs.values():
-        if not submitted.is_poisoned and timedelta(seconds=first) <= submitted.at < timedelta(
-            seconds=last
-        ):
+        if not submitted.is_poisoned and timedelta(
+            seconds=first
+        ) <= submitted.submitted_at < timedelta(seconds=last):
             yield submitted
--- a/cottonlug/commands/gateway.py
+++ b/cottonlug/commands/gateway.py
@@ -11,7 +11,7 @@
 from ..net.asgi import build_asgi
 from ..net.connections import ConnectionPools
 from ..net.servers import Listener
-from ..platform.front import build_front_handler, build_readiness_handler
+from ..platform.front import build_caller_handler, build_readiness_handler
 from ..platform.workers import WorkerClient
 from ..runtime.clocks import SystemClock
 from ..runtime.cluster_dump import build_gateway_dump
@@ -35,7 +35,7 @@
 from .exits import ExitCode
 
 BALANCER_REMOVAL_SECONDS = 2.5
-"""How long a stopping gateway serves on while it reports that it is not ready.
+"""How long a stopping gateway keeps serving callers after it reports that it is not ready.
 
 The load balancer checks readiness once a second and removes a host after two failed checks.
 """
@@ -59,7 +59,7 @@
     )
     lifecycle.watch_signals(lambda: build_gateway_dump(gateway))
     lifecycle.watch_reload(lambda: _reload_seeds(gateway, config))
-    handler = build_front_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
+    handler = build_caller_handler(gateway.call, gateway.abandon, lambda: gateway.is_stopping)
     callers = Listener(
         app=build_asgi(handler, lambda: gateway.max_body_bytes), address=settings.listen.callers
     )
@@ -84,8 +84,8 @@
     log_event(Event.DRAINING, host=settings.host)
     gateway.begin_stopping()
     await asyncio.sleep(BALANCER_REMOVAL_SECONDS)
-    left = find_drain_seconds(settings.drain_limit, BALANCER_REMOVAL_SECONDS)
-    await stop_listeners([callers, readiness, *metrics], left)
+    drain_seconds = find_drain_seconds(settings.drain_limit, BALANCER_REMOVAL_SECONDS)
+    await stop_listeners([callers, readiness, *metrics], drain_seconds)
     gateway.stop()
     await stop_listeners(peers, DRAIN_MARGIN_SECONDS / 2)
     pools.close()
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -1,4 +1,4 @@
-"""Example deployments: settings files of both users' sites, for the loopback interface."""
+"""Example deployments, modelled on both users' sites: settings files for the loopback interface."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import yaml
 
 TOKEN_KINDS = ("callers", "operators", "upstreams", "peers")
-_RACK_SIZE = 8
+_UPSTREAMS_PER_RACK = 8
 
 
 class DeploymentName(Enum):
@@ -25,8 +25,8 @@
 class Deployment:
     """Sizes of one deployment; `hosts` is the number of entry hosts in each failure domain.
 
-    `prefetch`, starts accepted in advance, saves messages but increases response times; see
-    docs/design/policy.md.
+    `prefetch` is how many starts an upstream accepts in advance, which saves messages but increases
+    response times; see docs/design/policy.md.
     """
 
     name: str
@@ -146,7 +146,7 @@
     return {
         "upstream": f"w{at + 1:02d}",
         "domain": domain,
-        "rack": f"{domain}-r{at % per_domain // _RACK_SIZE + 1}",
+        "rack": f"{domain}-r{at % per_domain // _UPSTREAMS_PER_RACK + 1}",
         "slots": deployment.slots,
         "processors": deployment.processors,
         "memory_mb": deployment.memory_mb,
--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -14,7 +14,8 @@
 from .instances import Instance
 
 USABLE_SHARE = 0.85
-"""Wide tasks fragment capacity: 28 of 32 cores hold two tasks of 14."""
+"""Share of the cores that tasks can use, since wide ones fragment capacity: two tasks of 14 cores
+leave 4 of 32 unused."""
 MIN_CORES = 1.0
 """Cores assumed where no upstream accepts work at the moment."""
 
@@ -29,8 +30,8 @@
 
 def measure_usable_cores(instances: Iterable[Instance]) -> float:
     """Return the cores of upstreams that accept work, less the share lost to fragmentation."""
-    whole = sum(instance.info.capacity.cpu_millis for instance in instances)
-    return whole / 1000 * USABLE_SHARE
+    total_cpu_millis = sum(instance.info.capacity.cpu_millis for instance in instances)
+    return total_cpu_millis / 1000 * USABLE_SHARE
 
 
 def estimate_wait(core_ms: float, cores: float) -> timedelta:
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -18,8 +18,8 @@
 class JobBatch(Value, frozen=True):
     """Submissions of one host; the receiver recognises repeated ones by their numbers.
 
-    `line` identifies the job channel, within which submissions are numbered: each process at the
-    host, and each later connection, has another one.
+    `caller` is the address of that host. `channel` identifies the job channel, within which
+    submissions are numbered: each process at the host, and each later connection, has another one.
     """
 
     caller: str
@@ -30,12 +30,12 @@
 class AskAnswers(Value, frozen=True):
     """Ask for the answers of a job channel after number `have`: those up to it have arrived.
 
-    `count` identifies the numbering that `have` belongs to; see `AnswerBatch`.
+    `numbering` identifies the numbering that `have` belongs to; see `AnswerBatch`.
     """
 
     caller: str
     channel: int = msgspec.field(name="line")
-    count: int = 0
+    numbering: int = msgspec.field(name="count", default=0)
     have: int = 0
 
 
@@ -47,12 +47,13 @@
 
 
 class AnswerBatch(Value, frozen=True):
-    """Answers in the order in which they were given; `through` is the number of the last.
+    """Answers of a job channel, numbered in the order in which they were given.
 
-    `count` identifies the numbering, which a new process at the same address begins anew.
+    `through` is the number of the last. `numbering` identifies this numbering: a new process at the
+    same address begins another one.
     """
 
-    count: int = 0
+    numbering: int = msgspec.field(name="count", default=0)
     through: int = 0
     answers: tuple[NumberedAnswer, ...] = ()
 
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -2,13 +2,13 @@
 
 Load pattern: a backlog at many upstreams, after seconds without a coordinator. Searching all of
 them for each start, and again for each waiting job whenever time has passed, costs more than all
-other decisions together, so that a small host falls ever further behind. In this order the best fit
-is the first that fits, and that a job fits nowhere shows by its size alone.
+other decisions together, so that a small host falls ever further behind. In this order the first
+upstream that fits is the best fit, and the size of a task alone shows whether it fits nowhere.
 
-Failure pattern: a failure domain is cut off for seconds. With its tasks placed anywhere, a job of
-eight has one in each domain, so that a cut of one of five stops five sixths of such jobs under way.
-So a job's own domain, that of its gateway, goes first: hosts on the other side miss nothing, and on
-this side an acting leader sees all that runs.
+Failure pattern: a failure domain is cut off for seconds. If the tasks of jobs of eight are placed
+in any domain, a cut of one domain of five stops five sixths of such jobs under way. So a job's own
+domain, that of its gateway, is preferred: while that has capacity, a cut of another domain stops
+nothing of the job, and after a cut of its own an acting leader inside sees all of its runs.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
         self._entries: dict[UpstreamId, _Entry] = {}
         self._is_current = False
         self._ignores_suspension: set[ServiceName] = set()
-        """Services of which too many upstreams are suspended to do without these."""
+        """Services of which so many upstreams are suspended that these are used all the same."""
 
     def invalidate(self) -> None:
         """Have the index rebuilt: as time passes, instances accept work that did not."""
@@ -67,10 +67,12 @@
         self._entries = {}
         self._pools = {}
         self._ignores_suspension = set()
-        for service, working in self._instances.find_accepting(now).items():
-            if any(self._is_suspended(instance, now) for instance in working):
+        for service, accepting in self._instances.find_accepting(now).items():
+            if any(self._is_suspended(instance, now) for instance in accepting):
                 self._ignores_suspension.add(service)
-            entries = [(instance.free_cpu, instance.number, instance) for instance in working]
+            entries = [
+                (instance.free_cpu, instance.arrival_number, instance) for instance in accepting
+            ]
             # In this order each entry is appended to its pool.
             for entry in sorted(entries):
                 self._add(entry)
@@ -89,7 +91,7 @@
             self._find_pool(instance).remove(old)
             del self._entries[id]
         if accepts_work:
-            self._add((instance.free_cpu, instance.number, instance))
+            self._add((instance.free_cpu, instance.arrival_number, instance))
 
     def find_max_free_cpu(self, service: ServiceName) -> int:
         """Return the most free CPU of any upstream of a service, in thousandths of a core."""
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks which tasks one leader suspects of crashing upstreams, from what was active at losses."""
+"""Tracks which tasks a leader suspects of crashing upstreams, by what was active at lost ones."""
 
 from __future__ import annotations
 
@@ -29,13 +29,15 @@
 from .orders import RunPhase
 from .term import Term
 
-KEEP_LOSSES = timedelta(seconds=30)
-"""An upstream that has crashed is back after some seconds, and then shows that it had."""
+LOSS_RETENTION = timedelta(seconds=30)
+"""How long a loss is remembered: a crashed upstream is back after some seconds, and only then is it
+known that it crashed."""
 
 LARGEST_RACK = 64
 """A label that more upstreams have than this does not name a rack."""
 MAX_REPORTED_SUSPECTS = 1_000
-"""Suspects that gateways have reported; the oldest belong to jobs that ended long ago."""
+"""Most suspects kept of those that gateways have reported; the oldest, which are dropped first,
+belong to jobs that ended long ago."""
 
 
 class CrashTracker:
@@ -47,16 +49,16 @@
         self._losses: list[Loss] = []
         self.quarantined: Counter[QueueKey] = Counter()
         """How many tasks of each queue were quarantined in this term for crashing upstreams."""
-        self._lost_tasks: Counter[TaskRef] = Counter()
+        self._unresolved_losses: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it was active and that may have crashed."""
-        self._lost_starts: Counter[TaskRef] = Counter()
+        self._unresolved_starts: Counter[TaskRef] = Counter()
         """For each task, the lost upstreams at which it may have been started."""
         self._reported: dict[TaskRef, CrashCounts] = {}
         """Counts from earlier coordinators that gateways have reported and that the log does not
         contain."""
         for instance in instances.by_id.values():
-            self._lost_tasks.update(instance.lost.tasks)
-            self._lost_starts.update(instance.lost.all_tasks)
+            self._unresolved_losses.update(instance.lost_tasks.confirmed)
+            self._unresolved_starts.update(instance.lost_tasks.all_tasks)
 
     def record_no_answer(self, instance: Instance, now: timedelta) -> None:
         """Record that an upstream does not answer."""
@@ -64,8 +66,8 @@
             return
         instance.lost_at = now
         if instance.runs:
-            self._poll_neighbours(instance)
-        self._losses = [each for each in self._losses if now - each.at < KEEP_LOSSES]
+            self._request_neighbour_polls(instance)
+        self._losses = [each for each in self._losses if now - each.at < LOSS_RETENTION]
         self._losses.append(
             Loss(
                 upstream=instance.info.id,
@@ -75,8 +77,8 @@
             )
         )
 
-    def _poll_neighbours(self, instance: Instance) -> None:
-        """Poll the upstreams that would be lost together with one, such as those of its rack.
+    def _request_neighbour_polls(self, instance: Instance) -> None:
+        """Have the upstreams polled that may have been lost with this one, as those of its rack.
 
         Idle upstreams are not polled as a rule, so that a rack that has gone down with one busy
         upstream would look like a crash of that one.
@@ -93,7 +95,7 @@
 
     def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Record that an upstream has not crashed; return what was active when it was lost."""
-        if instance.lost_at is None and instance.lost is NO_ACTIVE_TASKS:
+        if instance.lost_at is None and instance.lost_tasks is NO_ACTIVE_TASKS:
             return ()
         cleared = self.forget_instance(instance)
         if instance.lost_at is not None:
@@ -102,17 +104,20 @@
         return cleared
 
     def record_lapse(self, instance: Instance, now: timedelta) -> None:
-        """Remember the tasks that were active at an upstream that may turn out to have crashed."""
+        """Remember the tasks that were active when the lease of an upstream lapsed or it ended.
+
+        They are suspects until it is known whether the upstream crashed.
+        """
         self._set_lost(instance, _find_active_tasks(instance, now))
 
     def forget_instance(self, instance: Instance) -> tuple[TaskRef, ...]:
         """Forget an upstream that the log has removed; return the tasks that were lost there."""
-        lost = instance.lost.all_tasks
+        lost = instance.lost_tasks.all_tasks
         self._set_lost(instance, NO_ACTIVE_TASKS)
         return lost
 
     def record_reported_suspects(self, suspects: Iterable[Suspect]) -> None:
-        """Record the crashes that earlier coordinators have counted for a gateway's job."""
+        """Record the counts of earlier coordinators that a gateway reports with a job."""
         for suspect in suspects:
             more = suspect.counts.subtract(self.get_counts(suspect.task))
             self._reported[suspect.task] = self._reported.get(suspect.task, NO_CRASHES).add(more)
@@ -126,7 +131,7 @@
         return tuple(Suspect(task=task, counts=self.get_counts(task)) for task in of_job)
 
     def get_counts(self, task: TaskRef) -> CrashCounts:
-        """Return the known counts of upstream ends under a task."""
+        """Return the upstream ends counted against a task, in the log or reported by gateways."""
         counts = self._term.records.get_crash_counts(task)
         return counts.add(self._reported.get(task, NO_CRASHES))
 
@@ -134,23 +139,25 @@
         self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
     ) -> None:
         """Record that an upstream has ended; propose to count a crash if it was not leaving."""
-        at_work = _find_active_tasks(instance, now)
-        if instance.draining or at_work == NO_ACTIVE_TASKS:
+        active_tasks = _find_active_tasks(instance, now)
+        if instance.draining or active_tasks == NO_ACTIVE_TASKS:
             self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
             return
         self.record_no_answer(instance, now)
         blamed = (
-            [] if self._has_common_cause(instance) else self._find_blamed(at_work.tasks, queues)
+            []
+            if self._has_common_cause(instance)
+            else self._find_blamed(active_tasks.confirmed, queues)
         )
-        others = tuple(task for task in at_work.tasks if task not in blamed)
+        others = tuple(task for task in active_tasks.confirmed if task not in blamed)
         self._term.counts.crashed_upstreams += 1
         self._term.log_decision(
             "upstream_crashed",
             {
                 "upstream": instance.info.id,
-                "runs": len(at_work.tasks),
-                "unsure": len(at_work.unsure),
-                "blamed": " ".join(f"{task.job}.{task.step}.{task.place}" for task in blamed),
+                "runs": len(active_tasks.confirmed),
+                "unsure": len(active_tasks.unconfirmed),
+                "blamed": " ".join(f"{task.job}.{task.step}.{task.task_index}" for task in blamed),
                 "lost_ms_ago": to_milliseconds(now - (instance.lost_at or now)),
             },
         )
@@ -160,20 +167,20 @@
                 upstream=instance.info.id,
                 blamed=tuple(blamed),
                 others=others,
-                unanswered=at_work.unsure,
+                unanswered=active_tasks.unconfirmed,
                 at_ms=at_ms,
             )
         )
 
     def record_removal(self, instance: Instance) -> None:
-        """Record that a lost upstream does not come back; why it ended is unknown."""
+        """Propose to remove an upstream that was lost for good; why it ended is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             RecordCrash(
                 upstream=instance.info.id,
                 blamed=(),
-                others=instance.lost.tasks,
-                unanswered=instance.lost.unsure,
+                others=instance.lost_tasks.confirmed,
+                unanswered=instance.lost_tasks.unconfirmed,
                 at_ms=at_ms,
             )
         )
@@ -181,26 +188,32 @@
     def find_restriction(self, task: TaskRef) -> StartRestriction:
         """Return how the next start of a task is restricted by the outcomes of earlier ones."""
         counts = self.get_counts(task)
-        unsure = self._lost_starts[task]
-        if not unsure:
+        unresolved = self._unresolved_starts[task]
+        if not unresolved:
             return StartRestriction.ALONE if counts.crashes else StartRestriction.NONE
-        starts = counts.starts + unsure
-        if starts >= MAX_UNRESOLVED_STARTS or counts.losses + self._lost_tasks[task] >= MAX_LOSSES:
+        starts = counts.starts + unresolved
+        if (
+            starts >= MAX_UNRESOLVED_STARTS
+            or counts.losses + self._unresolved_losses[task] >= MAX_LOSSES
+        ):
             return StartRestriction.BARRED
-        return StartRestriction.HELD if starts >= MAX_CRASHES else StartRestriction.ALONE
+        return StartRestriction.ALONE_DELAYED if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
-        """Return whether any task may be restricted."""
-        return bool(self._lost_starts or self._reported or self._term.records.suspects)
-
-    def _set_lost(self, instance: Instance, at_work: ActiveTasks) -> None:
-        self._lost_tasks.subtract(instance.lost.tasks)
-        self._lost_tasks.update(at_work.tasks)
-        self._lost_starts.subtract(instance.lost.all_tasks)
-        self._lost_starts.update(at_work.all_tasks)
+        """Return whether the starts of any task may be restricted."""
+        return bool(self._unresolved_starts or self._reported or self._term.records.suspects)
+
+    def _set_lost(self, instance: Instance, active_tasks: ActiveTasks) -> None:
+        self._unresolved_losses.subtract(instance.lost_tasks.confirmed)
+        self._unresolved_losses.update(active_tasks.confirmed)
+        self._unresolved_starts.subtract(instance.lost_tasks.all_tasks)
+        self._unresolved_starts.update(active_tasks.all_tasks)
         # Unary plus drops tasks whose count has come down to zero.
-        self._lost_tasks, self._lost_starts = +self._lost_tasks, +self._lost_starts
-        instance.lost = at_work
+        self._unresolved_losses, self._unresolved_starts = (
+            +self._unresolved_losses,
+            +self._unresolved_starts,
+        )
+        instance.lost_tasks = active_tasks
 
     def _has_common_cause(self, instance: Instance) -> bool:
         loss = next(each for each in self._losses if each.upstream == instance.info.id)
@@ -214,17 +227,17 @@
         return has_common_cause(loss, self._losses, sizes)
 
     def _find_blamed(
-        self, at_work: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
+        self, active_tasks: tuple[TaskRef, ...], queues: Mapping[JobId, QueueKey]
     ) -> list[TaskRef]:
-        known = {task: self.get_counts(task) for task in at_work}
-        return assign_blame(at_work, known, queues, self.quarantined)
+        known = {task: self.get_counts(task) for task in active_tasks}
+        return assign_blame(active_tasks, known, queues, self.quarantined)
 
 
 def _find_active_tasks(instance: Instance, now: timedelta) -> ActiveTasks:
-    """Return the tasks that are active at an upstream and were started recently."""
-    young = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
+    """Return the tasks recently started and still active at an upstream, and those lost there."""
+    recent = [run for run in instance.runs.values() if now - run.since < CRASH_ON_START_WITHIN]
     found = ActiveTasks(
-        tasks=tuple(run.task for run in young if run.phase is RunPhase.RUNNING),
-        unsure=tuple(run.task for run in young if run.phase is not RunPhase.RUNNING),
+        confirmed=tuple(run.task for run in recent if run.phase is RunPhase.RUNNING),
+        unconfirmed=tuple(run.task for run in recent if run.phase is not RunPhase.RUNNING),
     )
-    return found.join(instance.lost)
+    return found.join(instance.lost_tasks)
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -15,6 +15,8 @@
 from datetime import timedelta
 from enum import Enum
 
+import msgspec
+
 from ..ids import DomainName, UpstreamId
 from .model import JobId, QueueKey, TaskRef, Value
 
@@ -39,9 +41,9 @@
 """Share of a rack or a domain that must be lost at the same time to explain the loss of each
 member."""
 CRASH_ON_START_WITHIN = timedelta(seconds=10)
-"""A run that has lasted longer did not crash its upstream by its start."""
+"""Older runs did not crash their upstream by their start, and are not blamed."""
 EXCLUSIVE_WAIT = timedelta(seconds=1)
-"""How long a suspect waits for an upstream where nothing runs; after that any other will do."""
+"""How long a suspect waits for an upstream where nothing runs, before it may start anywhere."""
 THIRD_START_DELAY = timedelta(seconds=2)
 """How long a task's third start waits while it is unknown whether two earlier ones caused crashes.
 
@@ -56,12 +58,13 @@
 
     NONE = "none"
     ALONE = "alone"
-    """Only where nothing else runs: one upstream may have crashed with it active."""
-    HELD = "held"
-    """Only where nothing else runs, and after a delay: two upstreams may have crashed."""
+    """Only where nothing else runs, for up to `EXCLUSIVE_WAIT`: one upstream may have crashed with
+    it active."""
+    ALONE_DELAYED = "held"
+    """The same, after `THIRD_START_DELAY`: two upstreams may have crashed with it active."""
     BARRED = "barred"
-    """Not at all until it is known whether they crashed: three upstreams that had confirmed the
-    run, or four in all."""
+    """Not until it is known whether upstreams crashed: three that had confirmed the run, or four in
+    all."""
 
 
 class CrashCounts(Value, frozen=True):
@@ -70,9 +73,9 @@
     crashes: int = 0
     """Ends that nothing else explains."""
     losses: int = 0
-    """All ends of upstreams that had confirmed that they run the task."""
+    """Ends, explained or not, of upstreams that had confirmed that they run the task."""
     unanswered: int = 0
-    """Ends of upstreams that had not answered the start, perhaps sent only after they ended."""
+    """Ends of upstreams that had not answered the start, which may have been sent after the end."""
 
     @property
     def starts(self) -> int:
@@ -123,7 +126,7 @@
     at_ms: int
 
 
-KEEP_SUSPECTS_MS = 60_000
+SUSPECT_RETENTION_MS = 60_000
 """How long suspects of best-effort jobs are remembered: their callers send them again within
 seconds, or not at all."""
 
@@ -131,38 +134,39 @@
 class ActiveTasks(Value, frozen=True):
     """Tasks that were active at an upstream, as far as its leader knew."""
 
-    tasks: tuple[TaskRef, ...] = ()
+    confirmed: tuple[TaskRef, ...] = msgspec.field(name="tasks", default=())
     """Tasks that the upstream had confirmed to run."""
-    unsure: tuple[TaskRef, ...] = ()
+    unconfirmed: tuple[TaskRef, ...] = msgspec.field(name="unsure", default=())
     """Tasks whose start was unanswered: the upstream may have ended before the start was sent."""
 
     @property
     def all_tasks(self) -> tuple[TaskRef, ...]:
         """Return the confirmed and the unanswered tasks."""
-        return (*self.tasks, *self.unsure)
+        return (*self.confirmed, *self.unconfirmed)
 
     def join(self, other: ActiveTasks) -> ActiveTasks:
         """Return the union of both; a task confirmed in either counts as confirmed."""
-        tasks = dict.fromkeys((*self.tasks, *other.tasks))
-        unsure = dict.fromkeys((*self.unsure, *other.unsure))
+        all_confirmed = dict.fromkeys((*self.confirmed, *other.confirmed))
+        all_unconfirmed = dict.fromkeys((*self.unconfirmed, *other.unconfirmed))
         return ActiveTasks(
-            tasks=tuple(tasks), unsure=tuple(task for task in unsure if task not in tasks)
+            confirmed=tuple(all_confirmed),
+            unconfirmed=tuple(task for task in all_unconfirmed if task not in all_confirmed),
         )
 
 
 NO_ACTIVE_TASKS = ActiveTasks()
 
 
-class LostRuns(Value, frozen=True):
+class LostTasks(Value, frozen=True):
     """Tasks that were active at an upstream when it became unreachable."""
 
     upstream: UpstreamId
-    at_work: ActiveTasks
+    active_tasks: ActiveTasks = msgspec.field(name="at_work")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Loss:
-    """A lost upstream, and the time of its last sign of life, at the latest."""
+    """A lost upstream, and when it was found not to answer."""
 
     upstream: UpstreamId
     at: timedelta
@@ -206,8 +210,10 @@
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
         return [task for task in tasks if known.get(task, NO_CRASHES).crashes == worst]
-    of_such_queues = [task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)]
-    return of_such_queues or list(tasks)
+    of_suspect_queues = [
+        task for task in tasks if quarantined.get(queues.get(task.job) or _NO_QUEUE)
+    ]
+    return of_suspect_queues or list(tasks)
 
 
 _NO_QUEUE = QueueKey("", "")
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -50,7 +50,7 @@
 )
 from .reconciliation import Reconciliation
 from .records import JobRecord, Records, end_job
-from .registry import Registry
+from .registry import UpstreamRegistry
 from .run_ends import RunEndHandler
 from .scheduler import Scheduler
 from .term import DecisionLog, DispatchCounts, Term, WallTime
@@ -58,10 +58,13 @@
 from .watcher import Watcher
 
 STOP_RETRY = timedelta(milliseconds=50)
+"""Delay after which a failed stop is sent again."""
 SCAN_INTERVAL = timedelta(milliseconds=100)
 """Interval of the scan of all upstreams; in between, only those are processed from which something
 was received, or for which a timer is due."""
 REFUSAL_BACKOFF = timedelta(milliseconds=300)
+"""How long nothing is started at an upstream that refused a start for another reason than a lack of
+capacity."""
 MAX_LISTED_ENDS = 500
 """A poll lists at most this many ended runs; a full list may hide more."""
 
@@ -85,7 +88,7 @@
         known_until: timedelta = timedelta(),
     ) -> None:
         self._term = Term(
-            number=term,
+            token=term,
             began_at=now,
             records=records,
             lease=terms,
@@ -108,7 +111,7 @@
         self._reconciliation = Reconciliation(
             term=self._term, instances=self._instances, jobs=self._jobs
         )
-        self._ends = RunEndHandler(
+        self._run_ends = RunEndHandler(
             term=self._term,
             instances=self._instances,
             jobs=self._jobs,
@@ -116,7 +119,7 @@
         )
         self.may_have_acting_leader: Callable[[], bool] = lambda: True
         """Whether a gateway without contact to this host may act as leader."""
-        self._registry = Registry(term=self._term, instances=self._instances)
+        self._registry = UpstreamRegistry(term=self._term, instances=self._instances)
         self._timers = UpstreamTimers()
         self._scan_due = now
 
@@ -159,7 +162,7 @@
     def handle_reported_heartbeat(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record a heartbeat without news that another host has answered."""
+        """Record a heartbeat that reported nothing new and was answered by another host."""
         self._registry.handle_reported_heartbeat(upstream, sequence, clock_ms, at)
 
     def handle_leave(self, upstream: UpstreamId) -> None:
@@ -174,7 +177,7 @@
 
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
         """Accept a best-effort job; runs of it that another host started go on."""
-        # What runs at an upstream that cannot be reached ends with its lease.
+        # At an upstream that cannot be reached, a run may be active until its lease ends.
         is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
         of_acting_leaders = submission.may_be_of_acting_leader
         is_unsure = not is_new and self._reconciliation.may_miss_runs(
@@ -193,7 +196,7 @@
         if is_unsure:
             job.reconcile_at = now + submission.reconcile_after
             self._reconciliation.request_recheck()
-        self._ends.claim_orphaned_ends(record, now)
+        self._run_ends.claim_orphaned_ends(record, now)
         if (
             not self._instances.may_have_orphaned_runs
             and record.id not in self._jobs.closed_while_running
@@ -213,8 +216,8 @@
     def merge_submission(self, id: JobId, submission: Submission, now: timedelta) -> None:
         """Learn from a second submission of an open job that another host may have begun it.
 
-        One from the gateway of the first says nothing new: had that been at another host since,
-        this one would have abandoned the job. It only repeats what had no answer here.
+        One from the same gateway adds nothing: if that had sent the job to another host in the
+        meantime, this host would have abandoned it. It only repeats a call that had no answer.
         """
         job = self._jobs.jobs.get(id)
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
@@ -276,7 +279,7 @@
             if job is not None and job.is_open and job.id not in self._jobs.jobs:
                 self._jobs.open(job, TaskPhase.QUEUED, now, self._jobs.find_age(job))
         elif isinstance(command, RecordRunEnds):
-            self._ends.handle_recorded_ends(command, now)
+            self._run_ends.handle_recorded_ends(command, now)
         elif isinstance(command, CancelJob):
             self._jobs.close_if_ended(command.job, now)
         elif isinstance(command, AddUpstream):
@@ -291,7 +294,7 @@
         elif isinstance(command, RecordCrash):
             self._drop_instance(command.upstream)
             suspects = (*command.blamed, *command.others, *command.unanswered)
-            self._jobs.fail_crashing(suspects, now)
+            self._jobs.fail_quarantined(suspects, now)
         elif isinstance(command, RemoveUpstreams):
             for upstream in command.upstreams:
                 self._drop_instance(upstream)
@@ -311,8 +314,8 @@
         instance = self._instances.by_id.get(upstream)
         self._instances.remove(upstream)
         if instance is not None:
-            # The log has counted its end, or it has left: its tasks need not wait for that.
-            self._jobs.release(self._jobs.crash_tracker.forget_instance(instance))
+            # The log has counted its end, or it has left: its tasks wait no longer to learn which.
+            self._jobs.update_restrictions(self._jobs.crash_tracker.forget_instance(instance))
 
     def handle_start_answer(
         self,
@@ -336,7 +339,7 @@
         if run is None or run.phase is not RunPhase.STARTING:
             return
         if outcome is not StartOutcome.UNKNOWN:
-            instance.response_timeout.receive_answer(now - run.since)
+            instance.response_timeout.record_response_time(now - run.since)
         if outcome is StartOutcome.STARTED:
             self._term.counts.started += 1
             instance.refusals = 0
@@ -348,7 +351,7 @@
             # The next poll shows whether it runs; it is stopped only if that does not list it.
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
-            # A poll under way shows sooner whether the upstream answers.
+            # By then a poll that is under way may have shown whether the upstream answers.
             instance.avoid_until = now + order.response_timeout
             return
         self._term.counts.refused_starts += 1
@@ -420,9 +423,9 @@
             instance.is_fenced = True
             self._term.log_decision("upstream_adopted", {"upstream": instance.info.id})
         self._instances.unseen.discard(instance.info.id)
-        self._jobs.release(self._jobs.crash_tracker.record_answer(instance))
+        self._jobs.update_restrictions(self._jobs.crash_tracker.record_answer(instance))
         self._watcher.request_uncordon(instance)
-        self._ends.handle_listed_ends(instance, reply.ended, now)
+        self._run_ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
             # Overtaken by a later answer on another connection: what it lists may have ended.
             self._term.log_decision(
@@ -451,17 +454,19 @@
         due = self._pop_due_instances(now)
         instances = list(self._instances.by_id.values()) if is_full_scan else due
         for instance in instances:
-            self._watcher.lapse(instance, now)
+            self._watcher.abandon_lapsed_runs(instance, now)
             self._watcher.stop_runs(instance, now)
         if self._term.may_start:
             self._scheduler.schedule(now, None if is_full_scan else instances)
         changed = (*instances, *self._instances.pop_changed())
         for id, instance in {each.info.id: each for each in changed}.items():
-            self._watcher.poll(instance, now)
-            if self._watcher.is_calm(instance, now) and (self._timers.has(id) or not instance.runs):
+            self._watcher.poll_if_due(instance, now)
+            if self._watcher.has_nothing_due(instance, now) and (
+                self._timers.has(id) or not instance.runs
+            ):
                 # Nothing is due before its lease ends, and renewals only postpone that.
                 continue
-            self._timers.set(id, self._watcher.find_timer(instance, now))
+            self._timers.set(id, self._watcher.find_next_due(instance, now))
         if is_full_scan:
             self._scan_all(now)
 
@@ -481,7 +486,7 @@
         self._registry.doubt_capacities(now)
         self._instances.update_orphaned_flag()
         self._jobs.forget_ended(now)
-        self._ends.forget_orphaned_ends(now)
+        self._run_ends.forget_orphaned_ends(now)
 
     def pop_orders(self) -> list[Order]:
         """Return the orders to be sent to upstreams, and clear the list."""
@@ -500,9 +505,9 @@
 
         One whose start had no answer, and which is not listed, may still begin: it is stopped.
         """
-        there = {(report.task, report.run) for report in reply.running}
+        listed = {(report.task, report.run) for report in reply.running}
         for key, run in list(instance.runs.items()):
-            if key in there:
+            if key in listed:
                 continue
             if run.phase is RunPhase.UNSURE and run.unsure_at <= sent_at:
                 run.stop_requested = True
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -1,9 +1,10 @@
 """Failover state: what a gateway must know to act as leader.
 
-It is sent once and then as changes, in parts of a bounded size. With 176 upstreams and 44 gateways,
-sending the whole state of 35 KB for each change of one upstream would take 1.5 MB, on links of 1.5
-MB/s. With 999 upstreams it has 225 KB: sending that takes longer on such a link than the answer to
-a keep-alive is waited for, so that it was sent again and again and never arrived.
+A gateway gets the whole state once and then only changes, in parts of a bounded size. With 176
+upstreams and 44 gateways, sending the whole state of 35 KB for each change of one upstream would
+take 1.5 MB, on links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending
+that takes longer than the timeout of a keep-alive, so that a state sent whole was requested again
+and again and never arrived.
 """
 
 from __future__ import annotations
@@ -31,19 +32,20 @@
 from .records import Records
 
 MAX_KEPT_CHANGES = 512
-"""A gateway that has missed more changes than this gets the whole state again."""
+"""Changes that are kept; a gateway that has missed more gets the whole state again."""
 MAX_UPSTREAMS_PER_PART = 128
 """Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
-SMALL_PART = 16
-"""Upstreams in an answer that costs hardly more than one without any."""
+MAX_UPSTREAMS_IN_SMALL_PART = 16
+"""With up to this many upstreams, an answer costs hardly more than one without any."""
 _FIRST = UpstreamId("")
 """Sorts before all ids of upstreams."""
 OWN_DOMAIN_QUERIED = 3
 OTHER_DOMAINS_QUERIED = 2
 """Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
 MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER = 64
-"""Upstreams; a gateway has half a core, and twice as many overload it."""
+"""Most upstreams that one acting leader manages for all domains: a gateway has half a core, and
+twice as many upstreams overload it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -59,13 +61,13 @@
 class FailoverStateLog:
     """Changes of the failover state under one leader."""
 
-    def __init__(self, *, term: int, takes_calls: bool) -> None:
+    def __init__(self, *, term: int, accepts_calls: bool) -> None:
         self._term = term
-        self._takes_calls = takes_calls
+        self._accepts_calls = accepts_calls
         self._number = 0
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
         """Number of each change, and the upstream that it concerns, if any."""
-        self._configured = 0
+        self._last_configuration_change = 0
         """Number of the last change of the configuration."""
         self._sorted: tuple[int, list[UpstreamId]] = (-1, [])
         """All upstream ids in order, as of the change with this number."""
@@ -84,7 +86,7 @@
         """Count that another configuration is active."""
         self._number += 1
         self._changes.append((self._number, None))
-        self._configured = self._number
+        self._last_configuration_change = self._number
 
     def record_other_change(self) -> None:
         """Count any other change."""
@@ -110,7 +112,7 @@
         records: Records,
         gateways: tuple[GatewayInfo, ...],
         *,
-        keeps_jobs: bool,
+        has_durable_jobs: bool,
         known: str,
     ) -> FailoverState | None:
         """Return the next part for a gateway with version `known`, or None if that is current."""
@@ -119,10 +121,12 @@
         position = self._find_position(known)
         start = position or _Position(number=self._number, after=_FIRST)
         changed, number = self._list_changed(start.number)
-        begun, after = self._list_next(records, start.after, MAX_UPSTREAMS_PER_PART - len(changed))
-        ids = dict.fromkeys((*changed, *begun))
-        is_new = position is None or position.number < self._configured
-        configuration = records.configuration if is_new else None
+        initial, after = self._list_next(
+            records, start.after, MAX_UPSTREAMS_PER_PART - len(changed)
+        )
+        ids = dict.fromkeys((*changed, *initial))
+        needs_configuration = position is None or position.number < self._last_configuration_change
+        configuration = records.configuration if needs_configuration else None
         if configuration is not None:
             # The original document is never read back from a gateway.
             configuration = msgspec.structs.replace(configuration, document="")
@@ -135,18 +139,18 @@
             upstreams=tuple(records.upstreams[id] for id in ids if id in records.upstreams),
             removed=tuple(id for id in ids if id not in records.upstreams),
             gateways=gateways,
-            has_durable_jobs=keeps_jobs,
+            has_durable_jobs=has_durable_jobs,
             suspects=tuple(records.suspects.values()),
             evacuations=records.evacuations.records,
-            accepts_calls=self._takes_calls,
+            accepts_calls=self._accepts_calls,
         )
 
-    def is_large(self, records: Records, known: str) -> bool:
+    def is_next_part_large(self, records: Records, known: str) -> bool:
         """Return whether the next part for a gateway contains many upstreams."""
         position = self._find_position(known)
         if position is None or position.after is not None:
-            return len(records.upstreams) > SMALL_PART
-        return self._number - position.number > SMALL_PART
+            return len(records.upstreams) > MAX_UPSTREAMS_IN_SMALL_PART
+        return self._number - position.number > MAX_UPSTREAMS_IN_SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
         """Return the upstreams in the next part of the changes, and its last change's number."""
@@ -186,7 +190,7 @@
 
 
 def find_acting_domain(state: FailoverState, own: str) -> DomainName | None:
-    """Return the one domain that an acting leader manages, or None where one manages all."""
+    """Return the domain that the acting leader at address `own` manages; None means all domains."""
     if len(state.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
     return next((each.domain for each in state.gateways if each.address == own), None)
@@ -195,7 +199,7 @@
 def merge_failover_state(
     known: FailoverState | None, received: FailoverState
 ) -> FailoverState | None:
-    """Return the state after merging what was received; None if that does not follow on `known`."""
+    """Return the received state, or `known` with received changes if these follow it, or None."""
     if not received.base:
         return received
     if known is None or known.version != received.base:
@@ -215,19 +219,19 @@
 
 
 def choose_queried_gateways(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
-    """Return the gateways that a gateway queries if it reaches no leader.
+    """Return the gateways that the gateway at address `own` queries if it reaches no leader.
 
-    These are the lowest addresses of each domain, because the lowest gateway that can be reached
-    acts as leader. If each gateway queried all others, the number of calls would grow with the
-    square of their number, at the worst of times.
+    These have the lowest addresses of each domain, because the reachable gateway with the lowest
+    address acts as leader. If each gateway queried all others, the number of calls would grow with
+    the square of the number of gateways, at a time of failures.
     """
     home = next((each.domain for each in gateways if each.address == own), DomainName(""))
-    asked: list[str] = []
-    left: dict[DomainName, int] = {}
+    queried: list[str] = []
+    remaining: dict[DomainName, int] = {}
     for gateway in sorted(gateways, key=lambda each: each.address):
         most = OWN_DOMAIN_QUERIED if gateway.domain == home else OTHER_DOMAINS_QUERIED
-        count = left.setdefault(gateway.domain, most)
+        count = remaining.setdefault(gateway.domain, most)
         if gateway.address != own and count:
-            left[gateway.domain] = count - 1
-            asked.append(gateway.address)
-    return asked
+            remaining[gateway.domain] = count - 1
+            queried.append(gateway.address)
+    return queried
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -10,6 +10,7 @@
 LEARNING_RATE = 0.05
 """Weight of the newest run: the mean of a queue follows a change within some twenty runs."""
 MIN_RUN_TIME_MS = 1.0
+"""Lower bound of declared and actual run times, since logarithms of their ratios are taken."""
 USEFUL_FACTOR = 3
 """An answer after more than this many times the objective is worth nothing (the users' rules)."""
 
@@ -18,23 +19,23 @@
     """Mean ratio of actual to declared run times of each queue, on a logarithmic scale."""
 
     def __init__(self) -> None:
-        self._ratios: dict[QueueKey, float] = {}
+        self._log_ratios: dict[QueueKey, float] = {}
         """Logarithms of the mean ratios."""
-        self._factors: dict[QueueKey, float] = {}
+        self._mean_ratios: dict[QueueKey, float] = {}
         """The mean ratios themselves, by which declared run times are multiplied."""
 
-    def learn(self, queue: QueueKey, step: StepSpec, taken: timedelta) -> None:
+    def learn(self, queue: QueueKey, step: StepSpec, run_time: timedelta) -> None:
         """Update the ratio of a queue with a run that succeeded."""
-        taken_ms = max(taken / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
-        ratio = math.log(taken_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
-        known = self._ratios.get(queue, 0.0)
-        self._ratios[queue] = known + LEARNING_RATE * (ratio - known)
-        self._factors[queue] = math.exp(self._ratios[queue])
+        run_time_ms = max(run_time / timedelta(milliseconds=1), MIN_RUN_TIME_MS)
+        log_ratio = math.log(run_time_ms / max(step.estimate_ms, MIN_RUN_TIME_MS))
+        known = self._log_ratios.get(queue, 0.0)
+        self._log_ratios[queue] = known + LEARNING_RATE * (log_ratio - known)
+        self._mean_ratios[queue] = math.exp(self._log_ratios[queue])
 
     def predict(self, queue: QueueKey, step: StepSpec) -> timedelta:
         """Return the expected run time of a task of a step."""
-        factor = self._factors.get(queue, 1.0)
-        return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * factor)
+        mean_ratio = self._mean_ratios.get(queue, 1.0)
+        return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * mean_ratio)
 
     def predict_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
         """Return the expected time of the longest chain of steps that begins with step `first`."""
@@ -61,7 +62,7 @@
     return Forecast().find_objective(queue, spec.steps)
 
 
-def find_latest_useful_start(queue: Queue, spec: JobSpec) -> timedelta:
+def find_max_useful_wait(queue: Queue, spec: JobSpec) -> timedelta:
     """Return how long after its arrival a job may begin and be of use, by declared run times."""
     declared = Forecast()
     objective = declared.find_objective(queue, spec.steps)
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -1,4 +1,4 @@
-"""Tracks all instances of upstreams that a leader knows, and which of them accept work."""
+"""Tracks the instances of upstreams that a leader knows, and which of them accept work."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 USABLE_CORES_CACHED_FOR = timedelta(milliseconds=20)
 """How long the measured capacity is reused: it only changes as upstreams come and go."""
 ORPHAN_GRACE = timedelta(milliseconds=800)
-"""How long a new leader keeps run ends of unknown jobs, and counts on upstreams that it has not
-seen: gateways submit their jobs again, as a rule within 0.1 s."""
+"""How long a new leader keeps run ends of unknown jobs, and counts the cores of upstreams that have
+not answered it: gateways submit their jobs again, as a rule within 0.1 s."""
 
 
 class InstanceTable:
@@ -27,7 +27,7 @@
         self.unseen: set[UpstreamId] = set()
         """Instances from earlier terms that have not answered in this one."""
         self._changed: dict[UpstreamId, Instance] = {}
-        self._added = 0
+        self._last_arrival_number = 0
         self.may_have_orphaned_runs = False
         """Whether any upstream may have a run whose job is unknown."""
         self._cached_usable_cores: tuple[timedelta, float] | None = None
@@ -42,10 +42,11 @@
             )
             instance.sequence = record.sequence
             instance.is_capacity_doubted = record.is_capacity_doubted
-            instance.lost = record.lost
+            instance.lost_tasks = record.lost_tasks
             if not record.is_capacity_doubted:
                 instance.reported_at = term.known_until - term.reports.valid_for
-            # An acting leader may have used it all the same, and the record may be an old one.
+            # An acting leader ignores cordons: its copy of the record may be out of date, and an
+            # earlier acting leader may have used the upstream.
             instance.is_cordoned = record.is_cordoned and term.keeps_log
             if not instance.is_cordoned:
                 self.unseen.add(record.info.id)
@@ -57,13 +58,13 @@
     def add(
         self, info: UpstreamInfo, recorded_through: int, draining: bool, now: timedelta
     ) -> Instance:
-        """Begin to track an instance, and poll an earlier one at its address or under its name."""
-        self._added += 1
+        """Track an instance; have an earlier one at its address or under its name polled."""
+        self._last_arrival_number += 1
         instance = Instance(
             info=info,
-            terms=self._term.lease,
+            lease_terms=self._term.lease,
             recorded_through=recorded_through,
-            number=self._added,
+            arrival_number=self._last_arrival_number,
             proposed_through=recorded_through,
             draining=draining,
             is_evacuated=info.domain in self._term.records.evacuations.evacuated,
@@ -73,17 +74,19 @@
         )
         self.by_id[info.id] = instance
         self.mark_changed(instance)
-        self._poll_earlier(self._by_address.get(info.address), instance, now)
+        self._request_poll_of_earlier(self._by_address.get(info.address), instance, now)
         self._by_address[info.address] = info.id
         name = get_upstream_name(info.id)
         newest = self._newest.get(name)
         if newest is None or is_earlier_instance(newest, info.id):
-            self._poll_earlier(newest, instance, now)
+            self._request_poll_of_earlier(newest, instance, now)
             self._newest[name] = info.id
         return instance
 
-    def _poll_earlier(self, earlier: UpstreamId | None, instance: Instance, now: timedelta) -> None:
-        """Poll an earlier instance: only an answer shows which of the two is running now."""
+    def _request_poll_of_earlier(
+        self, earlier: UpstreamId | None, instance: Instance, now: timedelta
+    ) -> None:
+        """Have an earlier instance polled: only an answer shows which of the two is running now."""
         found = self.by_id.get(earlier) if earlier is not None else None
         if found is None or found is instance:
             return
@@ -115,13 +118,13 @@
 
     def pop_changed(self) -> list[Instance]:
         """Return the instances that changed since the last call."""
-        touched, self._changed = self._changed, {}
-        return list(touched.values())
+        changed, self._changed = self._changed, {}
+        return list(changed.values())
 
-    def is_any_unseen(self, *, of_acting_leaders: bool) -> bool:
+    def may_have_unknown_runs(self, *, of_acting_leaders: bool) -> bool:
         """Return whether any instance may have runs of another leader that are unknown here.
 
-        With `of_acting_leaders`, this includes runs that only an acting leader can have started.
+        With `of_acting_leaders`, cordoned instances count: only acting leaders start runs there.
         """
         return any(
             not (instance.is_fenced or instance.is_over)
@@ -137,7 +140,7 @@
             )
 
     def apply_evacuation(self, domain: DomainName, now: timedelta) -> int:
-        """Apply whether a domain is evacuated; return how many runs are active there."""
+        """Update the instances of a domain after an evacuation order; return their active runs."""
         is_evacuated = domain in self._term.records.evacuations.evacuated
         instances = [instance for instance in self.by_id.values() if instance.info.domain == domain]
         for instance in instances:
@@ -159,12 +162,12 @@
         instances = (
             instance for instance in self.by_id.values() if instance.info.service == service
         )
-        there = [
+        remaining = [
             instance
             for instance in instances
             if not (instance.is_over or instance.draining or instance.is_managed_elsewhere)
         ]
-        return bool(there) and all(instance.is_evacuated for instance in there)
+        return bool(remaining) and all(instance.is_evacuated for instance in remaining)
 
     def get_health(self, instance: Instance) -> UpstreamHealth:
         """Return the health record of an instance."""
@@ -174,27 +177,27 @@
         return health
 
     def find_accepting(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
-        """Return the instances that accept work, by service, without those set aside.
+        """Return the instances that accept work, by service, without suspended ones.
 
-        If too large a share of a service would be set aside, none of it is.
+        If too large a share of a service is suspended, suspensions are ignored there.
         """
         by_service: dict[ServiceName, list[Instance]] = {}
         for instance in self.by_id.values():
             if self.accepts_work(instance, now):
                 by_service.setdefault(instance.info.service, []).append(instance)
         for service, instances in by_service.items():
-            well = [
+            healthy = [
                 instance
                 for instance in instances
                 if not self.get_health(instance).is_suspended(now)
             ]
-            if len(well) >= len(instances) * (1.0 - MAX_SUSPENDED_SHARE):
-                by_service[service] = well
+            if len(healthy) >= len(instances) * (1.0 - MAX_SUSPENDED_SHARE):
+                by_service[service] = healthy
         return by_service
 
     def accepts_work(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether an instance accepts work at all, set aside or not."""
-        instance.is_on_trial = self.get_health(instance).is_on_probation
+        """Return whether an instance accepts work, suspended or not."""
+        instance.is_on_probation = self.get_health(instance).is_on_probation
         return instance.accepts_work(now) and not self._may_be_full(instance, now)
 
     def _may_be_full(self, instance: Instance, now: timedelta) -> bool:
@@ -204,17 +207,17 @@
         """
         if not instance.has_orphaned_runs and self._is_report_valid(instance, now):
             return False
-        return instance.info.service in self._list_unguarded()
+        return instance.info.service in self._find_unchecked_services()
 
-    def _list_unguarded(self) -> set[ServiceName]:
+    def _find_unchecked_services(self) -> set[ServiceName]:
         """Return the services whose upstreams start runs without checking their own capacity."""
         configuration = self._term.records.configuration
         services = configuration.services if configuration is not None else ()
         return {service.name for service in services if not service.rejects_overload}
 
-    def find_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
-        """Return upstreams that do not check their capacity and have just missed a heartbeat."""
-        unguarded = self._list_unguarded()
+    def mark_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
+        """Mark and return upstreams that do not check their capacity and missed a heartbeat."""
+        unguarded = self._find_unchecked_services()
         if not unguarded:
             return []
         doubted = [
@@ -235,22 +238,25 @@
         return instance.reported_at is None or now >= instance.reported_at + missed_after
 
     def list_availability_changes(self, instance: Instance) -> list[timedelta]:
-        """Return the times at which it begins or ceases to accept work without any event."""
-        moments = [instance.avoid_until, self.get_health(instance).suspended_until]
-        if instance.reported_at is not None and instance.info.service in self._list_unguarded():
-            moments.append(instance.reported_at + self._term.reports.valid_for)
-        return moments
+        """Return the times at which an instance may begin or cease to accept work without event."""
+        times = [instance.avoid_until, self.get_health(instance).suspended_until]
+        if (
+            instance.reported_at is not None
+            and instance.info.service in self._find_unchecked_services()
+        ):
+            times.append(instance.reported_at + self._term.reports.valid_for)
+        return times
 
     def _is_report_valid(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether the last report is recent.
+        """Return whether the last capacity report is recent enough to rely on.
 
-        Until then starts are tolerated even if the capacity has shrunk since the report.
+        Starts beyond a capacity that has shrunk since such a report are tolerated.
         """
         reported_at = instance.reported_at
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
     def measure_usable_cores(self, now: timedelta) -> float:
-        """Return the usable cores; early in a term also those of upstreams not seen yet."""
+        """Return the usable cores; in the grace period also those of upstreams not seen yet."""
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
         is_new = self.is_in_grace_period(now)
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -20,21 +20,22 @@
 LAPSE_MARGIN = timedelta(milliseconds=60)
 """Added to the end of a lease before anybody relies on it, for timers that fire late."""
 MIN_LEASE = timedelta(milliseconds=500)
-"""A shorter lease would not outlast a change of leader."""
+"""Lower bound of leases: a shorter one would not outlast a change of leader."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseTerms:
-    """How long an upstream lets a lease last."""
+    """Limits from which a leader derives when a lease has certainly ended."""
 
     longest: timedelta
-    delivery: timedelta = timedelta()
+    """Longest lease, by the clock of the upstream."""
+    max_delivery_delay: timedelta = timedelta()
     """Longest delay between deciding on an order and its arrival at an upstream."""
 
     @property
     def lapse_after(self) -> timedelta:
         """The time after which a lease that is requested now has certainly ended."""
-        return self.delivery + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
+        return self.max_delivery_delay + self.longest / MIN_CLOCK_RATE + LAPSE_MARGIN
 
 
 def choose_lease_terms(
@@ -55,41 +56,45 @@
     """One run of an upstream's process, from its start to its exit or crash."""
 
     info: UpstreamInfo
-    terms: LeaseTerms
+    lease_terms: LeaseTerms
     recorded_through: int
-    """Number of the last run end that the replicated state has recorded."""
-    number: int = 0
-    """Instances are numbered in order of appearance, so that otherwise equal ones have an order."""
+    """Number of the last run end that is recorded, and so can be confirmed to the upstream."""
+    arrival_number: int = 0
+    """Position in the order in which this leader learned of instances; breaks ties."""
     draining: bool = False
     is_evacuated: bool = False
     """Whether its failure domain is evacuated: active runs continue, nothing is started."""
     is_over: bool = False
+    """Whether it has ended or was forgotten, so that its removal is proposed."""
     is_cordoned: bool = False
     """Whether no run started by a leader can be active there, so that nothing may be started
     either."""
     is_uncordoning: bool = False
     """Whether a command to use it again has been proposed to the log."""
     is_managed_elsewhere: bool = False
-    """Whether another host sends its orders in this term."""
+    """Whether the orders to it come from another host in this term."""
     is_fenced: bool = False
     """Whether it has answered a poll of this leader's term, so that its runs are known."""
     proposed_through: int = 0
-    """Number of the last run end that was proposed to the log."""
+    """Number of the last run end that was proposed to the log or recorded without it."""
     confirmed_through: int = 0
     """Number of the last run end whose recording was confirmed to the upstream."""
     sequence: int = 0
     """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
     reported_at: timedelta | None = None
-    """The earliest time at which its last capacity report can have been sent; None if unknown."""
+    """The latest time at which its last capacity report can have been sent; None if unknown."""
     is_capacity_doubted: bool = False
-    """Whether the replicated state says that a heartbeat was missed."""
-    is_unreadable: bool = False
+    """Whether a heartbeat has been missed since the last capacity report."""
+    has_unreadable_capacity: bool = False
     """Whether the capacity in its last report could not be read."""
     refusals: int = 0
     """Starts refused for lack of capacity since the last successful start or capacity report."""
     heard_at: timedelta | None = None
+    """When its last heartbeat was received, or when this leader learned of it."""
     contact_at: timedelta | None = None
+    """When it last answered a poll."""
     failed_polls: int = 0
+    """Polls that have failed since it last answered one."""
     is_poll_pending: bool = False
     is_probe_pending: bool = False
     listed_ms: int = -1
@@ -97,29 +102,30 @@
     ignored."""
     poll_due: timedelta = timedelta()
     probe_due: timedelta = timedelta()
-    is_on_trial: bool = False
+    is_on_probation: bool = False
     """Whether it gets one run at a time, after it was found failing, stalled or slow."""
     is_listening: bool = True
     """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
     avoid_until: timedelta = timedelta()
+    """Until then nothing is started there, after a refused or unanswered start."""
     cold_until: timedelta = timedelta()
     """Until then tasks take longer there than usual, so that it is used last."""
     must_poll: bool = False
     """Whether it is to be polled soon although nothing runs there."""
     lost_at: timedelta | None = None
     """When it was first found not to answer; None once it has answered again."""
-    lost: ActiveTasks = NO_ACTIVE_TASKS
-    """Tasks active when its lease lapsed, kept until it is known whether it has crashed."""
+    lost_tasks: ActiveTasks = NO_ACTIVE_TASKS
+    """Tasks active when its lease lapsed or it ended, kept until it is known whether it crashed."""
     lapse_at: timedelta = timedelta()
-    """From then on nothing can run there unless a lease is renewed."""
+    """When each lease that it may hold has certainly ended: from then on nothing can run there."""
     response_timeout: ResponseTimeout = field(default_factory=ResponseTimeout)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
     _used_memory: int = 0
     _used_gpus: int = 0
-    _orphaned: int = 0
-    _disputed: int = 0
-    _exclusive: int = 0
+    _orphaned_runs: int = 0
+    _disputed_runs: int = 0
+    _exclusive_runs: int = 0
     _clock_ms: float | None = None
     _clock_at: timedelta = timedelta()
 
@@ -146,7 +152,7 @@
         return is_news
 
     def find_age(self, clock_ms: int | None, now: timedelta) -> timedelta:
-        """Return the least age of something that the upstream sent at a time on its own clock."""
+        """Return the minimum age of a message that the upstream sent at a time on its own clock."""
         known = self._estimate_clock(now)
         if known is None or clock_ms is None:
             return timedelta()
@@ -160,8 +166,8 @@
         clock_ms = self._estimate_clock(now)
         if clock_ms is None:
             return None
-        self.lapse_at = max(self.lapse_at, now + self.terms.lapse_after)
-        return int(clock_ms) + to_milliseconds(self.terms.longest)
+        self.lapse_at = max(self.lapse_at, now + self.lease_terms.lapse_after)
+        return int(clock_ms) + to_milliseconds(self.lease_terms.longest)
 
     def add_run(self, run: Run) -> None:
         """Add a run and count its needs as used."""
@@ -176,11 +182,11 @@
         return run
 
     def mark_disputed(self, key: RunKey) -> None:
-        """Renew no lease here until a run is gone, because another host relies on its end."""
+        """Renew no lease until a run is gone, because another host relies on that lease ending."""
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
             run.is_disputed = True
-            self._disputed += 1
+            self._disputed_runs += 1
 
     @property
     def free_cpu(self) -> int:
@@ -190,24 +196,24 @@
     @property
     def has_orphaned_runs(self) -> bool:
         """Whether there are runs whose jobs, and therefore whose needs, are unknown."""
-        return self._orphaned > 0
+        return self._orphaned_runs > 0
 
     @property
-    def has_disputed(self) -> bool:
-        """Whether a run's lease must run out: nothing is started or renewed here."""
-        return self._disputed > 0
+    def has_disputed_runs(self) -> bool:
+        """Whether a run's lease must run out, so that nothing is started and no lease renewed."""
+        return self._disputed_runs > 0
 
     def has_free_capacity(self, needs: Needs) -> bool:
-        """Return whether a task fits.
+        """Return whether a task fits into the free capacity.
 
-        Each orphaned run, whose needs are unknown, counts as much as the task.
+        Each orphaned run, whose needs are unknown, is assumed to need as much as the task.
         """
         capacity = self.info.capacity
-        alike = 1 + self._orphaned
+        counted_tasks = 1 + self._orphaned_runs
         return (
-            needs.cpu_millis * alike <= capacity.cpu_millis - self._used_cpu
-            and needs.memory_mb * alike <= capacity.memory_mb - self._used_memory
-            and needs.gpus * alike <= capacity.gpus - self._used_gpus
+            needs.cpu_millis * counted_tasks <= capacity.cpu_millis - self._used_cpu
+            and needs.memory_mb * counted_tasks <= capacity.memory_mb - self._used_memory
+            and needs.gpus * counted_tasks <= capacity.gpus - self._used_gpus
         )
 
     def accepts_work(self, now: timedelta) -> bool:
@@ -217,8 +223,8 @@
             and not self.is_cordoned
             and not self.draining
             and not self.is_evacuated
-            and not self.has_disputed
-            and not self._exclusive
+            and not self.has_disputed_runs
+            and not self._exclusive_runs
             and not self.is_over
             and self.failed_polls == 0
             and now >= self.avoid_until
@@ -232,9 +238,9 @@
         self._used_cpu += sign * run.needs.cpu_millis
         self._used_memory += sign * run.needs.memory_mb
         self._used_gpus += sign * run.needs.gpus
-        self._orphaned += sign * run.is_orphaned
-        self._disputed += sign * run.is_disputed
-        self._exclusive += sign * run.is_exclusive
+        self._orphaned_runs += sign * run.is_orphaned
+        self._disputed_runs += sign * run.is_disputed
+        self._exclusive_runs += sign * run.is_exclusive
 
     def _estimate_clock(self, now: timedelta) -> float | None:
         if self._clock_ms is None:
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -23,7 +23,7 @@
 """How long the end of a best-effort job is remembered, for a late second submission."""
 START_MARGIN_SHARE = 0.4
 """Share of the wait allowed by the objective that is reserved for run times beyond the declared
-ones, which scatter by 0.4 on a logarithmic scale (docs/design/platform.md has what it earns)."""
+ones, which scatter by 0.4 on a logarithmic scale (its benefit is in docs/design/platform.md)."""
 NEVER_LATE = timedelta.max
 """For long-running tasks: they go before all others and are never abandoned."""
 
@@ -40,6 +40,7 @@
         self.forecast = Forecast()
         self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
+        """How best-effort jobs have ended lately, and when."""
         self.rejections: dict[JobId, Rejection] = {}
         """Why jobs that had not begun were rejected."""
         self.closed_while_running: dict[JobId, timedelta] = {}
@@ -136,7 +137,7 @@
             if not all(job.record.is_step_done(occurrence, each) for each in step.depends_on):
                 continue
             blocked = [
-                ref.place
+                ref.task_index
                 for ref, task in job.tasks.items()
                 if ref.occurrence == occurrence
                 and ref.step == number
@@ -144,33 +145,33 @@
             ]
             self.queue(job, occurrence, number, blocked)
 
-    def queue(self, job: OpenJob, occurrence: int, number: int, indexes: list[int]) -> None:
+    def queue(self, job: OpenJob, occurrence: int, number: int, task_indexes: list[int]) -> None:
         """Queue tasks of one step of an occurrence; those that may crash upstreams separately."""
-        if not indexes:
+        if not task_indexes:
             return
         if not self.crash_tracker.may_suspect_any():
-            self._queue(job, occurrence, number, indexes, StartRestriction.NONE)
+            self._add_batch(job, occurrence, number, task_indexes, StartRestriction.NONE)
             return
         by_restriction: dict[StartRestriction, list[int]] = {}
-        for index in indexes:
+        for task_index in task_indexes:
             restriction = self.crash_tracker.find_restriction(
-                TaskRef(job.record.id, occurrence, number, index)
+                TaskRef(job.record.id, occurrence, number, task_index)
             )
-            by_restriction.setdefault(restriction, []).append(index)
+            by_restriction.setdefault(restriction, []).append(task_index)
         for restriction, alike in by_restriction.items():
-            self._queue(job, occurrence, number, alike, restriction)
+            self._add_batch(job, occurrence, number, alike, restriction)
 
-    def _queue(
+    def _add_batch(
         self,
         job: OpenJob,
         occurrence: int,
         number: int,
-        indexes: list[int],
+        task_indexes: list[int],
         restriction: StartRestriction,
     ) -> None:
         step = job.record.spec.steps[number]
-        for index in indexes:
-            ref = TaskRef(job.record.id, occurrence, number, index)
+        for task_index in task_indexes:
+            ref = TaskRef(job.record.id, occurrence, number, task_index)
             job.tasks[ref].phase = TaskPhase.QUEUED
         due_at = job.due_at[occurrence]
         queue = job.record.queue
@@ -182,13 +183,15 @@
             occurrence=occurrence,
             step_number=number,
             step=step,
-            latest_start=due_at + longest_wait - self.throughput.estimate_start_delay(len(indexes)),
+            latest_start=due_at
+            + longest_wait
+            - self.throughput.estimate_start_delay(len(task_indexes)),
             latest_task_start=due_at + job.objective - chain,
             has_begun=job.has_begun,
             latest_useful_start=due_at + job.objective * USEFUL_FACTOR - chain,
             core_ms=predicted_ms * step.needs.cpu_millis / 1000,
             restriction=restriction,
-            waiting=indexes,
+            waiting=task_indexes,
         )
         if job.record.spec.long_running:
             # It must be running again within seconds, however full the service is.
@@ -201,24 +204,24 @@
         """Queue a task again whose run there is surely over without a result."""
         job = self.jobs.get(ref.job)
         task = job.tasks.get(ref) if job is not None else None
-        if job is None or task is None or not task.runs_as(run, upstream):
+        if job is None or task is None or not task.is_current_run(run, upstream):
             return
-        if task.is_unknown:
+        if task.may_run_elsewhere:
             task.phase = TaskPhase.UNKNOWN
             self.may_have_unknown_tasks = True
             return
-        self.queue(job, ref.occurrence, ref.step, [ref.place])
+        self.queue(job, ref.occurrence, ref.step, [ref.task_index])
 
-    def release(self, tasks: Iterable[TaskRef]) -> None:
-        """Stop delaying these tasks: an upstream that was lost has not crashed under them."""
+    def update_restrictions(self, tasks: Iterable[TaskRef]) -> None:
+        """Queue waiting tasks anew: it is now known whether a lost upstream crashed under them."""
         for ref in tasks:
             job = self.jobs.get(ref.job)
             task = job.tasks.get(ref) if job is not None else None
             if job is not None and task is not None and task.phase is TaskPhase.QUEUED:
                 self.unqueue(ref)
-                self.queue(job, ref.occurrence, ref.step, [ref.place])
+                self.queue(job, ref.occurrence, ref.step, [ref.task_index])
 
-    def fail_crashing(self, refs: Iterable[TaskRef], now: timedelta) -> None:
+    def fail_quarantined(self, refs: Iterable[TaskRef], now: timedelta) -> None:
         """Fail the jobs of tasks that are quarantined, since upstreams have crashed under them."""
         for ref in refs:
             counts = self.crash_tracker.get_counts(ref)
@@ -231,7 +234,7 @@
                 "task_crashes_upstreams",
                 {
                     "job": ref.job,
-                    "task": f"{ref.step}.{ref.place}",
+                    "task": f"{ref.step}.{ref.task_index}",
                     "crashes": counts.crashes,
                     "losses": counts.losses,
                     "unanswered": counts.unanswered,
@@ -246,24 +249,24 @@
         """Remove a task from the backlog."""
         for batch in self.backlog:
             key = (batch.job.id, batch.occurrence, batch.step_number)
-            if key == (ref.job, ref.occurrence, ref.step) and ref.place in batch.waiting:
-                batch.waiting.remove(ref.place)
+            if key == (ref.job, ref.occurrence, ref.step) and ref.task_index in batch.waiting:
+                batch.waiting.remove(ref.task_index)
                 self.backlog.has_empty |= not batch.waiting
         self.backlog.drop_empty()
 
     def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
-        """Hold a task whose run has ended there until that end is recorded."""
+        """Delay a task whose run has ended at this upstream until that end is recorded."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
             return
-        is_current = task.runs_as(end.run, upstream)
+        is_current = task.is_current_run(end.run, upstream)
         # A run that was abandoned with its lease may have succeeded before that.
         is_done_after_all = task.phase is TaskPhase.QUEUED and end.how is RunEndKind.DONE
         if is_done_after_all:
             self.unqueue(end.task)
         if is_current or is_done_after_all or task.phase is TaskPhase.UNKNOWN:
-            task.is_unknown = task.is_unknown or task.phase is TaskPhase.UNKNOWN
+            task.may_run_elsewhere = task.may_run_elsewhere or task.phase is TaskPhase.UNKNOWN
             task.phase = TaskPhase.RECORDING
             task.run = RunNumber(max(task.run, end.run))
             task.unrecorded_end = (upstream, end.run)
@@ -271,20 +274,20 @@
     def mark_unknown(self, job: OpenJob) -> None:
         """Mark the tasks of a job as unknown: another host may have begun them.
 
-        Queued ones are held from now on; those that run here, should they have to begin again.
+        Queued tasks are delayed from now on, active ones only if they have to begin again.
         """
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.QUEUED:
                 self.unqueue(ref)
                 task.phase = TaskPhase.UNKNOWN
-            task.is_unknown = True
+            task.may_run_elsewhere = True
 
     def queue_unknown(self, job: OpenJob) -> None:
         """Queue the unknown tasks of a job: no run of them can be active any more."""
         for task in job.tasks.values():
             if task.phase is TaskPhase.UNKNOWN:
                 task.phase = TaskPhase.BLOCKED
-                task.is_unknown = False
+                task.may_run_elsewhere = False
         for occurrence in range(job.next_occurrence):
             self.unblock(job, occurrence)
 
@@ -400,7 +403,10 @@
 
 
 def find_max_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
-    """Return how long a step may wait for its start, with a margin for longer run times."""
+    """Return how long a step may wait for its start, with a margin for longer run times.
+
+    `chain` is the expected time from that start to the end of the job.
+    """
     slack = objective - chain
     for_run_times = slack - timedelta(milliseconds=queue.target_latency_ms)
     return slack - max(for_run_times, timedelta()) * START_MARGIN_SHARE
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -15,9 +15,12 @@
     is_sorted: bool = False,
     needs_empty: bool = False,
 ) -> Instance | None:
-    """Return the instance that fits a task best: near its data, then with the least free CPU.
+    """Return the instance that fits a task best.
+
+    The first criterion is nearness to its data, then whether an order reaches the instance at once,
+    then the least free CPU. Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free
+    for wide ones.
 
-    Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free for wide ones.
     `is_sorted` says that the instances come with the least free CPU first, so that one that is best
     in all else need not be compared with those after it. With `needs_empty` nothing may run there.
     """
@@ -26,7 +29,7 @@
     for instance in instances:
         if not instance.has_free_capacity(batch.needs) or not _is_allowed(batch, instance):
             continue
-        if (instance.is_on_trial or needs_empty) and instance.runs:
+        if (instance.is_on_probation or needs_empty) and instance.runs:
             continue
         rack = batch.step.data_rack
         is_far = 1 if rack and rack not in instance.info.labels else 0
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -29,15 +29,15 @@
     UncordonUpstream,
 )
 from .crashes import (
-    KEEP_SUSPECTS_MS,
     NO_ACTIVE_TASKS,
     NO_CRASHES,
     ONE_CRASH,
     ONE_LOSS,
     ONE_UNANSWERED,
+    SUSPECT_RETENTION_MS,
     ActiveTasks,
     CrashCounts,
-    LostRuns,
+    LostTasks,
     SuspectRecord,
 )
 from .evacuations import EvacuationRecord, Evacuations
@@ -119,13 +119,13 @@
     recorded_through: int = msgspec.field(name="noted", default=0)
     draining: bool = False
     is_cordoned: bool = False
-    """Whether no leader has anything active there."""
+    """Whether no leader has anything active there, or may start anything."""
     sequence: int = 0
     """Sequence number of the heartbeat that reported the capacity; older heartbeats do not change
     it."""
     is_capacity_doubted: bool = False
     """Whether a heartbeat has been missed since then."""
-    lost: ActiveTasks = NO_ACTIVE_TASKS
+    lost_tasks: ActiveTasks = msgspec.field(name="lost", default=NO_ACTIVE_TASKS)
     """Tasks that were active when it became unreachable, kept until it answers again."""
 
 
@@ -183,7 +183,7 @@
             for upstream in command.upstreams:
                 self._set_cordoned(upstream, True)
             for each in command.lost:
-                self._record_lost_runs(each)
+                self._record_lost_tasks(each)
         elif isinstance(command, RecordCrash):
             self._record_crash(command)
         elif isinstance(command, UncordonUpstream):
@@ -218,7 +218,7 @@
         self.evacuations = Evacuations(saved.evacuations)
 
     def find_leaving(self, id: UpstreamId) -> UpstreamRecord | None:
-        """Return the instance that leaves under an id, which may lack the start time.
+        """Return the instance meant by a leave message, whose id may lack the start time.
 
         Without a start time, an instance of that name that is already leaving is preferred, then
         the newest.
@@ -234,12 +234,12 @@
         )
 
     def get_crash_counts(self, task: TaskRef) -> CrashCounts:
-        """Return the counts of upstream ends under a task."""
+        """Return the upstream ends counted against a task."""
         suspect = self.suspects.get(task)
         return suspect.counts if suspect is not None else NO_CRASHES
 
     def activate_configuration(self, configuration: Configuration | None) -> None:
-        """Use a configuration from now on."""
+        """Make a configuration the active one; None leaves no configuration active."""
         self.configuration = configuration
         self.queues = None if configuration is None else QueueIndex(configuration=configuration)
 
@@ -273,12 +273,12 @@
         if record is not None:
             record.is_cordoned = is_cordoned
             if not is_cordoned:
-                record.lost = NO_ACTIVE_TASKS
+                record.lost_tasks = NO_ACTIVE_TASKS
 
-    def _record_lost_runs(self, lost: LostRuns) -> None:
+    def _record_lost_tasks(self, lost: LostTasks) -> None:
         record = self.upstreams.get(lost.upstream)
         if record is not None:
-            record.lost = lost.at_work
+            record.lost_tasks = lost.active_tasks
 
     def _record_crash(self, command: RecordCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
@@ -290,7 +290,7 @@
             self._count_crash(task, ONE_LOSS, command.at_ms)
         for task in command.unanswered:
             self._count_crash(task, ONE_UNANSWERED, command.at_ms)
-        oldest = command.at_ms - KEEP_SUSPECTS_MS
+        oldest = command.at_ms - SUSPECT_RETENTION_MS
         self.suspects = {
             task: suspect
             for task, suspect in self.suspects.items()
@@ -346,7 +346,7 @@
 
 
 def end_job(job: JobRecord, state: JobState, at_ms: int) -> None:
-    """End a job and drop what only an open job needs."""
+    """End a job, and drop its task records and payload, which only an open job needs."""
     job.state = state
     job.ended_ms = at_ms
     job.tasks = {}
@@ -354,4 +354,4 @@
 
 
 def _build_task_key(ref: TaskRef) -> str:
-    return f"{ref.occurrence}.{ref.step}.{ref.place}"
+    return f"{ref.occurrence}.{ref.step}.{ref.task_index}"
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -1,4 +1,4 @@
-"""Processes heartbeats of upstreams: existence, capacity, and leaving."""
+"""Processes heartbeats of upstreams, by which they join, report their capacity and leave."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .term import Term
 
 
-class Registry:
+class UpstreamRegistry:
     """Processes heartbeats, and proposes to the log what every later leader must know."""
 
     def __init__(self, *, term: Term, instances: InstanceTable) -> None:
@@ -67,7 +67,7 @@
     def handle_reported_heartbeat(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record that another host has answered a heartbeat that contained nothing new."""
+        """Record a heartbeat without changes that another host has answered for the leader."""
         instance = self._instances.by_id.get(id)
         if instance is None or sequence < instance.sequence:
             return
@@ -81,9 +81,9 @@
 
     def _record_capacity(self, instance: Instance, heartbeat: Heartbeat, now: timedelta) -> None:
         """Record the reported capacity, and propose a change to the log."""
-        if heartbeat.has_no_capacity and not instance.is_unreadable:
+        if heartbeat.is_capacity_unreadable and not instance.has_unreadable_capacity:
             self._term.log_decision("capacity_unreadable", {"upstream": instance.info.id})
-        instance.is_unreadable = heartbeat.has_no_capacity
+        instance.has_unreadable_capacity = heartbeat.is_capacity_unreadable
         before, capacity = instance.info.capacity, heartbeat.info.capacity
         sent_at = now - instance.find_age(heartbeat.clock_ms, now)
         if not instance.record_capacity(capacity, heartbeat.sequence, sent_at):
@@ -107,7 +107,7 @@
         self._term.proposals.append(resize)
 
     def handle_leave(self, upstream: UpstreamId) -> None:
-        """Send no more work to an upstream."""
+        """Record that an upstream is leaving, so that it gets no more work."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None and not instance.draining:
             instance.draining = True
@@ -129,6 +129,6 @@
 
         The next coordinator then knows that their capacity may have changed.
         """
-        doubted = self._instances.find_newly_doubted(now)
+        doubted = self._instances.mark_newly_doubted(now)
         if doubted and self._term.keeps_log:
             self._term.proposals.append(DoubtCapacities(upstreams=tuple(doubted)))
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -1,4 +1,4 @@
-"""Handles the ends of runs: learns from them, records them and acts on them."""
+"""Handles run ends: updates run-time estimates and upstream health, and records results."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
         self._instances = instances
         self._jobs = jobs
         self._reconciliation = reconciliation
-        self._orphaned: dict[JobId, list[RunEndReport]] = {}
+        self._orphaned_ends: dict[JobId, list[RunEndReport]] = {}
         """Ends of jobs that are unknown so far but may be submitted again."""
 
     def handle_listed_ends(
         self, instance: Instance, ended: tuple[RunEndReport, ...], now: timedelta
     ) -> None:
-        """Record ends that an upstream has listed: here, or through the log for durable jobs."""
+        """Record new ends that an upstream has listed, those of durable jobs through the log."""
         new = tuple(
             end
             for end in ended
@@ -85,14 +85,14 @@
 
     def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
         """Apply ends that were listed before their job was submitted again."""
-        for end in self._orphaned.pop(record.id, []):
+        for end in self._orphaned_ends.pop(record.id, []):
             record_run_end(record, end, self._term.wall_ms())
             self._apply_recorded_end(end, None, now)
 
     def forget_orphaned_ends(self, now: timedelta) -> None:
-        """Drop ends of jobs that nobody has submitted again in time."""
-        if self._orphaned and not self._instances.is_in_grace_period(now):
-            self._orphaned.clear()
+        """Drop ends whose jobs were not submitted again within the grace period."""
+        if self._orphaned_ends and not self._instances.is_in_grace_period(now):
+            self._orphaned_ends.clear()
 
     def _detect_other_coordinator(self, instance: Instance, run: Run, end: RunEndReport) -> None:
         """Detect, from a stop that another host sent, that a host with a higher token coordinates.
@@ -121,7 +121,7 @@
             "run_ended",
             {
                 "job": end.task.job,
-                "task": f"{end.task.step}.{end.task.place}",
+                "task": f"{end.task.step}.{end.task.task_index}",
                 "upstream": instance.info.id,
                 "how": end.how.value,
                 "took_ms": to_milliseconds(taken),
@@ -129,7 +129,7 @@
             },
         )
         if job.record.spec.long_running:
-            # The run time of a long-running task says nothing about its upstream.
+            # How long a long-running task runs says nothing about its upstream.
             return
         if end.how is RunEndKind.DONE:
             self._jobs.forecast.learn(queue, step, taken)
@@ -146,7 +146,7 @@
             record_run_end(job.record, end, self._term.wall_ms())
             self._apply_recorded_end(end, upstream, now)
         elif self._instances.is_in_grace_period(now):
-            self._orphaned.setdefault(end.task.job, []).append(end)
+            self._orphaned_ends.setdefault(end.task.job, []).append(end)
 
     def _apply_recorded_end(
         self, end: RunEndReport, upstream: UpstreamId | None, now: timedelta
@@ -162,7 +162,7 @@
         if task is None:
             return
         if job.record.get_task(end.task).is_done:
-            # A run that was abandoned may have ended as done before its lease did.
+            # An abandoned run may have completed before its lease ended.
             if task.phase is TaskPhase.RUNNING and task.instance is not None:
                 self._instances.request_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
@@ -170,11 +170,11 @@
             del job.tasks[end.task]
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
-        elif task.phase is TaskPhase.RECORDING and task.is_unknown:
-            # The end of one run says nothing of a later run at an upstream not seen yet.
+        elif task.phase is TaskPhase.RECORDING and task.may_run_elsewhere:
+            # The task may have another run, at an upstream that has not answered this leader yet.
             task.phase = TaskPhase.UNKNOWN
             self._reconciliation.request_recheck()
         elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
             # An older end recorded in the meantime must not requeue a task whose later run has
             # succeeded.
-            self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.place])
+            self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.task_index])
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -21,8 +21,8 @@
 
 ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
-"""Evacuations last from seconds to hours: this is frequent enough for the former, and rare enough
-for the latter."""
+"""When to retry after such a rejection. Evacuations last from seconds to hours: this is frequent
+enough for the former, and rare enough for the latter."""
 NO_DEMAND = 1 << 62
 """More CPU than any upstream has, so that no change of one triggers another try."""
 
@@ -59,7 +59,7 @@
         self._shed(now)
 
     def _schedule_backlog(self, changed: list[Instance] | None, now: timedelta) -> None:
-        """Try all batches, but not those again that need more than any changed instance has.
+        """Try all batches, except those that did not fit before and fit no changed instance either.
 
         `changed` is None where any instance may have changed.
         """
@@ -173,7 +173,7 @@
             batch.first_tried_at = now
         is_early = now < batch.first_tried_at + THIRD_START_DELAY
         return batch.restriction is StartRestriction.BARRED or (
-            batch.restriction is StartRestriction.HELD and is_early
+            batch.restriction is StartRestriction.ALONE_DELAYED and is_early
         )
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
@@ -182,7 +182,9 @@
         if batch.restriction is StartRestriction.NONE or since is None:
             return False
         return now < since + EXCLUSIVE_WAIT + (
-            THIRD_START_DELAY if batch.restriction is StartRestriction.HELD else timedelta()
+            THIRD_START_DELAY
+            if batch.restriction is StartRestriction.ALONE_DELAYED
+            else timedelta()
         )
 
     def _start_batch(self, batch: Batch, service: ServiceName, now: timedelta) -> bool:
@@ -201,8 +203,8 @@
         self._jobs.backlog.has_empty |= not batch.waiting
         return has_started
 
-    def _start(self, batch: Batch, index: int, instance: Instance, now: timedelta) -> None:
-        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, index)
+    def _start(self, batch: Batch, task_index: int, instance: Instance, now: timedelta) -> None:
+        ref = TaskRef(batch.job.id, batch.occurrence, batch.step_number, task_index)
         job = self._jobs.jobs[ref.job]
         task = job.tasks[ref]
         expires_ms = instance.grant_lease(now)
@@ -228,7 +230,7 @@
             "run_started_again" if is_again else "run_started",
             {
                 "job": ref.job,
-                "task": f"{ref.step}.{ref.place}",
+                "task": f"{ref.step}.{ref.task_index}",
                 "run": task.run,
                 "upstream": instance.info.id,
                 "tier": batch.tier.value,
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -8,7 +8,7 @@
 from ..clock import to_milliseconds
 from ..ids import UpstreamId
 from .commands import CordonUpstreams, RemoveUpstreams, UncordonUpstream
-from .crashes import NO_ACTIVE_TASKS, LostRuns
+from .crashes import NO_ACTIVE_TASKS, LostTasks
 from .instance_table import InstanceTable
 from .instances import Instance
 from .open_job import OpenJob
@@ -21,51 +21,56 @@
 LONG_POLL_WAIT = timedelta(milliseconds=200)
 """Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
 MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
-"""Shorter long polls would cost more calls than their answers are worth."""
-POLL_RETRY = timedelta(milliseconds=100)
+"""Shortest time that a long poll is held: with less, polls would cost more calls than their answers
+are worth."""
+POLL_RETRY_STEP = timedelta(milliseconds=100)
+"""Increase of the delay before a failed poll is repeated, with each failure; also the interval of
+probes while an unanswered start is being resolved."""
 MAX_STRAGGLERS_SHARE = 0.1
-"""While a smaller share of the upstreams than this has not answered a new leader, these are polled
-by several calls at once: all jobs wait for what runs there."""
+"""While at most this share of the upstreams has not answered a new leader, these stragglers are
+polled by several calls at once: all jobs wait for what runs there."""
 STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
-PROBE_CHECK_EVERY = timedelta(milliseconds=20)
-"""Whether an upstream is one of the last depends on all others, so it is checked again this often.
-"""
+"""Time after which another poll is sent to a straggler beside an unanswered one."""
+PROBE_CHECK_INTERVAL = timedelta(milliseconds=20)
+"""Whether an upstream is a straggler depends on all others, so it is checked again this often."""
 MAX_STRAGGLER_POLLS = 8
-"""After this many failed polls an upstream counts as unreachable, and is polled like any other."""
+"""After this many failed polls a straggler counts as unreachable, and is polled like any other."""
 MAX_RETRY_STEPS = 10
+"""The delay before a failed poll is repeated stops growing after this many failures."""
 ORPHAN_TOLERATED_FOR = timedelta(milliseconds=300)
 """How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
 that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
 renewed."""
 DISPUTED_TOLERATED_FOR = timedelta(milliseconds=100)
-"""The same for a run that an acting leader, or a leader beside one, may still coordinate."""
-POLLS_BEFORE_CORDON = 2
+"""The same for a run whose job an acting leader, or a leader that an acting leader does not reach,
+may still coordinate."""
+FAILED_POLLS_BEFORE_CORDON = 2
 """Failed polls before an upstream is cordoned: one that has just joined may miss one."""
 SILENT_AFTER = timedelta(seconds=10)
-"""Silence, with nothing running, after which an instance is forgotten, unless it may be beyond a
-network partition, where an acting leader uses it."""
-SILENT_POLL_EVERY = timedelta(seconds=5)
-"""Interval between polls of such an instance: a later one at its address answers that it is over.
+"""Silence, with nothing running, after which an instance is forgotten, unless an acting leader may
+use it beyond a network partition."""
+SILENT_POLL_INTERVAL = timedelta(seconds=5)
+"""Interval between polls of such an instance: a later instance at its address shows that it ended.
 """
-FORGOTTEN_AFTER = timedelta(hours=1)
-"""Longer than domains are usually cut off (minutes)."""
+FORGET_PARTITIONED_AFTER = timedelta(hours=1)
+"""Silence after which an instance is forgotten even if it may be beyond a partition: longer than
+domains are usually cut off (minutes)."""
 MAX_MOVES = 2
-"""How often a task is moved: one that makes no progress anywhere is not moved forever."""
+"""How often a task is moved to another upstream at most: one may make no progress anywhere."""
 
 
 class Watcher:
-    """Keeps leases alive and finds out what has become of runs."""
+    """Renews leases, and detects runs that have stalled and instances that are lost."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
         self._instances = instances
         self._jobs = jobs
         self._unreachable: dict[UpstreamId, Instance] = {}
-        """Instances whose last poll failed, or that have answered since and are not yet removed
-        here."""
+        """Instances with failed polls; `cordon_idle` removes those that have answered since."""
 
-    def poll(self, instance: Instance, now: timedelta) -> None:
-        """Poll an upstream if its lease or its run ends require it."""
+    def poll_if_due(self, instance: Instance, now: timedelta) -> None:
+        """Poll an upstream if a poll or a probe is due."""
         if instance.is_over or instance.is_managed_elsewhere:
             return
         is_straggler = self._is_straggler(instance)
@@ -77,7 +82,7 @@
             and now >= instance.probe_due
         ):
             # The long poll answers only when a run ends.
-            instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY)
+            instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY_STEP)
             self._send_poll(instance, timedelta(), now)
             return
         if (
@@ -94,8 +99,8 @@
         wait = self._find_poll_wait(instance, now) if instance.runs and is_calm else timedelta()
         self._send_poll(instance, wait, now)
 
-    def is_calm(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether nothing at an upstream depends on the clock but its lease's end."""
+    def has_nothing_due(self, instance: Instance, now: timedelta) -> bool:
+        """Return whether nothing falls due at an upstream before the end of its lease."""
         return (
             instance.is_fenced
             and instance.failed_polls == 0
@@ -107,7 +112,7 @@
             )
         )
 
-    def find_timer(self, instance: Instance, now: timedelta) -> timedelta | None:
+    def find_next_due(self, instance: Instance, now: timedelta) -> timedelta | None:
         """Return the next time at which something is due at an upstream, or None.
 
         Called once everything that was due is done. None means that only an event can change
@@ -115,13 +120,13 @@
         """
         if instance.is_over:
             return None
-        moments = [
+        times = [
             instance.lapse_at if instance.runs else None,
             self._find_poll_due(instance, now),
             *(self._find_stop_due(run) for run in instance.runs.values()),
             *self._instances.list_availability_changes(instance),
         ]
-        return min((each for each in moments if each is not None and each > now), default=None)
+        return min((each for each in times if each is not None and each > now), default=None)
 
     def _find_poll_due(self, instance: Instance, now: timedelta) -> timedelta | None:
         if instance.is_managed_elsewhere:
@@ -131,7 +136,7 @@
         may_be_probed = not instance.is_fenced or self._awaits_stop(instance)
         if instance.is_probe_pending or not may_be_probed:
             return None
-        return max(instance.probe_due, now + PROBE_CHECK_EVERY)
+        return max(instance.probe_due, now + PROBE_CHECK_INTERVAL)
 
     def _find_stop_due(self, run: Run) -> timedelta | None:
         if run.stop_requested:
@@ -139,9 +144,11 @@
         return self._find_tolerated_until(run) if run.is_orphaned else None
 
     def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
-        # A poll that is not answered may still renew the lease, which then would not lapse for as
-        # long as polls are repeated: the lease is extended only for upstreams that answer.
-        renews = bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed
+        # An unanswered poll may still renew the lease, which would then never lapse while polls are
+        # repeated: leases are renewed only at upstreams that answer.
+        renews = (
+            bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed_runs
+        )
         expires_ms = instance.grant_lease(now) if renews else None
         is_probe = instance.is_poll_pending
         if not is_probe and not instance.is_fenced:
@@ -176,7 +183,7 @@
         return max(wait, MIN_LONG_POLL_WAIT)
 
     def _find_first_end(self, instance: Instance, now: timedelta) -> timedelta:
-        """Return the time until the first of the runs is expected to end."""
+        """Return the time until the first run is expected to end; zero if one is overdue."""
         ends = (
             run.since + self._predict(job, run)
             for run in instance.runs.values()
@@ -208,9 +215,9 @@
             return
         is_gone = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
         retry = (
-            SILENT_POLL_EVERY
+            SILENT_POLL_INTERVAL
             if is_gone
-            else POLL_RETRY * min(instance.failed_polls, MAX_RETRY_STEPS)
+            else POLL_RETRY_STEP * min(instance.failed_polls, MAX_RETRY_STEPS)
         )
         instance.poll_due = now if self._is_straggler(instance) else now + retry
         instance.failed_polls += 1
@@ -277,8 +284,8 @@
             if total is not None:
                 job.record_run_time(run.task.step, instance.info.id, total)
             sibling = job.find_sibling_run_time(run.task.step, instance.info.id)
-            pace = classify_progress(run, self._predict(job, run), sibling)
-            if pace is ProgressRate.NORMAL:
+            progress_rate = classify_progress(run, self._predict(job, run), sibling)
+            if progress_rate is ProgressRate.NORMAL:
                 continue
             task.moves += 1
             self._term.counts.moved_runs += 1
@@ -288,32 +295,32 @@
                 {
                     "upstream": instance.info.id,
                     "job": run.task.job,
-                    "pace": pace.value,
+                    "pace": progress_rate.value,
                     "percent": run.percent,
                     "watched_ms": to_milliseconds(now - run.since),
                 },
             )
             health = self._instances.get_health(instance)
-            if pace is ProgressRate.STALLED:
+            if progress_rate is ProgressRate.STALLED:
                 health.record_stall(now)
             elif total is not None:
                 health.record_run_time_ratio(total / self._predict(job, run), now)
 
-    def lapse(self, instance: Instance, now: timedelta) -> None:
+    def abandon_lapsed_runs(self, instance: Instance, now: timedelta) -> None:
         """Abandon all runs of an instance whose lease has certainly ended without an answer."""
         if not instance.runs or now < instance.lapse_at:
             return
-        # A run cannot outlive the lease, whatever the last polls reported.
+        # No run outlives the lease, whatever the last polls reported.
         self._term.log_decision(
             "lease_lapsed",
             {
                 "upstream": instance.info.id,
                 "runs": len(instance.runs),
                 "asked_ms_ago": to_milliseconds(
-                    now - instance.lapse_at + instance.terms.lapse_after
+                    now - instance.lapse_at + instance.lease_terms.lapse_after
                 ),
                 "failed_looks": instance.failed_polls,
-                "disputed": int(instance.has_disputed),
+                "disputed": int(instance.has_disputed_runs),
             },
         )
         instance.is_fenced = False
@@ -327,7 +334,7 @@
             self._jobs.requeue(run.task, run.run, instance.info.id)
 
     def end_instance(self, instance: Instance, now: timedelta) -> None:
-        """Handle that a later instance holds the address: nothing of this one can run any more."""
+        """Handle the end of an instance: another one holds its address, so all its runs ended."""
         if instance.is_over:
             return
         instance.is_over = True
@@ -335,13 +342,15 @@
         self._term.log_decision(
             "upstream_gone", {"upstream": instance.info.id, "runs": len(instance.runs)}
         )
-        runs = (
+        job_ids = (
             *(run.task.job for run in instance.runs.values()),
-            *(task.job for task in instance.lost.tasks),
+            *(task.job for task in instance.lost_tasks.confirmed),
         )
-        queues = {id: self._jobs.jobs[id].record.queue.key for id in runs if id in self._jobs.jobs}
+        queues = {
+            id: self._jobs.jobs[id].record.queue.key for id in job_ids if id in self._jobs.jobs
+        }
         self._jobs.crash_tracker.record_instance_end(instance, queues, now)
-        # Until the log has counted the end, the tasks that ran there may have caused a crash.
+        # Until the log has counted the end, the tasks that ran there are suspects.
         self._jobs.crash_tracker.record_lapse(instance, now)
         self._abandon_runs(instance)
 
@@ -349,8 +358,8 @@
         """Propose to cordon unreachable upstreams that certainly run nothing.
 
         A leader knows at which upstreams it has started something. The next leader does not, and
-        without this would have to wait for the leases of all upstreams that it has not seen,
-        however long they have been gone.
+        without cordons would have to wait for the leases of all upstreams that it has not seen,
+        however long these have been gone.
         """
         if not (self._unreachable and self._term.keeps_log):
             return
@@ -371,18 +380,20 @@
             self._term.log_decision("upstream_cordoned", {"upstream": instance.info.id})
         cordoned = tuple(instance.info.id for instance in idle)
         lost = tuple(
-            LostRuns(upstream=instance.info.id, at_work=instance.lost)
+            LostTasks(upstream=instance.info.id, active_tasks=instance.lost_tasks)
             for instance in idle
-            if instance.lost != NO_ACTIVE_TASKS
+            if instance.lost_tasks != NO_ACTIVE_TASKS
         )
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
-        is_out_of_sight = not instance.is_fenced and instance.failed_polls >= POLLS_BEFORE_CORDON
+        is_unreachable = (
+            not instance.is_fenced and instance.failed_polls >= FAILED_POLLS_BEFORE_CORDON
+        )
         is_lapsed = not instance.runs and now >= max(
             instance.lapse_at, self._term.earlier_leases_lapsed_at
         )
-        return is_out_of_sight and is_lapsed and not (instance.is_cordoned or instance.is_over)
+        return is_unreachable and is_lapsed and not (instance.is_cordoned or instance.is_over)
 
     def request_uncordon(self, instance: Instance) -> None:
         """Propose to use an upstream again; until that is committed it is not used."""
@@ -391,7 +402,7 @@
             self._term.proposals.append(UncordonUpstream(upstream=instance.info.id))
 
     def uncordon(self, upstream: UpstreamId) -> None:
-        """Use an upstream again, now that every later leader will know."""
+        """Use an upstream again, now that the log records it for every later leader."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None:
             instance.is_cordoned = instance.is_uncordoning = False
@@ -401,9 +412,10 @@
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
         """Forget instances that have been silent while nothing ran there.
 
-        Where `may_be_used` tells that an acting leader may send orders to those that are not
-        leaving, beyond a network partition, they stay in the replicated state, cordoned, so that
-        jobs which an acting leader has started wait for them.
+        If `may_be_used` returns True, an acting leader beyond a network partition may send orders
+        to those that are not leaving. They stay in the replicated state for up to
+        `FORGET_PARTITIONED_AFTER`, cordoned, so that jobs which an acting leader may have started
+        wait for them.
         """
         if not self._term.keeps_log:
             # Acting leaders get no heartbeats.
@@ -411,13 +423,15 @@
         for instance in self._instances.by_id.values():
             if instance.is_over or instance.runs or not _is_silent(instance, now, SILENT_AFTER):
                 continue
-            may_be_kept = not (instance.draining or _is_silent(instance, now, FORGOTTEN_AFTER))
+            may_be_kept = not (
+                instance.draining or _is_silent(instance, now, FORGET_PARTITIONED_AFTER)
+            )
             if may_be_kept and may_be_used():
                 self._cordon_silent(instance)
                 continue
             instance.is_over = True
             self._term.log_decision("upstream_silent", {"upstream": instance.info.id})
-            if instance.lost != NO_ACTIVE_TASKS:
+            if instance.lost_tasks != NO_ACTIVE_TASKS:
                 self._jobs.crash_tracker.record_removal(instance)
             else:
                 self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -21,6 +21,7 @@
 from .types import (
     AppendReply,
     AppendRequest,
+    ConsensusMessage,
     Entry,
     EntryKind,
     Envelope,
@@ -28,7 +29,6 @@
     Index,
     MemberId,
     Members,
-    Message,
     Output,
     Role,
     Snapshot,
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotLeader:
-    """A proposal reached a member that cannot accept it; `leader`, if known, may be able to."""
+    """Why a proposal was not accepted; `leader` is the leader that this member knows, if any."""
 
     leader: MemberId | None
     reason: str
@@ -80,8 +80,8 @@
         self._votes: set[MemberId] = set()
         self._progress: dict[MemberId, Progress] = {}
         self._heard_leader_at: timedelta | None = None
-        self._votes_without_leader = 0
-        """Number of elections started before any leader was heard."""
+        self._elections_without_leader = 0
+        """Number of elections that this member started before it heard any leader."""
         self._heartbeat_due = now
         self._output = Output()
         self._delivered_index = self.commit
@@ -101,7 +101,7 @@
                 # A member without a vote cannot start an election; it has to find the new leader.
                 self.leader = None
 
-    def receive(self, message: Message, now: timedelta) -> None:
+    def receive(self, message: ConsensusMessage, now: timedelta) -> None:
         """Process a message from another member."""
         self._now = now
         if self._is_from_older_term(message):
@@ -190,29 +190,30 @@
     def record_saved(self) -> None:
         """Record that this member's whole log is on its disk, so that it counts for commitment.
 
-        For programs with `saves_after_sending`: on a leader they send entries before saving them.
+        Needed only with `saves_after_sending`: there a leader sends new entries before it saves
+        them, and its own copy counts towards a majority only once it is saved.
         """
         self._saved_index = self.log.last_index
         if self.role is Role.LEADER and self._advance_commit():
             self._replicate_all()
 
     def get_matched_index(self, member: MemberId) -> Index:
-        """Return up to which index another member's log is known to match; on the leader only."""
+        """Return the index up to which this leader knows another member's log to match."""
         progress = self._progress.get(member)
         return progress.matched if progress is not None else Index(0)
 
     # Terms
 
-    def _is_from_older_term(self, message: Message) -> bool:
+    def _is_from_older_term(self, message: ConsensusMessage) -> bool:
         return message.term < self.term
 
-    def _answer_older_term(self, message: Message) -> None:
+    def _answer_older_term(self, message: ConsensusMessage) -> None:
         if isinstance(message, VoteRequest):
             self._send_vote(message, granted=False)
         elif isinstance(message, AppendRequest | SnapshotRequest):
             self._send_append_reply(message.sender, accepted=False, matched=Index(0))
 
-    def _adopt_newer_term(self, message: Message) -> None:
+    def _adopt_newer_term(self, message: ConsensusMessage) -> None:
         if message.term <= self.term:
             return
         if isinstance(message, VoteRequest):
@@ -247,8 +248,8 @@
         """
         if self._heard_leader_at is not None:
             return self._timing.election
-        self._votes_without_leader += 1
-        span: timedelta = self._timing.first_election * 2**self._votes_without_leader
+        self._elections_without_leader += 1
+        span: timedelta = self._timing.first_election * 2**self._elections_without_leader
         return min(span, self._timing.election)
 
     def _has_leader(self) -> bool:
@@ -386,9 +387,9 @@
         self.members = self.log.find_members()
         if self.role is not Role.LEADER:
             return
-        everybody = (*self.members.voters, *self.members.learners)
-        others = [member for member in everybody if member != self.id]
-        # In list order, so that a run with the same random numbers is reproducible.
+        all_members = (*self.members.voters, *self.members.learners)
+        others = [member for member in all_members if member != self.id]
+        # In the order of the list, not of a set, so that runs with the same seed are repeatable.
         for member in others:
             if member in self._progress:
                 continue
@@ -443,7 +444,11 @@
             self._replicate(reply.sender)
 
     def _advance_commit(self) -> bool:
-        """Commit what a majority of voters has if its last entry is of the current term."""
+        """Commit what a majority of voters has if its last entry is of the current term.
+
+        An entry of an older term could still be overwritten by a later leader. Returns whether the
+        commit index advanced.
+        """
         matched = {member: progress.matched for member, progress in self._progress.items()}
         matched[self.id] = self._saved_index if self._saves_after_sending else self.log.last_index
         index = find_quorum_index(self.members.voters, matched)
@@ -515,7 +520,7 @@
         reply = AppendReply(term=self.term, sender=self.id, accepted=accepted, matched=matched)
         self._send(to, reply)
 
-    def _send(self, to: MemberId, message: Message) -> None:
+    def _send(self, to: MemberId, message: ConsensusMessage) -> None:
         self._output.messages.append(Envelope(to=to, message=message))
 
 
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -78,7 +78,7 @@
         """The sessions of all connected upstreams."""
         return self.session_table.by_upstream
 
-    # Calls of callers
+    # Calls from callers
 
     def submit(self, job: Job, run_time: timedelta | None) -> Result[JobStatus, Refusal]:
         """Accept a job, or attach to the existing job with the same id."""
@@ -133,10 +133,10 @@
         """Return an upstream's limit of concurrent starts, or None if it is not on probation."""
         return self.session_table.guard.get_start_limit(upstream, self.session_table.now)
 
-    # Calls of upstreams
+    # Calls from upstreams
 
     def exchange(self, request: ExchangeRequest, now: timedelta) -> Refusal | None:
-        """Process one upstream's message; `dispatch` returns the reply."""
+        """Process an upstream's request or refuse it; the reply is returned by `dispatch`."""
         self.session_table.now = now
         self.counters.exchanges += 1
         opened = self.session_table.open_session(request, now)
@@ -163,7 +163,7 @@
     def handle_disconnect(
         self, upstream: UpstreamId, number: int, seq: int, now: timedelta
     ) -> None:
-        """Handle a lost connection of an open request: no new starts until the upstream is back."""
+        """Handle the loss of the connection on which an open request waited for its reply."""
         self.session_table.handle_disconnect(upstream, number, seq, now)
 
     def dispatch(self, now: timedelta) -> list[Delivery]:
@@ -284,10 +284,10 @@
                 self.counters.probations += 1
                 self.session_table.notices.append(Notice(NoticeKind.PROBATION, session.upstream))
             detail = f"the task failed at {session.upstream}: {_describe(result.value)}"
-            self._end_task(job, key, TaskState.FAILED, detail, now)
+            self._retry_or_fail(job, key, TaskState.FAILED, detail, now)
         else:
             detail = f"the task was stopped at {session.upstream}"
-            self._end_task(job, key, TaskState.UNKNOWN, detail, now)
+            self._retry_or_fail(job, key, TaskState.UNKNOWN, detail, now)
 
     def _find_job_awaiting(self, key: TaskKey) -> Job | None:
         """Return the active job that still waits for this attempt, or None."""
@@ -304,13 +304,13 @@
         self._enqueue(job)
 
     def _end_tasks_as_unknown(
-        self, keys: list[TaskKey], upstream: UpstreamId, why: str, now: timedelta
+        self, keys: list[TaskKey], upstream: UpstreamId, cause: str, now: timedelta
     ) -> None:
         for key in keys:
             job = self._find_job_awaiting(key)
             if job is not None:
-                detail = f"{why} ({upstream}) while the task may have been running"
-                self._end_task(job, key, TaskState.UNKNOWN, detail, now)
+                detail = f"{cause} ({upstream}) while the task may have been running"
+                self._retry_or_fail(job, key, TaskState.UNKNOWN, detail, now)
 
     def _stop_unwanted_tasks(self, session: Session, request: ExchangeRequest) -> None:
         """Stop the held tasks whose result this host no longer waits for."""
@@ -319,7 +319,7 @@
             if self._find_job_awaiting(key) is None or key not in session.outstanding:
                 session.stops.append(name)
 
-    def _end_task(
+    def _retry_or_fail(
         self, job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta
     ) -> None:
         if state is TaskState.UNKNOWN:
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -117,12 +117,16 @@
         self.running: dict[TaskKey, Assignment] = {}
         self.waiting: dict[TaskKey, Assignment] = {}
         self.pending_stops: deque[TaskKey] = deque()
-        self._held: Counter[SubmissionId] = Counter()
+        self._held_counts: Counter[SubmissionId] = Counter()
         self._incarnation = incarnation
         self._delays = delays
 
     def begin_session(self, link: Link) -> None:
-        """Abandon the link's session; the next request opens a new one and reports held tasks."""
+        """Begin a new session on a link; replies to the link's earlier session are then ignored.
+
+        The first request announces the upstream, reports the tasks that it holds and sends the
+        results again that the host has not acknowledged.
+        """
         link.session += 1
         link.next_seq = 1
         link.announced = False
@@ -133,7 +137,10 @@
         link.unacknowledged = {}
 
     def get_credit(self, link: Link) -> int:
-        """Return this link's share of the slots; hosts with a backlog get most of them."""
+        """Return this link's credit: its share of the slots and, with a backlog, the prefetch.
+
+        Hosts with a backlog share all slots but one for each host without.
+        """
         if self.leaving or link.draining:
             return 0
         slots = self.announcement.slots
@@ -156,7 +163,7 @@
             return None
         if not link.pending or self.leaving:
             return timedelta()
-        return link.pending_since + self._get_delay(link)
+        return link.pending_since + self._get_report_delay(link)
 
     def has_updates(self, link: Link) -> bool:
         """Whether there is something to send although a request is already open."""
@@ -165,7 +172,7 @@
         return self.leaving and (not link.reported_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
-        """Return the link's next request; its results are acknowledged by the reply to it."""
+        """Return the link's next request, whose reply acknowledges the results that it carries."""
         require(link.open_requests < MAX_OPEN_REQUESTS, "too many open requests on one link")
         results = link.pending
         link.pending = []
@@ -214,14 +221,14 @@
                     rank_ms=now_ms + group.rank_ms,
                 )
                 self.waiting[key] = assignment
-                self._held[key.submission] += 1
+                self._held_counts[key.submission] += 1
         if self.leaving:
             self.return_waiting_tasks()
         for name in reply.stops:
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
     def start_next(self) -> Assignment | None:
-        """Move the first waiting task by rank to a free slot; None if there is no task or slot."""
+        """Start the waiting task of lowest rank; None if no task waits or no slot is free."""
         if not self.waiting or len(self.running) >= self.announcement.slots:
             return None
         key = min(self.waiting, key=lambda waiting: self.waiting[waiting].rank_ms)
@@ -259,7 +266,7 @@
             link.pending or any(link.unacknowledged.values()) for link in self.links.values()
         )
 
-    def _get_delay(self, link: Link) -> timedelta:
+    def _get_report_delay(self, link: Link) -> timedelta:
         if link.backlog == 0 and all(self._may_hold(item) for item in link.pending):
             return self._delays.hold
         if 2 * len(self.running) >= self.announcement.slots:
@@ -267,10 +274,10 @@
         return timedelta()
 
     def _may_hold(self, item: AssignmentResult) -> bool:
-        """Whether this is a success and the submission has more tasks held here."""
+        """Whether this result may wait: a success of a submission with more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
-        return self._held[item.key.submission] > 0
+        return self._held_counts[item.key.submission] > 0
 
     def _stop(self, key: TaskKey) -> None:
         waiting = self.waiting.pop(key, None)
@@ -279,12 +286,14 @@
         elif key in self.running:
             self.pending_stops.append(key)
 
-    def _report(self, assignment: Assignment, status: ResultStatus, value: Raw, us: int) -> None:
+    def _report(
+        self, assignment: Assignment, status: ResultStatus, value: Raw, ran_us: int
+    ) -> None:
         key = assignment.key
-        self._held[key.submission] -= 1
-        if not self._held[key.submission]:
-            del self._held[key.submission]
-        result = TaskResult(key.task, key.attempt, status, value, us)
+        self._held_counts[key.submission] -= 1
+        if not self._held_counts[key.submission]:
+            del self._held_counts[key.submission]
+        result = TaskResult(key.task, key.attempt, status, value, ran_us)
         self.links[assignment.host].pending.append(AssignmentResult(key, result))
 
     def _list_held(self, link: Link) -> list[TaskName]:
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream for a task: the first one that it fits, in the order of the policy.
+"""Chooses the upstream for a task: in the order of the policy, the first that the task fits.
 
 Ready sessions are kept in a heap. Outdated entries are dropped only when they reach the top, so
 that a start costs O(log n) for n sessions rather than O(n).
@@ -27,7 +27,10 @@
 
 
 class _Entry(NamedTuple):
-    """Heap entry; tuples compare much faster than dataclasses, and versions are unique."""
+    """Heap entry; a tuple, since tuples compare much faster than dataclasses.
+
+    Versions are unique, so sessions are never compared.
+    """
 
     rank: float
     version: int
@@ -57,18 +60,18 @@
 
     def update(self, session: Session) -> None:
         """Add a new entry for a session that changed; its earlier entries become outdated."""
-        session.version = next(self._versions)
+        session.entry_version = next(self._versions)
         if self._get_free_capacity(session) > 0:
-            heapq.heappush(self._heap, _Entry(self._rank(session), session.version, session))
+            heapq.heappush(self._heap, _Entry(self._rank(session), session.entry_version, session))
 
     def choose_session(self, spec: JobSpec) -> Session | None:
-        """Return the first session where a task of the job fits, or None."""
+        """Return the first session that a task of the job fits now, or None."""
         skipped: list[_Entry] = []
         chosen: Session | None = None
         while self._heap and chosen is None:
             entry = self._heap[0]
             session = entry.session
-            if entry.version != session.version or self._get_free_capacity(session) <= 0:
+            if entry.version != session.entry_version or self._get_free_capacity(session) <= 0:
                 heapq.heappop(self._heap)
             elif fits_now(session, spec):
                 chosen = session
@@ -83,7 +86,7 @@
         while self._heap:
             entry = self._heap[0]
             if (
-                entry.version == entry.session.version
+                entry.version == entry.session.entry_version
                 and self._get_free_capacity(entry.session) > 0
             ):
                 return False
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -20,7 +20,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Session:
-    """State of one upstream's session at one entry host."""
+    """State of one upstream's session at one entry host.
+
+    `ordinal` counts the sessions in the order of opening. `entry_version` is the version of the
+    session's current entry among the ready sessions (see `placement`).
+    """
 
     upstream: UpstreamId
     incarnation: Incarnation
@@ -29,7 +33,7 @@
     last_heard: timedelta
     expires_at: timedelta
     credit: int = 0
-    version: int = 0
+    entry_version: int = 0
     ordinal: int = 0
     state: SessionState = SessionState.ACTIVE
     outstanding: dict[TaskKey, Needs] = field(default_factory=dict)
--- a/cottonlug/net/rule_messages.py
+++ b/cottonlug/net/rule_messages.py
@@ -10,7 +10,7 @@
 
 
 class RulesView(Message, omit_defaults=False):
-    """The rules that are active at one host."""
+    """The active rules of one host."""
 
     version: int
     text: str
@@ -30,7 +30,7 @@
 
 
 class ExplainedRule(Message):
-    """A rule that was tried; `mismatch` is None for the rule that matched."""
+    """A rule that was tried; `mismatch` names its first condition not met, None if it matched."""
 
     rule: str
     mismatch: str | None = None
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -16,7 +16,7 @@
     from litestar import Litestar
 
 _START_CHECK_SECONDS = 0.005
-_MAX_ACCEPTS_PER_TURN = 256
+_MAX_ACCEPTS_PER_ITERATION = 256
 _DESCRIPTOR_RETRY_SECONDS = 0.1
 
 
@@ -56,13 +56,14 @@
             self._loop.add_reader(self._listening.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(_MAX_ACCEPTS_PER_TURN):
+        for _ in range(_MAX_ACCEPTS_PER_ITERATION):
             try:
                 accepted, _ = self._listening.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError:
-                # Out of descriptors: pending connections would wake the loop in each iteration.
+                # Out of descriptors: accepting pauses, as pending connections would otherwise wake
+                # the loop in each iteration.
                 self._loop.remove_reader(self._listening.fileno())
                 self._loop.call_later(_DESCRIPTOR_RETRY_SECONDS, self._start_accepting)
                 return
@@ -125,8 +126,8 @@
     With `accepts_all` all pending connections are accepted in one iteration of the event loop,
     instead of one per iteration. It suits clients that call rarely and time out after a second:
     operators and upstreams. It does not suit gateways: when a leader is behind, connections that
-    are accepted together are also late together (under long overload 0.31 of the worth, against
-    0.51 with one connection per iteration).
+    are accepted together are also late together. Under long overload, jobs earned 0.31 of their
+    worth to callers, against 0.51 with one connection per iteration.
     """
 
     def __init__(self, *, app: Litestar | Any, address: Address, accepts_all: bool = False) -> None:
--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -23,8 +23,8 @@
     answer_decoder,
     call_decoder,
 )
-from ..core.cluster.capacity_reports import MAX_ELECTION_TIME, ReportTerms
-from ..core.cluster.forecast import find_latest_useful_start
+from ..core.cluster.capacity_reports import MAX_TIME_WITHOUT_LEADER, ReportTerms
+from ..core.cluster.forecast import find_max_useful_wait
 from ..core.cluster.instances import LeaseTerms, choose_lease_terms
 from ..core.consensus.types import Term
 from ..core.control_messages import ConsensusBatch
@@ -62,8 +62,11 @@
 _UNDECIDED = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
 STEP_DOWN_RETRY_INTERVAL = timedelta(milliseconds=100)
 FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=400)
-"""The sender of an idempotent call waits 1 s for the answer, and a commit takes 20 ms. Without an
-answer by then the connection may have gone silent, and a second attempt still succeeds in time."""
+"""How long the first attempt at forwarding an idempotent call may take.
+
+The sender of the call waits 1 s for the answer, and a commit takes 20 ms. Without an answer by then
+the connection may have gone silent, and a second attempt still succeeds in time.
+"""
 
 
 class ControlHost:
@@ -79,19 +82,19 @@
     ) -> None:
         self.leadership: Leadership | None = None
         self.replicated = ReplicatedRecords()
-        self.record_keepalive_age: Callable[[float], object] = lambda age_ms: None
-        """Called with the age in milliseconds of each keep-alive of a gateway on processing."""
-        self.record_decision_gap: Callable[[float], object] = lambda held_ms: None
+        self.record_message_age: Callable[[float], object] = lambda age_ms: None
+        """Called with the age in milliseconds of each message of a gateway when it is handled."""
+        self.record_decision_gap: Callable[[float], object] = lambda gap_ms: None
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._settings = settings
         self._clock = clock
         self._port = port
         self._on_failure = on_failure
         self._pools = ConnectionPools(port=settings.urgent_port)
-        self._order_pools = ConnectionPools(port=settings.urgent_port)
+        self._idempotent_pools = ConnectionPools(port=settings.urgent_port)
         """Used for idempotent calls only. A call forwarded for a gateway is abandoned and its
         connection closed as soon as it is late, and a busy leader accepts new connections late."""
-        self._job_lines = JobChannelServer(
+        self._job_channels = JobChannelServer(
             answer=self.answer, clock=clock, find_slack=self._find_slack
         )
         self._idempotent_calls = IdempotentCalls(
@@ -108,9 +111,10 @@
         self._is_stopping = False
         self._had_lease = False
         self._leased_at = clock.monotonic()
+        """When this host was last fit to lead, or did not lead."""
         self._step_down_tried_at = clock.monotonic()
         self._other_leader_seen_at: timedelta | None = None
-        """When this host last knew another leader, heard at most `LONGEST_ELECTION` before that."""
+        """When this host last knew another leader, at most `MAX_ELECTION_TIME` after hearing it."""
         self._stepped_down_in = Term(0)
         """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
@@ -151,7 +155,7 @@
         self._update_leadership()
         await self.replica.stop()
         self._pools.close()
-        self._order_pools.close()
+        self._idempotent_pools.close()
 
     async def answer(self, call: Call, *, is_forwarded: bool = False) -> Answer:
         """Answer a call here if this host is the leader, else forward it to the leader."""
@@ -176,9 +180,9 @@
             # A gateway learns at least that this host is alive.
             return answer if answer.hosts else self._add_hosts(answer)
         if isinstance(call, ForwardHeartbeat) and self._settings.orders is OrderDelivery.CALL:
-            taken = self.heartbeat_responder.answer_routine(call.heartbeat)
-            if taken is not None:
-                return taken
+            routine_answer = self.heartbeat_responder.answer_routine(call.heartbeat)
+            if routine_answer is not None:
+                return routine_answer
         if self._idempotent_calls.is_idempotent(call):
             return await self._forward_idempotent(leader, call)
         return await self._forward(leader, call, FORWARD_TIMEOUT, self._pools)
@@ -188,9 +192,9 @@
 
         A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
-        taken = self._job_lines.handle_at_once(request)
-        if taken is not None:
-            return taken
+        response = self._job_channels.handle_at_once(request)
+        if response is not None:
+            return response
         if self.leadership is None or not self.replica.has_lease():
             return None
         keepalive = decode_keepalive(request)
@@ -201,8 +205,8 @@
     async def handle_peer_request(self, request: HttpRequest) -> HttpResponse:
         """Answer a request from another host of the cluster."""
         try:
-            if self._job_lines.handles(request.path):
-                return await self._job_lines.handle(request)
+            if self._job_channels.handles(request.path):
+                return await self._job_channels.handle(request)
             if request.path == MESSAGES_PATH:
                 batch = msgspec.json.decode(request.body, type=ConsensusBatch)
                 return _reply(self.replica.receive(batch))
@@ -220,12 +224,12 @@
             return HttpResponse(status=400, body=msgspec.json.encode({"error": str(error)}))
         return HttpResponse(status=404)
 
-    async def _report_heartbeats(self, heard: ReportHeartbeats) -> Answer:
+    async def _report_heartbeats(self, report: ReportHeartbeats) -> Answer:
         """Report to the leader which upstreams' heartbeats were answered here."""
         leader = self.replica.leader_host
         if leader is None or leader == str(self._settings.listen.peers):
             return Answer(outcome=Outcome.UNAVAILABLE, detail="no other host leads")
-        return await self._forward(leader, heard, HEARTBEAT_REPORT_TIMEOUT, self._pools)
+        return await self._forward(leader, report, HEARTBEAT_REPORT_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
         """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
@@ -233,12 +237,12 @@
         found = queues.find_queue(call.host, call.path) if queues is not None else None
         if found is None:
             return 0.0
-        return find_latest_useful_start(found[0], call.spec).total_seconds() - call.waited_ms / 1000
+        return find_max_useful_wait(found[0], call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _wait_for_leader(self) -> None:
         """Park a keep-alive until there is a leader, so that gateways learn of it immediately."""
-        give_up_at = self._clock.monotonic() + KEEPALIVE_PARK_TIME
-        while self._clock.monotonic() < give_up_at and not self._is_stopping:
+        deadline = self._clock.monotonic() + KEEPALIVE_PARK_TIME
+        while self._clock.monotonic() < deadline and not self._is_stopping:
             leader = self.replica.leader_host
             if leader is not None and leader != str(self._settings.listen.peers):
                 return
@@ -260,7 +264,7 @@
         settings = self._settings
         terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
         if settings.orders is OrderDelivery.HEARTBEAT:
-            return LeaseTerms(longest=settings.longest_lease, delivery=MAX_DELIVERY_DELAY)
+            return LeaseTerms(longest=settings.longest_lease, max_delivery_delay=MAX_DELIVERY_DELAY)
         return terms
 
     async def _forward_idempotent(self, leader: str, call: Call) -> Answer:
@@ -283,7 +287,7 @@
 
     async def _forward_with_retry(self, leader: str, call: Call) -> Answer:
         """Forward a call, and repeat it over a new connection if there is no answer in time."""
-        pools = self._order_pools
+        pools = self._idempotent_pools
         answer = await self._forward(leader, call, FIRST_ATTEMPT_TIMEOUT, pools)
         if answer.outcome is not Outcome.UNKNOWN:
             return answer
@@ -347,7 +351,7 @@
         """Return until when this host, as a new leader, can rely on the recorded capacities."""
         if self._other_leader_seen_at is None:
             return timedelta()
-        return reports.find_valid_until(self._other_leader_seen_at - MAX_ELECTION_TIME)
+        return reports.find_valid_until(self._other_leader_seen_at - MAX_TIME_WITHOUT_LEADER)
 
     def _update_leadership(self) -> None:
         """Start or end leadership according to the replicated log."""
@@ -381,7 +385,7 @@
                     known_until=self._find_known_until(reports),
                 ),
             )
-            self.leadership.gateways.record_age = self.record_keepalive_age
+            self.leadership.gateways.record_age = self.record_message_age
             self.leadership.record_decision_gap = self.record_decision_gap
 
     def _log_lease_change(self) -> None:
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -57,6 +57,7 @@
 CONTROL_HOST_TIMEOUT = timedelta(milliseconds=250)
 """A control host that has not answered for this long cannot take part in an election."""
 LEVELS_PER_ACTING_PERIOD = 1_000
+"""Each gateway uses a level of its own in each period, so there may be this many gateways."""
 STEP_DOWN_DELAY = timedelta(milliseconds=400)
 """An acting leader whose process was delayed for this long may have been replaced."""
 ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
@@ -100,7 +101,7 @@
         self.failover_store = FailoverStore(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
-        self.record_change: Callable[[float], object] = lambda silence_ms: None
+        self.record_coordinator_change: Callable[[float], object] = lambda silence_ms: None
         """Called when the coordinator changes, with the milliseconds since the last contact."""
         self._settings = settings
         self._clock = clock
@@ -108,7 +109,9 @@
         self._calls = calls
         self._on_failure = on_failure
         self._reached_at: timedelta | None = None
+        """When this gateway last had contact with the coordinator."""
         self._leader_seen_at = clock.monotonic()
+        """When it last had contact with a leader, directly or through a relay."""
         self._contacted: set[str] = set()
         """Hosts that get a keep-alive in this round, so that they are not contacted again when
         other hosts name them as leader."""
@@ -118,6 +121,7 @@
         self._was_ready = False
         self._was_silent = False
         self._checked_at = clock.monotonic()
+        """When `replace_leader` was last called, or this gateway began to act as leader."""
         self._fenced_off_at: timedelta | None = None
         """When upstreams last fenced this host off as acting leader."""
         self._changed = asyncio.Event()
@@ -169,7 +173,7 @@
         if host != self.coordinator or via is not self.via:
             if self._reached_at is not None:
                 silence = self._clock.monotonic() - self._reached_at
-                self.record_change(silence / timedelta(milliseconds=1))
+                self.record_coordinator_change(silence / timedelta(milliseconds=1))
             if self.coordinator is not None and host != self.coordinator:
                 self._calls.abandon_calls(self.coordinator)
             self.coordinator = host
@@ -289,11 +293,11 @@
             return True
         self.confirmations.record_contact(answer)
         self.follow(host if via is Via.RELAY else answer.leader or host, via)
-        self._receive_answered_state(answer)
+        self._receive_failover_state_of_answer(answer)
         return True
 
-    def _receive_answered_state(self, answer: Answer) -> None:
-        """Store the failover state in a leader's answer, which has none if nothing has changed."""
+    def _receive_failover_state_of_answer(self, answer: Answer) -> None:
+        """Store the failover state that a leader's answer carries, if any."""
         if self.failover_store.receive_answer(answer):
             self._acting_periods = 0
 
@@ -340,7 +344,7 @@
         return min(max(by_count, KEEPALIVE_SECONDS_WITHOUT_LEADER), MAX_FAILOVER_CHECK_SECONDS)
 
     async def replace_leader(self) -> bool:
-        """Without a leader, check the acting leader or relay, find one, or act as leader here.
+        """Without a leader, check the acting leader or relay, find another, or act as leader here.
 
         Return whether the next check is due at once.
         """
@@ -461,7 +465,7 @@
         if not answer.is_acting_leader:
             self.confirmations.record_contact(answer)
             self.follow(gateway, Via.RELAY)
-            self._receive_answered_state(answer)
+            self._receive_failover_state_of_answer(answer)
         elif self._clock.monotonic() - self._leader_seen_at >= ACT_AS_LEADER_AFTER_SILENCE:
             self.confirmations.record_contact(answer)
             self.follow(gateway, Via.ACTING_LEADER)
@@ -514,6 +518,7 @@
         log_event(Event.ACTING_AS_LEADER, term=failover_state.term, at_level=level)
 
     def _register_itself(self, acting_leader: ActingLeader) -> None:
+        """Record contact of this gateway with its own acting leader."""
         gateways = acting_leader.leadership.gateways
         keepalive = msgspec.structs.replace(
             self._build_keepalive(), contact=gateways.build_contact()
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -16,8 +16,11 @@
 """Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
 move them to another coordinator any sooner."""
 SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
-"""Each submission confirms its own job for a span of its own; half of the time between two
-scheduling rounds."""
+"""How often timeouts are checked while submissions confirm jobs.
+
+Each submission confirms its own job alone, for a span of its own. The interval is half of the time
+between two scheduling rounds.
+"""
 MAX_PARTS_PER_SECOND = 600
 """Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
 CPU time. A gateway that gets no part now asks again with its next keep-alive."""
@@ -32,15 +35,15 @@
 class GatewayRegistry:
     """Known gateways by the address that they send in keep-alives."""
 
-    def __init__(self, *, term: int, token: int, clock: Clock, takes_calls: bool = True) -> None:
-        self.failover_log = FailoverStateLog(term=term, takes_calls=takes_calls)
+    def __init__(self, *, term: int, token: int, clock: Clock, accepts_calls: bool = True) -> None:
+        self.failover_log = FailoverStateLog(term=term, accepts_calls=accepts_calls)
         self.record_age: Callable[[float], object] = lambda age_ms: None
-        """Called with the age of each keep-alive when it was handled, in milliseconds."""
+        """Called with the age in ms of each keep-alive or submission when it is handled."""
         self._confirmed_until = timedelta()
         """Until when the newest submission or keep-alive confirms any job."""
         self._check_at = NEVER
         """Until then no gateway can exceed the contact timeout."""
-        self.on_silence: Callable[[str], object] = lambda gateway: None
+        self.on_reconnect: Callable[[str], object] = lambda gateway: None
         """Called when a gateway is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
         """Called when a keep-alive comes from a new process at the address of a gateway."""
@@ -62,7 +65,7 @@
             self.failover_log.record_other_change()
 
     def handle_keepalive(self, keepalive: KeepAlive) -> None:
-        """Record a gateway and its contact, if that is recent enough."""
+        """Record a gateway, and its contact if that is recent enough."""
         gateway = keepalive.gateway
         if not gateway:
             return
@@ -89,7 +92,7 @@
             return None
         now = self._clock.monotonic()
         sent_at = timedelta(milliseconds=contact.answered_ms + contact.since_ms)
-        self._record_keepalive_age(gateway, now - sent_at, now)
+        self._record_message_age(gateway, now - sent_at, now)
         if now - sent_at >= GATEWAY_TIMEOUT:
             return None
         self._confirmed_until = max(self._confirmed_until, sent_at + GATEWAY_TIMEOUT)
@@ -97,20 +100,20 @@
         return sent_at
 
     def _record_contact(self, gateway: str, sent_at: timedelta) -> None:
-        """Record contact with a gateway; call `on_silence` if it had timed out.
+        """Record contact with a gateway; call `on_reconnect` if it had timed out.
 
         A gateway has moved the jobs that it submitted before a timeout to another coordinator.
         """
         known = self._sent_at.get(gateway)
         if known is not None and not self.is_connected(gateway):
-            self.on_silence(gateway)
+            self.on_reconnect(gateway)
         self._sent_at[gateway] = max(sent_at, known or sent_at)
 
     def build_contact(self) -> Contact:
         """Return the contact that a gateway sends back after an answer that is sent now."""
         return Contact(token=self._token, answered_ms=to_milliseconds(self._clock.monotonic()))
 
-    def _record_keepalive_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
+    def _record_message_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
         if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
             self._late_log_due = now + LATE_LOG_INTERVAL
@@ -164,10 +167,10 @@
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.failover_log.is_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_next_part_large(records, known) and not self._may_send_part():
             return None
         return self.failover_log.build(
-            records, gateways, keeps_jobs=self._has_durable_jobs, known=known
+            records, gateways, has_durable_jobs=self._has_durable_jobs, known=known
         )
 
     def is_current(self, known: str) -> bool:
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -3,8 +3,8 @@
 Load pattern: thousands of upstreams, each with a heartbeat every second or two. Handled by the
 leader alone, they took two thirds of its file descriptors and a third of its time. With many
 upstreams, the leader therefore spreads the heartbeats over the other control hosts (responders). A
-responder answers heartbeats without news for its own log, and reports to the leader in one call
-which upstreams it has heard. It forwards all other heartbeats to the leader.
+responder answers heartbeats that say nothing beyond its own log, and reports to the leader in one
+call which upstreams they came from. It forwards all other heartbeats to the leader.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 SPREAD_MIN_UPSTREAMS = 500
 """With fewer upstreams the leader answers all heartbeats itself, without any detour."""
 REPORT_INTERVAL = timedelta(milliseconds=250)
-"""How much the detour delays a heartbeat; the leader tolerates ten seconds of silence."""
+"""How often a responder reports, and so how late the leader may learn of a heartbeat.
+
+The leader tolerates ten seconds of silence.
+"""
 RESPONDER_TRUST_PERIOD = timedelta(seconds=1)
 """How long heartbeats are answered here after a report that the leader has acknowledged.
 
@@ -44,6 +47,7 @@
         self._get_records = get_records
         self._unreported: dict[UpstreamId, tuple[Heartbeat, timedelta]] = {}
         self._reported_at: timedelta | None = None
+        """When the last report that the leader has acknowledged was sent."""
         self.answered = 0
         """Number of heartbeats that were answered here."""
 
@@ -52,7 +56,7 @@
         return len(self._get_records().upstreams) >= SPREAD_MIN_UPSTREAMS
 
     def answer_routine(self, heartbeat: Heartbeat) -> Answer | None:
-        """Answer a heartbeat without news; return None if it must go to the leader."""
+        """Answer a heartbeat that says nothing new; return None if it must go to the leader."""
         now = self._clock.monotonic()
         is_trusted = (
             self._reported_at is not None and now - self._reported_at < RESPONDER_TRUST_PERIOD
@@ -77,7 +81,7 @@
             self._reported_at = asked_at
 
     def _build_report(self, now: timedelta) -> ReportHeartbeats:
-        heard, self._unreported = self._unreported, {}
+        reported, self._unreported = self._unreported, {}
         return ReportHeartbeats(
             responder=self._control_address,
             upstreams=tuple(
@@ -87,7 +91,7 @@
                     clock_ms=heartbeat.clock_ms,
                     age_ms=to_milliseconds(now - at),
                 )
-                for id, (heartbeat, at) in heard.items()
+                for id, (heartbeat, at) in reported.items()
             ),
         )
 
@@ -95,7 +99,12 @@
         """Whether the log already contains everything that a heartbeat says."""
         records = self._get_records()
         known = records.upstreams.get(heartbeat.info.id)
-        if known is None or known.draining or heartbeat.draining or heartbeat.has_no_capacity:
+        if (
+            known is None
+            or known.draining
+            or heartbeat.draining
+            or heartbeat.is_capacity_unreadable
+        ):
             return False
         if heartbeat.cold_left_ms:
             return False
@@ -113,11 +122,11 @@
 
 
 class ResponderDirectory:
-    """The responders that the leader has heard, and the assignment of upstreams to them."""
+    """The responders that report to the leader, and the assignment of upstreams to them."""
 
-    def __init__(self, *, clock: Clock, own: str | None) -> None:
+    def __init__(self, *, clock: Clock, own_address: str | None) -> None:
         self._clock = clock
-        self._own = own
+        self._own_address = own_address
         self._reported_at: dict[str, timedelta] = {}
 
     def record_report(self, responder: str) -> None:
@@ -130,10 +139,10 @@
         return sorted(responder for responder, at in self._reported_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
-        """Return where an upstream sends its heartbeats; stable while the responders are."""
+        """Return where an upstream sends its heartbeats; changes only with the responders."""
         responders = self.list_active()
         if not responders:
-            return self._own
+            return self._own_address
         return responders[_hash_upstream(upstream) % len(responders)]
 
 
--- a/cottonlug/runtime/job_channel.py
+++ b/cottonlug/runtime/job_channel.py
@@ -79,6 +79,7 @@
         self._numbers = itertools.count(1)
         self._pending: dict[int, _PendingJob] = {}
         self._numbering = self._received_through = 0
+        """The numbering of the last answers, and up to which number they have arrived."""
         self._changed = asyncio.Event()
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -148,7 +149,7 @@
             ask = AskAnswers(
                 caller=self._own_address,
                 channel=self._channel_id,
-                count=self._numbering,
+                numbering=self._numbering,
                 have=self._received_through,
             )
             sent = await self._open_pool().call(
@@ -166,11 +167,11 @@
         except msgspec.MsgspecError as error:
             log_event(Event.CALL_FAILED, call="AskAnswers", outcome="unknown", detail=str(error))
             return False
-        is_known = answers.count == self._numbering
+        is_known = answers.numbering == self._numbering
         self._received_through = (
             max(self._received_through, answers.through) if is_known else answers.through
         )
-        self._numbering = answers.count
+        self._numbering = answers.numbering
         for each in answers.answers:
             item = self._pending.get(each.number)
             if item is not None and not item.answer.done():
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -35,7 +35,7 @@
 """Jobs started per iteration of the event loop. Each takes some 0.3 ms including the start of its
 first task; keep-alives are answered between iterations."""
 CHANNEL_RETENTION = timedelta(seconds=30)
-"""A live host polls every 0.3 s."""
+"""How long an unused channel is kept; a live host polls every 0.3 s."""
 
 _MAX_NUMBERING = 1 << 52
 """Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
@@ -108,8 +108,8 @@
                 continue
             channel.received_through = job.number
             channel.running_count += 1
-            last_use = now + self._find_slack(job.submit)
-            entry = (last_use, next(self._order), job.number, channel, job.submit)
+            latest_start = now + self._find_slack(job.submit)
+            entry = (latest_start, next(self._order), job.number, channel, job.submit)
             heapq.heappush(self._waiting, entry)
         if self._waiting and not self._is_start_scheduled:
             self._is_start_scheduled = True
@@ -121,7 +121,7 @@
         Returns none after `ANSWER_POLL_WAIT`.
         """
         channel = self._get_channel(ask.caller, ask.channel)
-        if ask.count == channel.numbering:
+        if ask.numbering == channel.numbering:
             channel.answers = [each for each in channel.answers if each[0] > ask.have]
         if not channel.answers:
             channel.changed.clear()
@@ -131,20 +131,22 @@
             except TimeoutError:
                 pass
         answers = tuple(answer for _, answer in channel.answers)
-        return AnswerBatch(count=channel.numbering, through=channel.answer_count, answers=answers)
+        return AnswerBatch(
+            numbering=channel.numbering, through=channel.answer_count, answers=answers
+        )
 
     def _start_next(self) -> None:
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
         for _ in range(min(MAX_STARTS_PER_TURN, len(self._waiting))):
             _, _, number, channel, submit = heapq.heappop(self._waiting)
-            task = asyncio.create_task(self._carry_out(channel, number, submit))
+            task = asyncio.create_task(self._run_job(channel, number, submit))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
         self._is_start_scheduled = bool(self._waiting)
         if self._is_start_scheduled:
             asyncio.get_running_loop().call_soon(self._start_next)
 
-    async def _carry_out(self, channel: _Channel, number: int, submit: Submit) -> None:
+    async def _run_job(self, channel: _Channel, number: int, submit: Submit) -> None:
         try:
             answer = await self._answer(submit)
         except Exception as error:
@@ -158,13 +160,13 @@
         channel.answers.append((channel.answer_count, NumberedAnswer(number=number, answer=answer)))
         channel.changed.set()
 
-    def _get_channel(self, caller: str, number: int) -> _Channel:
+    def _get_channel(self, caller: str, channel_id: int) -> _Channel:
         now = self._clock.monotonic()
-        channel = self._channels.get((caller, number))
+        channel = self._channels.get((caller, channel_id))
         if channel is None:
             self._drop_idle(now)
             self._numbering += 1
-            channel = self._channels[(caller, number)] = _Channel(
+            channel = self._channels[(caller, channel_id)] = _Channel(
                 used_at=now, numbering=self._numbering
             )
         channel.used_at = now
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -15,9 +15,9 @@
 from ..core.consensus.replacement import get_host
 from ..core.consensus.types import (
     AppendReply,
+    ConsensusMessage,
     Envelope,
     MemberId,
-    Message,
     SnapshotRequest,
     Term,
 )
@@ -35,11 +35,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class Peer:
-    """Another member, the messages waiting for it, and the time of its last answer."""
+    """Another member, the messages waiting for it, and its last acknowledgement."""
 
     address: Address
     has_messages: asyncio.Event
-    outbox: list[Message]
+    outbox: list[ConsensusMessage]
     task: asyncio.Task[None] | None = None
     acked_at: timedelta | None = None
     """When the last batch was sent that it has answered in the current term."""
@@ -83,7 +83,7 @@
         peer.outbox.append(message)
         peer.has_messages.set()
 
-    def pop_messages(self, host: str) -> list[Message]:
+    def pop_messages(self, host: str) -> list[ConsensusMessage]:
         """Remove and return the messages for a peer that has just called, as its answer."""
         peer = self._peers.get(host)
         if peer is None:
@@ -125,7 +125,7 @@
             log_event(Event.INVARIANT_BROKEN, error=f"{type(error).__name__}: {error}")
             self._on_failure(error)
 
-    async def _send(self, peer: Peer, messages: list[Message]) -> None:
+    async def _send(self, peer: Peer, messages: list[ConsensusMessage]) -> None:
         sender, term = self._get_sender()
         batch = ConsensusBatch(sender=sender, messages=messages)
         sent_at = self._clock.monotonic()
--- a/cottonlug/runtime/refused_heartbeats.py
+++ b/cottonlug/runtime/refused_heartbeats.py
@@ -8,7 +8,8 @@
 from .events import Event, log_event
 
 LOG_INTERVAL = timedelta(seconds=1)
-"""A faulty sender fails with every heartbeat; the logged count says how often."""
+"""Minimum time between log lines: a faulty sender fails with every heartbeat, and the logged count
+says how often."""
 MAX_FIELD_CHARS = 200
 """Most characters of a log field whose content comes from the sender."""
 
@@ -18,16 +19,16 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._line_due = clock.monotonic()
+        self._next_log_at = clock.monotonic()
         self.count = 0
 
     def record(self, name: str, reason: str) -> None:
         """Count a refused heartbeat; log the reason at most once per second."""
         self.count += 1
         now = self._clock.monotonic()
-        if now < self._line_due:
+        if now < self._next_log_at:
             return
-        self._line_due = now + LOG_INTERVAL
+        self._next_log_at = now + LOG_INTERVAL
         log_event(
             Event.HEARTBEAT_REFUSED,
             upstream=name[:MAX_FIELD_CHARS],
--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -59,12 +59,14 @@
 LINK_DELAY_SECONDS = 0.0005
 """How long a message takes to arrive."""
 CONNECT_SECONDS = 0.5
+"""How long it takes until a connection to an unreachable machine has failed."""
 FIRST_RETRANSMIT_SECONDS = 0.2
 """Lost bytes are retransmitted after this time, and then after twice as long each time."""
 SYNC_SECONDS = 0.009
 CALLBACK_SECONDS = 0.00003
 RESTART_SECONDS = 0.4
 HAND_OVER_SECONDS = 1.5
+"""From a request to stop, with which a process transfers leadership, to the end of the process."""
 CLIENT_TIMEOUT_SECONDS = 1.0
 """How long an operator or an upstream waits for an answer, before it asks another host."""
 
@@ -162,7 +164,7 @@
         asyncio.SelectorEventLoop.call_at(self._loop, at, self._run_queue, context=empty)
 
     def _run_queue(self) -> None:
-        """Run the queued callbacks, as one turn of an event loop."""
+        """Run the queued callbacks, as one iteration of an event loop."""
         self._is_due = False
         if not self.is_alive:
             return
@@ -223,7 +225,7 @@
     process: Process | None = None
     is_powered_off: bool = False
     """Without power it answers nothing; not even connections are refused."""
-    starts: int = 0
+    start_count: int = 0
     slowness: float = 1.0
 
     @property
@@ -311,7 +313,7 @@
 
     def start(self, machine: Machine, seeds: list[Machine], *, may_begin: bool = False) -> None:
         assert machine.process is None
-        machine.starts += 1
+        machine.start_count += 1
         machine.is_powered_off = False
         process = Process(machine, self.loop)
         machine.process = process
@@ -448,20 +450,20 @@
         request: HttpRequest,
         idle: list[_Connection],
     ) -> Result[HttpReply, TransportError]:
-        """Deliver a request to another machine and return its answer; cancelling hangs up."""
-        carrying = self.loop.create_task(
-            self._carry(own, address, request, idle), context=contextvars.Context()
+        """Deliver a request to another machine and return its answer; cancelling disconnects."""
+        delivering = self.loop.create_task(
+            self._deliver(own, address, request, idle), context=contextvars.Context()
         )
-        self._exchanges.add(carrying)
-        carrying.add_done_callback(self._exchanges.discard)
+        self._exchanges.add(delivering)
+        delivering.add_done_callback(self._exchanges.discard)
         try:
-            await asyncio.wait([carrying])
-            return carrying.result()
+            await asyncio.wait([delivering])
+            return delivering.result()
         finally:
             if not self.loop.is_closed():
-                carrying.cancel()
+                delivering.cancel()
 
-    async def _carry(
+    async def _deliver(
         self,
         own: Machine | None,
         address: Address,
@@ -475,15 +477,15 @@
         connection = await self._connect(own, machine, idle)
         if isinstance(connection, TransportError):
             return Err(connection)
-        await self._travel(own, machine)
+        await self._delay_message(own, machine)
         if connection.is_silent or machine.is_powered_off:
             await asyncio.Event().wait()
         if connection.process is not machine.process:
             return Err(TransportError(message="connection lost", unsent=False))
         process = connection.process
-        hang_up: Any = asyncio.Event()
+        disconnected: Any = asyncio.Event()
         handling = process.handlers[address.port](request)
-        answering = process.run(_handle_while_connected(handling, hang_up.wait))
+        answering = process.run(_handle_while_connected(handling, disconnected.wait))
         try:
             while not answering.done():
                 await asyncio.wait([answering], timeout=1.0)
@@ -494,9 +496,9 @@
             response = answering.result()
         finally:
             if not answering.done() and process.is_alive:
-                process.enqueue(asyncio.Handle(hang_up.set, (), self.loop, process.context))
-        assert response is not None, "the caller has not hung up"
-        await self._travel(own, machine)
+                process.enqueue(asyncio.Handle(disconnected.set, (), self.loop, process.context))
+        assert response is not None, "the caller has not disconnected"
+        await self._delay_message(own, machine)
         if connection.is_silent:
             await asyncio.Event().wait()
         idle.append(connection)
@@ -518,7 +520,7 @@
             return TransportError(message="cannot connect", unsent=True)
         return _Connection(machine.process)
 
-    async def _travel(self, own: Machine | None, other: Machine) -> None:
+    async def _delay_message(self, own: Machine | None, other: Machine) -> None:
         await asyncio.sleep(LINK_DELAY_SECONDS * (1.0 + self.chance.random()))
         resend = FIRST_RETRANSMIT_SECONDS
         while self._is_cut(own, other):
@@ -561,7 +563,7 @@
     token: int = 0
     sequence: int = 0
     coordinator: str = ""
-    """The machine to which it was told to send its heartbeats."""
+    """The machine that the last answer named for its next heartbeats."""
 
 
 class ModelPort:
@@ -658,7 +660,7 @@
         await self.send("PUT", "/config", body)
         return self._world.loop.time()
 
-    async def beat(self, upstream: ModelUpstream, *, draining: bool = False) -> float:
+    async def send_heartbeat(self, upstream: ModelUpstream, *, draining: bool = False) -> float:
         upstream.sequence += 1
         body = msgspec.json.encode(
             {
--- a/cottonlug/tests/test_acknowledgements.py
+++ b/cottonlug/tests/test_acknowledgements.py
@@ -122,16 +122,16 @@
         id = self.chance.choice(staying)
         self.leaving.add(id)
         at = self.world.loop.time()
-        sending = self.begin(self.operator.beat(self.world.upstreams[id], draining=True))
+        sending = self.begin(self.operator.send_heartbeat(self.world.upstreams[id], draining=True))
         self.orders[f"leaving of {id} of {at:.2f}"] = sending
 
-    async def beat_forever(self, upstream: ModelUpstream) -> None:
+    async def send_heartbeats_forever(self, upstream: ModelUpstream) -> None:
         await asyncio.sleep(self.chance.random() * 1.5)
         while upstream.id not in self.leaving:
-            await self.operator.beat(upstream)
+            await self.operator.send_heartbeat(upstream)
             await asyncio.sleep(1.5)
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         while True:
             await asyncio.sleep(self.chance.uniform(0.3, 2.0))
             if self.chance.random() < 0.7:
@@ -148,16 +148,16 @@
             return leader
         return self.chance.choice(running)
 
-    def seeds(self) -> list[Machine]:
+    def choose_seeds(self) -> list[Machine]:
         """Return the seeds in the settings of a host that starts now."""
         return self.chance.sample(list(self.world.machines.values()), 3)
 
     async def start_after(self, machine: Machine, seconds: float) -> None:
         await asyncio.sleep(seconds)
         if machine.process is None:
-            self.world.start(machine, self.seeds())
+            self.world.start(machine, self.choose_seeds())
 
-    def may_lose(self, machines: list[Machine], seconds: float) -> bool:
+    def reserve_disk_loss(self, machines: list[Machine], seconds: float) -> bool:
         """Return whether these disks may be lost now, and count them as lost if so."""
         now = self.world.loop.time()
         lost = {name for name, until in self.lost_disks.items() if until > now}
@@ -179,16 +179,16 @@
         machine = self.pick_machine()
         power = self.chance.random() < 0.5
         seconds = self.chance.uniform(RESTART_SECONDS, 8.0)
-        wipe = self.chance.random() < 0.4 and self.may_lose([machine], seconds)
+        wipe = self.chance.random() < 0.4 and self.reserve_disk_loss([machine], seconds)
         self.world.kill(machine, power=power, wipe=wipe)
         self.send_until_answered(machine)
         await self.start_after(machine, seconds)
 
-    async def lose_two(self) -> None:
+    async def kill_two(self) -> None:
         running = [each for each in self.world.machines.values() if each.process is not None]
         both = self.chance.sample(running, min(2, len(running)))
         seconds = self.chance.uniform(1.0, 8.0)
-        wipe = self.chance.random() < 0.5 and self.may_lose(both, seconds)
+        wipe = self.chance.random() < 0.5 and self.reserve_disk_loss(both, seconds)
         for machine in both:
             self.world.kill(machine, power=True, wipe=wipe)
         for machine in both:
@@ -199,7 +199,7 @@
         seconds = self.chance.uniform(0.8, 6.0)
         machines = list(self.world.machines.values())
         wiped = self.chance.sample(machines, self.chance.choice([0, 0, 1, 2]))
-        if not self.may_lose(wiped, seconds):
+        if not self.reserve_disk_loss(wiped, seconds):
             wiped = []
         for machine in machines:
             self.world.kill(machine, power=True, wipe=machine in wiped)
@@ -207,7 +207,7 @@
         for machine in self.world.machines.values():
             await asyncio.sleep(self.chance.uniform(0.0, 0.05))
             if machine.process is None:
-                self.world.start(machine, self.seeds())
+                self.world.start(machine, self.choose_seeds())
 
     async def freeze(self) -> None:
         machine = self.pick_machine()
@@ -238,7 +238,7 @@
 
     async def replace(self) -> None:
         machine = self.pick_machine()
-        if not self.may_lose([machine], 1.0):
+        if not self.reserve_disk_loss([machine], 1.0):
             return
         self.lost_disks[f"{machine.name}n"] = self.lost_disks.pop(machine.name)
         self.world.kill(machine, power=True)
@@ -246,7 +246,7 @@
         await asyncio.sleep(1.0)
         added = self.world.add(f"{machine.name}n", machine.domain, f"{machine.ip}9")
         if added.process is None:
-            self.world.start(added, self.seeds())
+            self.world.start(added, self.choose_seeds())
 
     async def silence(self) -> None:
         self.world.silence_connections()
@@ -271,7 +271,7 @@
     async def inject_faults(self) -> None:
         kinds = (
             self.kill,
-            self.lose_two,
+            self.kill_two,
             self.lose_power,
             self.freeze,
             self.cut,
@@ -298,10 +298,10 @@
             )
             self.begin(keepalive)
         for upstream in self.world.upstreams.values():
-            self.begin(self.beat_forever(upstream))
+            self.begin(self.send_heartbeats_forever(upstream))
         self.send_configuration()
         await asyncio.sleep(6.0)
-        ordering = self.begin(self.order_forever())
+        ordering = self.begin(self.send_orders_forever())
         fault_task = self.begin(self.inject_faults())
         await asyncio.sleep(FAULT_SECONDS)
         await fault_task
@@ -311,7 +311,7 @@
         self.world.heal()
         for machine in self.world.machines.values():
             if machine.process is None:
-                self.world.start(machine, self.seeds())
+                self.world.start(machine, self.choose_seeds())
         at = self.world.loop.time()
         if self.chance.random() < 0.4:
             await asyncio.sleep(CATCH_UP_SECONDS)
@@ -437,7 +437,7 @@
 
 
 def test_member_without_a_vote_forgets_a_leader_after_a_timeout() -> None:
-    """The cause of the fault above: a member without a vote never forgot its last leader.
+    """Guards the cause of the fault in the test above: such a member never forgot its last leader.
 
     It forwarded orders to it and did not ask to join, since only voters had a timeout.
     """
@@ -579,8 +579,8 @@
         leader = get_leader(world)
         member = get_control(leader).replica.member
         assert member is not None
-        heir = next(voter for voter in member.members.voters if voter != member.id)
-        other = next(each for each in machines if str(each.peers) == get_host(heir))
+        successor = next(voter for voter in member.members.voters if voter != member.id)
+        other = next(each for each in machines if str(each.peers) == get_host(successor))
         stopping = [asyncio.ensure_future(world.terminate(each)) for each in (leader, other)]
         await asyncio.sleep(0.5)
         assert world.find_leader() not in (None, leader, other)
@@ -605,7 +605,7 @@
         operator = Operator(world, random.Random(1))
         async with asyncio.timeout(ACKNOWLEDGED_WITHIN):
             await operator.configure(1)
-            await operator.beat(world.upstreams[UpstreamId("i-1")], draining=True)
+            await operator.send_heartbeat(world.upstreams[UpstreamId("i-1")], draining=True)
 
     play_core(1, day)
 
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -28,7 +28,7 @@
 from ..core.cluster.term import TOKENS_PER_TERM
 from ..core.ids import DomainName, UpstreamId
 from .model_upstreams import (
-    SETTLE_AFTER,
+    RECONCILE_AFTER,
     Leader,
     ModelUpstream,
     World,
@@ -41,7 +41,7 @@
 RACK = 4
 """Upstreams of a rack."""
 ELECTION_SECONDS = 0.4
-IN_TOUCH_AFTER = timedelta(seconds=3)
+CONNECTED_AFTER = timedelta(seconds=3)
 """The platform counts starts of a host only once the control hosts were without faults this long.
 """
 LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
@@ -77,7 +77,7 @@
         self.upstreams[info.id] = upstream
         return upstream
 
-    def start_again(self, crashed: ModelUpstream) -> None:
+    def restart(self, crashed: ModelUpstream) -> None:
         """Start another instance at the address of an upstream that has crashed."""
 
         def begin() -> None:
@@ -85,24 +85,24 @@
             name = f"{crashed.info.id.partition('v')[0]}v{next(self.instances)}"
             fresh = self.add(name, 0, crashed.info.domain)
             fresh.info = msgspec.structs.replace(fresh.info, labels=crashed.info.labels)
-            self.beat(fresh)
+            self.send_heartbeats(fresh)
 
         self.world.at(self.back_after(), begin)
 
-    def beat(self, upstream: ModelUpstream) -> None:
+    def send_heartbeats(self, upstream: ModelUpstream) -> None:
         """Send heartbeats for as long as the upstream is up."""
         if not upstream.is_up:
             return
         if not self.leader.is_over and upstream.info.id not in self.leader.cut_off:
             self.leader.dispatch.handle_heartbeat(upstream.build_heartbeat(), self.world.now)
             self.leader.act()
-        self.world.at(milliseconds(500), lambda: self.beat(upstream))
+        self.world.at(milliseconds(500), lambda: self.send_heartbeats(upstream))
 
-    def lead(self, term: int) -> None:
-        """Have another host lead, once it is elected and has applied all that was committed."""
+    def elect_leader(self, term: int) -> None:
+        """Replace the leader by another host, after the time that an election takes."""
         if self.leaders:
             self.leader.is_over = True
-            self.world.connected_from = self.world.now + IN_TOUCH_AFTER
+            self.world.connected_from = self.world.now + CONNECTED_AFTER
             self.run_for(ELECTION_SECONDS)
         token = term * TOKENS_PER_TERM
         leader = Leader(
@@ -113,7 +113,7 @@
     def submit(self, *, durable: bool, tasks: int = 1, poison: int = 0, run_ms: int = 60) -> JobId:
         """Submit a job of which some tasks crash upstreams."""
         id = JobId(f"{next(self.jobs):016x}")
-        self.world.poison |= {TaskRef(id, 0, 0, place) for place in range(poison)}
+        self.world.crashing_tasks |= {TaskRef(id, 0, 0, place) for place in range(poison)}
         self.leader.submit(
             id, build_spec(tasks=tasks, run_ms=run_ms, durable=durable), LENIENT_QUEUE
         )
@@ -140,10 +140,10 @@
         back_after=lambda: timedelta(seconds=back_after),
         run_ms=lambda: run_ms,
     )
-    site.world.on_crash = site.start_again
-    site.lead(1)
+    site.world.on_crash = site.restart
+    site.elect_leader(1)
     for number in range(racks * RACK):
-        site.beat(site.add(f"u{number + 1}", number // RACK, f"d{number % 2}"))
+        site.send_heartbeats(site.add(f"u{number + 1}", number // RACK, f"d{number % 2}"))
     site.run_for(0.1)
     return site
 
@@ -176,7 +176,7 @@
 
 
 def test_neighbours_of_a_suspect_complete() -> None:
-    """Tasks that ran beside it are retried alone as well, and have no second crash."""
+    """Guards against quarantine of sound tasks: they are retried alone, without a second crash."""
     site = build_site(3, racks=1, run_ms=400)
     sound = [site.submit(durable=True, run_ms=400) for _ in range(4)]
     poisoned = site.submit(durable=True, poison=1)
@@ -206,13 +206,13 @@
     job = site.submit(durable=True, poison=1)
     site.run_for(2.6)
     assert site.count_crashes(job) >= 1
-    site.lead(2)
+    site.elect_leader(2)
     site.run_for(20)
     assert site.find_state(job) is JobState.FAILED
     assert site.count_crashes(job) == 2
 
 
-def test_the_next_leader_counts_a_crash_whose_beginning_the_last_one_recorded() -> None:
+def test_a_new_leader_counts_a_crash_of_which_its_predecessor_recorded_only_the_silence() -> None:
     """The leader is lost when it knows only that the upstream is silent; the log holds that.
 
     Of the second crash, less than a lease earlier, it has recorded nothing: that one does not
@@ -223,7 +223,7 @@
     site.run_for(1.4)
     assert site.count_crashes(job) >= 1
     assert not site.records.suspects
-    site.lead(2)
+    site.elect_leader(2)
     site.run_for(4.0)
     assert site.records.suspects
     site.run_for(20)
@@ -236,12 +236,12 @@
     site = build_site(7)
     id = JobId("f" * 16)
     ref = TaskRef(id, 0, 0, 0)
-    site.world.poison.add(ref)
+    site.world.crashing_tasks.add(ref)
     spec = build_spec(tasks=1)
     reported = Suspect(task=ref, counts=ONE_CRASH)
     site.leader.dispatch.jobs.crash_tracker.record_reported_suspects([reported])
     record = JobRecord(id=id, queue=LENIENT_QUEUE, spec=spec, accepted_ms=0)
-    submission = Submission(gateway="", may_have_begun=True, reconcile_after=SETTLE_AFTER)
+    submission = Submission(gateway="", may_have_begun=True, reconcile_after=RECONCILE_AFTER)
     site.leader.dispatch.submit(record, submission, site.world.now)
     site.leader.act()
     site.run_for(10)
@@ -257,10 +257,10 @@
     ((_, where),) = site.world.running.items()
     site.leader.cut_off = {UpstreamId(where)}
     site.run_for(2.0)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost != NO_ACTIVE_TASKS
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost_tasks != NO_ACTIVE_TASKS
     site.leader.cut_off = set()
     site.run_for(10)
-    assert site.leader.dispatch.instances[UpstreamId(where)].lost == NO_ACTIVE_TASKS
+    assert site.leader.dispatch.instances[UpstreamId(where)].lost_tasks == NO_ACTIVE_TASKS
     assert not site.records.suspects
     assert site.find_state(job) is JobState.COMPLETED
 
@@ -269,12 +269,12 @@
     site = build_site(9)
     job = site.submit(durable=False, poison=1)
     site.run_for(20)
-    site.lead(2)
+    site.elect_leader(2)
     assert site.leader.dispatch.has_quarantined_task(job)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_no_task_is_started_three_times_after_three_crashes(seed: int) -> None:
+def test_no_task_is_started_three_more_times_after_three_crashes(seed: int) -> None:
     """Crashed upstreams stay away for up to 9 s, and leaders are lost meanwhile."""
     play_campaign(seed)
 
@@ -296,7 +296,7 @@
                 if rack in upstream.info.labels and upstream.is_up:
                     upstream.crash()
         if chance.random() < 0.05:
-            site.lead(len(site.leaders) + 1)
+            site.elect_leader(len(site.leaders) + 1)
         site.run_for(0.3)
     site.run_for(30)
     states = [site.find_state(job) for job in sound]
@@ -315,14 +315,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_sound_jobs_complete_though_racks_go_down(seed: int) -> None:
+def test_sound_jobs_complete_even_if_racks_go_down(seed: int) -> None:
     play_campaign(seed, racks_down=True)
 
 
-# Without a site
+# The rules alone
 
 
-def lose(number: int, at_ms: float, rack: int = 0, domain: str = "d") -> Loss:
+def build_loss(number: int, at_ms: float, rack: int = 0, domain: str = "d") -> Loss:
     return Loss(
         upstream=UpstreamId(f"u{number}"),
         at=milliseconds(at_ms),
@@ -337,12 +337,12 @@
 @pytest.mark.parametrize(
     ("losses", "expected"),
     [
-        ([lose(1, 0)], False),
-        ([lose(1, 0), lose(2, 10, rack=1), lose(3, 20, rack=2)], False),
-        ([lose(1, 0), lose(2, 10, rack=0)], True),
-        ([lose(1, 0), lose(2, 500, rack=0)], False),
-        ([lose(1, 0), *(lose(each, 10, rack=each) for each in (2, 3, 4))], True),
-        ([lose(1, 0), *(lose(each, 10_000, rack=each) for each in (2, 3, 4))], False),
+        ([build_loss(1, 0)], False),
+        ([build_loss(1, 0), build_loss(2, 10, rack=1), build_loss(3, 20, rack=2)], False),
+        ([build_loss(1, 0), build_loss(2, 10, rack=0)], True),
+        ([build_loss(1, 0), build_loss(2, 500, rack=0)], False),
+        ([build_loss(1, 0), *(build_loss(each, 10, rack=each) for each in (2, 3, 4))], True),
+        ([build_loss(1, 0), *(build_loss(each, 10_000, rack=each) for each in (2, 3, 4))], False),
     ],
 )
 def test_simultaneous_losses_have_a_common_cause(losses: list[Loss], expected: bool) -> None:
--- a/cottonlug/tests/test_cluster_lasting.py
+++ b/cottonlug/tests/test_cluster_lasting.py
@@ -27,8 +27,8 @@
     )
 
 
-def build_long_running(tasks: int = 2, kept: bool = True) -> JobSpec:
-    spec = build_spec(tasks=tasks, run_ms=60, durable=kept)
+def build_long_running(tasks: int = 2, durable: bool = True) -> JobSpec:
+    spec = build_spec(tasks=tasks, run_ms=60, durable=durable)
     return msgspec.structs.replace(spec, long_running=True)
 
 
@@ -107,8 +107,8 @@
     leader.world.run_until(milliseconds(3_000))
     record = leader.records.jobs[JobId(JOB)]
     assert record.is_open
-    for place in range(2):
-        starts = [at for ref, at in leader.world.begun if ref.place == place]
+    for task_index in range(2):
+        starts = [at for ref, at in leader.world.begun if ref.task_index == task_index]
         assert len(starts) >= 8
         assert starts[-1] > milliseconds(2_600)
     assert leader.dispatch.counts.moved_runs == 0
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_campaign_of_long_running_and_timed_jobs(seed: int) -> None:
-    """Leaders change and orders are lost; the model fails the test at two runs of a task."""
+    """Leaders change and orders are lost; the model fails the test if a task runs twice at once."""
     world, upstreams = build_world(seed + 100, lost_share=0.05, late_share=0.03, failed_share=0.05)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(60_000 if job == JOB else 60)
