--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -53,7 +53,7 @@
     asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     asyncio.run(gateway.call(build_submit(), CALL_TIMEOUT))
     assert shares == [0.0]
-    assert gateway.held_to_end == 0
+    assert gateway.timeout_failure_count == 0
 
 
 def test_an_answer_delayed_until_its_caller_times_out_is_counted() -> None:
@@ -61,14 +61,14 @@
     answer_in_turn(gateway, [])
     answer = asyncio.run(gateway.call(build_submit(), milliseconds(10)))
     assert answer.outcome is Outcome.UNAVAILABLE
-    assert gateway.held_to_end == 1
+    assert gateway.timeout_failure_count == 1
 
 
 def test_the_time_without_a_coordinator_is_measured() -> None:
     clock = build_clock()
     gateway = build_gateway(clock)
     spans: list[float] = []
-    gateway.link.record_change = spans.append
+    gateway.link.record_coordinator_change = spans.append
     gateway.link.follow("10.0.1.1:7000", Via.LEADER)
     clock.advance(milliseconds(80))
     gateway.link.follow("10.0.1.1:7000", Via.LEADER)
@@ -83,7 +83,7 @@
         gateway = build_gateway(build_clock())
         metrics = build_gateway_metrics(gateway, LogOutput(descriptor=sink.fileno()))
         gateway.record_refusal(0.2)
-        gateway.link.record_change(450.0)
+        gateway.link.record_coordinator_change(450.0)
         lines = metrics.render().splitlines()
     assert "cottonlug_calls_held_to_end 0" in lines
     assert 'cottonlug_refusal_over_objective_bucket{le="0.25"} 1' in lines
--- a/cottonlug/tests/test_cluster_progress.py
+++ b/cottonlug/tests/test_cluster_progress.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("percent", "seen_ms", "advanced_ms", "pace"),
+    ("percent", "seen_ms", "advanced_ms", "rate"),
     [
         (0, 50, 0, ProgressRate.NORMAL),
         (0, 100, 0, ProgressRate.STALLED),
@@ -44,10 +44,10 @@
     ],
 )
 def test_the_progress_of_a_run_is_classified(
-    percent: int, seen_ms: float, advanced_ms: float, pace: ProgressRate
+    percent: int, seen_ms: float, advanced_ms: float, rate: ProgressRate
 ) -> None:
     run = build_run(percent=percent, seen_ms=seen_ms, advanced_ms=advanced_ms)
-    assert classify_progress(run, EXPECTED, None) is pace
+    assert classify_progress(run, EXPECTED, None) is rate
 
 
 def test_a_task_as_long_as_its_siblings_is_not_slow() -> None:
@@ -107,7 +107,7 @@
 
 
 def test_the_lease_of_an_upstream_that_does_not_answer_lapses() -> None:
-    """A repeated poll is no renewal; with long-running tasks that lasted for 4.5 s and more."""
+    """Otherwise repeated polls count as renewals, for 4.5 s and more with long-running tasks."""
     world, upstreams = build_world(9)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -1,6 +1,6 @@
-"""How long a job is waited for, and what a host does that is no longer the coordinator.
+"""Time-outs of jobs that are waited for, and hosts that are no longer the coordinator.
 
-Each test guards against a job that goes on though nobody waits for it, or a host that goes on
+Each test guards against a job that goes on after its caller has gone, or a host that goes on
 deciding, so that a task could run beside the next try of its caller.
 """
 
@@ -40,7 +40,7 @@
 LONG = build_spec(tasks=1, run_ms=2_500)
 
 
-class OwnOffice:
+class LogLeaderAuthority:
     """Authority of a host that leads the log, with its lease."""
 
     term = 6
@@ -60,11 +60,11 @@
 
     def __init__(self, *, answers: bool = True) -> None:
         super().__init__()
-        self.looks = 0
+        self.polls = 0
         self._answers = answers
 
     async def poll(self, order: PollOrder, token: int) -> PollReply | CallFailure:
-        self.looks += 1
+        self.polls += 1
         if not self._answers:
             await asyncio.sleep(3_600)
         return await super().poll(order, token)
@@ -80,7 +80,11 @@
         info = build_info(name)
         replicated.records.upstreams[info.id] = UpstreamRecord(info=info)
     leadership = Leadership(
-        authority=ActingLeaderAuthority(term=1, replicated=replicated) if commits else OwnOffice(),
+        authority=(
+            ActingLeaderAuthority(term=1, replicated=replicated)
+            if commits
+            else LogLeaderAuthority()
+        ),
         replicated=replicated,
         port=port,
         clock=build_clock(),
@@ -98,7 +102,9 @@
 
 
 def test_an_acting_leader_waits_no_longer_than_its_caller() -> None:
-    """Without a time-out on its own calls a job goes on, with its lease, for a caller long gone.
+    """Guards against calls to itself without a time-out.
+
+    The job and its lease would go on long after its caller has gone.
 
     A caller outside a domain that is cut off, with its gateway inside, times out after 1.5 s and
     retries elsewhere 1.3 s later; by then the gateway, as acting leader, has begun the job.
@@ -114,19 +120,19 @@
             clock.advance(milliseconds(50))
             await gateway.link.replace_leader()
             await asyncio.sleep(0.02)
-        deputy = gateway.acting_leader
+        acting = gateway.acting_leader
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
-        assert not deputy.leadership.dispatch.jobs.is_open(JobId(JOB))
+        assert not acting.leadership.dispatch.jobs.is_open(JobId(JOB))
         gateway.stop()
 
     asyncio.run(play())
 
 
 def test_an_older_run_end_does_not_free_a_task_whose_success_awaits_its_commit() -> None:
-    """Guards against a third run, 12 ms after the second succeeded; the first lapsed long before.
+    """Guards against a third run, started 12 ms after the second succeeded.
 
-    Its upstream returns and lists that; the commit of this older end must not queue the task while
-    the end of the second is on its way into the log.
+    The lease of the first lapsed long before. Its upstream can be reached again and lists that end;
+    when it is committed, the task must not be queued, as the end of the second awaits its commit.
     """
     world, upstreams = build_world(15)
     for each in upstreams.values():
@@ -143,11 +149,11 @@
     (run,) = second.runs.values()
     assert second is not first
     world.run_until(run.ends_at - milliseconds(4))
-    look = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
+    poll_order = PollOrder(upstream=first.info, last_seen=0, expires_ms=None, wait=timedelta())
     reply = first.build_reply()
     assert [end.how for end in reply.ended] == [RunEndKind.LAPSED]
     leader.cut_off = set()
-    leader.dispatch.handle_poll_answer(look, reply, world.now, world.now)
+    leader.dispatch.handle_poll_answer(poll_order, reply, world.now, world.now)
     leader.act()
     world.run_until(run.ends_at + timedelta(seconds=3))
     assert world.starts == 2
@@ -167,7 +173,7 @@
         if trigger == "a commit" and listener is not None:
             listener(AddUpstream(info=build_info("u3")))
         await run_callbacks()
-        return port.looks
+        return port.polls
 
     assert asyncio.run(play()) == 0
 
@@ -178,20 +184,20 @@
 ) -> None:
     """Another coordinator may have begun it for another gateway: its lease must be waited for.
 
-    The same gateway only repeats what was answered late; its tasks need wait no longer for that.
+    The same gateway only repeats a call that was answered late: its tasks wait no longer for that.
     """
 
     async def play() -> None:
         leadership, _ = lead(CountingPort(answers=False), keeps_log=False)
         clock = leadership._clock
 
-        def hear(gateway: str) -> None:
+        def deliver_keepalive(gateway: str) -> None:
             contact = leadership.gateways.build_contact()
             leadership.gateways.handle_keepalive(
                 msgspec.structs.replace(build_keepalive(gateway), contact=contact)
             )
 
-        def send(gateway: str) -> asyncio.Task[Answer]:
+        def submit(gateway: str) -> asyncio.Task[Answer]:
             call = Submit(
                 host="host",
                 path=f"/q/{JOB}",
@@ -204,20 +210,20 @@
             )
             return asyncio.create_task(leadership.answer(call))
 
-        hear("a")
-        hear("b")
-        waiting = [send("a")]
+        deliver_keepalive("a")
+        deliver_keepalive("b")
+        waiting = [submit("a")]
         await run_callbacks()
         for _ in range(10):
             clock.advance(milliseconds(100))  # type: ignore[attr-defined]
-            hear("a")
-            hear("b")
+            deliver_keepalive("a")
+            deliver_keepalive("b")
             leadership._decide()
-        left_at = clock.monotonic()
-        waiting.append(send(second))
+        submitted_at = clock.monotonic()
+        waiting.append(submit(second))
         await run_callbacks()
         job = leadership.dispatch.jobs.jobs[JobId(JOB)]
-        assert (job.reconcile_at >= left_at + CALLER_RETRY) is is_news
+        assert (job.reconcile_at >= submitted_at + CALLER_RETRY) is is_news
         for each in waiting:
             each.cancel()
         leadership.stop()
@@ -255,16 +261,16 @@
     old = upstreams[UpstreamId("u1")]
     old.crash()
 
-    def live(until: timedelta) -> None:
+    def run_with_heartbeats(until: timedelta) -> None:
         while world.now < until:
             world.run_until(world.now + milliseconds(500))
             for each in list(upstreams.values()):
                 if each.is_up:
                     leader.deliver_heartbeat(each, sequence=int(world.now / milliseconds(1)))
 
-    live(timedelta(seconds=13))
-    looked = leader.dispatch.instances[old.info.id].failed_polls
+    run_with_heartbeats(timedelta(seconds=13))
+    failed_before = leader.dispatch.instances[old.info.id].failed_polls
     info = msgspec.structs.replace(build_info("u9"), address=old.info.address)
     upstreams[info.id] = ModelUpstream(world=world, info=info, rate=1.0, run_times=old.run_times)
-    live(timedelta(seconds=14))
-    assert leader.dispatch.instances[old.info.id].failed_polls > looked
+    run_with_heartbeats(timedelta(seconds=14))
+    assert leader.dispatch.instances[old.info.id].failed_polls > failed_before
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -104,7 +104,7 @@
 
 
 class Cluster:
-    """Three hosts, the messages between them, and all outcomes known to operators so far."""
+    """Three hosts, the messages between them, and all outcomes that operators may know so far."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -282,10 +282,10 @@
                 if planned is not None:
                     node.member.change_members(planned, self.now)
 
-    def for_each_running(self, act: object) -> None:
+    def for_each_running(self, action: object) -> None:
         for node in self.nodes.values():
             if node.member is not None:
-                act(node.member)  # type: ignore[operator]
+                action(node.member)  # type: ignore[operator]
                 self.process_output(node)
 
     def propose_last(self) -> None:
--- a/cottonlug/tests/test_evacuation_orders.py
+++ b/cottonlug/tests/test_evacuation_orders.py
@@ -31,7 +31,7 @@
 
 
 async def send_order(world: World, machine: Machine, method: str, domain: str) -> int:
-    """Return the status of one call; 0 if none came within the time that operators wait."""
+    """Send one order and return its status; 0 if none came within the operator's timeout."""
     request = HttpRequest(method=method, path=f"/evacuation/{domain}", headers={}, body=b"")
     try:
         async with asyncio.timeout(CLIENT_TIMEOUT_SECONDS):
@@ -43,7 +43,7 @@
 
 
 class Operator:
-    """Evacuates one domain and takes it back, in turn, repeating orders until acknowledged."""
+    """Begins and ends the evacuation of one domain in turn; repeats orders until acknowledged."""
 
     def __init__(self, world: World, domain: DomainName, chance: random.Random) -> None:
         self.domain = domain
@@ -54,7 +54,7 @@
         self._world = world
         self._chance = chance
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         while True:
             await asyncio.sleep(self._chance.uniform(0.3, 3.0))
             begin = not self.expected
@@ -79,7 +79,7 @@
 
 
 class EvacuationDay(Day):
-    """A random day with two operators; the coordinator must obey what was acknowledged."""
+    """A random day with two operators; the leader's state must follow acknowledged orders."""
 
     def __init__(self, world: World, seed: int) -> None:
         super().__init__(world, seed)
@@ -89,11 +89,11 @@
         ]
         self.problems: list[str] = []
 
-    async def order_forever(self) -> None:
+    async def send_orders_forever(self) -> None:
         for operator in self.operators:
-            self.begin(operator.order_forever())
+            self.begin(operator.send_orders_forever())
         self.begin(self.watch_forever())
-        await super().order_forever()
+        await super().send_orders_forever()
 
     async def watch_forever(self) -> None:
         while True:
@@ -131,13 +131,13 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_what_was_acknowledged_last_holds_through_any_faults(seed: int) -> None:
+def test_the_last_acknowledged_order_holds_through_any_faults(seed: int) -> None:
     day = play_day(seed)
     assert not day.find_problems(), day.faults
     assert sum(operator.orders for operator in day.operators) > 3
 
 
-def test_an_order_that_a_frozen_host_carries_out_late_undoes_nothing() -> None:
+def test_an_order_that_a_frozen_host_forwards_late_does_not_undo_a_later_one() -> None:
     async def day(world: World, machines: list[Machine]) -> None:
         leader = get_leader(world)
         frozen, other = [machine for machine in machines if machine is not leader][:2]
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -1,4 +1,4 @@
-"""Long random runs of one entry host and its upstreams over a network that loses and delays.
+"""Long random runs of one entry host and its upstreams over a network with losses and delays.
 
 Dispatcher and executor are the real ones; only the network between them is simulated. The
 guarantees are checked where they are observable: starts are counted at the upstreams.
@@ -37,8 +37,8 @@
     reply: ExchangeReply | None = None
 
 
-class World:
-    """One entry host, its upstreams and all messages between them."""
+class ExchangeScenario:
+    """Random actions and faults of one entry host, its upstreams and the network between them."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -147,8 +147,8 @@
         if not executor.running:
             return
         key = self.chance.choice(list(executor.running))
-        is_good = self.chance.random() < 0.97
-        status = ResultStatus.SUCCEEDED if is_good else ResultStatus.FAILED
+        succeeds = self.chance.random() < 0.97
+        status = ResultStatus.SUCCEEDED if succeeds else ResultStatus.FAILED
         executor.finish(key, status, build_value(key), 1_000, self.now)
 
     def restart_upstream(self) -> None:
@@ -243,22 +243,22 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_guarantees_hold_over_a_faulty_network(seed: int) -> None:
-    world = World(seed)
-    world.run(STEPS)
-    world.run_without_faults()
-    assert world.answers, "a run without an answer proves nothing"
+def test_no_task_runs_twice_unless_idempotent_and_every_job_ends(seed: int) -> None:
+    scenario = ExchangeScenario(seed)
+    scenario.run(STEPS)
+    scenario.run_without_faults()
+    assert scenario.answers, "a run without an answer proves nothing"
 
 
 def test_random_runs_include_every_kind_of_job_end() -> None:
     ends: Counter[str] = Counter()
     returned = 0
     for seed in range(100, 115):
-        world = World(seed)
-        world.run(STEPS)
-        world.run_without_faults()
-        returned += world.dispatcher.counters.returned_unstarted
-        for answer in world.answers.values():
+        scenario = ExchangeScenario(seed)
+        scenario.run(STEPS)
+        scenario.run_without_faults()
+        returned += scenario.dispatcher.counters.returned_unstarted
+        for answer in scenario.answers.values():
             ends[answer.failure.reason.value if answer.failure else "complete"] += 1
     assert {"complete", "task_failed", "task_unknown", "cancelled", "deadline"} <= set(ends)
     assert returned > 0, "no task whose reply was lost was returned to the queue"
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -36,27 +36,29 @@
     """A gateway whose waiting jobs used all connections to a host lost contact with it."""
 
     async def play() -> Answer:
-        held = 0
-        all_held = asyncio.Event()
-
-        async def hold(call: Call) -> Answer:
-            nonlocal held
-            held += 1
-            if held == WAITING_JOBS:
-                all_held.set()
+        waiting_count = 0
+        all_waiting = asyncio.Event()
+
+        async def wait_forever(call: Call) -> Answer:
+            nonlocal waiting_count
+            waiting_count += 1
+            if waiting_count == WAITING_JOBS:
+                all_waiting.set()
             await asyncio.Event().wait()
             raise AssertionError("unreachable")
 
-        lines = JobChannelServer(answer=hold, clock=build_clock(), find_slack=lambda submit: 1.0)
+        channels = JobChannelServer(
+            answer=wait_forever, clock=build_clock(), find_slack=lambda submit: 1.0
+        )
 
         async def answer(request: HttpRequest) -> HttpResponse:
-            if lines.handles(request.path):
-                return await lines.handle(request)
+            if channels.handles(request.path):
+                return await channels.handle(request)
             assert isinstance(call_decoder.decode(request.body), KeepAlive)
             return HttpResponse(status=200, body=msgspec.json.encode(Answer(outcome=Outcome.DONE)))
 
         address = Address("127.0.0.1", find_base_port() + 2)
-        app = build_asgi(answer, lambda: 1_000_000, lines.handle_at_once)
+        app = build_asgi(answer, lambda: 1_000_000, channels.handle_at_once)
         listener = Listener(app=app, address=address)
         assert await listener.start() is None
         calls = PeerCalls()
@@ -64,7 +66,7 @@
             asyncio.create_task(calls.ask(str(address), build_submit(), timedelta(seconds=10)))
             for _ in range(WAITING_JOBS)
         ]
-        await asyncio.wait_for(all_held.wait(), 5)
+        await asyncio.wait_for(all_waiting.wait(), 5)
         answer_to_keepalive = await calls.ask(
             str(address), build_keepalive("10.0.0.2:7000"), KEEPALIVE_TIMEOUT
         )
@@ -81,7 +83,7 @@
 def test_keepalive_does_not_wait_behind_job_connections() -> None:
     """Hundreds of jobs wait for a host that restarts, and each opens a connection.
 
-    After a power failure of all hosts the leader accepted one connection per event loop turn. For
+    After a power failure of all hosts the leader accepted one connection per loop iteration. For
     six seconds keep-alives were 0.4 to 0.85 s late: jobs were abandoned and submitted again.
     """
 
@@ -151,7 +153,7 @@
 
 
 def test_immediate_answer_creates_no_task() -> None:
-    """On a busy host each turn of the event loop is long, and a task takes two turns."""
+    """On a busy host each iteration of the event loop is long, and a task takes two of them."""
 
     async def play() -> tuple[list[int], int]:
         async def never(request: HttpRequest) -> HttpResponse:
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -19,7 +19,7 @@
 from .wire_site import WireHost, WireLeader, build_hosts, send_heartbeats
 
 TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
-"""As on the users' platform: 0.92 s, where upstreams grant 1 s at most."""
+"""As on the users' platform: leases of 0.92 s, where upstreams grant 1 s at most."""
 SEEDS = 20
 JOB = "a" * 16
 OTHER = "c" * 16
@@ -69,7 +69,7 @@
     return leader
 
 
-def test_a_job_continues_beside_an_abandoned_one() -> None:
+def test_a_job_continues_at_an_upstream_whose_other_job_was_abandoned() -> None:
     for seed in range(SEEDS):
         leader = play_abandoned_job(seed, starts_again=False)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
@@ -78,7 +78,7 @@
 
 # Guards against duplicate runs: the lease of an upstream that had restarted outlived the time that
 # was counted.
-def test_a_lease_is_counted_by_the_clock_of_the_restarted_upstream() -> None:
+def test_a_lease_is_measured_by_the_clock_of_the_restarted_upstream() -> None:
     for seed in range(SEEDS):
         leader = play_abandoned_job(seed, starts_again=True)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
@@ -109,7 +109,7 @@
     assert world.starts == 12
 
 
-# Guards against starts and leases that a later instance takes for its own, in random plays.
+# Guards against a later instance that takes starts and leases of an earlier one for its own.
 @pytest.mark.parametrize("seed", range(12))
 def test_no_task_runs_twice_while_upstreams_restart(seed: int) -> None:
     leader, jobs = play_at_random(seed)
