--- a/cottonlug/core/ids.py
+++ b/cottonlug/core/ids.py
@@ -1,8 +1,9 @@
-"""Identifier types, and submission ids that contain the address of their home.
+"""Identifier types, and submission ids, each of which names its home.
 
-A submission id is ``<domain>.<host>.<generation>.<minted>.<random>``: the failure domain and entry
-host that hold its record, the generation of that record store, the second at which it was minted
-(hexadecimal, counted from the start of the generation) and random digits.
+The home is the entry host that holds the record of a submission. A submission id is
+``<domain>.<host>.<generation>.<minted>.<random>``: the home's failure domain and name, the
+generation of its record store, the second at which the id was minted (hexadecimal, counted from the
+start of the generation) and random digits.
 """
 
 from __future__ import annotations
@@ -17,11 +18,16 @@
 DomainName = NewType("DomainName", str)
 UpstreamId = NewType("UpstreamId", str)
 Incarnation = NewType("Incarnation", str)
+"""One run of an upstream's process: another one means that the upstream was restarted."""
 SessionNumber = NewType("SessionNumber", int)
+"""Numbers the sessions that one incarnation of an upstream opens at an entry host."""
 SubmissionId = NewType("SubmissionId", str)
 Generation = NewType("Generation", str)
+"""One lifetime of an entry host's submission records; a host that lost them begins a new one."""
 TeamName = NewType("TeamName", str)
+"""A group of callers, as named in their jobs; upstreams are shared fairly between teams."""
 KindName = NewType("KindName", str)
+"""The kind of work of a job, as named by its caller; run times are estimated by team and kind."""
 
 NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 _ID_PATTERN = re.compile(
@@ -29,11 +35,14 @@
 )
 
 RandomHex = Callable[[int], str]
-"""Returns that many random bytes as hexadecimal digits; injected to make runs repeatable."""
+"""Returns that many random bytes as hexadecimal digits; injected so that tests are repeatable."""
 
 
 class TaskKey(NamedTuple):
-    """One attempt at one task of one submission."""
+    """One attempt at one task of one submission.
+
+    `task` is its index in the job; attempts are numbered from 1.
+    """
 
     submission: SubmissionId
     task: int
@@ -64,7 +73,7 @@
 
 
 def parse_id(text: str) -> ParsedId | None:
-    """Return the parts of a submission id, or None if the text is not a valid id."""
+    """Return the parts of a submission id, or None if the text does not have its form."""
     match = _ID_PATTERN.fullmatch(text)
     if match is None:
         return None
--- a/cottonlug/core/rules.py
+++ b/cottonlug/core/rules.py
@@ -1,8 +1,8 @@
 """The operators' ordered when-then rules; the first rule that matches a job applies.
 
-A `when` field that is left out matches any value; a `then` field that is left out keeps the
-default. `compile_rules` turns a document into one matching function; `explain` reports why each
-rule did or did not match.
+A `when` field that is left out matches any value; a `then` field that is left out keeps what the
+caller has requested, or the default. `compile_rules` turns the rules of a document, the operators'
+file, into one matching function; `explain` reports why each rule did or did not match.
 """
 
 from __future__ import annotations
@@ -16,9 +16,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class When:
-    """Conditions of a rule; None and an empty set match any value.
+    """Conditions of a rule; None and an empty set or dictionary match any value.
 
-    `after` and `before` limit the time of day; if `after` is later, the range spans midnight.
+    A job must have all `labels`, and may have others. `min_` and `max_` limits are inclusive; the
+    lower a priority's number, the sooner its jobs are served. `after` (inclusive) and `before`
+    (exclusive) limit the time of day in UTC; if `after` is later, the range spans midnight.
     """
 
     teams: frozenset[TeamName] = frozenset()
@@ -39,11 +41,17 @@
     """Settings that a rule gives to the jobs it matches."""
 
     reject: str | None = None
+    """Why such jobs are refused; None accepts them."""
     pool: dict[str, str] = field(default_factory=dict)
+    """Labels that an upstream must have to get tasks of the job."""
     priority: int | None = None
+    """Replaces the priority that the caller requested; 0 is served first."""
     weight: float | None = None
+    """Share of the job's team relative to other teams, from then on and for all of its jobs."""
     timeout: timedelta | None = None
+    """Upper limit of the timeout of each task."""
     max_attempts: int | None = None
+    """Attempts after which a failed or lost task of an idempotent job is not retried."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -57,7 +65,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RuleInput:
-    """The attributes of a job that rules are matched against; `size` is its number of tasks."""
+    """The attributes of a job that rules are matched against.
+
+    `domain` is the failure domain of the entry host that accepts the job, `size` the job's number
+    of tasks, `idempotent` whether its tasks may run more than once.
+    """
 
     team: TeamName
     kind: KindName
@@ -71,7 +83,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """Result of matching one rule; `mismatch` is the first field that did not match, if any."""
+    """Result of matching one rule, given by name.
+
+    `mismatch` is the first attribute that did not match, for instance `size` for `min_size` or
+    `max_size`, and `time` for `after` or `before`; None if the rule matches.
+    """
 
     rule: str
     mismatch: str | None
@@ -84,7 +100,7 @@
 
 
 def find_mismatch(when: When, rule_input: RuleInput) -> str | None:
-    """Return the name of the first field that does not match, or None."""
+    """Return the first attribute that does not match, as in `Explanation`, or None."""
     for name, check in _list_checks(when):
         if not check(rule_input):
             return name
@@ -100,6 +116,7 @@
     any_team: list[tuple[int, Rule, list[Check]]] = []
     by_team: dict[TeamName, list[tuple[int, Rule, list[Check]]]] = {}
     for order, rule in enumerate(rules):
+        # The index by team replaces the check of the team.
         checks = [check for name, check in _list_checks(rule.when) if name != "team"]
         entry = (order, rule, checks)
         if not rule.when.teams:
@@ -132,6 +149,7 @@
 
 
 def _list_checks(when: When) -> list[tuple[str, Check]]:
+    """Return the checks of a rule, each with the attribute that it checks."""
     checks: list[tuple[str, Check]] = []
     if when.teams:
         checks.append(("team", lambda rule_input: rule_input.team in when.teams))
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -1,8 +1,12 @@
 """The link of a gateway to the coordinator: a leader, or a gateway that acts as leader.
 
-A gateway sends keep-alives directly to the leader. If it reaches no control host, it relays its
-calls through another gateway that does. If no gateway reaches a leader, one of the gateways acts as
-leader (`acting_leader`).
+A gateway sends keep-alives directly to the leader. If it reaches no control host, it sends its
+calls through another gateway that does, its relay. If no gateway reaches a leader, one of the
+gateways acts as leader (`acting_leader`). What it must know for that is the failover state, which
+the leader sends to all gateways with its answers to keep-alives.
+
+In log lines, `decider` is the address of the coordinator, and `via=deputy` tells that it is an
+acting leader.
 """
 
 from __future__ import annotations
@@ -33,37 +37,47 @@
 KEEPALIVE_SECONDS = 0.08
 KEEPALIVE_SECONDS_PER_GATEWAY = 0.0004
 """The interval grows with the number of gateways: with 300 the leader gets 2,500 keep-alives a
-second, half of what it can handle. With an interval of at most 125 ms, two keep-alives fit into
-`GATEWAY_TIMEOUT`, so that one of them may be lost."""
+second, half of what it can handle."""
 MAX_KEEPALIVE_SECONDS = 0.125
+"""Two intervals of this length fit into `GATEWAY_TIMEOUT`, so that one keep-alive may be lost."""
 KEEPALIVE_SECONDS_WITHOUT_LEADER = 0.05
+"""Interval of keep-alives while the leader does not answer, or is not called directly; also the
+shortest pause between failover checks (`replace_leader`) unless the next is due at once."""
 MIN_KEEPALIVE_PAUSE_SECONDS = 0.025
 """Control hosts hold a keep-alive for up to 70 ms until a leader is elected. A gateway learns of a
 leader that is elected between two keep-alives only with the next one, so this pause is short."""
 FAILOVER_CHECK_SECONDS_PER_GATEWAY = 0.003
-"""Per gateway, since all others contact the gateway with the lowest address in each check."""
+"""The interval of the failover check grows with the number of gateways: without a leader, nearly
+all of them call the gateways with the lowest addresses in each check."""
 MAX_FAILOVER_CHECK_SECONDS = 0.15
 KEEPALIVE_RETRY_SECONDS = 0.01
-"""Pause before an unanswered keep-alive is repeated: two in a row fit into `GATEWAY_TIMEOUT`."""
+"""Pause before a keep-alive that a relay or an acting leader has not answered is repeated: two
+unanswered ones in a row fit into `GATEWAY_TIMEOUT`."""
 KEEPALIVE_TIMEOUT = timedelta(milliseconds=100)
-"""A leader counts a gateway as connected for 300 ms after contact: one keep-alive may be lost."""
+"""How long the answer to a keep-alive is waited for. The coordinator counts a gateway as connected
+for `GATEWAY_TIMEOUT` (300 ms) after contact, so that one keep-alive may be lost."""
 READINESS_TIMEOUT = timedelta(milliseconds=1_200)
 """How long a gateway stays ready for callers after its last contact with the coordinator."""
 RELAY_AFTER = timedelta(milliseconds=200)
-"""Two unanswered keep-alives. Gateways that reach a control host notice a new leader sooner."""
+"""After this time without contact with a leader, which is that of two unanswered keep-alives, a
+gateway looks for a relay or an acting leader, or acts as leader. If it reaches a control host, it
+learns of a new leader sooner."""
 CALLS_LOST_AFTER = GATEWAY_TIMEOUT + timedelta(milliseconds=50)
 """After this time without a leader, a gateway stops waiting for calls that the leader has not
 answered."""
 CONTROL_HOST_TIMEOUT = timedelta(milliseconds=250)
 """A control host that has not answered for this long cannot take part in an election."""
 LEVELS_PER_ACTING_PERIOD = 1_000
-"""Each gateway uses a level of its own in each period, so there may be this many gateways."""
+"""The fencing token of an acting leader is that of the last leader plus a level. Each gateway has a
+level of its own in each period in which it acts as leader, so there may be this many gateways."""
 STEP_DOWN_DELAY = timedelta(milliseconds=400)
-"""An acting leader whose process was delayed for this long may have been replaced."""
+"""Not a pause: if more time than this has passed since the last failover check, this process was
+delayed. Another coordinator may have replaced this acting leader, which therefore steps down."""
 ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
-"""Pause after this gateway was fenced off as acting leader by a coordinator that it cannot reach.
-With the same failover state it would be fenced off again at once and lose its callers' jobs each
-time (every 0.3 s beside an overloaded leader)."""
+"""Pause after this gateway was fenced off as acting leader: an upstream has refused its orders for
+the higher fencing token of a coordinator that this gateway cannot reach. With the same failover
+state its next token would be too low again, and it would lose its callers' jobs each time (every
+0.3 s beside an overloaded leader)."""
 
 
 class Via(Enum):
@@ -73,6 +87,7 @@
     RELAY = "relay"
     """Another gateway relays calls to the leader."""
     ACTING_LEADER = "deputy"
+    """Another gateway, or this one itself, acts as leader."""
 
 
 class CoordinatorLink:
@@ -97,7 +112,8 @@
         self.via = Via.LEADER
         self.acting_leader: ActingLeader | None = None
         self.acting_leader_term = 0
-        """The term of the current or last acting leader."""
+        """The last leader's term, as known when this gateway last followed an acting leader or
+        began to act as leader; an acting leader has no term of its own."""
         self.failover_store = FailoverStore(clock=clock)
         self.max_body_bytes: int | None = None
         self.is_stopping = False
@@ -118,12 +134,13 @@
         self._answered_at: dict[str, timedelta] = {}
         """When each control host last answered."""
         self._acting_periods = 0
+        """How often this gateway has acted as leader since its failover state was replaced."""
         self._was_ready = False
         self._was_silent = False
         self._checked_at = clock.monotonic()
         """When `replace_leader` was last called, or this gateway began to act as leader."""
         self._fenced_off_at: timedelta | None = None
-        """When upstreams last fenced this host off as acting leader."""
+        """When upstreams last fenced this gateway off as acting leader."""
         self._changed = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
         self._keepalive_tasks: set[asyncio.Task[bool]] = set()
@@ -191,7 +208,8 @@
     def unfollow(self, host: str) -> None:
         """Stop sending calls to a host; calls that it has not answered are retried elsewhere.
 
-        What this gateway sends from now on confirms none of its jobs to that host: see `Contact`.
+        With what this gateway sends from now on, it no longer confirms to that host that it waits
+        for any job: see `Confirmations`.
         """
         if self.coordinator == host:
             self.coordinator = None
@@ -205,6 +223,7 @@
             return
         acting_leader, self.acting_leader = self.acting_leader, None
         if acting_leader.authority.is_over:
+            # Fenced off: another coordinator has a higher fencing token.
             self._fenced_off_at = self._clock.monotonic()
         acting_leader.stop()
         if self.coordinator == self.own_address:
@@ -216,7 +235,8 @@
     async def send_keepalive(self) -> None:
         """Send a keep-alive to the leader; if it is unknown or late, to all control hosts at once.
 
-        Only one control host forwards the keep-alive to the leader: if each of them did, an
+        Only one control host forwards the keep-alive to the leader. The others get a probe, which
+        they answer themselves, with the leader's address: if each of them forwarded it, an
         overloaded leader that already answers late would get even more work.
         """
         known = self.coordinator if self.via is Via.LEADER else None
@@ -236,6 +256,7 @@
             await pending
 
     def _build_keepalive(self, version: str = "", *, is_probe: bool = False) -> KeepAlive:
+        """Return a keep-alive; `version` is that of the failover state known here."""
         return KeepAlive(
             gateway=self.own_address,
             instance=self.confirmations.instance,
@@ -261,7 +282,11 @@
         return False
 
     async def _send_keepalive_to(self, host: str, via: Via, *, is_probe: bool = False) -> bool:
-        """Send a keep-alive to a host, and follow the leader that it is, forwards to, or names."""
+        """Send a keep-alive to a host, and follow the leader if that answers.
+
+        The host may be the leader, may forward the keep-alive to the leader, or may only name the
+        leader, which is then sent another keep-alive. Return whether there is a leader to follow.
+        """
         answer = await self._exchange_keepalive(host, is_probe=is_probe)
         if self._handle_keepalive_answer(host, via, answer):
             return True
@@ -344,9 +369,10 @@
         return min(max(by_count, KEEPALIVE_SECONDS_WITHOUT_LEADER), MAX_FAILOVER_CHECK_SECONDS)
 
     async def replace_leader(self) -> bool:
-        """Without a leader, check the acting leader or relay, find another, or act as leader here.
+        """Do one failover check; while a leader can be reached directly, there is nothing to do.
 
-        Return whether the next check is due at once.
+        Otherwise check the acting leader or relay in use. If there is none, find one or, where none
+        is found, act as leader here. Return whether the next check is due at once.
         """
         now = self._clock.monotonic()
         was_delayed = now - self._checked_at > STEP_DOWN_DELAY
@@ -364,7 +390,7 @@
             return False
         self._log_silence(now - self._leader_seen_at)
         if self.coordinator is not None and now - self._leader_seen_at >= CALLS_LOST_AFTER:
-            # The leader abandons these calls too, and calls that it never gets have not started.
+            # The leader abandons these jobs too by now; those that never reach it cannot start.
             self.unfollow(self.coordinator)
         await self._find_replacement(self.failover_store.current)
         return False
@@ -378,9 +404,9 @@
     async def _check_gateway(self, host: str, via: Via) -> bool:
         """Send a keep-alive to the acting leader or relay; unfollow it if it no longer is one.
 
-        A gateway that is only late is not unfollowed at once: it is a small host with the work of a
-        whole domain, and abandoning the pending calls would send it all of them again. Return
-        whether the next keep-alive is due at once.
+        A gateway that is only late is not unfollowed at once: as acting leader, a small host has
+        the work of a whole domain, and if the pending calls were abandoned, all of them would soon
+        be sent to it again. Return whether the next keep-alive is due at once.
         """
         answer = await self._exchange_keepalive(host)
         if (self.coordinator, self.via) != (host, via) or self._handle_gateway_answer(
@@ -410,6 +436,7 @@
     async def _find_replacement(self, failover_state: FailoverState) -> None:
         """Follow a gateway that reaches a leader or acts as one; otherwise act as leader here."""
         if all(gateway.address != self.own_address for gateway in failover_state.gateways):
+            # Without a place among the gateways it can have no level of its own.
             return
         answers = await self._ask_gateways(
             choose_queried_gateways(failover_state.gateways, self.own_address), failover_state
@@ -425,6 +452,7 @@
             # One of them is connected to the leader, but the leader's answer was lost: retry.
             return
         lower_gateways = _list_lower_gateways(failover_state, self.own_address)
+        # A gateway that answers names the control hosts; without `hosts`, no answer has arrived.
         is_lowest = not any(lower in answers and answers[lower].hosts for lower in lower_gateways)
         if self._may_act_as_leader(failover_state) and is_lowest:
             await self._act_as_leader_if_lowest(failover_state, lower_gateways)
@@ -441,6 +469,11 @@
         return dict(zip(asked, answers, strict=True))
 
     def _may_act_as_leader(self, failover_state: FailoverState) -> bool:
+        """Return whether this gateway may act as leader, having reached none for long enough.
+
+        It cannot store the results of durable jobs. It can only send orders by calling upstreams,
+        since it gets no heartbeats whose answers could carry them.
+        """
         now = self._clock.monotonic()
         if (
             self._fenced_off_at is not None
@@ -479,7 +512,7 @@
         )
 
     def is_control_majority_silent(self) -> bool:
-        """Return whether no majority of the control hosts answers, so that none can be elected."""
+        """Return whether no majority of control hosts answers: they could not elect a leader."""
         now = self._clock.monotonic()
         alive = sum(
             1
--- a/cottonlug/runtime/entry.py
+++ b/cottonlug/runtime/entry.py
@@ -1,4 +1,8 @@
-"""An entry host: the dispatcher core with its timers, waiting callers and parked exchanges."""
+"""An entry host: accepts callers' jobs and schedules their tasks on upstreams by itself.
+
+This module adds timers, waiting callers and parked exchanges to the dispatcher core. An exchange is
+one request of an upstream and its reply, which is parked until there is something to send.
+"""
 
 from __future__ import annotations
 
@@ -47,6 +51,7 @@
 MAX_WAIT_SECONDS = 60.0
 NOT_READY_RETRY_AFTER_MS = 1000
 _RequestId = tuple[UpstreamId, int, int]
+"""Upstream, session number, and sequence number of an exchange request."""
 _EVENT_BY_NOTICE_KIND = {
     NoticeKind.OPENED: Event.UPSTREAM_OPENED,
     NoticeKind.GONE: Event.UPSTREAM_GONE,
@@ -83,13 +88,14 @@
         self._dispatch_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
         self._unfetched: set[SubmissionId] = set()
-        """Jobs whose answers no caller has fetched yet; a shutdown waits a little for them."""
+        """Accepted jobs, active or ended, whose answers no caller has fetched yet; a shutdown waits
+        a little for that. Idempotent ones are left out: their records are dropped when they end."""
         self._on_failure: Callable[[BaseException], None] | None = None
 
     # Lifecycle
 
     def start(self, on_failure: Callable[[BaseException], None]) -> None:
-        """Start the timers; `on_failure` is called when an invariant is broken."""
+        """Start the timers; `on_failure` is called with any exception in a dispatch or a timer."""
         self._on_failure = on_failure
         self._ticker = asyncio.create_task(self._tick_forever())
 
@@ -103,6 +109,7 @@
             await asyncio.sleep(TICK_SECONDS)
         if self.dispatcher.active_job_count:
             log_event(Event.DRAIN_CUT_SHORT, jobs=self.dispatcher.active_job_count)
+        # Once no task is queued, this answers parked exchanges: upstreams learn of the shutdown.
         self.schedule_dispatch()
         linger = self._clock.monotonic() + self.settings.drain_linger
         while self._unfetched and self._clock.monotonic() < linger:
@@ -130,7 +137,7 @@
     ) -> Result[JobStatus | JobAnswer, Refusal]:
         """Accept a job, or attach to the job with the same id.
 
-        A job whose record was lost has an answer already, which is returned.
+        An id from before this host lost its records gets the final answer `record_lost`.
         """
         now = self._clock.monotonic()
         store = self.dispatcher.store
@@ -141,7 +148,8 @@
             if isinstance(known, JobAnswer):
                 return Success(known)
             return self.dispatcher.attach(known, compute_digest(request))
-        # Check this before anything that may answer `not_run`: a job without a record may have run.
+        # Check the id before anything that may refuse the job as `not_run`: if the id has expired,
+        # an earlier submission of it may have run.
         refusal = store.check_new_id(id, now)
         refusal = refusal or check_submit(request, self.settings.bodies.max_payload_kb * 1024)
         if refusal is None and not self.control.is_ready():
@@ -187,7 +195,7 @@
         return Success(build_answer(known))
 
     def cancel(self, id: SubmissionId) -> Result[JobStatus | JobAnswer, Refusal]:
-        """Cancel a job; all callers that ask for it get the same answer."""
+        """Cancel a job for all callers that wait for it; one that has ended stays as it is."""
         now = self._clock.monotonic()
         found = self.dispatcher.store.find_submission(id, now)
         if isinstance(found, Err):
@@ -200,7 +208,7 @@
         return Success(status)
 
     async def run_single(self, request: SingleRequest) -> Result[JobAnswer, Refusal]:
-        """Run one task and return its answer, at its deadline at the latest."""
+        """Run one task and return its answer; the dispatcher ends it at its deadline."""
         submitted = self.submit(build_submit_request(request), request.idempotent)
         if isinstance(submitted, Err):
             return Err(submitted.failure())
@@ -228,14 +236,14 @@
         return Success(future)
 
     def close_exchange(self, request: ExchangeRequest) -> None:
-        """Handle an upstream's disconnect before its reply."""
+        """Handle the loss of the connection on which an exchange waited for its reply."""
         if self._exchange_waiters.pop(_get_request_id(request), None) is None:
             return
         now = self._clock.monotonic()
         self.dispatcher.handle_disconnect(request.upstream, request.session, request.seq, now)
 
     def schedule_dispatch(self) -> None:
-        """Schedule a dispatch after all messages that are ready on the event loop."""
+        """Have one dispatch run after the messages that the event loop has ready now."""
         if self._dispatch_scheduled:
             return
         self._dispatch_scheduled = True
@@ -249,7 +257,11 @@
         return counters
 
     def get_gauges(self) -> dict[str, float]:
-        """Return all gauges by name."""
+        """Return all gauges by name.
+
+        `kept_jobs` counts the stored records of active and ended jobs, `outstanding` the starts
+        whose results are still awaited from upstreams, `parked` the exchanges without a reply.
+        """
         dispatcher = self.dispatcher
         return {
             "active_jobs": dispatcher.active_job_count,
@@ -284,6 +296,7 @@
             log_event(event, upstream=notice.upstream, detail=notice.detail)
 
     def _report_job_end(self, job: Job) -> None:
+        """Log a failed job, and wake the callers that wait for its end."""
         if job.state is JobState.FAILED and job.failure is not None:
             reason = job.failure.reason.value
             log_event(Event.JOB_FAILED, id=job.id, reason=reason, detail=job.failure.detail)
@@ -304,13 +317,14 @@
             while True:
                 self.dispatcher.tick(self._clock.monotonic())
                 self._dispatch()
-                self._forget_unfetched()
+                self._drop_stale_unfetched()
                 is_busy = self.dispatcher.active_job_count > 0
                 await asyncio.sleep(TICK_SECONDS if is_busy else IDLE_TICK_SECONDS)
         except Exception as error:
             self._report_failure(error)
 
-    def _forget_unfetched(self) -> None:
+    def _drop_stale_unfetched(self) -> None:
+        """Drop ids whose records have expired; rarely, since this compares all of them."""
         jobs = self.dispatcher.store.jobs
         if len(self._unfetched) > 2 * len(jobs):
             self._unfetched.intersection_update(jobs)
--- a/cottonlug/runtime/heartbeat_port.py
+++ b/cottonlug/runtime/heartbeat_port.py
@@ -1,12 +1,12 @@
 """Orders to upstreams that cannot be called: they are sent in the answers to heartbeats.
 
 An upstream sends one heartbeat at a time. The next heartbeat resolves the orders in the answer to
-the previous one: it lists runs and ended runs after that answer was processed or was lost for good,
-because an upstream discards answers that arrive later than `ANSWER_EXPIRY`. So a run that is not
-listed can no longer begin.
+the previous one, that is, shows what became of them: it lists the upstream's runs and ended runs
+after that answer was processed or was lost for good, because an upstream discards answers that
+arrive later than `ANSWER_EXPIRY`. So a run that is not listed can no longer begin.
 
-An answer is parked until there is something to send: the heartbeat of an idle upstream waits at
-the leader, and a busy upstream returns every few milliseconds to report ended runs.
+The answer to a heartbeat is parked at the leader until there is something to send. An idle upstream
+waits long for it; a busy one gets it in time to report the next run that ends.
 """
 
 from __future__ import annotations
@@ -32,7 +32,8 @@
 IDLE_PARK_TIME = timedelta(milliseconds=700)
 """Longest parking for an idle upstream.
 
-On the deployment platform an upstream without an answer for 1 s calls another host.
+On the deployment platform an upstream that gets no answer for 1 s sends its heartbeats to another
+control host.
 """
 MIN_HEARTBEAT_GAP = timedelta(milliseconds=50)
 """Shortest time from an answer to the upstream's next heartbeat on the deployment platform."""
@@ -42,7 +43,10 @@
 Each answer renews leases, and each heartbeat shows runs that make no progress.
 """
 CONFIRMATION_PARK_TIME = timedelta(milliseconds=30)
-"""How long the confirmation of ended runs waits for orders to be sent with it."""
+"""Parking for a busy or draining upstream without a poll to send, and of a poll that must not wait.
+
+The answer confirms ended runs to the upstream; within this time, starts may still be added to it.
+"""
 MAX_QUEUE_TIME = timedelta(milliseconds=400)
 """An order that was not sent within this time, for want of a heartbeat, is withdrawn."""
 ANSWER_EXPIRY = timedelta(seconds=1)
@@ -56,34 +60,45 @@
 """The longest time from the decision on an order to its arrival at the upstream."""
 ORDER_CHECK_SECONDS = 0.05
 NEXT_HEARTBEAT_DELAY = timedelta(milliseconds=1)
-"""How long after an answer an upstream is to send its next heartbeat."""
+"""How long after an answer the upstream is asked to send its next heartbeat: at once.
+
+On the deployment platform this takes at least `MIN_HEARTBEAT_GAP` all the same.
+"""
 
 
 @dataclass(slots=True, kw_only=True)
-class _QueuedOrder:
-    """An order to one upstream, and the future of its outcome."""
+class _PendingOrder:
+    """An order to one upstream that waits to be sent or, once sent, to be resolved."""
 
     order: Order
     queued_at: timedelta
     resolved: asyncio.Future[PollReply | None]
-    """The run lists of the heartbeat after the one whose answer carried the order."""
+    """Gets the lists of runs and ended runs in the heartbeat that follows the answer with the
+    order: they show its outcome."""
     sent_at: timedelta | None = None
 
 
 @dataclass(slots=True, kw_only=True)
 class _UpstreamQueue:
-    """The orders to one upstream."""
+    """The orders to one upstream: those waiting, and those sent in the last answer to it."""
 
     sequence: int = -1
-    waiting: list[_QueuedOrder] = field(default_factory=list)
-    sent: list[_QueuedOrder] = field(default_factory=list)
-    last_seen: int = 0
-    """Ended runs up to this number are confirmed."""
+    """Sequence number of its newest heartbeat."""
+    waiting: list[_PendingOrder] = field(default_factory=list)
+    sent: list[_PendingOrder] = field(default_factory=list)
+    confirmed_through: int = 0
+    """Number of the last run end that the upstream need no longer list."""
     changed: asyncio.Event = field(default_factory=asyncio.Event)
+    """Set when an order was added or the port was closed."""
 
 
 class HeartbeatPort:
-    """An `UpstreamPort` that sends the orders of one term in the answers to heartbeats."""
+    """An `UpstreamPort` that sends a leader's orders of one term in the answers to heartbeats.
+
+    The fencing token that upstreams get is that of the answer (`handle_heartbeat`); those passed
+    with single orders are not used. `on_listening_change` is called with True while the answer to
+    an upstream's heartbeat is parked, so that an order would reach it at once.
+    """
 
     def __init__(
         self,
@@ -107,7 +122,7 @@
     # Orders of the coordinator
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
-        """Send a start with the next answer; return its outcome and the upstream's clock."""
+        """Send a start with the next answer; return its outcome and the upstream's clock in ms."""
         item = await self._queue_order(order)
         if item.sent_at is None:
             return StartOutcome.NOT_SENT, None
@@ -129,11 +144,11 @@
         run_lists = item.resolved.result() if item.resolved.done() else None
         return run_lists if run_lists is not None else CallFailure.NO_ANSWER
 
-    async def _queue_order(self, order: Order) -> _QueuedOrder:
+    async def _queue_order(self, order: Order) -> _PendingOrder:
         """Queue an order and wait until it is resolved or can no longer be."""
         queue = self._queues.setdefault(order.upstream.id, _UpstreamQueue())
         resolved: asyncio.Future[PollReply | None] = asyncio.get_running_loop().create_future()
-        item = _QueuedOrder(order=order, queued_at=self._clock.monotonic(), resolved=resolved)
+        item = _PendingOrder(order=order, queued_at=self._clock.monotonic(), resolved=resolved)
         queue.waiting.append(item)
         queue.changed.set()
         while not resolved.done():
@@ -153,7 +168,7 @@
         """Process the run lists of a heartbeat, and return the orders for its answer."""
         queue = self._queues.setdefault(heartbeat.info.id, _UpstreamQueue())
         if heartbeat.sequence <= queue.sequence or heartbeat.poll_reply is None:
-            # Overtaken by a later heartbeat, which gets an answer of its own.
+            # Without run lists, or overtaken by a later heartbeat, which gets its own answer.
             return HeartbeatOrders(token=token, last_seen=0)
         queue.sequence = heartbeat.sequence
         self._resolve_sent(queue, heartbeat.poll_reply)
@@ -210,11 +225,11 @@
             elif isinstance(order, StopOrder):
                 stops.append((order.task, order.run))
             else:
-                queue.last_seen = max(queue.last_seen, order.last_seen)
+                queue.confirmed_through = max(queue.confirmed_through, order.last_seen)
                 is_lease_wanted = is_lease_wanted or order.expires_ms is not None
         return HeartbeatOrders(
             token=token,
-            last_seen=queue.last_seen,
+            last_seen=queue.confirmed_through,
             lease_ms=to_milliseconds(self._lease) if is_lease_wanted else None,
             starts=tuple(starts),
             stops=tuple(stops),
