--- a/cottonlug/core/cluster/capacity_reports.py
+++ b/cottonlug/core/cluster/capacity_reports.py
@@ -1,9 +1,14 @@
 """How long the reported capacity of an upstream can be relied on.
 
-Load pattern: the capacity of an upstream shrinks and grows again while it runs, as its heartbeats
-report. An upstream that enforces its capacity refuses what does not fit. One that does not starts
-it all the same, and starts beyond a capacity that has shrunk are tolerated for a while only. So
-nothing is started there by a report that may have been out of date for longer than that.
+Load pattern that this is made for: the capacity of an upstream shrinks and grows again while it
+runs, as its heartbeats report. An upstream that enforces its capacity refuses what does not fit.
+One that does not starts it all the same, and starts beyond a capacity that has shrunk are tolerated
+for a while only: see `ReportTerms`. So nothing is started there by a report that may have been
+out of date for longer than that.
+
+If an upstream of the second kind has missed a heartbeat, that is recorded in the replicated log and
+in the failover state, a copy that gateways get with the answers to their keep-alives, in case they
+must act as leader.
 """
 
 from __future__ import annotations
@@ -12,28 +17,34 @@
 from datetime import timedelta
 
 MAX_TIME_WITHOUT_LEADER = timedelta(milliseconds=700)
-"""Longest time without a leader until a host that knew the last one leads in its place."""
+"""How long a host may still name a leader, after hearing it for the last time: as long as an
+election timeout at the most. So that leader may have failed this long before it was last named."""
 MISSED_HEARTBEAT_DELAY = timedelta(milliseconds=400)
 """A heartbeat counts as missed once it is later than its interval by this much."""
 PROPAGATION_TIME = timedelta(milliseconds=500)
-"""Time within which all hosts that may be the next coordinator know of a missed heartbeat: a commit
-and a keep-alive of a gateway come between."""
+"""Time from when a heartbeat was due until all hosts that may be the next coordinator know that it
+was missed: `MISSED_HEARTBEAT_DELAY`, a commit, and a keep-alive of a gateway (which may act as
+leader next)."""
 FIRST_REFUSAL_BACKOFF = timedelta(milliseconds=50)
-"""How long nothing is started after a first refusal for lack of capacity: the next poll may show
-what runs there."""
+"""How long nothing is started at an upstream after its first refusal for lack of capacity. The next
+poll, which lists its runs, may show by then what occupies it."""
 MAX_BACKOFF_DOUBLINGS = 4
-"""An upstream that has refused five times in a row is tried again every 0.8 s, or once it has
-reported something new: that comes with its next heartbeat, within 1.5 s."""
+"""Each further refusal in a row doubles the time, up to 0.8 s from the fifth on. A capacity report,
+which comes with each heartbeat (every 1.5 s), begins the count anew."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReportTerms:
-    """How soon an upstream reports a changed capacity, and what is tolerated until then."""
+    """How soon an upstream reports a changed capacity, and what is tolerated until then.
+
+    These are terms in the sense of conditions; they have nothing to do with a leader's term.
+    """
 
     interval: timedelta = timedelta(milliseconds=1_500)
     """The interval of its heartbeats."""
     shrink_tolerance: timedelta = timedelta(seconds=3)
-    """How long starts by the old capacity are tolerated once it has shrunk, beyond an interval."""
+    """How long, beyond one interval, starts that fit only the old capacity are tolerated after it
+    has shrunk."""
 
     @property
     def valid_for(self) -> timedelta:
@@ -46,10 +57,12 @@
         return self.interval + MISSED_HEARTBEAT_DELAY
 
     def find_valid_until(self, current_at: timedelta) -> timedelta:
-        """Return until when recorded capacities can be relied on, if current at `current_at`.
+        """Return until when a new coordinator can rely on the capacities in its records.
 
-        The records say which upstreams had missed a heartbeat by then. At all others, a change that
-        was not reported by then was less than an interval old.
+        `current_at` is the time up to which its records are complete, as it had contact with the
+        leader then. They name the upstreams that missed a heartbeat due `PROPAGATION_TIME` earlier.
+        At all others, a change that is not in the records came at most an interval before that, and
+        is tolerated for `valid_for`.
         """
         return current_at + self.shrink_tolerance - PROPAGATION_TIME
 
@@ -60,6 +73,7 @@
 def find_refusal_backoff(refusals: int) -> timedelta:
     """Return how long to start nothing at an upstream that just refused for lack of capacity.
 
-    `refusals` in a row show that its capacity has shrunk, and that no heartbeat has reported it.
+    `refusals` is how often it has refused since its last successful start or capacity report, this
+    one included: several show that its capacity has shrunk and that this is not reported yet.
     """
     return FIRST_REFUSAL_BACKOFF * (1 << min(refusals - 1, MAX_BACKOFF_DOUBLINGS))
--- a/cottonlug/core/cluster/open_job.py
+++ b/cottonlug/core/cluster/open_job.py
@@ -1,4 +1,14 @@
-"""A job that has not ended, as one leader knows it."""
+"""A job that has not ended, as one coordinator knows it.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). A job consists of steps, a step of tasks with equal
+requirements; a timed job repeats all its steps, once in each occurrence. A run is one try to carry
+out a task.
+
+The runs that another coordinator started go on at their upstreams. This one learns of them only
+once the upstreams answer it; until then, or until the leases of these runs have certainly ended,
+their tasks are unknown and are not started.
+"""
 
 from __future__ import annotations
 
@@ -11,19 +21,22 @@
 from .records import JobRecord
 
 NO_RUN = RunNumber(0)
+"""Below all run numbers: no run of the task is known."""
 
 
 class TaskPhase(Enum):
-    """State of an unfinished task at this leader."""
+    """State of an unfinished task, as far as this coordinator knows."""
 
     BLOCKED = "blocked"
     """Waits for earlier steps."""
     QUEUED = "queued"
+    """Waits to be started."""
     RUNNING = "running"
     RECORDING = "noting"
-    """Its run has ended; the end has yet to be recorded."""
+    """Its run has ended, which the replicated log or, for a best-effort job, this host has yet to
+    record."""
     UNKNOWN = "unknown"
-    """An earlier leader may have started it."""
+    """Another coordinator may have started it, at an upstream that has not answered this one."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -32,23 +45,26 @@
 
     phase: TaskPhase
     instance: UpstreamId | None = None
+    """The upstream of its current or last run, if this coordinator knows one."""
     run: RunNumber = NO_RUN
+    """The number of its current or last run."""
     moves: int = 0
-    """How often it was stopped to be started elsewhere."""
+    """How often a run of it was stopped as stalled or slow, so that it starts elsewhere."""
     may_run_elsewhere: bool = False
-    """Whether another coordinator may have begun a further run of it, at an upstream not seen yet.
+    """Whether another coordinator may have begun a further run of it, at an upstream that has not
+    answered this one yet.
 
-    It stays set when a run of an unknown task is adopted or its end is listed, as that run need not
-    be the last one.
+    It stays set when an upstream lists a run of an unknown task, active or ended: that run need not
+    be the last one. (An active one is adopted: it goes on as if this coordinator had started it.)
     """
     unrecorded_end: tuple[UpstreamId, RunNumber] | None = None
-    """The run whose end has yet to be recorded, while it is `RECORDING`."""
+    """Upstream and number of the run whose end has yet to be recorded, while it is `RECORDING`."""
 
     def is_current_run(self, run: RunNumber, upstream: UpstreamId) -> bool:
-        """Whether the task is active as this run at this upstream.
+        """Whether the task is running, and this run at this upstream is its current one.
 
-        The number alone does not tell: a job that was abandoned and is submitted again has its runs
-        numbered from the first again.
+        The number alone does not tell: if a job is abandoned, because nobody waits for it any more,
+        and is submitted again, its runs are numbered from the first again.
         """
         return self.phase is TaskPhase.RUNNING and (self.run, self.instance) == (run, upstream)
 
@@ -59,57 +75,67 @@
 
     record: JobRecord
     opened_at: timedelta
+    """When its caller submitted it at a gateway or control host, before it arrived here."""
     objective: timedelta
-    """How long the job may take, from `opened_at`."""
+    """How long the job should take from `opened_at`; if it takes longer, it counts as late."""
     tasks: dict[TaskRef, Task] = field(default_factory=dict)
     has_begun: bool = False
+    """Whether a task of it was started, or may have been by another coordinator."""
     gateway: str = ""
     """Address of the gateway that waits for its end, if any."""
     home: DomainName | None = None
     """Preferred failure domain of its tasks: that of its gateway, or of its first task."""
     confirmed_until: timedelta = timedelta()
-    """Until then its gateway counts as waiting for it by the submission alone, even if silent."""
+    """Until then the submission itself shows that its gateway waits for it; after that the job is
+    abandoned if the gateway is silent."""
     may_be_of_acting_leader: bool = False
-    """Whether an acting leader may have begun it, of whose starts no leader knows."""
+    """Whether an acting leader may have begun it: no leader knows what an acting leader started, so
+    this may be active also at upstreams where no leader has runs."""
     reconcile_at: timedelta = timedelta()
-    """Until then its unknown tasks may run at an upstream that cannot be reached."""
+    """From then on its unknown tasks may be started even if an upstream has not answered: the lease
+    there has ended, and with it any run that another coordinator started."""
     next_occurrence: int = 0
-    """The first occurrence that has not been opened, since it was not due yet."""
+    """The first occurrence whose tasks are not in `tasks` yet, since it was not due."""
     due_at: dict[int, timedelta] = field(default_factory=dict)
     """When each occurrence was due; the objective counts from there."""
     run_times: dict[tuple[int, UpstreamId], timedelta] = field(default_factory=dict)
-    """Run time of a task of a step at an upstream, as its progress or its end has shown."""
+    """Latest run time of a task, by the number of its step and its upstream: measured at the end of
+    the run, or estimated from its progress."""
 
     def has_unknown_tasks(self) -> bool:
-        """Whether any of its tasks may run at an upstream that cannot be reached."""
+        """Whether another coordinator may have started any of its tasks, unknown to this one."""
         return any(task.phase is TaskPhase.UNKNOWN for task in self.tasks.values())
 
     def record_run_time(self, step: int, upstream: UpstreamId, total: timedelta) -> None:
-        """Record how long a task of a step takes at an upstream."""
+        """Record how long a whole run of a task of a step takes at an upstream."""
         self.run_times[(step, upstream)] = total
 
     def find_sibling_run_time(self, step: int, upstream: UpstreamId) -> timedelta | None:
-        """Return how long a task of a step takes at the fastest of the other upstreams."""
+        """Return how long such a task takes at the fastest other upstream, or None if unknown."""
         others = (
             total
-            for (number, instance), total in self.run_times.items()
-            if number == step and instance != upstream
+            for (each_step, each_upstream), total in self.run_times.items()
+            if each_step == step and each_upstream != upstream
         )
         return min(others, default=None)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Submission:
-    """Who waits for a job, and whether another host may have begun it."""
+    """Who waits for a best-effort job, and whether another coordinator may have begun it."""
 
     gateway: str
+    """Address of the gateway that waits for it; empty if that is this host, acting as leader."""
     home: DomainName | None = None
     """The failure domain of that gateway."""
     may_have_begun: bool
+    """Whether another coordinator may have started tasks of it."""
     confirmed_until: timedelta = timedelta()
+    """See `OpenJob.confirmed_until`."""
     may_be_of_acting_leader: bool = False
-    """Whether that host may have been an acting leader."""
+    """Whether that coordinator may have been an acting leader."""
     reconcile_after: timedelta
-    """How long runs that another host began may go on at an upstream that cannot be reached."""
+    """How long runs that another coordinator started may go on at an upstream that cannot be
+    reached: until the lease there has ended."""
     waited: timedelta = timedelta()
-    """How long the job has been at its gateway."""
+    """How long the job had been at its gateway by now: this counts towards its objective."""
--- a/cottonlug/core/cluster/run_ends.py
+++ b/cottonlug/core/cluster/run_ends.py
@@ -1,4 +1,10 @@
-"""Handles run ends: updates run-time estimates and upstream health, and records results."""
+"""Handles the ends of runs: updates run-time estimates and upstream health, and records the ends.
+
+A run is one try to carry out a task. An upstream numbers its ended runs from 1 and lists them in
+each answer to a poll, until the coordinator confirms that it has recorded them. The ends of durable
+jobs are recorded in the replicated log, those of best-effort jobs in the memory of the coordinator
+only.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +25,7 @@
 
 
 class RunEndHandler:
-    """Processes run ends that upstreams list; those of durable jobs go through the log first."""
+    """Handles ends that upstreams list: of best-effort jobs at once, of durable jobs on commit."""
 
     def __init__(
         self,
@@ -34,12 +40,17 @@
         self._jobs = jobs
         self._reconciliation = reconciliation
         self._orphaned_ends: dict[JobId, list[RunEndReport]] = {}
-        """Ends of jobs that are unknown so far but may be submitted again."""
+        """Ends of jobs that are not known here: an earlier coordinator had them, and their gateways
+        may yet submit them here."""
 
     def handle_listed_ends(
         self, instance: Instance, ended: tuple[RunEndReport, ...], now: timedelta
     ) -> None:
-        """Record new ends that an upstream has listed, those of durable jobs through the log."""
+        """Record new ends that an upstream has listed, in the log or here.
+
+        `proposed_through` and `recorded_through` are the numbers, at that upstream, of the last end
+        that was handled here and of the last that may be confirmed to the upstream.
+        """
         new = tuple(
             end
             for end in ended
@@ -58,10 +69,13 @@
                 self._detect_other_coordinator(instance, run, end)
                 self._evaluate_end(instance, run, end, now)
             self._jobs.mark_recording(end, instance.info.id)
+            # The replicated records hold only durable jobs.
             if end.task.job in self._term.records.jobs:
                 durable_ends.append(end)
             else:
                 self._record_locally(end, instance.info.id, now)
+        # Ends are confirmed in the order of their numbers, so these must wait for a proposal that
+        # is not committed yet, even if none of them needs the log.
         if not durable_ends and not awaits_record:
             instance.recorded_through = max(instance.recorded_through, instance.proposed_through)
             return
@@ -84,20 +98,27 @@
             self._apply_recorded_end(end, command.upstream, now)
 
     def claim_orphaned_ends(self, record: JobRecord, now: timedelta) -> None:
-        """Apply ends that were listed before their job was submitted again."""
+        """Record ends that were listed before their job was submitted here, and act on them.
+
+        This concerns best-effort jobs only: all others are known from the log.
+
+        Which upstream listed them no longer matters: the job is new here, so none of its tasks
+        waits for an end to be recorded.
+        """
         for end in self._orphaned_ends.pop(record.id, []):
             record_run_end(record, end, self._term.wall_ms())
             self._apply_recorded_end(end, None, now)
 
     def forget_orphaned_ends(self, now: timedelta) -> None:
-        """Drop ends whose jobs were not submitted again within the grace period."""
+        """Drop the ends of unknown jobs after the grace period, which begins with the term."""
         if self._orphaned_ends and not self._instances.is_in_grace_period(now):
             self._orphaned_ends.clear()
 
     def _detect_other_coordinator(self, instance: Instance, run: Run, end: RunEndReport) -> None:
-        """Detect, from a stop that another host sent, that a host with a higher token coordinates.
+        """Detect that a host with a higher fencing token has become coordinator.
 
-        That host may have started the task again by now.
+        The sign is a run that was stopped, but not by this host. The other one may have started the
+        task again by now.
         """
         if end.how is RunEndKind.STOPPED and not run.stop_requested:
             self._term.is_superseded = True
@@ -140,7 +161,7 @@
             self._term.log_decision("upstream_failing", {"upstream": instance.info.id})
 
     def _record_locally(self, end: RunEndReport, upstream: UpstreamId, now: timedelta) -> None:
-        """Record the end of a run of a best-effort job."""
+        """Record the end of a run of a job that is not in the log: best-effort, or unknown here."""
         job = self._jobs.jobs.get(end.task.job)
         if job is not None:
             record_run_end(job.record, end, self._term.wall_ms())
@@ -151,6 +172,10 @@
     def _apply_recorded_end(
         self, end: RunEndReport, upstream: UpstreamId | None, now: timedelta
     ) -> None:
+        """Act on an end that is in the job's record now: close the job, or queue what may follow.
+
+        `upstream` is the one that listed the end, or None if that does not matter.
+        """
         job = self._jobs.jobs.get(end.task.job)
         if job is None:
             return
@@ -162,7 +187,8 @@
         if task is None:
             return
         if job.record.get_task(end.task).is_done:
-            # An abandoned run may have completed before its lease ended.
+            # A run that was abandoned, as its upstream did not answer until its lease had ended,
+            # may have completed before that. Its task may have been queued or started again since.
             if task.phase is TaskPhase.RUNNING and task.instance is not None:
                 self._instances.request_stop(task.instance, end.task, task.run)
             elif task.phase is TaskPhase.QUEUED:
@@ -171,10 +197,12 @@
             if job.record.is_step_done(end.task.occurrence, end.task.step):
                 self._jobs.unblock(job, end.task.occurrence)
         elif task.phase is TaskPhase.RECORDING and task.may_run_elsewhere:
-            # The task may have another run, at an upstream that has not answered this leader yet.
+            # Another coordinator may have started a further run, at an upstream that has not
+            # answered this one yet.
             task.phase = TaskPhase.UNKNOWN
             self._reconciliation.request_recheck()
         elif task.phase is TaskPhase.RECORDING and task.unrecorded_end == (upstream, end.run):
-            # An older end recorded in the meantime must not requeue a task whose later run has
-            # succeeded.
+            # The run ended without success, so the task is queued again. But this must be the end
+            # that the task waits for: after an older one, a later run may have succeeded whose end
+            # is not recorded yet.
             self._jobs.queue(job, end.task.occurrence, end.task.step, [end.task.task_index])
--- a/cottonlug/runtime/job_channel.py
+++ b/cottonlug/runtime/job_channel.py
@@ -1,12 +1,17 @@
 """Client end of a job channel: sends jobs to another host in batches and polls for their answers.
 
-Load pattern: hundreds of hosts, each with some jobs pending at the coordinator, which may change.
-With one connection per job, a thousand connections had to be opened at once, while a host accepts
-only one in each iteration of its event loop: for seconds after a change of leader, jobs arrived a
-second late and were refused as not started. Three connections per host carry any number of jobs.
-
-A batch without a reply is sent again under the same numbers, so that no job is run twice. An answer
-is repeated until the next poll shows that it has arrived.
+The client is a gateway, the other host the coordinator (which schedules jobs now) or a relay
+to it. A job is answered when it has ended.
+
+Load pattern that this is made for: hundreds of gateways, each with some jobs pending at the
+coordinator, which may change. With one connection per job, a thousand connections had to be opened
+at once, while a host accepts only one in each iteration of its event loop: for seconds after a
+change of leader, jobs arrived a second late and were rejected without having been started. A few
+connections per host (`JOB_CHANNEL_CONNECTIONS` in `peer_calls`) carry any number of jobs.
+
+A batch without a reply is sent again, and its jobs keep their numbers, by which the other host
+recognises them: none is run twice. Answers have numbers of their own. The other host repeats them
+until a poll names their numbers as received.
 """
 
 from __future__ import annotations
@@ -35,7 +40,7 @@
 JOBS_PATH = "/v1/jobs"
 ANSWERS_PATH = "/v1/answers"
 MAX_BATCH_JOBS = 64
-"""Jobs of 1,000 tasks have 5 KB each, so a batch has a third of a megabyte at the most."""
+"""A job of 1,000 tasks takes 5 KB, so a batch of such jobs takes a third of a megabyte."""
 SEND_TIMEOUT = timedelta(milliseconds=300)
 """A live host replies within a few milliseconds; a connection may be broken without a reset."""
 ANSWER_POLL_WAIT = timedelta(milliseconds=300)
@@ -44,6 +49,7 @@
 NOT_SENT = "it was not sent"
 """Detail of the answer for a job that was abandoned before it was sent."""
 RETRY_SECONDS = 0.02
+"""Pause after a batch or a poll that has failed."""
 IDLE_SECONDS = 1.0
 """A channel stops polling this long after its last job."""
 _COORDINATOR_CHANGED = "the host is no longer the coordinator"
@@ -52,6 +58,8 @@
 
 @dataclass(slots=True)
 class _PendingJob:
+    """A job whose answer has not arrived."""
+
     submit: Submit
     answer: asyncio.Future[Answer] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
@@ -59,11 +67,15 @@
     is_sent: bool = False
     """Whether it may have reached the other host."""
     is_acknowledged: bool = False
-    """Whether the other host has acknowledged it."""
+    """Whether the other host has acknowledged its receipt, which is not its answer yet."""
 
 
 class JobChannel:
-    """The jobs that this host has sent to another one."""
+    """The jobs that this host has sent to another one, or will send as soon as it can.
+
+    `stamp` is called with each job right before it is sent, and returns it with the evidence of
+    this gateway's last contact with the coordinator.
+    """
 
     def __init__(
         self,
@@ -79,12 +91,16 @@
         self._numbers = itertools.count(1)
         self._pending: dict[int, _PendingJob] = {}
         self._numbering = self._received_through = 0
-        """The numbering of the last answers, and up to which number they have arrived."""
+        """Up to which number answers have arrived, and the id of the numbering that this belongs
+        to: after a restart, for example, the other host numbers its answers anew."""
         self._changed = asyncio.Event()
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     async def submit(self, job: Submit, timeout: timedelta) -> Answer:
-        """Have the other host run a job; `UNAVAILABLE` only if the job was never sent."""
+        """Have the other host run a job, and return its answer.
+
+        Without one, the outcome is `UNAVAILABLE` if the job was never sent, `UNKNOWN` otherwise.
+        """
         number = next(self._numbers)
         item = self._pending[number] = _PendingJob(job)
         self._ensure_tasks()
@@ -98,7 +114,10 @@
             del self._pending[number]
 
     def fail_pending(self) -> None:
-        """End all pending jobs without an answer; those that were sent may have been run."""
+        """Stop waiting for all pending jobs, since this host now sends its jobs elsewhere.
+
+        Those that were sent may have been run.
+        """
         for item in self._pending.values():
             if not item.answer.done():
                 item.answer.set_result(_build_lost_answer(item, _COORDINATOR_CHANGED))
@@ -122,11 +141,13 @@
                 await asyncio.sleep(RETRY_SECONDS)
 
     async def _send(self, batch: dict[int, _PendingJob]) -> bool:
-        def build() -> bytes:
+        def encode_batch() -> bytes:
             return self._encode(batch)
 
-        sent = await self._open_pool().call("POST", JOBS_PATH, build, timeout=SEND_TIMEOUT)
-        if isinstance(sent, Err) or sent.unwrap().status != 200:
+        response = await self._open_pool().call(
+            "POST", JOBS_PATH, encode_batch, timeout=SEND_TIMEOUT
+        )
+        if isinstance(response, Err) or response.unwrap().status != 200:
             return False
         for item in batch.values():
             item.is_acknowledged = True
@@ -152,14 +173,14 @@
                 numbering=self._numbering,
                 have=self._received_through,
             )
-            sent = await self._open_pool().call(
+            response = await self._open_pool().call(
                 "POST", ANSWERS_PATH, msgspec.json.encode(ask), timeout=ANSWER_POLL_TIMEOUT
             )
-            if isinstance(sent, Err) or not self._handle_answers(sent.unwrap()):
+            if isinstance(response, Err) or not self._handle_answers(response.unwrap()):
                 await asyncio.sleep(RETRY_SECONDS)
 
     def _handle_answers(self, reply: HttpReply) -> bool:
-        """Pass answers to the pending jobs; False if the reply cannot be read."""
+        """Pass answers to the pending jobs; False if the reply is an error or cannot be decoded."""
         if reply.status != 200:
             return False
         try:
@@ -186,7 +207,7 @@
         ]
 
     async def _wait_for_work(self, find: Callable[[], list[tuple[int, _PendingJob]]]) -> bool:
-        """Return True once there is work, False if no job was pending for `IDLE_SECONDS`."""
+        """Return True once `find` returns jobs, False if none was pending for `IDLE_SECONDS`."""
         while not find():
             self._changed.clear()
             try:
@@ -199,6 +220,7 @@
 
 
 def _build_lost_answer(item: _PendingJob, detail: str) -> Answer:
+    """Build the outcome of a job that has no answer; `detail` is why, if it was sent."""
     if item.is_sent:
         return Answer(outcome=Outcome.UNKNOWN, detail=detail)
     return Answer(outcome=Outcome.UNAVAILABLE, detail=NOT_SENT)
--- a/cottonlug/runtime/replica.py
+++ b/cottonlug/runtime/replica.py
@@ -1,8 +1,12 @@
-"""One host of a replicated log: its disk, its messages and its timers.
+"""One control host's copy of a replicated log (Raft): its disk, its messages and its timers.
 
-The state machine on top is passed in. A leader sends entries before it has synced them and counts
-itself towards the majority only afterwards (`Member.record_saved`): with all voters healthy, two
-other disks are the majority, and the leader's event loop does not wait for its own.
+`Member` is the algorithm without input and output. A member is one host with one disk: a host whose
+disk was replaced is another member. Hosts are named by their peer addresses. The state machine on
+top is passed in.
+
+A leader sends entries before it has synced them and counts itself towards the majority only
+afterwards (`Member.record_saved`): with all voters healthy, two other disks are the majority, and
+the leader's event loop does not wait for its own. Until then its own write is called deferred.
 """
 
 from __future__ import annotations
@@ -51,24 +55,28 @@
     first_election=timedelta(milliseconds=60),
     pre_vote_retry=timedelta(milliseconds=100),
 )
-"""A new leader is elected within 0.7 s, in time to renew most leases (1 s).
+"""A new leader is elected within 0.7 s, in time to renew the leases of most upstreams (1 s).
 
-A slow sync takes 270 ms.
+The election timeout is longer than a slow sync of a disk (270 ms), during which a host is silent.
 """
 LEADER_LEASE = timedelta(milliseconds=280)
-"""How long a leader may schedule after a majority has answered it.
+"""How long a leader may schedule tasks after it sent the messages that a majority has answered.
 
 No other host can be elected for at least one election timeout; the lease is shorter by a margin.
 """
 TICK_SECONDS = 0.025
 SAVE_DELAY = timedelta(milliseconds=20)
-"""A leader syncs its new entries if the other voters have not committed them by then."""
+"""A leader writes its new entries to its own disk this long after it has appended them, if the
+other voters have not made up a majority for them by then."""
 MAX_SAVE_DELAY = timedelta(seconds=1)
+"""A leader writes its new entries to its own disk after this time even if they are committed."""
 REOPEN_AFTER = timedelta(seconds=1)
-"""A full disk may have free space again by then; until then this host is out of the quorum."""
+"""Pause after a failed write until the disk is read again: a full one may have free space by then.
+Until that works this host takes no part in the log."""
 COMPACT_AFTER_BYTES = 8 * 1024 * 1024
-"""Size of the log's entries at which a snapshot replaces them; a disk has 128 MB."""
+"""Size of the log's entries at which a snapshot replaces them; a host's data disk has 128 MB."""
 DISCOVERY_SECONDS = 0.25
+"""Interval at which a leader changes the members, and another host asks to join if it must."""
 HELLO_PATH = "/v1/hello"
 
 
@@ -90,14 +98,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReplicaSettings:
-    """The data folder of a replica and the peer addresses of its host and of the others."""
+    """The data folder of a replica, the peer address of its host, and those it knows at first."""
 
     address: Address
     seeds: tuple[Address, ...]
     may_begin: bool
+    """Whether this host may bootstrap a new log; the first of the seeds that may does so."""
     data_folder: Path
     urgent_port: int | None = None
-    """Port of the others for the log's messages, if it is not that of their addresses."""
+    """Port of the other hosts for all messages sent here, if it is not that of their addresses."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -105,13 +114,22 @@
     """Counters for metrics and state dumps."""
 
     syncs: int = 0
+    """Writes to the disk, each with a sync."""
     entries: int = 0
+    """Entries appended to the log."""
     elections: int = 0
+    """Changes of the leader or term seen by this host; that a leader is lost counts as one."""
     snapshots: int = 0
+    """Snapshots made here or received from a leader."""
 
 
 class Replica:
-    """The member, journal and messenger of one host of the log."""
+    """The member, journal and messenger of one host of the log.
+
+    `on_progress` is called whenever the role, the term or the applied entries may have changed,
+    `on_failure` with an unexpected exception of a background task. `member` is None before the
+    start and after a failed write, until the disk can be used again.
+    """
 
     def __init__(
         self,
@@ -140,14 +158,19 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
         self._membership = Membership(own=settings.address, seeds=settings.seeds, pools=self._pools)
-        self._unsaved: list[Output] = []
-        self._unsaved_since: timedelta | None = None
+        self._deferred: list[Output] = []
+        """New entries of a leader that have been sent but are not on its own disk yet."""
+        self._deferred_since: timedelta | None = None
         self._log_bytes = 0
+        """Size of the entries since the last snapshot."""
         self._reopen_at = timedelta()
         self._seen_leader: tuple[MemberId | None, Term] = (None, Term(0))
 
     async def start(self) -> str | None:
-        """Read the journal and join the log; return an error message, or None."""
+        """Read the journal and start the timers; return an error message, or None.
+
+        The host joins the log later, in the background.
+        """
         error = self._open()
         if error is not None:
             return error
@@ -163,10 +186,14 @@
         self._process_output()
 
     def start_new_term(self) -> None:
-        """Campaign for a later term: an upstream no longer accepts this leader's fencing token."""
+        """Campaign for a later term, whose fencing token is higher.
+
+        Called when an upstream no longer accepts the token of the present term.
+        """
         member = self.member
         if member is None or member.role is not Role.LEADER or not self.has_lease():
             return
+        # On a request to take over the leadership, a member campaigns at once.
         request = TransferRequest(term=member.term, sender=member.id)
         member.receive(request, self._clock.monotonic())
         self._process_output()
@@ -184,7 +211,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this host leads the log."""
+        """Whether this host has the role of leader; to schedule, it must have the lease, too."""
         return self.member is not None and self.member.role is Role.LEADER
 
     @property
@@ -196,7 +223,7 @@
 
     @property
     def term(self) -> Term:
-        """The current term, or 0 while the host is out of the quorum."""
+        """The current term, or 0 while the host takes no part in the log (see `member`)."""
         return self.member.term if self.member is not None else Term(0)
 
     @property
@@ -205,23 +232,26 @@
         return tuple(sorted(self._membership.hosts))
 
     def has_lease(self) -> bool:
-        """Whether this host leads and a majority of voters has answered within `LEADER_LEASE`."""
+        """Whether this host leads and a majority of voters, itself included, has answered lately.
+
+        That is, they have answered messages that were sent within `LEADER_LEASE`.
+        """
         member = self.member
         if member is None or member.role is not Role.LEADER:
             return False
-        unheard = set(self.list_silent_voters())
-        recent = {voter for voter in member.members.voters if get_host(voter) not in unheard}
+        silent = set(self.list_silent_voters())
+        recent = {voter for voter in member.members.voters if get_host(voter) not in silent}
         return is_quorum(member.members.voters, recent)
 
     def list_silent_voters(self) -> list[str]:
-        """Return the hosts of the other voters that have not answered within `LEADER_LEASE`."""
+        """Return the hosts of the other voters that answered nothing sent within `LEADER_LEASE`."""
         member = self.member
         if member is None:
             return []
         limit = self._clock.monotonic() - LEADER_LEASE
         hosts = [get_host(voter) for voter in member.members.voters if voter != member.id]
-        acked = {host: self._messenger.find_acked_at(host) for host in hosts}
-        return [host for host, at in acked.items() if at is None or at <= limit]
+        acked_at = {host: self._messenger.find_acked_at(host) for host in hosts}
+        return [host for host, at in acked_at.items() if at is None or at <= limit]
 
     def propose(self, data: str) -> bool:
         """Append a command to the log; return False if this host does not lead."""
@@ -234,7 +264,7 @@
     # Calls from other hosts
 
     def build_hello(self) -> Hello:
-        """Return how this member describes itself to others."""
+        """Return how this member introduces itself to others; also the answer to a join request."""
         assert self._journal is not None, "started before it listens"
         return Hello(
             host=HostId(str(self._settings.address)),
@@ -269,10 +299,11 @@
             files = FolderFiles(folder=self._settings.data_folder)
         except OSError as error:
             return f"cannot use the data folder {self._settings.data_folder}: {error.strerror}"
+        # Used only if the disk is empty.
         new_id = MemberId(f"{self._settings.address}/{secrets.token_hex(4)}")
         opened = open_journal(files, new_id)
         if isinstance(opened, Err):
-            _report_storage(opened.failure())
+            _log_storage_error(opened.failure())
             return str(opened.failure().message)
         self._journal = opened.unwrap()
         if self._journal.cut_bytes:
@@ -281,16 +312,17 @@
         return None
 
     def _reopen_if_due(self, now: timedelta) -> None:
-        """After a failed write, start again from the content of the disk, as a restart would."""
+        """After a failed write, try every second to start again from what is on the disk."""
         if self.member is not None or now < self._reopen_at:
             return
         self._reopen_at = now + REOPEN_AFTER
-        self._unsaved = []
-        self._unsaved_since = None
+        self._deferred = []
+        self._deferred_since = None
         if self._open() is None:
             log_event(Event.STORAGE_REOPENED)
 
     def _build_member(self) -> None:
+        """Build the member and the replicated state from the content of the disk."""
         assert self._journal is not None
         stored = self._journal.stored
         self.member = Member(
@@ -310,7 +342,7 @@
         self._record_members()
 
     def _process_output(self) -> None:
-        """Save, send and apply the member's output; a leader may send before it saves."""
+        """Save, send and apply what the member wants done; a leader may send before it saves."""
         while self.member is not None and self._journal is not None:
             output = self.member.take_output()
             if not (output.must_save or output.messages or output.committed):
@@ -333,7 +365,10 @@
         self._on_progress()
 
     def _save_or_defer(self, output: Output) -> bool:
-        """Save an output now, or later if it consists only of a leader's new entries."""
+        """Save an output now, or defer that if it consists only of a leader's new entries.
+
+        Returns False if the disk has failed.
+        """
         assert self.member is not None
         if not output.must_save:
             return True
@@ -343,55 +378,60 @@
             output.hard_state is None and output.snapshot is None and output.truncate_from is None
         )
         if only_entries and self.member.role is Role.LEADER and not output.committed:
-            self._unsaved.append(output)
-            if self._unsaved_since is None:
-                self._unsaved_since = self._clock.monotonic()
+            self._deferred.append(output)
+            if self._deferred_since is None:
+                self._deferred_since = self._clock.monotonic()
             return True
-        if not (self._flush_unsaved() and self._save(output)):
+        if not (self._write_deferred() and self._save(output)):
             return False
         self.member.record_saved()
         return True
 
-    def _flush_unsaved(self) -> bool:
-        """Save and sync the deferred entries."""
-        if not self._unsaved:
+    def _write_deferred(self) -> bool:
+        """Save and sync the deferred entries, if any; return False if the disk has failed."""
+        if not self._deferred:
             return True
-        entries = [entry for output in self._unsaved for entry in output.entries]
-        self._unsaved = []
-        self._unsaved_since = None
+        entries = [entry for output in self._deferred for entry in output.entries]
+        self._deferred = []
+        self._deferred_since = None
         return self._save(Output(entries=entries))
 
     def _save_deferred(self) -> None:
         """Save the deferred entries and count this member towards their majority."""
-        if self._unsaved and self._flush_unsaved() and self.member is not None:
+        if self._deferred and self._write_deferred() and self.member is not None:
             self.member.record_saved()
             self._process_output()
 
     def _save(self, output: Output) -> bool:
-        """Save and sync; if the disk fails, leave the quorum, since nothing can be promised."""
+        """Save and sync; return False if the disk fails.
+
+        This host then takes no part in the log, since it cannot promise to keep a vote or an entry.
+        """
         assert self._journal is not None
         self.counts.syncs += 1
         saved = self._journal.save(output)
         if isinstance(saved, Success):
             return True
-        _report_storage(saved.failure())
+        _log_storage_error(saved.failure())
         self.member = None
         self._reopen_at = self._clock.monotonic() + REOPEN_AFTER
         self._on_progress()
         return False
 
     def _save_if_due(self, now: timedelta) -> None:
-        if self._unsaved_since is None or self.member is None:
+        """Save the deferred entries if their majority needs this disk, or after a time anyway."""
+        if self._deferred_since is None or self.member is None:
             return
-        waiting = now - self._unsaved_since
+        waiting = now - self._deferred_since
         is_needed = self.member.commit < self.member.log.last_index and waiting >= SAVE_DELAY
         if is_needed or waiting >= MAX_SAVE_DELAY or self.member.role is not Role.LEADER:
             self._save_deferred()
 
     def _compact(self, output: Output) -> None:
+        """Replace the applied entries by a snapshot if the log has become too large."""
         if not output.committed or self._log_bytes < COMPACT_AFTER_BYTES or self.member is None:
             return
-        if not self._flush_unsaved():
+        if not self._write_deferred():
             return
         self.member.record_saved()
         self.member.compact(self._state_machine.encode(), output.committed[-1].index)
@@ -399,6 +439,7 @@
         self.counts.snapshots += 1
 
     def _record_leader(self) -> None:
+        """Log a change of leader or term; answers of earlier terms renew no lease from then on."""
         if self.member is None:
             return
         seen = (self.member.leader, self.member.term)
@@ -422,6 +463,7 @@
     # Timers
 
     async def _guard(self, work: Coroutine[None, None, None]) -> None:
+        """Run a background task, and report any exception, which is a fault of the program."""
         try:
             await work
         except Exception as error:
@@ -449,27 +491,32 @@
             await asyncio.sleep(DISCOVERY_SECONDS)
 
     def _must_ask_to_join(self, member: Member) -> bool:
-        """Whether this host must ask to join.
+        """Whether this host must ask to join the log.
 
-        A host with a new disk may know the leader from messages to the member of its old disk, so
-        knowing a leader is not enough.
+        Knowing a leader is not enough: a host with a new disk is a new member, but still gets the
+        leader's messages to the member of its old disk.
         """
         return member.leader is None or not member.members.has(member.id)
 
     async def _join_or_bootstrap(self) -> None:
         assert self.member is not None and self._journal is not None
         hellos = await self._membership.ask_to_join(self.member.id)
+        # This host may have been admitted, or its disk may have failed, in the meantime.
         if not self._journal.is_empty or self.member is None or self.member.members.voters:
             return
         members = self._membership.plan_bootstrap(self.build_hello(), hellos)
         if members is None:
             return
+        # A new log begins with a snapshot of an empty state, which holds the first members.
         first = Snapshot(index=Index(1), term=Term(0), members=members, data="")
         if self._save(Output(snapshot=first, restore=True)):
             self._build_member()
 
     def _change_members(self) -> None:
-        """Make one membership change towards a set of members that are all reachable."""
+        """Propose the next change, if any, towards a set of members that can all be reached.
+
+        For example, a host that asks to join replaces a voter that has been silent for 4 s.
+        """
         member = self.member
         assert member is not None
         now = self._clock.monotonic()
@@ -483,6 +530,6 @@
         self._process_output()
 
 
-def _report_storage(error: StorageError) -> None:
+def _log_storage_error(error: StorageError) -> None:
     event = Event.STORAGE_DAMAGED if error.damaged else Event.STORAGE_FAILED
     log_event(event, error=error.message)
