--- a/cottonlug/core/cluster/admission.py
+++ b/cottonlug/core/cluster/admission.py
@@ -1,8 +1,9 @@
 """Admission control: jobs that could not be served in time are rejected at once.
 
-Load pattern: offered work exceeds capacity for seconds. A job that is accepted and abandoned later
-has waited for nothing, so its wait is estimated from the work queued ahead of it and the usable
-cores. A job that would wait until it is of no use is rejected, with the time at which to retry.
+Load pattern that this is made for: offered work exceeds capacity for seconds. A job that is
+accepted and abandoned later has waited for nothing. So its wait is estimated beforehand, from the
+work queued ahead of it and the usable cores, and a job that would wait until it is of no use is
+rejected, with the time after which its caller should retry.
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 """Share of the cores that tasks can use, since wide ones fragment capacity: two tasks of 14 cores
 leave 4 of 32 unused."""
 MIN_CORES = 1.0
-"""Cores assumed where no upstream accepts work at the moment."""
+"""Lower bound of the cores assumed, where few upstreams or none accept work at the moment."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Rejection:
-    """Why a job is not accepted, and when its caller should retry."""
+    """Why a job is not accepted, and after how long its caller should retry."""
 
     reason: str
     retry_after: timedelta
 
 
 def measure_usable_cores(instances: Iterable[Instance]) -> float:
-    """Return the cores of upstreams that accept work, less the share lost to fragmentation."""
+    """Return the cores of upstreams, used or free, less the share lost to fragmentation."""
     total_cpu_millis = sum(instance.info.capacity.cpu_millis for instance in instances)
     return total_cpu_millis / 1000 * USABLE_SHARE
 
 
 def estimate_wait(core_ms: float, cores: float) -> timedelta:
-    """Return how long this many cores take for work in core-milliseconds."""
+    """Return how long this many cores take for work of `core_ms` core-milliseconds."""
     return timedelta(milliseconds=core_ms / max(cores, MIN_CORES))
--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -1,11 +1,12 @@
 """Waiting tasks, batched by step of a job and served by urgency.
 
-Load pattern: more work than capacity, after a burst or after seconds without a leader. Served in
-order of arrival, every job would be late for as long as the backlog lasts. So jobs that can still
-meet their objective go first, the most urgent first. Late jobs use what is left, until even a late
-answer is worth nothing (three times the objective, the bound of the users' rules). A job that has
-not begun counts as late earlier than one that has: half of the jobs begun at the last moment would
-run longer than declared, and wide ones would find capacity for some of their tasks only.
+Load pattern that this is made for: more work than capacity, after a burst or after seconds without
+a leader. Served in order of arrival, every job would be late for as long as the backlog lasts. So
+jobs that can still meet their objective (end within a set time from their arrival) go first, the
+most urgent first. Late jobs use what is left, until even a late answer is worth nothing (after
+three times the objective, by the rules of the users' platform). A job that has not begun counts as
+late earlier than one that has: half of the jobs begun at the last moment would run longer than
+declared, and wide ones would find capacity for some of their tasks only.
 """
 
 from __future__ import annotations
@@ -22,25 +23,31 @@
 
 
 class Tier(Enum):
-    """Whether a batch can still meet its job's objective, or at least be of use after that."""
+    """Whether a batch can still meet its job's objective; served in the order of the members."""
 
     ON_TIME = "on_time"
     LATE = "late"
+    """It will probably miss the objective, but may still be of use."""
     HOPELESS = "hopeless"
+    """It is of no more use."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Batch:
-    """Waiting tasks of one step of one job, and the latest times at which they must start."""
+    """Waiting tasks of one step of one job, and the latest times at which they must start.
+
+    These times are on the monotonic clock of this host.
+    """
 
     job: JobRecord
     occurrence: int
     step_number: int
     step: StepSpec
     latest_start: timedelta
-    """If begun later, the job may well miss its objective."""
+    """If its first task starts later, the job may well miss its objective."""
     latest_task_start: timedelta
-    """Once the job has begun, the latest start of its last task."""
+    """Once the job has begun, the latest start of its last task with which it can meet the
+    objective: later than `latest_start`, which includes a margin."""
     latest_useful_start: timedelta
     """If started later, the job is of no more use."""
     core_ms: float
@@ -51,13 +58,14 @@
     """CPU need of each task; cached, since every run end reads it for every batch."""
     tier: Tier = Tier.ON_TIME
     has_begun: bool = False
-    """Whether a task of the job has started: stopping now would waste its work."""
+    """Whether a task of the job has started, so that its work is wasted if the rest comes late."""
     restriction: StartRestriction = StartRestriction.NONE
     """Precautions where its tasks may crash an upstream."""
     first_tried_at: timedelta | None = None
-    """When the scheduler first tried to place the batch."""
+    """When the scheduler first tried to place the batch; kept only where it has a restriction."""
     was_tried: bool = False
-    """Whether all upstreams were tried, so that only those that gain capacity need be."""
+    """Whether it was tried on all upstreams, so that only those that gain capacity need be tried
+    again."""
 
     def __post_init__(self) -> None:
         self.cpu_millis = self.step.needs.cpu_millis
@@ -118,6 +126,7 @@
         while on_time and on_time[0].latest_start < now:
             batch = on_time.pop(0)
             if batch.has_begun and batch.latest_task_start >= now:
+                # It stays on time, at its place ahead of all whose latest start is to come.
                 kept.append(batch)
                 continue
             batch.tier = Tier.LATE
@@ -137,12 +146,12 @@
         return bool(self._new)
 
     def pop_new(self) -> list[Batch]:
-        """Return the batches that were not tried yet, and clear that list."""
+        """Return the batches that the scheduler has not tried to place yet, and clear that list."""
         new, self._new = self._new, []
         return [batch for batch in new if batch.waiting and not batch.was_tried]
 
     def drop_empty(self) -> None:
-        """Remove batches without waiting tasks."""
+        """Remove batches without waiting tasks, if `has_empty` says that there are any."""
         if not self.has_empty:
             return
         self.has_empty = False
@@ -157,7 +166,10 @@
                 self._tiers[tier] = [batch for batch in batches if batch.job.id != job]
 
     def measure_work_ahead(self, latest_start: timedelta) -> float:
-        """Return the on-time core-milliseconds ahead of a job with this latest start."""
+        """Return the core-milliseconds of all on-time work that is as urgent as this latest start.
+
+        That is the work that is served before a new job with this latest start.
+        """
         ahead = 0.0
         for batch in self._tiers[Tier.ON_TIME]:
             if batch.latest_start > latest_start:
--- a/cottonlug/core/cluster/batches.py
+++ b/cottonlug/core/cluster/batches.py
@@ -1,4 +1,9 @@
-"""Batches of jobs sent from one host to another, and of their answers."""
+"""Batches of jobs sent from one host to another, and of their answers.
+
+A job channel is the path on which one process of a gateway submits its jobs to another host, which
+schedules them or passes them on. Submissions and answers are numbered separately, since jobs are
+answered in the order in which they end.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +23,8 @@
 class JobBatch(Value, frozen=True):
     """Submissions of one host; the receiver recognises repeated ones by their numbers.
 
-    `caller` is the address of that host. `channel` identifies the job channel, within which
-    submissions are numbered: each process at the host, and each later connection, has another one.
+    `caller` is the address of the host that sends it. `channel` identifies the job channel, within
+    which submissions are numbered: each process there, and each later connection, has another one.
     """
 
     caller: str
@@ -28,7 +33,7 @@
 
 
 class AskAnswers(Value, frozen=True):
-    """Ask for the answers of a job channel after number `have`: those up to it have arrived.
+    """Ask for the answers of a job channel after answer number `have`: the others have arrived.
 
     `numbering` identifies the numbering that `have` belongs to; see `AnswerBatch`.
     """
@@ -40,17 +45,17 @@
 
 
 class NumberedAnswer(Value, frozen=True):
-    """The answer to the submission with that number."""
+    """The answer to one submission; `number` is the one that `NumberedJob` gave the submission."""
 
     number: int
     answer: Answer
 
 
 class AnswerBatch(Value, frozen=True):
-    """Answers of a job channel, numbered in the order in which they were given.
+    """Answers of a job channel, numbered from 1 in the order in which they were given.
 
-    `through` is the number of the last. `numbering` identifies this numbering: a new process at the
-    same address begins another one.
+    `through` is the number of the last answer given so far. `numbering` identifies this numbering:
+    a new process at the same address begins another one.
     """
 
     numbering: int = msgspec.field(name="count", default=0)
--- a/cottonlug/core/cluster/calls.py
+++ b/cottonlug/core/cluster/calls.py
@@ -1,4 +1,12 @@
-"""Calls that hosts pass to the coordinator for callers, upstreams and operators, and answers."""
+"""Calls that hosts pass to the coordinator for callers, upstreams and operators, and answers.
+
+The coordinator is the host that schedules jobs now: the elected leader, which is a control host, or
+an acting leader (a gateway that schedules best-effort jobs where no leader can be reached).
+Gateways pass on the calls of callers, control hosts those of upstreams and operators.
+
+In the calls about jobs, `host` and `path` are those of the caller's HTTP request. Together they
+address a queue (see `QueueKey`); what follows the queue's prefix in the path is the job's id.
+"""
 
 from __future__ import annotations
 
@@ -44,12 +52,15 @@
     host: str
     path: str
     number: int
+    """The `Submit.number` of the submission."""
 
 
 class Submit(Value, frozen=True, tag="submit"):
-    """Submit a job; `path` is the queue's prefix and the job's id, as requested by the caller.
+    """Submit a job.
 
-    A best-effort job is answered when it has ended; its caller waits for `wait_timeout_ms`.
+    A best-effort job, which is not stored, is answered when it has ended; its caller waits for
+    `wait_timeout_ms` from its arrival at the gateway. A durable job is answered once it is in the
+    replicated log.
     """
 
     host: str
@@ -61,12 +72,14 @@
     gateway: str = ""
     """Address of the gateway that waits for the answer; empty where that acts as leader itself."""
     contact: Contact | None = None
+    """Of that gateway; without a recent one the submission is refused as possibly delayed."""
     number: int = 0
     """Unique among the submissions of its gateway."""
     may_have_begun: bool = False
     """Whether an earlier try has an unknown outcome, so that it cannot be rejected as not run."""
     acting_leader_term: int = msgspec.field(name="deputy_term", default=0)
-    """Term in which an acting leader may have begun it; only leaders of later terms may go on."""
+    """Term in which an acting leader may have begun it, 0 for none; only leaders of later terms may
+    accept it."""
     may_be_of_acting_leader: bool = msgspec.field(name="may_be_of_deputy", default=False)
     """Whether an earlier try went to a gateway that may have acted as leader by then."""
     suspects: tuple[Suspect, ...] = ()
@@ -96,7 +109,7 @@
 
 
 class ForwardHeartbeat(Value, frozen=True, tag="beat"):
-    """Forward an upstream's heartbeat."""
+    """Forward an upstream's heartbeat to the leader."""
 
     heartbeat: Heartbeat
 
@@ -109,19 +122,19 @@
     clock_ms: int | None = None
     """When it was sent, on the upstream's own monotonic clock."""
     age_ms: int = 0
-    """How long before this report it had arrived."""
+    """Time from its arrival at that control host until this report."""
 
 
 class ReportHeartbeats(Value, frozen=True, tag="heard"):
     """Report to the leader whose heartbeats a control host has answered since its last report."""
 
     responder: str = msgspec.field(name="desk")
-    """Address of that host for upstreams."""
+    """Address at which upstreams call that control host."""
     upstreams: tuple[ReportedHeartbeat, ...] = ()
 
 
 class ForwardLeave(Value, frozen=True, tag="leave"):
-    """Forward that an upstream leaves now."""
+    """Forward to the leader that an upstream leaves now."""
 
     upstream: UpstreamId
     """Id of the instance that leaves; without its start time where the upstream did not send it."""
@@ -140,14 +153,16 @@
 class Evacuate(Value, frozen=True, tag="evacuate"):
     """Begin or end the evacuation of a failure domain.
 
-    The host that receives it from the operator fills in the last two fields.
+    The control host that receives it from the operator fills in the last two fields.
     """
 
     domain: DomainName
     is_evacuated: bool
     base_revision: int = 0
-    """Revision of the domain in that host's log when the order arrived."""
+    """Revision of the domain in that host's log when the order arrived: the order is carried out
+    only if no other one has changed the revision since."""
     order: OrderId = OrderId("")
+    """Shows that a repeated call is the same order."""
 
 
 class AskEvacuations(Value, frozen=True, tag="evacuations"):
@@ -164,10 +179,13 @@
     failover_version: str = msgspec.field(name="roster", default="")
     """Version of the failover state that the gateway has."""
     contact: Contact | None = None
+    """When the coordinator last answered it; None before the first answer."""
     abandoned: tuple[AbandonedSubmission, ...] = msgspec.field(name="given_up", default=())
-    """What the gateway has abandoned lately: a keep-alive confirms all its other submissions."""
+    """What the gateway has abandoned lately: a keep-alive confirms that it still waits for all its
+    other submissions."""
     is_probe: bool = False
-    """Whether this only checks that a host is alive and who leads, if that host does not lead."""
+    """Whether a host that does not lead is to answer by itself, which shows that it is alive and
+    who leads, instead of forwarding this to the leader."""
 
 
 NO_CONFIGURATION = "no configuration yet"
@@ -176,7 +194,8 @@
 """Detail of an acting leader's answer to a call that only a leader can carry out."""
 
 NO_RECENT_CONTACT = "the gateway was not answered lately"
-"""Detail of an answer to a submission that was delayed, or that follows no keep-alive."""
+"""Detail of the answer to a submission without a recent `contact`: it was delayed on its way, or
+its gateway has sent this coordinator no keep-alive before."""
 
 Call = (
     Submit
@@ -195,7 +214,7 @@
 
 
 class GatewayInfo(Value, frozen=True):
-    """A gateway that is known to the leader; `address` is where its peers call it."""
+    """A gateway that is known to the leader; `address` is where other gateways call it."""
 
     address: str
     domain: DomainName = DomainName("")
@@ -210,6 +229,7 @@
 
     version: str
     term: int
+    """Term of the leader that it comes from."""
     configuration: Configuration | None
     upstreams: tuple[UpstreamRecord, ...]
     gateways: tuple[GatewayInfo, ...]
@@ -220,7 +240,7 @@
     """Whether further parts must be requested before a gateway can act as leader."""
     removed: tuple[UpstreamId, ...] = ()
     suspects: tuple[SuspectRecord, ...] = ()
-    """Tasks under which upstreams have ended."""
+    """Tasks under which upstreams have ended, so that they may have crashed these."""
     evacuations: tuple[EvacuationRecord, ...] = ()
     accepts_calls: bool = msgspec.field(name="takes_calls", default=True)
     """Whether upstreams accept calls; a gateway gets no heartbeats, so it can only call them."""
@@ -231,18 +251,20 @@
 
     DONE = "done"
     REJECTED = "rejected"
-    """Not done and never will be; retry after `retry_after_ms`."""
+    """Not done, and this call never will be; its caller may retry after `retry_after_ms`."""
     UNAVAILABLE = "unavailable"
-    """Not done and never will be, for lack of a leader or a configuration."""
+    """Not done, and this call never will be: the host that answers cannot have it done now."""
     UNKNOWN = "unknown"
     """It may or may not have been done."""
     ABANDONED = "given_up"
     """It may have been done in part; abandoned, since going on would be of no use."""
     NO_QUEUE = "no_queue"
+    """No queue has this host and path."""
     NO_JOB = "no_job"
     NO_DOMAIN = "no_domain"
     INVALID = "invalid"
     UNSUPPORTED = "unsupported"
+    """The job asks for a feature that is not implemented."""
 
 
 class HeartbeatStart(Value, frozen=True):
@@ -258,14 +280,16 @@
     """Orders to an upstream in the answer to its heartbeat."""
 
     token: int
+    """Fencing token: the upstream ignores orders if it has seen a higher one."""
     last_seen: int
     """Number of the last run end that the upstream need no longer list."""
     lease_ms: int | None = None
-    """How long everything there may run from now on; None leaves the lease as it is."""
+    """How long everything there may run from the arrival of this; None leaves the lease as it
+    is."""
     starts: tuple[HeartbeatStart, ...] = ()
     stops: tuple[tuple[TaskRef, RunNumber], ...] = ()
     next_after_ms: int | None = None
-    """When to send the next heartbeat; None leaves that to the upstream."""
+    """Delay before the next heartbeat is to be sent; None leaves that to the upstream."""
 
 
 class Answer(Value, frozen=True):
@@ -275,19 +299,23 @@
     detail: str = ""
     state: JobState | None = None
     suspects: tuple[Suspect, ...] = ()
-    """Suspects of the job that this answer is about, where it has not succeeded."""
+    """Tasks of the job that this answer is about, if it has not succeeded, that may have crashed
+    upstreams."""
     pending: int | None = None
+    """Number of jobs in the queue that have not begun, where it was asked for."""
     retry_after_ms: int | None = None
     document: str | None = None
+    """The newest configuration as the operator sent it, where it was asked for."""
     evacuations: tuple[EvacuationRecord, ...] | None = None
     """The evacuated failure domains, where these were asked for."""
     leader: str | None = None
-    """Address of the leader for calls of entry hosts, where it is known."""
+    """Address at which gateways and other control hosts call the leader, where it is known."""
     leader_control: str | None = None
-    """Address of the leader for upstreams and operators."""
+    """Address at which upstreams and operators call the leader, where it is known."""
     hosts: tuple[str, ...] = ()
     """Addresses at which all known control hosts accept calls."""
     max_body_bytes: int | None = None
+    """Longest request body that callers may send, by the active configuration."""
     failover_state: FailoverState | None = msgspec.field(name="roster", default=None)
     has_more_failover_state: bool = msgspec.field(name="is_roster_due", default=False)
     """Whether another keep-alive will bring more than the `failover_state` in this answer."""
--- a/cottonlug/core/cluster/capacity_index.py
+++ b/cottonlug/core/cluster/capacity_index.py
@@ -1,14 +1,16 @@
 """Index of the upstreams that accept work, by service, failure domain and free CPU.
 
-Load pattern: a backlog at many upstreams, after seconds without a coordinator. Searching all of
-them for each start, and again for each waiting job whenever time has passed, costs more than all
-other decisions together, so that a small host falls ever further behind. In this order the first
-upstream that fits is the best fit, and the size of a task alone shows whether it fits nowhere.
-
-Failure pattern: a failure domain is cut off for seconds. If the tasks of jobs of eight are placed
-in any domain, a cut of one domain of five stops five sixths of such jobs under way. So a job's own
-domain, that of its gateway, is preferred: while that has capacity, a cut of another domain stops
-nothing of the job, and after a cut of its own an acting leader inside sees all of its runs.
+Load pattern that this is made for: jobs wait for many upstreams, after seconds without a
+coordinator (the host that schedules jobs). Searching all upstreams for each start, and again for
+each waiting job whenever time has passed, costs more than all other decisions together, so that a
+small host falls ever further behind. With the upstreams sorted by free CPU, the first that fits is
+the best fit, and the CPU need of a task alone shows if it fits nowhere.
+
+Failure pattern that this is made for: a failure domain is cut off for seconds. If jobs of eight
+tasks are spread over five domains, a cut of one domain stops five sixths of the active jobs. So a
+job's own domain, that of its gateway, is preferred: while that has capacity, a cut of another
+domain stops nothing of the job, and after a cut of its own an acting leader inside (a gateway that
+schedules where no leader can be reached) sees all of its runs.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 from .model import ServiceName
 
 _Entry = tuple[int, int, Instance]
-"""Free CPU, number and instance; numbers are unique, so that instances are never compared."""
+"""Free CPU, arrival number and instance; the numbers are unique, so instances are not compared."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -45,7 +47,11 @@
 
 
 class CapacityIndex:
-    """The instances that accept work, with the least free CPU first."""
+    """The instances that accept work, with the least free CPU first.
+
+    An instance is one run of an upstream's process. Those found slow or failing are suspended for
+    a while, and then left out.
+    """
 
     def __init__(self, *, instances: InstanceTable) -> None:
         self._instances = instances
@@ -53,14 +59,14 @@
         self._entries: dict[UpstreamId, _Entry] = {}
         self._is_current = False
         self._ignores_suspension: set[ServiceName] = set()
-        """Services of which so many upstreams are suspended that these are used all the same."""
+        """Services with so many suspended upstreams that suspensions are ignored."""
 
     def invalidate(self) -> None:
-        """Have the index rebuilt: as time passes, instances accept work that did not."""
+        """Have the index rebuilt: time alone may make instances accept work that did not before."""
         self._is_current = False
 
     def refresh_if_due(self, now: timedelta) -> bool:
-        """Rebuild the index if that is due; return whether it was."""
+        """Rebuild the index if it was invalidated; return whether it was."""
         if self._is_current:
             return False
         self._is_current = True
@@ -79,7 +85,7 @@
         return True
 
     def update(self, instance: Instance, now: timedelta) -> None:
-        """Move an instance that has changed to its place."""
+        """Move an instance that has changed to its new place, or remove it."""
         id, service = instance.info.id, instance.info.service
         old = self._entries.get(id)
         accepts_work = self._is_known(instance) and self._instances.accepts_work(instance, now)
@@ -101,15 +107,16 @@
     def iterate_instances(
         self, service: ServiceName, cpu: int, now: timedelta, first: DomainName | None
     ) -> Iterator[Instance]:
-        """Yield the instances of a service with enough free CPU, the least first in each domain.
+        """Yield the instances of a service with at least `cpu` thousandths of a core free.
 
-        The domain `first` comes first, then those with the most free CPU; cold instances come last.
+        The domain `first` comes first, then those with the most free CPU in all; within a domain
+        the instances with the least free CPU. Cold ones, at which tasks take longer, come last.
         """
         pools = self._pools.get(service, {})
         cold: list[Instance] = []
         for domain in sorted(pools, key=lambda each: (each != first, -pools[each].free_cpu)):
             entries = pools[domain].entries
-            # No instance has the number 0.
+            # No instance has the arrival number 0, so this compares with no instance either.
             for at in range(bisect.bisect_left(entries, (cpu, 0)), len(entries)):
                 instance = entries[at][2]
                 # It may have changed since it was indexed.
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -1,7 +1,14 @@
-"""Decisions of one leader during its term: which task starts where, what is stopped and polled.
+"""Decisions of one coordinator during its term: which task starts where, what is stopped or polled.
 
-The records are the replicated truth; all other state here can be learnt again. The surrounding
-program delivers events and then collects orders to carry out and commands to propose.
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules best-effort jobs where no leader can be reached). A run is one try to carry out a
+task. Upstreams run tasks under a lease, which polls renew, and obey only the highest fencing token
+that they have seen.
+
+Durable jobs are in `Records`, the state of the replicated log. All other state here is lost with
+the coordinator, and the next one learns it again: runs from the upstreams, best-effort jobs from
+their gateways, which submit them again. The surrounding program delivers events and then collects
+the orders to send and the commands to propose to the log.
 """
 
 from __future__ import annotations
@@ -60,17 +67,18 @@
 STOP_RETRY = timedelta(milliseconds=50)
 """Delay after which a failed stop is sent again."""
 SCAN_INTERVAL = timedelta(milliseconds=100)
-"""Interval of the scan of all upstreams; in between, only those are processed from which something
-was received, or for which a timer is due."""
+"""Interval of the scan of all upstreams. In between, only those are processed about which something
+has changed, or for which a timer is due."""
 REFUSAL_BACKOFF = timedelta(milliseconds=300)
 """How long nothing is started at an upstream that refused a start for another reason than a lack of
 capacity."""
 MAX_LISTED_ENDS = 500
-"""A poll lists at most this many ended runs; a full list may hide more."""
+"""Most ended runs that the answer to a poll lists. Behind a full list there may be more, so a run
+that is listed neither as active nor as ended may have succeeded."""
 
 
 class Dispatch:
-    """Scheduling decisions of one leader."""
+    """Scheduling decisions of one coordinator."""
 
     def __init__(
         self,
@@ -118,7 +126,8 @@
             reconciliation=self._reconciliation,
         )
         self.may_have_acting_leader: Callable[[], bool] = lambda: True
-        """Whether a gateway without contact to this host may act as leader."""
+        """Returns whether a gateway that does not reach this host may act as leader; the
+        surrounding program replaces it."""
         self._registry = UpstreamRegistry(term=self._term, instances=self._instances)
         self._timers = UpstreamTimers()
         self._scan_due = now
@@ -142,17 +151,17 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether an upstream has accepted orders under a higher fencing token."""
+        """Whether an upstream has seen a higher fencing token: a later coordinator orders it."""
         return self._term.is_superseded
 
     def clear_superseded(self) -> None:
-        """Forget the higher fencing token, since a later term is being requested."""
+        """Forget the higher fencing token, since this host now requests a later term."""
         self._term.is_superseded = False
 
     def find_rejection(
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
     ) -> Rejection | None:
-        """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
+        """Return why a job that has `waited` at its gateway is not accepted now, or None."""
         return self._scheduler.find_rejection(queue, spec, waited, now)
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: timedelta) -> None:
@@ -162,22 +171,31 @@
     def handle_reported_heartbeat(
         self, upstream: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record a heartbeat that reported nothing new and was answered by another host."""
+        """Record a heartbeat that reported nothing new, and that another control host answered.
+
+        It was sent at `clock_ms` on the upstream's clock, and arrived at that host `at` that time.
+        """
         self._registry.handle_reported_heartbeat(upstream, sequence, clock_ms, at)
 
     def handle_leave(self, upstream: UpstreamId) -> None:
-        """Send no more work to an upstream."""
+        """Send no more work to an upstream that leaves."""
         self._registry.handle_leave(upstream)
 
     def set_listening(self, upstream: UpstreamId, is_listening: bool) -> None:
-        """Record whether an order would reach an upstream at once."""
+        """Record whether an order would reach an upstream at once.
+
+        Where orders travel in the answers to heartbeats, one has to wait for the next heartbeat
+        unless the answer to the last is still parked here.
+        """
         instance = self._instances.by_id.get(upstream)
         if instance is not None:
             instance.is_listening = is_listening
 
     def submit(self, record: JobRecord, submission: Submission, now: timedelta) -> None:
-        """Accept a best-effort job; runs of it that another host started go on."""
-        # At an upstream that cannot be reached, a run may be active until its lease ends.
+        """Accept a best-effort job; runs of it that another coordinator started go on."""
+        # If another coordinator may have begun it, at an upstream that has not answered this one,
+        # its tasks are unknown until the lease there has ended. Before the reconciliation that may
+        # be so even if the gateway knows of no try: its caller may have sent it to another one.
         is_new = self._reconciliation.is_reconciled and not submission.may_have_begun
         of_acting_leaders = submission.may_be_of_acting_leader
         is_unsure = not is_new and self._reconciliation.may_miss_runs(
@@ -201,6 +219,7 @@
             not self._instances.may_have_orphaned_runs
             and record.id not in self._jobs.closed_while_running
         ):
+            # No upstream is known to run anything of it.
             return
         for instance in self._instances.by_id.values():
             for run in [each for each in instance.runs.values() if each.task.job == record.id]:
@@ -214,10 +233,10 @@
         )
 
     def merge_submission(self, id: JobId, submission: Submission, now: timedelta) -> None:
-        """Learn from a second submission of an open job that another host may have begun it.
+        """Learn from a second submission of an open job that another coordinator may have begun it.
 
-        One from the same gateway adds nothing: if that had sent the job to another host in the
-        meantime, this host would have abandoned it. It only repeats a call that had no answer.
+        A second one from the same gateway adds nothing: it only repeats a call that had no answer.
+        Before that gateway sends the job to another coordinator, this one has abandoned it.
         """
         job = self._jobs.jobs.get(id)
         if job is None or not submission.may_have_begun or submission.gateway == job.gateway:
@@ -234,7 +253,7 @@
     def abandon(self, id: JobId, gateway: str, now: timedelta) -> None:
         """Abandon a best-effort job, since its gateway no longer waits for it.
 
-        One that was submitted again through another gateway in the meantime goes on.
+        If another gateway has submitted it since, it goes on.
         """
         job = self._jobs.jobs.get(id)
         if job is not None and job.gateway == gateway:
@@ -255,7 +274,12 @@
         return True
 
     def abandon_silent_gateways(self, is_heard: Callable[[str], bool], now: timedelta) -> None:
-        """Abandon the jobs of silent gateways, which may have sent them to another host."""
+        """Abandon the jobs of silent gateways, which may have sent them to another coordinator.
+
+        `is_heard` returns whether there is contact with the gateway at an address.
+        """
+        # The address is empty for jobs that no other host waits for: all durable ones, and those
+        # that an acting leader submitted to itself.
         heard: dict[str, bool] = {"": True}
         for job in list(self._jobs.jobs.values()):
             if job.gateway not in heard:
@@ -314,7 +338,8 @@
         instance = self._instances.by_id.get(upstream)
         self._instances.remove(upstream)
         if instance is not None:
-            # The log has counted its end, or it has left: its tasks wait no longer to learn which.
+            # Either the log has counted its crash, or it was removed without one. So tasks that
+            # were active there need no longer wait until it is known whether they crashed it.
             self._jobs.update_restrictions(self._jobs.crash_tracker.forget_instance(instance))
 
     def handle_start_answer(
@@ -324,7 +349,7 @@
         clock_ms: int | None,
         now: timedelta,
     ) -> None:
-        """Process the outcome of a start."""
+        """Process the outcome of a start; `clock_ms` is the upstream's clock when it answered."""
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
@@ -337,6 +362,7 @@
         if outcome is StartOutcome.INSTANCE_ENDED:
             self._watcher.end_instance(instance, now)
         if run is None or run.phase is not RunPhase.STARTING:
+            # A poll has shown what became of it, or its lease has ended.
             return
         if outcome is not StartOutcome.UNKNOWN:
             instance.response_timeout.record_response_time(now - run.since)
@@ -351,7 +377,7 @@
             # The next poll shows whether it runs; it is stopped only if that does not list it.
             run.phase = RunPhase.UNSURE
             run.unsure_at = now
-            # By then a poll that is under way may have shown whether the upstream answers.
+            # The upstream may be unreachable; if not, a poll should be answered within this time.
             instance.avoid_until = now + order.response_timeout
             return
         self._term.counts.refused_starts += 1
@@ -374,7 +400,7 @@
     def handle_stop_answer(
         self, order: StopOrder, failure: CallFailure | None, now: timedelta
     ) -> None:
-        """Process whether a stop has arrived."""
+        """Process the answer to a stop; without a `failure` the upstream has accepted it."""
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
@@ -402,7 +428,10 @@
         sent_at: timedelta,
         now: timedelta,
     ) -> None:
-        """Process the answer to a poll: what runs and what has ended at an upstream."""
+        """Process the answer to a poll: what runs and what has ended at an upstream.
+
+        `sent_at` is when the poll was sent.
+        """
         instance = self._instances.by_id.get(order.upstream.id)
         if instance is None:
             return
@@ -427,7 +456,8 @@
         self._watcher.request_uncordon(instance)
         self._run_ends.handle_listed_ends(instance, reply.ended, now)
         if reply.clock_ms <= instance.listed_ms:
-            # Overtaken by a later answer on another connection: what it lists may have ended.
+            # A later answer has overtaken it on another connection, so what it lists as active may
+            # have ended.
             self._term.log_decision(
                 "list_overtaken",
                 {
@@ -447,7 +477,10 @@
             self._drop_vanished(instance, reply, sent_at, now)
 
     def tick(self, now: timedelta) -> None:
-        """Do everything that is due and start tasks; collect orders and proposals afterwards."""
+        """Do everything that is due, and start tasks.
+
+        What is to be sent and proposed is returned by `pop_orders` and `pop_proposals`.
+        """
         is_full_scan = now >= self._scan_due
         self._jobs.open_due(self._reconciliation.initial_phase, now)
         self._reconciliation.reconcile(now)
@@ -464,14 +497,15 @@
             if self._watcher.has_nothing_due(instance, now) and (
                 self._timers.has(id) or not instance.runs
             ):
-                # Nothing is due before its lease ends, and renewals only postpone that.
+                # Nothing is due before its lease ends. Renewals only postpone that, so a timer that
+                # is set already comes early enough.
                 continue
             self._timers.set(id, self._watcher.find_next_due(instance, now))
         if is_full_scan:
             self._scan_all(now)
 
     def _pop_due_instances(self, now: timedelta) -> list[Instance]:
-        """Return the instances from which something was received, or whose timer is due."""
+        """Return the instances about which something has changed, or whose timer is due."""
         for id in self._timers.pop_due(now):
             instance = self._instances.by_id.get(id)
             if instance is not None:
@@ -479,7 +513,7 @@
         return self._instances.pop_changed()
 
     def _scan_all(self, now: timedelta) -> None:
-        """Cordon or forget silent upstreams, and forget what ended long ago."""
+        """Cordon or forget unreachable upstreams, and forget what ended long ago."""
         self._scan_due = now + SCAN_INTERVAL
         self._watcher.cordon_idle(now)
         self._watcher.forget_silent(now, may_be_used=self.may_have_acting_leader)
@@ -494,16 +528,16 @@
         return orders
 
     def pop_proposals(self) -> list[Command]:
-        """Return the commands to be put into the log, and clear the list."""
+        """Return the commands to be proposed to the log, and clear the list."""
         proposals, self._term.proposals = self._term.proposals, []
         return proposals
 
     def _drop_vanished(
         self, instance: Instance, reply: PollReply, sent_at: timedelta, now: timedelta
     ) -> None:
-        """Requeue runs that were stopped before this poll was sent and are not listed.
+        """Requeue the tasks of runs that were stopped before this poll was sent, if not listed.
 
-        One whose start had no answer, and which is not listed, may still begin: it is stopped.
+        A run whose start had no answer, and which is not listed, may still begin: it is stopped.
         """
         listed = {(report.task, report.run) for report in reply.running}
         for key, run in list(instance.runs.items()):
--- a/cottonlug/core/cluster/forecast.py
+++ b/cottonlug/core/cluster/forecast.py
@@ -1,4 +1,7 @@
-"""Predicted run times, learnt per queue, since declared ones are often far off."""
+"""Predicted run times: the declared ones, which are often far off, corrected for each queue.
+
+A chain is a sequence of steps of a job, each of which depends on the one before it.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,8 @@
 MIN_RUN_TIME_MS = 1.0
 """Lower bound of declared and actual run times, since logarithms of their ratios are taken."""
 USEFUL_FACTOR = 3
-"""An answer after more than this many times the objective is worth nothing (the users' rules)."""
+"""An answer after more than this many times the objective is worth nothing, by the rules of the
+users' platform."""
 
 
 class Forecast:
@@ -38,7 +42,7 @@
         return timedelta(milliseconds=max(step.estimate_ms, MIN_RUN_TIME_MS) * mean_ratio)
 
     def predict_chain(self, queue: QueueKey, steps: tuple[StepSpec, ...], first: int) -> timedelta:
-        """Return the expected time of the longest chain of steps that begins with step `first`."""
+        """Return the expected time of the longest chain that begins with step number `first`."""
         longest = timedelta()
         for number in range(first + 1, len(steps)):
             if first in steps[number].depends_on:
@@ -46,19 +50,19 @@
         return self.predict(queue, steps[first]) + longest
 
     def find_objective(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
-        """Return how long a job may take to meet its objective."""
+        """Return the objective of a job: how long it should take from its arrival to its end."""
         target = timedelta(milliseconds=queue.target_latency_ms)
         return self.predict_critical_path(queue, steps) * queue.stretch + target
 
     def predict_critical_path(self, queue: Queue, steps: tuple[StepSpec, ...]) -> timedelta:
-        """Return the expected time of the longest chain of steps."""
+        """Return the expected time of the longest chain: the least that a job can take."""
         roots = [number for number, step in enumerate(steps) if not step.depends_on]
         chains = (self.predict_chain(queue.key, steps, root) for root in roots)
         return max(chains, default=timedelta())
 
 
 def find_declared_objective(queue: Queue, spec: JobSpec) -> timedelta:
-    """Return how long a job may take to meet its objective, by declared run times."""
+    """Return the objective of a job by declared run times, for hosts that learn no others."""
     return Forecast().find_objective(queue, spec.steps)
 
 
--- a/cottonlug/core/cluster/model.py
+++ b/cottonlug/core/cluster/model.py
@@ -24,7 +24,8 @@
 class TaskRef(NamedTuple):
     """Identifies a task by its job, the occurrence of the job, the step, and its index in the step.
 
-    All three numbers begin at 0; a job that does not repeat has only occurrence 0.
+    A job repeats all its steps in each occurrence; one that does not repeat has only occurrence 0.
+    All three numbers begin at 0.
     """
 
     job: JobId
@@ -34,7 +35,7 @@
 
 
 class Needs(Value, frozen=True):
-    """Resources of an upstream that one task needs."""
+    """Resources of an upstream that one task needs; `cpu_millis` is in thousandths of a core."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -42,18 +43,27 @@
 
 
 class StepSpec(Value, frozen=True):
-    """Tasks with equal requirements; `depends_on` lists earlier steps that must be done first."""
+    """Tasks with equal requirements; `depends_on` lists earlier steps that must be done first.
+
+    Jobs with `gang` or `fills` are refused; the other fields without a docstring are ignored.
+    """
 
     count: int
+    """Number of tasks."""
     needs: Needs = Needs()
+    """What each of them needs."""
     estimate_ms: int = 0
+    """Run time of a task as declared by the caller."""
     depends_on: tuple[int, ...] = ()
     checkpointing: bool = False
     gang: bool = False
     same_rack: bool = False
     required_label: str = ""
+    """Label that an upstream must have; empty if any will do."""
     data_rack: str = ""
+    """Label of the rack with the data of the tasks: upstreams that have it are preferred."""
     max_per_upstream: int = 0
+    """Most tasks of the step that run at one upstream at a time; 0 for no limit."""
     speculative: bool = False
     image: str = ""
     target_ms: int = 0
@@ -62,15 +72,21 @@
 
 
 class JobSpec(Value, frozen=True):
-    """A job as its caller submitted it."""
+    """A job as its caller submitted it; `payload` is handed to each task as it is."""
 
     payload: str
     steps: tuple[StepSpec, ...]
     best_effort: bool = False
+    """Whether the job is not stored, and its caller waits for its end; all others are durable, that
+    is, kept in the replicated log until they have ended."""
     long_running: bool = False
+    """Whether its tasks run until the job is cancelled, and start again however they end."""
     repeat_count: int = 0
+    """Number of occurrences of a timed job; 0 if the job is not timed."""
     start_at_ms: int = 0
+    """Wall-clock time at which the first occurrence of a timed job begins."""
     interval_ms: int = 0
+    """Time from the beginning of one occurrence to that of the next."""
 
     @property
     def occurrences(self) -> int:
@@ -95,18 +111,24 @@
 
 
 class Queue(Value, frozen=True):
-    """A queue for jobs, and how these are treated; `priority` 0 comes first."""
+    """A queue for jobs, and how these are treated.
+
+    The scheduler ignores `timeout_ms`, `priority` and `needs_advice`.
+    """
 
     name: str
     host: str
     prefix: str
     service: ServiceName
+    """The upstreams at which its jobs run."""
     timeout_ms: int
     target_latency_ms: int = 0
     priority: int = 0
     max_attempts: int = 1
+    """A job fails when runs of one of its tasks have failed this many times."""
     stretch: float = 1.0
-    """The objective of a job is its expected run time times this, plus `target_latency_ms`."""
+    """The objective of a job, from its arrival to its end, is its expected run time times this,
+    plus `target_latency_ms`."""
     needs_advice: bool = False
 
     @property
@@ -116,11 +138,13 @@
 
 
 class Service(Value, frozen=True):
-    """A set of upstreams; `rejects_overload` tells whether they enforce their own capacity."""
+    """A set of upstreams."""
 
     name: ServiceName
     rejects_overload: bool = True
+    """Whether its upstreams refuse a start that exceeds their capacity; others carry it out."""
     max_connections: int = 0
+    """Not used."""
 
 
 class Configuration(Value, frozen=True):
@@ -149,18 +173,23 @@
 
 
 class RunEndKind(Enum):
-    """How a run ended at its upstream."""
+    """How a run ended at its upstream; after all but the first two, its task simply starts again.
+
+    Only `FAILED` counts as one of the attempts of `Queue.max_attempts`.
+    """
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
+    """By an order."""
     LAPSED = "lapsed"
+    """The lease of its upstream, under which all runs there are active, was not renewed in time."""
     BROKEN = "broken"
     ALONE = "alone"
 
 
 class Capacity(Value, frozen=True):
-    """Resources that an upstream provides."""
+    """Resources that an upstream provides, in the units of `Needs`."""
 
     cpu_millis: int = 0
     memory_mb: int = 0
@@ -168,7 +197,10 @@
 
 
 class UpstreamInfo(Value, frozen=True):
-    """One instance of an upstream, as it describes itself; each instance has its own id."""
+    """One instance of an upstream, as it describes itself.
+
+    An instance is one run of the upstream's process, and has its own id (see `instance_ids`).
+    """
 
     id: UpstreamId
     service: ServiceName
@@ -179,7 +211,10 @@
 
 
 class RunEndReport(Value, frozen=True):
-    """The end of one run as listed by its upstream, which numbers ended runs from 1."""
+    """The end of one run as listed by its upstream, which numbers ended runs from 1.
+
+    `checkpoint` is where another run of the task can resume; empty if there is none.
+    """
 
     number: int
     task: TaskRef
@@ -189,7 +224,7 @@
 
 
 class RunReport(Value, frozen=True):
-    """One run that an upstream reports as active."""
+    """One run that an upstream reports as active, and how far it has come."""
 
     task: TaskRef
     run: RunNumber
@@ -198,7 +233,10 @@
 
 
 class PollReply(Value, frozen=True):
-    """Runs and ended runs of an upstream, in answer to a poll; `clock_ms` is its own clock."""
+    """Active and ended runs of an upstream, in answer to a poll.
+
+    `clock_ms` is the time of the answer on the upstream's own monotonic clock.
+    """
 
     clock_ms: int
     running: tuple[RunReport, ...]
@@ -211,10 +249,12 @@
     info: UpstreamInfo
     sequence: int
     draining: bool
+    """Whether it accepts no new work, since it is about to leave."""
     clock_ms: int | None = None
+    """When it was sent, on the upstream's own monotonic clock."""
     is_capacity_unreadable: bool = msgspec.field(name="has_no_capacity", default=False)
     """Whether its reported capacity could not be read, so that it counts as having none."""
     cold_left_ms: int = 0
-    """How much longer tasks will run slower there than usual, for instance after its start."""
+    """For how long from now on tasks run slower there than usual, for instance after its start."""
     poll_reply: PollReply | None = msgspec.field(name="held", default=None)
-    """Its runs and ended runs, if it gets its orders with the answers to its heartbeats."""
+    """Its active and ended runs, if it gets its orders with the answers to its heartbeats."""
--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -1,4 +1,14 @@
-"""Jobs that have not ended, as one leader knows them: their tasks and the backlog of these."""
+"""Jobs that have not ended, as one coordinator knows them, and the backlog of their tasks.
+
+The coordinator is the host that schedules jobs now: the elected leader, or an acting leader (a
+gateway that schedules best-effort jobs where no leader can be reached). Durable jobs are in the
+replicated log. Best-effort jobs are known to the coordinator alone: the gateway of the caller waits
+for their end, and submits them again if it must turn to another coordinator.
+
+A job consists of steps, a step of tasks with equal requirements; a timed job repeats all its steps,
+once in each occurrence. A run is one try to carry out a task. Tasks are unknown while another
+coordinator may have started them at an upstream that has not answered this one.
+"""
 
 from __future__ import annotations
 
@@ -20,12 +30,13 @@
 from .throughput import Throughput
 
 ENDED_JOB_RETENTION = timedelta(seconds=10)
-"""How long the end of a best-effort job is remembered, for a late second submission."""
+"""How long the end of a best-effort job is remembered, to answer a late second submission."""
 START_MARGIN_SHARE = 0.4
-"""Share of the wait allowed by the objective that is reserved for run times beyond the declared
-ones, which scatter by 0.4 on a logarithmic scale (its benefit is in docs/design/platform.md)."""
+"""Share of the wait allowed by the objective, beyond the queue's target latency, that is reserved
+for longer runs than expected: run times scatter by 0.4 on a logarithmic scale (its benefit is in
+docs/design/platform.md)."""
 NEVER_LATE = timedelta.max
-"""For long-running tasks: they go before all others and are never abandoned."""
+"""Latest start of long-running tasks: they go before all others and are never abandoned."""
 
 
 class OpenJobs:
@@ -40,19 +51,20 @@
         self.forecast = Forecast()
         self.throughput = Throughput()
         self.ended: dict[JobId, tuple[JobState, timedelta]] = {}
-        """How best-effort jobs have ended lately, and when."""
+        """How best-effort jobs have ended lately, and when; not those rejected or abandoned."""
         self.rejections: dict[JobId, Rejection] = {}
-        """Why jobs that had not begun were rejected."""
+        """Jobs that were rejected lately, of which nothing has run, and why."""
         self.closed_while_running: dict[JobId, timedelta] = {}
-        """Jobs that were closed while runs of them were still active, and when."""
+        """Jobs that were closed while runs of them were still active, and when: if one is submitted
+        again, it adopts the runs that go on."""
         self.abandoned: set[JobId] = set()
-        """Jobs that were abandoned although some of their tasks may have run."""
+        """Jobs that were ended lately as of no more use, although some tasks may have run."""
         self.may_have_unknown_tasks = True
         """Whether tasks may have become unknown since this was last checked."""
         self._durable: set[JobId] = set()
         """Open durable jobs."""
         self._timed: dict[JobId, OpenJob] = {}
-        """Timed jobs with occurrences that are not due yet."""
+        """Timed jobs with occurrences that are not open yet, since they are not due."""
         self._term = term
         self._instances = instances
         self._forget_at = term.began_at + ENDED_JOB_RETENTION
@@ -62,14 +74,14 @@
                 self.jobs[record.id].reconcile_at = term.earlier_leases_lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
-        """Return how long ago a durable job arrived; clocks of hosts may differ a little."""
+        """Return how long ago a durable job arrived; 0 if by this host's clock it has yet to."""
         age_ms = max(0, self._term.wall_ms() - record.accepted_ms)
         return timedelta(milliseconds=age_ms)
 
     def open(self, record: JobRecord, phase: TaskPhase, now: timedelta, age: timedelta) -> None:
         """Open a job that arrived `age` ago.
 
-        Its tasks are unknown where another host may have begun them.
+        `phase` is UNKNOWN where another coordinator may have begun its tasks, otherwise QUEUED.
         """
         objective = self.forecast.find_objective(record.queue, record.spec.steps)
         job = OpenJob(record=record, opened_at=now - age, objective=objective)
@@ -98,7 +110,7 @@
             self._open_occurrence(job, 0, phase, job.opened_at)
 
     def open_due(self, phase: TaskPhase, now: timedelta) -> None:
-        """Open the occurrences of timed jobs that are due."""
+        """Open the occurrences of timed jobs that are due; `phase` is as in `open`."""
         for job in list(self._timed.values()):
             self._open_due(job, phase, now)
 
@@ -132,7 +144,7 @@
             self.unblock(job, occurrence)
 
     def unblock(self, job: OpenJob, occurrence: int) -> None:
-        """Queue the tasks of steps whose earlier steps are done, in one occurrence."""
+        """Queue the blocked tasks of one occurrence that no longer wait for earlier steps."""
         for number, step in enumerate(job.record.spec.steps):
             if not all(job.record.is_step_done(occurrence, each) for each in step.depends_on):
                 continue
@@ -146,7 +158,10 @@
             self.queue(job, occurrence, number, blocked)
 
     def queue(self, job: OpenJob, occurrence: int, number: int, task_indexes: list[int]) -> None:
-        """Queue tasks of one step of an occurrence; those that may crash upstreams separately."""
+        """Queue tasks of step `number` of an occurrence; those that may crash upstreams separately.
+
+        `task_indexes` are their indexes within the step.
+        """
         if not task_indexes:
             return
         if not self.crash_tracker.may_suspect_any():
@@ -194,14 +209,18 @@
             waiting=task_indexes,
         )
         if job.record.spec.long_running:
-            # It must be running again within seconds, however full the service is.
+            # It must be running again within seconds, however full the service is: it is urgent
+            # at once, and never becomes late.
             batch.latest_start = due_at
             batch.latest_task_start = batch.latest_useful_start = NEVER_LATE
             batch.has_begun = True
         self.backlog.add(batch)
 
     def requeue(self, ref: TaskRef, run: RunNumber, upstream: UpstreamId) -> None:
-        """Queue a task again whose run there is surely over without a result."""
+        """Queue a task again whose run at this upstream is surely over without a result.
+
+        Nothing is done if that is no longer its current run.
+        """
         job = self.jobs.get(ref.job)
         task = job.tasks.get(ref) if job is not None else None
         if job is None or task is None or not task.is_current_run(run, upstream):
@@ -213,7 +232,10 @@
         self.queue(job, ref.occurrence, ref.step, [ref.task_index])
 
     def update_restrictions(self, tasks: Iterable[TaskRef]) -> None:
-        """Queue waiting tasks anew: it is now known whether a lost upstream crashed under them."""
+        """Queue waiting tasks anew, with the restrictions that apply now.
+
+        Called when it has become known whether a lost upstream crashed under them.
+        """
         for ref in tasks:
             job = self.jobs.get(ref.job)
             task = job.tasks.get(ref) if job is not None else None
@@ -241,7 +263,7 @@
                 },
             )
             if job.record.is_open:
-                # Durable jobs have ended in the records already.
+                # The records hold durable jobs only, and have ended them with the same command.
                 end_job(job.record, JobState.FAILED, self._term.wall_ms())
             self.close_if_ended(ref.job, now)
 
@@ -255,7 +277,7 @@
         self.backlog.drop_empty()
 
     def mark_recording(self, end: RunEndReport, upstream: UpstreamId) -> None:
-        """Delay a task whose run has ended at this upstream until that end is recorded."""
+        """Have a task whose run has ended at this upstream wait until that end is recorded."""
         job = self.jobs.get(end.task.job)
         task = job.tasks.get(end.task) if job is not None else None
         if task is None:
@@ -272,9 +294,9 @@
             task.unrecorded_end = (upstream, end.run)
 
     def mark_unknown(self, job: OpenJob) -> None:
-        """Mark the tasks of a job as unknown: another host may have begun them.
+        """Mark the tasks of a job as unknown: another coordinator may have begun them.
 
-        Queued tasks are delayed from now on, active ones only if they have to begin again.
+        Queued tasks must wait from now on, active ones only if they have to begin again.
         """
         for ref, task in job.tasks.items():
             if task.phase is TaskPhase.QUEUED:
@@ -300,7 +322,7 @@
         self._durable.discard(id)
         self._timed.pop(id, None)
         if job.record.spec.best_effort and job.record.state is not JobState.CANCELLED:
-            # A job that was abandoned may be submitted again, and then runs again.
+            # A job whose gateway no longer waits may be submitted again, and must then run again.
             self.ended[id] = (job.record.state, now)
         if any(task.phase is TaskPhase.QUEUED for task in job.tasks.values()):
             self.backlog.drop_job(id)
@@ -309,7 +331,8 @@
                 self._instances.request_stop(task.instance, ref, task.run)
                 self.closed_while_running[id] = now
         if job.record.spec.best_effort and job.record.state is not JobState.COMPLETED:
-            # Its caller may send it again, to another coordinator.
+            # Its caller may send it again, to another coordinator, which waits until the leases of
+            # these runs have ended.
             self._instances.mark_disputed(id)
         took_ms = to_milliseconds(now - job.opened_at)
         objective_ms = to_milliseconds(job.objective)
@@ -331,7 +354,7 @@
         self._term.on_job_end(id)
 
     def reject(self, job: OpenJob, reason: str, wait: timedelta, now: timedelta) -> None:
-        """End a job of which nothing has run, and tell its caller when to retry."""
+        """End a job of which nothing has run; its caller is told to retry after `wait`."""
         self._term.counts.rejected_jobs += 1
         self.rejections[job.record.id] = Rejection(reason=reason, retry_after=wait)
         self._term.log_decision(
@@ -348,12 +371,13 @@
         self.close_if_ended(job.record.id, now)
 
     def forget_ended(self, now: timedelta) -> None:
-        """Forget jobs that ended long enough ago."""
+        """Forget jobs that ended longer than `ENDED_JOB_RETENTION` ago; done that often."""
         if now < self._forget_at:
             return
         self._forget_at = now + ENDED_JOB_RETENTION
         limit = now - ENDED_JOB_RETENTION
         self.ended = {id: end for id, end in self.ended.items() if end[1] >= limit}
+        # Callers are told of these two as soon as the job has ended.
         self.rejections.clear()
         self.abandoned.clear()
         self.closed_while_running = {
@@ -370,7 +394,7 @@
         return id in self.jobs
 
     def is_ending(self, id: JobId) -> bool:
-        """Whether all remaining tasks run or have ended, so that the job may end at any moment."""
+        """Whether no task still waits for its start, so that the job may end at any moment."""
         job = self.jobs.get(id)
         last = (TaskPhase.RUNNING, TaskPhase.RECORDING)
         if job is None or id in self._timed:
@@ -378,7 +402,7 @@
         return all(task.phase in last for task in job.tasks.values())
 
     def find_state(self, job: JobRecord) -> JobState:
-        """Return a job's state as callers see it."""
+        """Return the state of a durable job as callers see it."""
         if job.state.is_final:
             return job.state
         opened = self.jobs.get(job.id)
@@ -386,7 +410,7 @@
         return JobState.RUNNING if has_begun else JobState.QUEUED
 
     def count_pending(self, host: str, prefix: str) -> int:
-        """Return how many jobs of a queue have not begun."""
+        """Return how many jobs have not begun in the queue with this host and path prefix."""
         return sum(
             1
             for job in self.jobs.values()
@@ -403,7 +427,7 @@
 
 
 def find_max_wait(queue: Queue, objective: timedelta, chain: timedelta) -> timedelta:
-    """Return how long a step may wait for its start, with a margin for longer run times.
+    """Return how long after a job arrived or was due a step may start, less a margin for run times.
 
     `chain` is the expected time from that start to the end of the job.
     """
--- a/cottonlug/core/cluster/placement.py
+++ b/cottonlug/core/cluster/placement.py
@@ -17,12 +17,12 @@
 ) -> Instance | None:
     """Return the instance that fits a task best.
 
-    The first criterion is nearness to its data, then whether an order reaches the instance at once,
-    then the least free CPU. Tasks are wide (14 of 32 cores): a tight fit keeps whole upstreams free
-    for wide ones.
+    An instance is one run of an upstream's process. The first criterion is whether it is in the
+    rack of the task's data, then whether an order reaches it at once, then the least free CPU.
+    Tasks may need many cores (14 of 32): a tight fit keeps whole upstreams free for these.
 
-    `is_sorted` says that the instances come with the least free CPU first, so that one that is best
-    in all else need not be compared with those after it. With `needs_empty` nothing may run there.
+    `is_sorted` says that the instances come in the order of preference: the first one that is best
+    by the first two criteria is chosen. With `needs_empty`, only one at which nothing runs is.
     """
     best: Instance | None = None
     best_score: tuple[int, int, int] | None = None
--- a/cottonlug/core/cluster/queues.py
+++ b/cottonlug/core/cluster/queues.py
@@ -1,4 +1,4 @@
-"""Lookup of the queue that a request addresses."""
+"""Lookup of the queue that a caller's request addresses by its HTTP host and its path."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
         return self._by_key.get(key)
 
     def find_queue(self, host: str, path: str) -> tuple[Queue, JobId] | None:
-        """Return the queue with the longest prefix that matches a path, and the job id after it."""
+        """Return the queue with the longest prefix that matches a path, and the job id after it.
+
+        The port of `host`, if it has one, is ignored.
+        """
         name = host.rpartition(":")[0] if ":" in host else host
         for queue in self._by_host.get(name, []):
             if path.startswith(queue.prefix):
--- a/cottonlug/core/cluster/response_timeout.py
+++ b/cottonlug/core/cluster/response_timeout.py
@@ -1,8 +1,9 @@
 """Time-out for the answer to an order, learnt from the answers of each upstream.
 
-Failure pattern: orders that are carried out seconds late or never, at upstreams that answer all
-others. Only after the time-out is the upstream polled for the task, and the task started elsewhere;
-a job of eight tasks of 60 ms has 60 ms to spare.
+Failure pattern that this is made for: orders that are carried out seconds late or never, at
+upstreams that answer all others. Only after the time-out is the upstream polled to learn whether
+the task runs there, and if not, the task is started elsewhere. The time-out must be short: a job of
+eight tasks of 60 ms has 60 ms to spare.
 
 The estimate is that of TCP's retransmission timer (RFC 6298): the mean response time plus four
 times its mean deviation. Timing out too soon costs one poll, since a run that is listed goes on.
@@ -13,13 +14,17 @@
 from datetime import timedelta
 
 MAX_RESPONSE_TIMEOUT = timedelta(milliseconds=80)
-"""Also used before the first answer. Answers take a few milliseconds; a lost packet is sent again
-after 200 ms, by when a short task is late anyway."""
+"""Upper bound, also used before the first answer. Answers take a few milliseconds; a lost packet is
+sent again after 200 ms, by when a short task is late anyway."""
 MIN_RESPONSE_TIMEOUT = timedelta(milliseconds=25)
-"""An event loop that is delayed by a sync of its disk (9 ms) or a wide job may take that long."""
+"""Lower bound: an answer may take that long where a disk sync (9 ms) or the start of a job of many
+tasks delays an event loop."""
 MEAN_WEIGHT = 1 / 8
+"""Weight of the newest response time in the mean."""
 DEVIATION_WEIGHT = 1 / 4
+"""The same in the mean deviation."""
 DEVIATION_FACTOR = 4
+"""How many mean deviations the time-out adds to the mean."""
 
 
 class ResponseTimeout:
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -1,4 +1,9 @@
-"""Starts waiting tasks where capacity is free, and sheds jobs that cannot be served in time."""
+"""Starts waiting tasks where capacity is free, and sheds jobs that cannot be served in time.
+
+The waiting tasks of one step of a job form a batch; the backlog holds the batches in the order in
+which they are served. Under overload best-effort jobs, which only this host knows, are rejected or
+abandoned. Durable jobs, once accepted, are in the replicated log and are served however late.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +26,11 @@
 
 ALL_EVACUATED = "all upstreams of the service are in evacuated failure domains"
 EVACUATED_RETRY = timedelta(seconds=2)
-"""When to retry after such a rejection. Evacuations last from seconds to hours: this is frequent
-enough for the former, and rare enough for the latter."""
+"""When callers retry a job that was rejected because of evacuations. These last from seconds to
+hours: this is frequent enough for the former, and rare enough for the latter."""
 NO_DEMAND = 1 << 62
-"""More CPU than any upstream has, so that no change of one triggers another try."""
+"""CPU need, more than any upstream has, that stands for an empty backlog: no change of an upstream
+then triggers another try."""
 
 
 class Scheduler:
@@ -36,7 +42,8 @@
         self._jobs = jobs
         self._capacity = CapacityIndex(instances=instances)
         self._min_cpu_needed = 0
-        """No batch that did not fit needs less CPU than this, in thousandths of a core."""
+        """Lower bound of the CPU that a task of any waiting batch needs, in thousandths of a core;
+        batches that were not tried yet may need less."""
 
     def schedule(self, now: timedelta, changed: list[Instance] | None) -> None:
         """Start waiting tasks as long as any of them fits.
@@ -101,11 +108,12 @@
             return False
         service = self._find_service(batch.job)
         if batch.cpu_millis > self._capacity.find_max_free_cpu(service):
+            # It fits nowhere.
             return False
         return self._start_batch(batch, service, now)
 
     def _shed(self, now: timedelta) -> None:
-        """End at once the jobs that did not fit while they could be of use."""
+        """End best-effort jobs that found no capacity while they could still be of use."""
         hopeless = self._jobs.backlog.list_tier(Tier.HOPELESS)
         if not hopeless:
             return
@@ -124,8 +132,9 @@
     def find_rejection(
         self, queue: Queue, spec: JobSpec, waited: timedelta, now: timedelta
     ) -> Rejection | None:
-        """Return why a job that has `waited` elsewhere is not accepted now, or None if it is."""
+        """Return why a job that has `waited` at its gateway is not accepted now, or None."""
         if spec.is_timed or spec.long_running:
+            # The former begins when it is due, the latter goes before all others.
             return None
         if self._instances.is_service_evacuated(queue.service):
             self._term.counts.evacuated_rejections += 1
@@ -139,6 +148,7 @@
             return None
         cores = self._instances.measure_usable_cores(now)
         if cores <= 0.0:
+            # No upstream accepts work now, and how long that lasts is not known.
             return None
         wait = estimate_wait(core_ms, cores)
         if waited + wait <= objective * USEFUL_FACTOR:
@@ -146,7 +156,11 @@
         return Rejection(reason="the work before it takes too long", retry_after=wait)
 
     def reject_evacuated(self, now: timedelta) -> None:
-        """Reject at once the waiting jobs of services whose upstreams are all evacuated."""
+        """Reject at once the waiting jobs of services whose upstreams are all evacuated.
+
+        Not those that may have begun, which cannot be reported as not run; durable and timed jobs
+        wait until an evacuation ends.
+        """
         evacuated: dict[ServiceName, bool] = {}
         for job in list(self._jobs.jobs.values()):
             spec = job.record.spec
@@ -160,7 +174,7 @@
                 self._jobs.reject(job, ALL_EVACUATED, EVACUATED_RETRY, now)
 
     def _find_service(self, job: JobRecord) -> ServiceName:
-        """Return the service that the job's queue is assigned to now."""
+        """Return the service of the job's queue now, or when the job came if the queue is gone."""
         queues = self._term.records.queues
         queue = queues.get(job.queue.key) if queues is not None else None
         return (queue or job.queue).service
@@ -177,7 +191,10 @@
         )
 
     def _needs_empty(self, batch: Batch, now: timedelta) -> bool:
-        """Whether the tasks of a batch may start only where nothing runs."""
+        """Whether the tasks of a batch, which may crash upstreams, start only where nothing runs.
+
+        After `EXCLUSIVE_WAIT` they start anywhere.
+        """
         since = batch.first_tried_at
         if batch.restriction is StartRestriction.NONE or since is None:
             return False
@@ -224,7 +241,8 @@
         self._instances.mark_changed(instance)
         instance.poll_due = min(instance.poll_due, now)
         self._term.counts.starts += 1
-        # A first start is routine; one beside which another run may be active is always logged.
+        # First starts are routine. A start beside which an earlier run of the task might still be
+        # active has a name of its own, which is always logged.
         is_again = last_run > 0 or job.reconcile_at > timedelta()
         self._term.log_decision(
             "run_started_again" if is_again else "run_started",
--- a/cottonlug/core/cluster/throughput.py
+++ b/cottonlug/core/cluster/throughput.py
@@ -1,17 +1,21 @@
-"""Measures how fast capacity is freed: under load, the tasks of a wide job start one by one."""
+"""Measures how fast runs end: under load, the tasks of a job start one by one as capacity is freed.
+
+So a job with many tasks must start earlier to end in time.
+"""
 
 from __future__ import annotations
 
 from datetime import timedelta
 
 LEARNING_RATE = 0.05
-"""Weight of the newest end: the mean follows a burst within some twenty ends."""
+"""Weight of the newest run end: the mean follows a burst within some twenty ends."""
 MAX_INTERVAL = timedelta(milliseconds=5)
-"""Longer intervals mean that little runs, not that capacity is freed slowly."""
+"""Upper bound of each interval: a longer one means that little runs, not that capacity is freed
+slowly. Also assumed at first."""
 
 
 class Throughput:
-    """Mean interval between the ends of runs while there is work."""
+    """Mean interval between the ends of runs, at all upstreams together, while there is work."""
 
     def __init__(self) -> None:
         self._last_end: timedelta | None = None
--- a/cottonlug/core/cluster/upstream_health.py
+++ b/cottonlug/core/cluster/upstream_health.py
@@ -1,8 +1,9 @@
-"""Outlier detection: upstreams whose runs go badly, against those of all others, are suspended.
+"""Outlier detection: upstreams whose runs go badly get no work for a while; they are suspended.
 
-Failure patterns: an upstream that fails all it starts, on which tasks stall, or that has become
-slow, while its heartbeats are good. A share of the upstreams is never suspended, so that a bad job
-or a slow day cannot empty the service.
+Failure patterns that this is made for: an upstream that fails all it starts, on which tasks stall,
+or that has become slow, while its heartbeats are good. Run times are compared with the expected
+ones, which are learned from all upstreams. If too many upstreams of a service are suspended,
+suspensions are ignored there, so that a bad job or a slow day cannot empty the service.
 """
 
 from __future__ import annotations
@@ -12,18 +13,20 @@
 from datetime import timedelta
 
 MAX_CONSECUTIVE_FAILURES = 3
-"""In the workloads of today's users one task in 500 fails by itself: three in a row are not
-chance."""
+"""Failed runs in a row after which an upstream is suspended. In the workloads of today's users one
+task in 500 fails by itself: three in a row are not chance."""
 FIRST_SUSPENSION = timedelta(seconds=2)
+"""The causes of bad runs last for seconds."""
 MAX_SUSPENSION = timedelta(seconds=6)
-"""Each return from suspension costs the jobs that are tried there; the causes of bad runs last for
-seconds."""
+"""Each suspension that follows without a good run in between is twice as long, up to this, since
+each return costs the jobs that are tried there."""
 SLOW_FACTOR = 2.2
 """Mean ratio of actual to expected run times from which an upstream counts as slow: single ratios
 scatter by 0.4 on a logarithmic scale, a mean of several runs far less."""
 LEARNING_RATE = 0.3
+"""Weight of the newest ratio in that mean."""
 MAX_SUSPENDED_SHARE = 0.34
-"""Share of a service's upstreams that may be suspended at once."""
+"""If more than this share of a service's upstreams is suspended, suspensions are ignored there."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -32,14 +35,18 @@
 
     consecutive_failures: int = 0
     mean_log_slowdown: float = 0.0
-    """Mean of the logarithm of actual to expected run times."""
+    """Mean of the logarithms of the ratios of actual to expected run times."""
     next_suspension: timedelta = FIRST_SUSPENSION
+    """Length of the next suspension."""
     suspended_until: timedelta = timedelta()
     is_on_probation: bool = False
     """Whether it gets one run at a time, until one has gone well after its suspension."""
 
     def record_success(self, ratio: float, now: timedelta) -> bool:
-        """Record a successful run; return whether the upstream was just found slow."""
+        """Record a successful run; return whether the upstream was just suspended as slow.
+
+        `ratio` is that of the actual to the expected run time.
+        """
         self.consecutive_failures = 0
         if self.record_run_time_ratio(ratio, now):
             return True
@@ -49,12 +56,16 @@
         return False
 
     def record_run_time_ratio(self, ratio: float, now: timedelta) -> bool:
-        """Record actual over expected run time; return whether the upstream was just suspended."""
+        """Record the ratio of an actual or estimated run time to the expected one.
+
+        Return whether the upstream was just suspended as slow.
+        """
         self.mean_log_slowdown += LEARNING_RATE * (
             math.log(max(ratio, 0.01)) - self.mean_log_slowdown
         )
         if not self._is_slow():
             return False
+        # Below the limit: only further slow runs suspend it again.
         self.mean_log_slowdown = math.log(SLOW_FACTOR) * 0.7
         return self._suspend(now)
 
--- a/cottonlug/core/cluster/upstream_timers.py
+++ b/cottonlug/core/cluster/upstream_timers.py
@@ -1,8 +1,8 @@
 """Timers that say when each upstream must be processed again.
 
-Load pattern: hundreds of upstreams, most of which need nothing at the moment. Processing all of
-them every 20 ms, for what is due at a few, takes a fifth of the time of a leader of 270
-upstreams.
+Load pattern that this is made for: hundreds of upstreams, most of which need nothing at the moment.
+Processing all of them every 20 ms, for what is due at a few, takes a fifth of the time of a leader
+of 270 upstreams.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[timedelta, UpstreamId]] = []
+        """Also has timers that were cleared or set anew; only those in `_due_at` count."""
         self._due_at: dict[UpstreamId, timedelta] = {}
 
     def has(self, upstream: UpstreamId) -> bool:
