--- a/cottonlug/core/cluster/open_jobs.py
+++ b/cottonlug/core/cluster/open_jobs.py
@@ -74,7 +74,7 @@
                 self.jobs[record.id].reconcile_at = term.earlier_leases_lapsed_at
 
     def find_age(self, record: JobRecord) -> timedelta:
-        """Return how long ago a durable job arrived; 0 if by this host's clock it has yet to."""
+        """Return how long ago a durable job arrived, 0 at the least: clocks of hosts may differ."""
         age_ms = max(0, self._term.wall_ms() - record.accepted_ms)
         return timedelta(milliseconds=age_ms)
 
