--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -84,8 +84,8 @@
         self,
         *,
         records: Records,
-        term: int,
-        terms: LeaseTerms,
+        token: int,
+        lease_terms: LeaseTerms,
         now: timedelta,
         wall_ms: WallTime,
         log_decision: DecisionLog,
@@ -96,10 +96,10 @@
         known_until: timedelta = timedelta(),
     ) -> None:
         self._term = Term(
-            token=term,
+            token=token,
             began_at=now,
             records=records,
-            lease=terms,
+            lease=lease_terms,
             wall_ms=wall_ms,
             log_decision=log_decision,
             on_job_end=on_job_end,
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -143,8 +143,8 @@
         self.waiters = Waiters()
         self.dispatch = Dispatch(
             records=self._records,
-            term=self.token,
-            terms=settings.lease_terms,
+            token=self.token,
+            lease_terms=settings.lease_terms,
             now=clock.monotonic(),
             wall_ms=self._read_wall_ms,
             log_decision=log_decision,
--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -380,8 +380,8 @@
     def __post_init__(self) -> None:
         self.dispatch = Dispatch(
             records=self.records,
-            term=self.token,
-            terms=self.terms,
+            token=self.token,
+            lease_terms=self.terms,
             now=self.world.now,
             wall_ms=lambda: int(self.world.now / milliseconds(1)),
             log_decision=lambda name, fields: None,
--- a/cottonlug/tests/test_cluster_out_of_order.py
+++ b/cottonlug/tests/test_cluster_out_of_order.py
@@ -21,8 +21,8 @@
     records.apply(AddUpstream(info=INFO, sequence=1))
     return Dispatch(
         records=records,
-        term=1_000_000,
-        terms=TERMS,
+        token=1_000_000,
+        lease_terms=TERMS,
         now=timedelta(),
         wall_ms=lambda: 0,
         log_decision=lambda name, fields: decisions.append((name, fields)),
