--- a/cottonlug/tests/model_upstreams.py
+++ b/cottonlug/tests/model_upstreams.py
@@ -1,7 +1,9 @@
 """A model of upstreams that accept orders, and of a network that loses, repeats and delays them.
 
-It replaces the users' workers: leases on a slow clock, fencing tokens, run numbers, two lists in
-every poll, orders carried out seconds late. Invariants are asserted where they would be violated.
+It replaces the workers of the users' platform: leases on a slow clock, fencing tokens, run numbers,
+a list of active and one of ended runs in the answer to each poll, orders carried out seconds late.
+Invariants are asserted where they would be violated: a task runs once at a time, not again after
+its success was recorded, and only within the capacity of its upstream.
 """
 
 from __future__ import annotations
@@ -43,10 +45,12 @@
 
 TERMS = LeaseTerms(longest=timedelta(seconds=1))
 RECONCILE_AFTER = TERMS.lapse_after + timedelta(milliseconds=500)
+"""Longer than runs that another coordinator started can go on after a job was submitted here."""
 SERVICE = ServiceName("service")
 TASK_CPU = 7_000
 """CPU that every task takes, of 16,000: two tasks fit an upstream."""
 COMMIT_DELAY = timedelta(milliseconds=15)
+"""Time from the proposal of a command until the log has committed it."""
 CRASHES_AFTER = timedelta(milliseconds=5)
 """Time from the start of a task that crashes its upstream to the crash."""
 
@@ -71,7 +75,7 @@
 
 
 def build_spec(*, tasks: int = 4, run_ms: int = 60, durable: bool = False) -> JobSpec:
-    """Return a job of one step."""
+    """Return a job of one step; `run_ms` is the declared run time of its tasks."""
     step = StepSpec(count=tasks, needs=Needs(cpu_millis=TASK_CPU), estimate_ms=run_ms)
     return JobSpec(payload="payload", steps=(step,), best_effort=not durable)
 
@@ -97,6 +101,7 @@
     began_at: timedelta
     ends_at: timedelta
     how: RunEndKind
+    """How it ends, unless it is stopped or its lease lapses before."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -112,6 +117,7 @@
     failed_share: float = 0.0
     """Share of runs that fail."""
     events: list[tuple[timedelta, int, Callable[[], None]]] = field(default_factory=list)
+    """Actions to come, by time; those of one time in the order in which they were scheduled."""
     counter: itertools.count[int] = field(default_factory=itertools.count)
     running: dict[TaskRef, str] = field(default_factory=dict)
     """Active tasks and the upstreams where they run."""
@@ -135,6 +141,7 @@
     connected_from: timedelta = timedelta()
     """From then on the control hosts have been without faults for long enough to be connected."""
     starts: int = 0
+    """Starts carried out by all upstreams together."""
     started_jobs: set[JobId] = field(default_factory=set)
 
     def at(self, delay: timedelta, act: Callable[[], None]) -> None:
@@ -179,11 +186,12 @@
     """End of its lease, on its own clock."""
     last_end_number: int = 0
     ended: list[RunEndReport] = field(default_factory=list)
+    """Ended runs that no poll has confirmed as recorded, so that they are still listed."""
     runs: dict[TaskRef, ModelRun] = field(default_factory=dict)
     refused_through: dict[TaskRef, int] = field(default_factory=dict)
     """Highest run number of each task that has ended or was stopped: no start up to it is valid."""
     parked: list[Callable[[], None]] = field(default_factory=list)
-    """Answers long polls, once a run has ended."""
+    """Callbacks that answer the long polls parked here, called once a run has ended."""
 
     def clock_ms(self) -> int:
         """Return the time on its own monotonic clock."""
@@ -220,7 +228,7 @@
         self.info = msgspec.structs.replace(self.info, capacity=capacity)
 
     def find_tolerated_cpu(self) -> int:
-        """Return the CPU that starts may use: a capacity that has shrunk counts after a while."""
+        """Return the CPU that starts may use: the old capacity for a while after it has shrunk."""
         since = self.world.now - DEFAULT_REPORT_TERMS.valid_for
         tolerated = [size for until, size in self.earlier_capacities if until >= since]
         return max([self.info.capacity.cpu_millis, *tolerated])
@@ -275,7 +283,7 @@
         return RunReport(task=run.ref, run=run.run, percent=int(100 * gone / whole))
 
     def crash(self) -> None:
-        """Lose all runs."""
+        """Go down for good, and lose all runs."""
         self.is_up = False
         for ref in self.runs:
             self.world.running.pop(ref, None)
@@ -340,7 +348,7 @@
         self.world.at(left, self._advance)
 
     def _advance(self) -> None:
-        """Kill everything whose lease has ended."""
+        """End all runs if the lease has ended."""
         if self.is_up and self.runs and self.clock_ms() >= self.expires_ms:
             for run in list(self.runs.values()):
                 # The first end answers a long poll; handling it returns here and ends the other
@@ -365,9 +373,13 @@
     records: Records
     token: int
     is_over: bool = False
+    """Set by tests: it is lost, and does nothing any more."""
     cut_off: set[UpstreamId] = field(default_factory=set)
+    """Upstreams that its orders do not reach."""
     domain: DomainName | None = None
+    """The only failure domain whose upstreams it sends orders to; None for all."""
     is_acting: bool = False
+    """Whether it is an acting leader (a gateway that acts as leader), which keeps no log."""
     terms: LeaseTerms = TERMS
     known_until: timedelta = timedelta.max
     """Until then the capacities in the records are valid without a heartbeat to this leader."""
@@ -431,7 +443,7 @@
     def deliver_heartbeat(
         self, upstream: ModelUpstream, sequence: int, *, draining: bool = False
     ) -> None:
-        """Deliver a heartbeat."""
+        """Deliver a heartbeat with this sequence number to this leader."""
         heartbeat = Heartbeat(info=upstream.info, sequence=sequence, draining=draining)
         self.dispatch.handle_heartbeat(heartbeat, self.world.now)
         self.act()
--- a/cottonlug/tests/test_cluster_dispatch.py
+++ b/cottonlug/tests/test_cluster_dispatch.py
@@ -1,4 +1,8 @@
-"""Decisions of a leader against a model of upstreams that asserts invariants itself."""
+"""Decisions of a leader against a model of upstreams that asserts invariants itself.
+
+Above all, no task may run at two upstreams at once, and none again after its success was recorded
+(see `ModelUpstream`). The campaigns at the end play random faults.
+"""
 
 from __future__ import annotations
 
@@ -36,6 +40,7 @@
 
 
 def build_world(seed: int, **shares: float) -> tuple[World, dict[UpstreamId, ModelUpstream]]:
+    """Return a world with four upstreams; `shares` are the `..._share` fields of `World`."""
     chance = random.Random(seed)
     world = World(random=chance, **shares)  # type: ignore[arg-type]
     upstreams: dict[UpstreamId, ModelUpstream] = {}
@@ -53,6 +58,7 @@
 def start_leader(
     world: World, upstreams: dict[UpstreamId, ModelUpstream], records: Records, term: int
 ) -> Leader:
+    """Return a leader to which each upstream that is up has sent a heartbeat."""
     token = term * TOKENS_PER_TERM
     leader = Leader(world=world, upstreams=upstreams, records=records, token=token)
     for upstream in upstreams.values():
@@ -62,6 +68,7 @@
 
 
 def test_a_best_effort_job_runs_to_completion() -> None:
+    """Each of its tasks is started exactly once."""
     world, upstreams = build_world(1)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -72,7 +79,7 @@
 
 
 def test_an_abandoned_job_may_be_submitted_again() -> None:
-    """Guards against answering the second try with the cancellation of the first."""
+    """Guards against answering the second submission with the cancellation of the first."""
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -87,7 +94,10 @@
 
 
 def test_a_new_leader_takes_over_active_runs() -> None:
-    """The runs of a lost leader go on when the gateway submits their job again."""
+    """Guards against starting tasks again although the runs of a lost leader go on.
+
+    The gateway submits their job again to the new leader.
+    """
     world, upstreams = build_world(3)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(900)
@@ -107,6 +117,7 @@
 
 
 def test_runs_of_a_job_that_is_not_submitted_again_are_stopped() -> None:
+    """Guards against capacity that runs of a lost leader occupy although nobody waits for them."""
     world, upstreams = build_world(4)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=60)
@@ -123,7 +134,7 @@
 
 
 def test_a_job_that_may_have_begun_is_not_rejected() -> None:
-    """Its earlier try may have run under another leader."""
+    """A rejection tells the caller that nothing has run, but another leader may have started it."""
     world, upstreams = build_world(5)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -137,6 +148,7 @@
 
 
 def test_no_task_of_a_rejected_job_has_run() -> None:
+    """Guards against telling callers that nothing has run of a job that was ended half-way."""
     world, upstreams = build_world(6)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -148,6 +160,7 @@
 
 
 def test_a_cancelled_best_effort_job_stops_and_stays_cancelled() -> None:
+    """Guards against runs that go on, and against cancelling a job that does not exist."""
     world, upstreams = build_world(9)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: timedelta(seconds=60)
@@ -177,7 +190,10 @@
 
 
 def start_beside_a_dead_upstream() -> tuple[World, Leader]:
-    """Return a world and its new leader, to which one upstream of four does not answer."""
+    """Return a world and its new leader, 30 ms into its term; one of four upstreams has crashed.
+
+    The new leader cannot know yet whether that one is unreachable and still runs something.
+    """
     world, upstreams = build_world(7)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -190,7 +206,11 @@
 
 
 def test_a_new_job_does_not_wait_for_the_leases_of_a_dead_upstream() -> None:
-    """Otherwise every job waits 1.1 s after a change of leader."""
+    """Otherwise every job waits 1.1 s after a change of leader.
+
+    No gateway has submitted it before. It waits just long enough for runs that its caller may have
+    had started through another gateway.
+    """
     world, leader = start_beside_a_dead_upstream()
     leader.submit("a" * 16, build_spec(tasks=2), build_queue(), reconcile_after=milliseconds(340))
     world.run_until(milliseconds(130 + 340 + 400))
@@ -198,6 +218,7 @@
 
 
 def test_a_job_that_may_have_begun_waits_for_the_leases_of_a_dead_upstream() -> None:
+    """Guards against a second run of a task that still runs at an unreachable upstream."""
     world, leader = start_beside_a_dead_upstream()
     leader.submit("a" * 16, build_spec(tasks=2), build_queue(), may_have_begun=True)
     world.run_until(milliseconds(130) + TERMS.lapse_after)
@@ -207,7 +228,7 @@
 
 
 def test_a_job_submitted_before_all_upstreams_answered_starts_when_they_have() -> None:
-    """Guards against waiting for leases although every upstream has answered in 10 ms."""
+    """Guards against waiting for leases to end although every upstream has answered in 10 ms."""
     world, upstreams = build_world(8)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -220,7 +241,10 @@
 
 
 def test_a_poll_answer_out_of_order_revives_no_run() -> None:
-    """The answer to a poll arrives after that of a later one (seed 537 of a campaign)."""
+    """Guards against taking an ended run for active, by a poll answer that a later one overtook.
+
+    (Seed 537 of a campaign.)
+    """
     world, upstreams = build_world(12)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -273,7 +297,11 @@
 
 
 def test_a_run_that_was_abandoned_but_has_succeeded_is_not_started_again() -> None:
-    """Its end is listed and not yet committed (seed 20 of the campaign of durable jobs)."""
+    """Guards against a second run of a task while its success is listed but not yet committed.
+
+    The lease of the run lapsed while its upstream could not be reached, so that its task was queued
+    again. (Seed 20 of the campaign of durable jobs.)
+    """
     world, upstreams = build_world(15)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -308,6 +336,10 @@
 
 
 def test_an_acting_leader_of_one_domain_orders_no_upstream_of_another() -> None:
+    """Guards against two acting leaders that take each other's upstreams away.
+
+    A job that may have begun in the other domain waits until the leases there have ended.
+    """
     world, upstreams = build_world(13)
     for number, upstream in enumerate(upstreams.values()):
         domain = "north" if number < 2 else "south"
@@ -384,9 +416,11 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_best_effort_jobs(seed: int) -> None:
+    """Guards against tasks that run twice at once, and jobs that never end, under faults."""
     run_campaign(seed, durable=False)
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_campaign_of_durable_jobs(seed: int) -> None:
+    """The same, and against jobs that are lost, or tasks that run again after their success."""
     run_campaign(seed, durable=True)
--- a/cottonlug/tests/test_cluster_overload.py
+++ b/cottonlug/tests/test_cluster_overload.py
@@ -1,4 +1,8 @@
-"""More work than capacity: what is served, what is abandoned, and when its caller is told."""
+"""More work than capacity: what is served, what is abandoned, and when its caller is told.
+
+A job is of no more use to its caller once it has taken three times its objective. It is then
+rejected if nothing of it can have run, which its caller is told, and abandoned otherwise.
+"""
 
 from __future__ import annotations
 
@@ -43,6 +47,7 @@
 
 
 def test_a_job_of_no_more_use_is_rejected_at_once_without_free_capacity() -> None:
+    """Otherwise its caller waits for an answer that can only be a rejection."""
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -54,6 +59,7 @@
 
 
 def test_a_job_of_no_more_use_is_served_where_capacity_is_free() -> None:
+    """Guards against rejecting a job that delays no other one."""
     world, upstreams = build_world(3)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -64,6 +70,10 @@
 
 
 def test_a_job_that_may_have_begun_is_abandoned_but_not_reported_as_not_run() -> None:
+    """Guards against telling its caller that nothing has run, while another host may have begun it.
+
+    It is ended all the same, since its answer would come too late.
+    """
     world, upstreams = build_world(4)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -78,7 +88,10 @@
 
 
 def test_a_job_that_has_begun_keeps_its_place_until_its_last_task_would_be_late() -> None:
-    """Load pattern: wide jobs under overload, with the rest deferred after some tasks started."""
+    """Load pattern: jobs of many tasks under overload.
+
+    Guards against deferring the rest of a job after some of its tasks have started.
+    """
     backlog = Backlog()
     begun = build_batch("begun", latest_start=10, latest_useful_start=500)
     begun.has_begun = True
@@ -92,6 +105,7 @@
 
 
 def test_a_margin_is_reserved_for_run_times_beyond_the_declared_ones() -> None:
+    """Otherwise half of the jobs begun at the last moment miss their objective."""
     queue = build_queue(target_ms=60)
     # The objective is 1.6 times 100 ms and 60 ms; the wait it allows is 60 + 60 ms.
     longest = find_max_wait(queue, milliseconds(220), milliseconds(100))
@@ -100,6 +114,7 @@
 
 
 def test_the_starts_of_wide_jobs_are_spread_by_the_rate_of_run_ends() -> None:
+    """Guards against starting a job of many tasks too late: under load they start one by one."""
     throughput = Throughput()
     assert throughput.estimate_start_delay(8) == MAX_INTERVAL * 8
     for number in range(200):
@@ -111,6 +126,7 @@
 
 
 def test_a_durable_job_keeps_its_arrival_time_under_a_new_leader() -> None:
+    """Otherwise each change of leader makes it a new job, whose objective counts from then on."""
     world, upstreams = build_world(5)
     records = Records()
     first = start_leader(world, upstreams, records, 1)
@@ -125,7 +141,7 @@
 
 
 def answer_unavailable(gateway: object, clock: object, step: timedelta) -> list[Call]:
-    """Let every try fail as not sent after `step`; return what was tried."""
+    """Have every try to reach a coordinator fail after `step` as not sent; return the tries."""
     tried: list[Call] = []
 
     async def try_once(call: Call, timeout: timedelta) -> Answer:
@@ -138,7 +154,7 @@
 
 
 def test_a_gateway_without_coordinator_answers_once_a_job_is_of_no_more_use() -> None:
-    """Otherwise callers wait until their deadlines (144 of 4,286)."""
+    """Otherwise callers wait until their deadlines (as 144 of 4,286 did)."""
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.receive_failover_state(build_failover_state())
@@ -152,6 +168,7 @@
 
 
 def test_a_job_that_stays_useful_for_long_is_retried_for_long() -> None:
+    """Guards against giving up a job of 5 s before the second for which its caller waits."""
     clock = build_clock()
     gateway = build_gateway(clock)
     gateway.link.receive_failover_state(build_failover_state())
--- a/cottonlug/tests/test_cluster_policy.py
+++ b/cottonlug/tests/test_cluster_policy.py
@@ -1,4 +1,7 @@
-"""Serving order, rejection and outlier detection under their load patterns, without a network."""
+"""Serving order, rejection and outlier detection under their load patterns, without a network.
+
+The objective of a job is how long it should take from its arrival to its end.
+"""
 
 from __future__ import annotations
 
@@ -47,6 +50,7 @@
 def build_batch(
     name: str, *, latest_start: float, latest_useful_start: float, cpu: int = 7_000
 ) -> Batch:
+    """Return a batch of one task; times are in milliseconds, the CPU in thousandths of a core."""
     step = StepSpec(count=1, needs=Needs(cpu_millis=cpu), estimate_ms=60)
     record = JobRecord(id=JobId(name), queue=build_queue(), spec=build_spec(), accepted_ms=0)
     return Batch(
@@ -63,6 +67,7 @@
 
 
 def test_jobs_that_can_be_on_time_go_before_late_ones() -> None:
+    """Guards against a backlog in which every job is late, since all wait for the oldest."""
     backlog = Backlog()
     backlog.add(build_batch("old", latest_start=10, latest_useful_start=500))
     backlog.add(build_batch("urgent", latest_start=100, latest_useful_start=600))
@@ -75,7 +80,10 @@
 
 
 def test_new_jobs_are_on_time_within_a_second_after_an_outage() -> None:
-    """Load pattern: three quarters of the capacity, a second without service, the same again."""
+    """Load pattern: three quarters of the capacity, a second without service, the same again.
+
+    Guards against new jobs that are late because they wait for the old ones.
+    """
     world, upstreams = build_world(1)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -95,6 +103,7 @@
 
 
 def test_a_rejection_says_when_to_retry() -> None:
+    """Guards against times that are negative, or out of proportion to the work that waits."""
     world, upstreams = build_world(2)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -106,6 +115,7 @@
 
 
 def test_nothing_is_rejected_while_capacity_is_free() -> None:
+    """Guards against rejecting jobs although nothing waits."""
     world, upstreams = build_world(3)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -121,6 +131,7 @@
 
 
 def test_late_jobs_wait_as_long_as_they_are_of_use() -> None:
+    """Guards against rejecting jobs once they miss their objective, and against losing any."""
     world, upstreams = build_world(8)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -156,6 +167,7 @@
 
 
 def test_an_upstream_that_fails_all_runs_is_suspended_and_tried_again() -> None:
+    """Guards against a failing upstream that gets ever more work, since it is always free."""
     health = UpstreamHealth()
     now = timedelta()
     found = [health.record_failure(now) for _ in range(MAX_CONSECUTIVE_FAILURES)]
@@ -165,6 +177,7 @@
 
 
 def test_isolated_failures_suspend_no_upstream() -> None:
+    """Guards against losing sound upstreams to tasks that fail by themselves."""
     health = UpstreamHealth()
     for _ in range(50):
         assert not health.record_failure(timedelta())
@@ -172,11 +185,13 @@
 
 
 def test_a_slow_upstream_is_suspended() -> None:
+    """Guards against work for an upstream whose runs take 6.5 times as long as expected."""
     health = UpstreamHealth()
     assert any(health.record_success(6.5, timedelta()) for _ in range(5))
 
 
 def test_a_poison_job_fails_after_its_attempts() -> None:
+    """Guards against starting a task for ever that fails wherever it runs."""
     world, upstreams = build_world(4, failed_share=1.0)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -187,6 +202,7 @@
 
 
 def test_a_stalled_run_is_moved() -> None:
+    """Guards against jobs that wait for a minute for an upstream at which nothing progresses."""
     world, upstreams = build_world(5)
     hanging = next(iter(upstreams.values()))
     hanging.run_times = lambda job: timedelta(seconds=60)
@@ -202,6 +218,7 @@
 
 
 def test_the_tightest_fit_is_chosen() -> None:
+    """Otherwise no upstream stays free for tasks that need many cores."""
     instances = [
         build_instance("u1", 32_000),
         build_instance("u2", 15_000),
@@ -214,7 +231,10 @@
 
 
 def test_capacity_is_left_for_runs_whose_jobs_are_not_known() -> None:
-    """Otherwise starts are refused after changes of leader (57 of them)."""
+    """Otherwise upstreams refuse starts after changes of leader (57 were refused).
+
+    A run whose job is not known has unknown needs; it is assumed to need as much as the new task.
+    """
     instance = build_instance("u1", 32_000)
     batch = build_batch("a", latest_start=0, latest_useful_start=0, cpu=14_000)
     orphaned_run = Run(
@@ -289,7 +309,7 @@
 
 
 def test_an_urgent_job_is_not_rejected_for_less_urgent_work_behind_it() -> None:
-    """Guards against long jobs in the backlog that have short ones rejected in 5 ms."""
+    """Guards against rejecting short jobs within 5 ms because of long ones in the backlog."""
     world, upstreams = build_world(6)
     leader = start_leader(world, upstreams, Records(), 1)
     world.run_until(milliseconds(100))
@@ -302,7 +322,7 @@
 
 
 def test_a_new_leader_counts_upstreams_that_have_not_answered_yet() -> None:
-    """Otherwise nearly everything is rejected right after a change of leader."""
+    """Otherwise nearly everything is rejected right after a change of leader, for lack of cores."""
     world, upstreams = build_world(7)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
@@ -319,6 +339,7 @@
 
 
 def test_the_longest_prefix_selects_the_queue() -> None:
+    """Guards against the wrong queue where one prefix begins with another, or a port is given."""
     short, long = build_queue(), msgspec.structs.replace(build_queue(), prefix="/q/long/")
     queues = QueueIndex(configuration=build_configuration(queues=(short, long)))
     assert queues.find_queue("host:80", "/q/abc") == (short, "abc")
@@ -328,7 +349,10 @@
 
 
 def test_an_upstream_on_probation_gets_one_run_at_a_time() -> None:
-    """Otherwise each return of a hanging upstream costs all its new jobs (bench/cluster.py)."""
+    """Otherwise each return of an upstream that still stalls costs all jobs tried there.
+
+    A good run ends the probation. (See bench/cluster.py.)
+    """
     health = UpstreamHealth()
     assert health.record_stall(timedelta())
     assert health.is_on_probation
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -1,7 +1,8 @@
 """Time-outs of jobs that are waited for, and hosts that are no longer the coordinator.
 
-Each test guards against a job that goes on after its caller has gone, or a host that goes on
-deciding, so that a task could run beside the next try of its caller.
+The coordinator is the host that schedules jobs: the leader, or a gateway that acts as leader. Most
+tests guard against a job that goes on after its caller has gone, or a host that goes on deciding,
+so that a task could run beside the next try of its caller.
 """
 
 from __future__ import annotations
@@ -102,12 +103,11 @@
 
 
 def test_an_acting_leader_waits_no_longer_than_its_caller() -> None:
-    """Guards against calls to itself without a time-out.
+    """Guards against calls of an acting leader to itself without a time-out.
 
-    The job and its lease would go on long after its caller has gone.
-
-    A caller outside a domain that is cut off, with its gateway inside, times out after 1.5 s and
-    retries elsewhere 1.3 s later; by then the gateway, as acting leader, has begun the job.
+    The job and its lease would go on long after its caller has gone. For example, a caller outside
+    a domain that is cut off, with its gateway inside, times out after 1.5 s and retries elsewhere
+    1.3 s later; by then the gateway, as acting leader, has begun the job.
     """
 
     async def play() -> None:
@@ -161,7 +161,10 @@
 
 @pytest.mark.parametrize("trigger", ["a decision that was due", "a commit"])
 def test_a_term_that_was_ended_makes_no_more_decisions(trigger: str) -> None:
-    """A host that hands over keeps its lease for a while, in which the next one coordinates."""
+    """Guards against orders of a host that has handed over, while the next one coordinates.
+
+    It keeps its lease for a while, so the lease does not stop it.
+    """
 
     async def play() -> int:
         port = CountingPort()
@@ -182,9 +185,9 @@
 def test_a_second_submission_of_an_open_job_adds_what_the_first_did_not_say(
     second: str, is_news: bool
 ) -> None:
-    """Another coordinator may have begun it for another gateway: its lease must be waited for.
+    """Another gateway may have had it begun by another coordinator, whose leases must end first.
 
-    The same gateway only repeats a call that was answered late: its tasks wait no longer for that.
+    The same gateway only repeats a call without an answer, for which the tasks need not wait again.
     """
 
     async def play() -> None:
@@ -254,6 +257,7 @@
 
 
 def test_a_silent_upstream_is_polled_when_another_instance_takes_its_address() -> None:
+    """Guards against keeping an instance as unreachable although a later one has replaced it."""
     world, upstreams = build_world(3)
     records = Records()
     leader = start_leader(world, upstreams, records, 1)
