--- a/cottonlug/core/cluster/backlog.py
+++ b/cottonlug/core/cluster/backlog.py
@@ -29,7 +29,7 @@
     LATE = "late"
     """It will probably miss the objective, but may still be of use."""
     HOPELESS = "hopeless"
-    """It is of no more use."""
+    """It is of no more use: a best-effort job is ended if it cannot start at once."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -119,7 +119,7 @@
         bisect.insort(self._tiers[batch.tier], batch, key=key)
 
     def demote(self, now: timedelta) -> list[Batch]:
-        """Move batches whose time has passed to a later tier, and return them."""
+        """Move batches whose time has passed to a later tier, and return those moved."""
         on_time, late = self._tiers[Tier.ON_TIME], self._tiers[Tier.LATE]
         moved: list[Batch] = []
         kept: list[Batch] = []
--- a/cottonlug/core/cluster/dispatch.py
+++ b/cottonlug/core/cluster/dispatch.py
@@ -7,8 +7,12 @@
 
 Durable jobs are in `Records`, the state of the replicated log. All other state here is lost with
 the coordinator, and the next one learns it again: runs from the upstreams, best-effort jobs from
-their gateways, which submit them again. The surrounding program delivers events and then collects
-the orders to send and the commands to propose to the log.
+their gateways, which submit them again. A listed run whose job is not known yet is orphaned; once
+the job is known, the run is adopted, that is, it goes on as if it had been started here. Until the
+reconciliation, runs of earlier coordinators may be active that this one does not know.
+
+An instance is one run of an upstream's process. The surrounding program delivers events and then
+collects the orders to send and the commands to propose to the log.
 """
 
 from __future__ import annotations
@@ -78,7 +82,7 @@
 
 
 class Dispatch:
-    """Scheduling decisions of one coordinator."""
+    """Scheduling decisions of one coordinator; for its parameters see `Term`."""
 
     def __init__(
         self,
@@ -513,7 +517,10 @@
         return self._instances.pop_changed()
 
     def _scan_all(self, now: timedelta) -> None:
-        """Cordon or forget unreachable upstreams, and forget what ended long ago."""
+        """Cordon or forget unreachable upstreams, and forget what ended long ago.
+
+        To cordon one is to record in the log that nothing runs there and nothing may be started.
+        """
         self._scan_due = now + SCAN_INTERVAL
         self._watcher.cordon_idle(now)
         self._watcher.forget_silent(now, may_be_used=self.may_have_acting_leader)
--- a/cottonlug/core/cluster/scheduler.py
+++ b/cottonlug/core/cluster/scheduler.py
@@ -3,6 +3,9 @@
 The waiting tasks of one step of a job form a batch; the backlog holds the batches in the order in
 which they are served. Under overload best-effort jobs, which only this host knows, are rejected or
 abandoned. Durable jobs, once accepted, are in the replicated log and are served however late.
+
+An instance is one run of an upstream's process. It accepts work only once it is fenced: it has
+answered this host, so that it refuses the orders of earlier ones.
 """
 
 from __future__ import annotations
