--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -34,11 +34,11 @@
         job = self._jobs.jobs.get(report.task.job)
         record = job.record if job is not None else self._term.records.jobs.get(report.task.job)
         steps = record.spec.steps if record is not None else ()
-        is_known = report.task.step < len(steps)
+        is_step_known = report.task.step < len(steps)
         run = Run(
             task=report.task,
             run=report.run,
-            needs=steps[report.task.step].needs if is_known else Needs(),
+            needs=steps[report.task.step].needs if is_step_known else Needs(),
             phase=RunPhase.RUNNING,
             since=now,
             percent=report.percent,
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -38,7 +38,7 @@
 after 100 ms."""
 MAX_UPSTREAMS_IN_SMALL_PART = 16
 """With up to this many upstreams, an answer costs hardly more than one without any."""
-_FIRST = UpstreamId("")
+_BEFORE_ALL_IDS = UpstreamId("")
 """Sorts before all ids of upstreams."""
 OWN_DOMAIN_QUERIED = 3
 OTHER_DOMAINS_QUERIED = 2
@@ -64,34 +64,34 @@
     def __init__(self, *, term: int, accepts_calls: bool) -> None:
         self._term = term
         self._accepts_calls = accepts_calls
-        self._number = 0
+        self._last_change = 0
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
         """Number of each change, and the upstream that it concerns, if any."""
         self._last_configuration_change = 0
         """Number of the last change of the configuration."""
-        self._sorted: tuple[int, list[UpstreamId]] = (-1, [])
+        self._sorted_ids: tuple[int, list[UpstreamId]] = (-1, [])
         """All upstream ids in order, as of the change with this number."""
 
     @property
     def version(self) -> str:
         """Version of the current state."""
-        return f"{self._term}.{self._number}"
+        return f"{self._term}.{self._last_change}"
 
     def record_upstream_change(self, upstream: UpstreamId) -> None:
         """Count that an upstream has joined, changed or left."""
-        self._number += 1
-        self._changes.append((self._number, upstream))
+        self._last_change += 1
+        self._changes.append((self._last_change, upstream))
 
     def record_configuration_change(self) -> None:
         """Count that another configuration is active."""
-        self._number += 1
-        self._changes.append((self._number, None))
-        self._last_configuration_change = self._number
+        self._last_change += 1
+        self._changes.append((self._last_change, None))
+        self._last_configuration_change = self._last_change
 
     def record_other_change(self) -> None:
         """Count any other change."""
-        self._number += 1
-        self._changes.append((self._number, None))
+        self._last_change += 1
+        self._changes.append((self._last_change, None))
 
     def record_command(self, command: Command) -> None:
         """Count what a command of the log has changed, if the failover state contains it."""
@@ -119,7 +119,7 @@
         if known == self.version:
             return None
         position = self._find_position(known)
-        start = position or _Position(number=self._number, after=_FIRST)
+        start = position or _Position(number=self._last_change, after=_BEFORE_ALL_IDS)
         changed, number = self._list_changed(start.number)
         initial, after = self._list_next(
             records, start.after, MAX_UPSTREAMS_PER_PART - len(changed)
@@ -133,7 +133,7 @@
         return FailoverState(
             version=f"{self._term}.{number}" + (f">{after}" if after is not None else ""),
             base="" if position is None else known,
-            is_partial=after is not None or number < self._number,
+            is_partial=after is not None or number < self._last_change,
             term=self._term,
             configuration=configuration,
             upstreams=tuple(records.upstreams[id] for id in ids if id in records.upstreams),
@@ -150,7 +150,7 @@
         position = self._find_position(known)
         if position is None or position.after is not None:
             return len(records.upstreams) > MAX_UPSTREAMS_IN_SMALL_PART
-        return self._number - position.number > MAX_UPSTREAMS_IN_SMALL_PART
+        return self._last_change - position.number > MAX_UPSTREAMS_IN_SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
         """Return the upstreams in the next part of the changes, and its last change's number."""
@@ -161,7 +161,7 @@
             if len(ids) == MAX_UPSTREAMS_PER_PART:
                 return list(ids), number - 1
             ids[upstream] = None
-        return list(ids), self._number
+        return list(ids), self._last_change
 
     def _list_next(
         self, records: Records, after: UpstreamId | None, count: int
@@ -169,9 +169,9 @@
         """Return the next upstreams after an id, and the last of them; None if no more follow."""
         if after is None:
             return [], None
-        if self._sorted[0] != self._number:
-            self._sorted = (self._number, sorted(records.upstreams))
-        ids = self._sorted[1]
+        if self._sorted_ids[0] != self._last_change:
+            self._sorted_ids = (self._last_change, sorted(records.upstreams))
+        ids = self._sorted_ids[1]
         begin = bisect.bisect_right(ids, after)
         part = ids[begin : begin + count]
         is_last = begin + count >= len(ids)
@@ -183,7 +183,7 @@
         term, _, number = version.partition(".")
         if term != str(self._term) or not number.isdecimal():
             return None
-        first_known = self._changes[0][0] if self._changes else self._number + 1
+        first_known = self._changes[0][0] if self._changes else self._last_change + 1
         if int(number) < first_known - 1:
             return None
         return _Position(number=int(number), after=UpstreamId(after) if has_cursor else None)
--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -198,9 +198,9 @@
     def accepts_work(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an instance accepts work, suspended or not."""
         instance.is_on_probation = self.get_health(instance).is_on_probation
-        return instance.accepts_work(now) and not self._may_be_full(instance, now)
+        return instance.accepts_work(now) and not self._may_lack_capacity(instance, now)
 
-    def _may_be_full(self, instance: Instance, now: timedelta) -> bool:
+    def _may_lack_capacity(self, instance: Instance, now: timedelta) -> bool:
         """Return whether an upstream that does not check its capacity may have less than is known.
 
         It has a run of unknown needs, or has not reported its capacity for a long time.
@@ -217,22 +217,22 @@
 
     def mark_newly_doubted(self, now: timedelta) -> list[UpstreamId]:
         """Mark and return upstreams that do not check their capacity and missed a heartbeat."""
-        unguarded = self._find_unchecked_services()
-        if not unguarded:
+        unchecked = self._find_unchecked_services()
+        if not unchecked:
             return []
         doubted = [
             instance
             for instance in self.by_id.values()
-            if self._has_missed_heartbeat(instance, unguarded, now)
+            if self._has_missed_heartbeat(instance, unchecked, now)
         ]
         for instance in doubted:
             instance.is_capacity_doubted = True
         return [instance.info.id for instance in doubted]
 
     def _has_missed_heartbeat(
-        self, instance: Instance, unguarded: set[ServiceName], now: timedelta
+        self, instance: Instance, unchecked: set[ServiceName], now: timedelta
     ) -> bool:
-        if instance.is_capacity_doubted or instance.info.service not in unguarded:
+        if instance.is_capacity_doubted or instance.info.service not in unchecked:
             return False
         missed_after = self._term.reports.missed_after
         return instance.reported_at is None or now >= instance.reported_at + missed_after
@@ -259,11 +259,11 @@
         """Return the usable cores; in the grace period also those of upstreams not seen yet."""
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
-        is_new = self.is_in_grace_period(now)
+        is_early = self.is_in_grace_period(now)
         cores = measure_usable_cores(
             instance
             for instance in self.by_id.values()
-            if instance.accepts_work(now) or (is_new and _may_accept_work(instance))
+            if instance.accepts_work(now) or (is_early and _may_accept_work(instance))
         )
         self._cached_usable_cores = (now + USABLE_CORES_CACHED_FOR, cores)
         return cores
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -21,7 +21,7 @@
 
 TOKENS_PER_TERM = 1_000_000
 """The token of a leader is its term times this; acting leaders use the tokens in between."""
-RUNS_PER_TERM = 4_096
+RUN_NUMBERS_PER_TOKEN = 4_096
 """Run numbers per token, so that those under a higher token are all higher."""
 
 
@@ -97,7 +97,7 @@
         An earlier leader does not, because it has lost its own lease. An acting leader may, in a
         failure domain that is cut off, and so may the leader that an acting leader does not reach.
         """
-        return not self.keeps_log or (run // RUNS_PER_TERM) % TOKENS_PER_TERM != 0
+        return not self.keeps_log or (run // RUN_NUMBERS_PER_TOKEN) % TOKENS_PER_TERM != 0
 
     @property
     def earlier_leases_lapsed_at(self) -> timedelta:
@@ -107,4 +107,4 @@
     @property
     def first_run(self) -> RunNumber:
         """The lowest run number of this term."""
-        return RunNumber(self.token * RUNS_PER_TERM)
+        return RunNumber(self.token * RUN_NUMBERS_PER_TOKEN)
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -74,7 +74,7 @@
         if instance.is_over or instance.is_managed_elsewhere:
             return
         is_straggler = self._is_straggler(instance)
-        is_unsure = is_straggler or self._awaits_stop(instance)
+        is_unsure = is_straggler or self._has_unsure_runs(instance)
         if (
             is_unsure
             and instance.is_poll_pending
@@ -91,8 +91,13 @@
             or instance.proposed_through > instance.recorded_through
         ):
             return
-        has_news = instance.recorded_through > instance.confirmed_through
-        if instance.is_fenced and not instance.runs and not has_news and not instance.must_poll:
+        has_unconfirmed_ends = instance.recorded_through > instance.confirmed_through
+        if (
+            instance.is_fenced
+            and not instance.runs
+            and not has_unconfirmed_ends
+            and not instance.must_poll
+        ):
             return
         instance.must_poll = False
         is_calm = instance.is_fenced and instance.failed_polls == 0 and not is_unsure
@@ -133,7 +138,7 @@
             return None
         if not instance.is_poll_pending:
             return instance.poll_due
-        may_be_probed = not instance.is_fenced or self._awaits_stop(instance)
+        may_be_probed = not instance.is_fenced or self._has_unsure_runs(instance)
         if instance.is_probe_pending or not may_be_probed:
             return None
         return max(instance.probe_due, now + PROBE_CHECK_INTERVAL)
@@ -202,7 +207,7 @@
             return False
         return len(unseen) <= MAX_STRAGGLERS_SHARE * len(self._instances.by_id)
 
-    def _awaits_stop(self, instance: Instance) -> bool:
+    def _has_unsure_runs(self, instance: Instance) -> bool:
         return any(run.phase is RunPhase.UNSURE for run in instance.runs.values())
 
     def handle_failed_poll(self, instance: Instance, failure: CallFailure, now: timedelta) -> None:
@@ -213,10 +218,10 @@
         if failure is CallFailure.INSTANCE_ENDED:
             self.end_instance(instance, now)
             return
-        is_gone = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
+        is_long_silent = instance.is_cordoned and _is_silent(instance, now, SILENT_AFTER)
         retry = (
             SILENT_POLL_INTERVAL
-            if is_gone
+            if is_long_silent
             else POLL_RETRY_STEP * min(instance.failed_polls, MAX_RETRY_STEPS)
         )
         instance.poll_due = now if self._is_straggler(instance) else now + retry
