--- a/cottonlug/core/cluster/instance_table.py
+++ b/cottonlug/core/cluster/instance_table.py
@@ -1,4 +1,12 @@
-"""Tracks the instances of upstreams that a leader knows, and which of them accept work."""
+"""Tracks the instances of upstreams that a coordinator knows, and which of them accept work.
+
+An instance is one run of an upstream's process. The coordinator is the host that schedules jobs:
+the elected leader, or an acting leader (a gateway that schedules where no leader can be reached).
+An upstream is cordoned when the records say that no leader has a run there, and suspended for a
+while when it was found failing, stalled or slow. A run is orphaned if its job is unknown to the
+coordinator. Upstreams of some services do not check their own capacity: they start whatever they
+get, so that the coordinator must know their capacity for certain.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +21,10 @@
 from .upstream_health import MAX_SUSPENDED_SHARE, UpstreamHealth
 
 USABLE_CORES_CACHED_FOR = timedelta(milliseconds=20)
-"""How long the measured capacity is reused: it only changes as upstreams come and go."""
+"""How long the number of usable cores is reused: it only changes as upstreams come and go."""
 ORPHAN_GRACE = timedelta(milliseconds=800)
-"""How long a new leader keeps run ends of unknown jobs, and counts the cores of upstreams that have
-not answered it: gateways submit their jobs again, as a rule within 0.1 s."""
+"""How long a new coordinator keeps run ends of unknown jobs, and counts the cores of upstreams that
+have not answered it: gateways submit their jobs again to it, as a rule within 0.1 s."""
 
 
 class InstanceTable:
@@ -25,16 +33,19 @@
     def __init__(self, *, term: Term) -> None:
         self.by_id: dict[UpstreamId, Instance] = {}
         self.unseen: set[UpstreamId] = set()
-        """Instances from earlier terms that have not answered in this one."""
+        """Instances from earlier terms that have not answered in this one and are not cordoned."""
         self._changed: dict[UpstreamId, Instance] = {}
+        """Instances to be processed in the next round."""
         self._last_arrival_number = 0
         self.may_have_orphaned_runs = False
         """Whether any upstream may have a run whose job is unknown."""
         self._cached_usable_cores: tuple[timedelta, float] | None = None
+        """Until when the number of usable cores may be reused, and that number."""
         self._term = term
         self._by_address: dict[str, UpstreamId] = {}
         self._newest: dict[str, UpstreamId] = {}
-        """The newest instance under each upstream's own id."""
+        """The newest instance of each upstream, by its name: the id that it announces, which all
+        its instances share."""
         self._health: dict[UpstreamId, UpstreamHealth] = {}
         for record in term.records.upstreams.values():
             instance = self.add(
@@ -44,21 +55,25 @@
             instance.is_capacity_doubted = record.is_capacity_doubted
             instance.lost_tasks = record.lost_tasks
             if not record.is_capacity_doubted:
+                # The recorded capacity then counts as valid until `known_until`.
                 instance.reported_at = term.known_until - term.reports.valid_for
-            # An acting leader ignores cordons: its copy of the record may be out of date, and an
+            # An acting leader ignores cordons: its copy of the records may be out of date, and an
             # earlier acting leader may have used the upstream.
             instance.is_cordoned = record.is_cordoned and term.keeps_log
             if not instance.is_cordoned:
                 self.unseen.add(record.info.id)
 
     def is_in_grace_period(self, now: timedelta) -> bool:
-        """Return whether the term is so young that unknown runs may still find their jobs."""
+        """Return whether the term is so young that jobs of unknown runs may still be submitted."""
         return now < self._term.began_at + ORPHAN_GRACE
 
     def add(
         self, info: UpstreamInfo, recorded_through: int, draining: bool, now: timedelta
     ) -> Instance:
-        """Track an instance; have an earlier one at its address or under its name polled."""
+        """Track an instance; have an earlier one at its address or with its name polled.
+
+        The arguments are those of its record; `now` counts as its first heartbeat.
+        """
         self._last_arrival_number += 1
         instance = Instance(
             info=info,
@@ -95,7 +110,7 @@
         self.mark_changed(found)
 
     def find_later(self, id: UpstreamId) -> Instance | None:
-        """Return the newest instance under the same name if it started after the given one."""
+        """Return the newest instance of the same upstream if it started after the given one."""
         newest = self._newest.get(get_upstream_name(id))
         return (
             self.by_id[newest] if newest is not None and is_earlier_instance(id, newest) else None
@@ -122,9 +137,9 @@
         return list(changed.values())
 
     def may_have_unknown_runs(self, *, of_acting_leaders: bool) -> bool:
-        """Return whether any instance may have runs of another leader that are unknown here.
+        """Return whether any instance may have runs of another coordinator that are unknown here.
 
-        With `of_acting_leaders`, cordoned instances count: only acting leaders start runs there.
+        With `of_acting_leaders`, cordoned instances count as well: acting leaders ignore cordons.
         """
         return any(
             not (instance.is_fenced or instance.is_over)
@@ -140,7 +155,10 @@
             )
 
     def apply_evacuation(self, domain: DomainName, now: timedelta) -> int:
-        """Update the instances of a domain after an evacuation order; return their active runs."""
+        """Update the instances of a domain whose evacuation an operator has begun or ended.
+
+        Return the number of their active runs.
+        """
         is_evacuated = domain in self._term.records.evacuations.evacuated
         instances = [instance for instance in self.by_id.values() if instance.info.domain == domain]
         for instance in instances:
@@ -170,7 +188,7 @@
         return bool(remaining) and all(instance.is_evacuated for instance in remaining)
 
     def get_health(self, instance: Instance) -> UpstreamHealth:
-        """Return the health record of an instance."""
+        """Return the health of an instance, which tells whether it is suspended or on probation."""
         health = self._health.get(instance.info.id)
         if health is None:
             health = self._health[instance.info.id] = UpstreamHealth()
@@ -179,7 +197,7 @@
     def find_accepting(self, now: timedelta) -> dict[ServiceName, list[Instance]]:
         """Return the instances that accept work, by service, without suspended ones.
 
-        If too large a share of a service is suspended, suspensions are ignored there.
+        If more than `MAX_SUSPENDED_SHARE` of a service is suspended, suspensions are ignored there.
         """
         by_service: dict[ServiceName, list[Instance]] = {}
         for instance in self.by_id.values():
@@ -196,14 +214,17 @@
         return by_service
 
     def accepts_work(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether an instance accepts work, suspended or not."""
+        """Return whether an instance accepts work, suspended or not.
+
+        Also updates whether it is on probation: it then gets one run at a time.
+        """
         instance.is_on_probation = self.get_health(instance).is_on_probation
         return instance.accepts_work(now) and not self._may_lack_capacity(instance, now)
 
     def _may_lack_capacity(self, instance: Instance, now: timedelta) -> bool:
-        """Return whether an upstream that does not check its capacity may have less than is known.
+        """Return whether an upstream may have less capacity than is known, and does not check it.
 
-        It has a run of unknown needs, or has not reported its capacity for a long time.
+        It has a run whose needs are unknown, or has not reported its capacity for too long.
         """
         if not instance.has_orphaned_runs and self._is_report_valid(instance, now):
             return False
@@ -238,7 +259,10 @@
         return instance.reported_at is None or now >= instance.reported_at + missed_after
 
     def list_availability_changes(self, instance: Instance) -> list[timedelta]:
-        """Return the times at which an instance may begin or cease to accept work without event."""
+        """Return the times at which an instance may begin or cease to accept work by itself.
+
+        These concern it alone: nothing needs to be received from it.
+        """
         times = [instance.avoid_until, self.get_health(instance).suspended_until]
         if (
             instance.reported_at is not None
@@ -256,7 +280,10 @@
         return reported_at is not None and now < reported_at + self._term.reports.valid_for
 
     def measure_usable_cores(self, now: timedelta) -> float:
-        """Return the usable cores; in the grace period also those of upstreams not seen yet."""
+        """Return the number of usable cores.
+
+        In the grace period, those of upstreams that have not answered yet are counted as well.
+        """
         if self._cached_usable_cores is not None and now < self._cached_usable_cores[0]:
             return self._cached_usable_cores[1]
         is_early = self.is_in_grace_period(now)
@@ -269,10 +296,10 @@
         return cores
 
     def mark_disputed(self, job: JobId) -> None:
-        """Let the leases of a job's runs run out, even where the stops do not arrive.
+        """Let the leases of the upstreams run out where a job has runs, even if no stop arrives.
 
-        The next coordinator of the job waits for these leases only. A lease covers everything that
-        runs at an upstream, so renewals for other runs would keep these alive.
+        Another coordinator may get the job next, and waits for these leases only. A lease covers
+        everything that runs at an upstream: if it were renewed for other runs, these would go on.
         """
         for instance in self.by_id.values():
             for key in [each for each in instance.runs if each[0].job == job]:
@@ -288,7 +315,7 @@
 
 
 def _may_accept_work(instance: Instance) -> bool:
-    """Return whether an upstream not seen in this term can be expected to accept work."""
+    """Return whether an upstream that has not answered yet can be expected to accept work."""
     return not (
         instance.is_fenced
         or instance.draining
--- a/cottonlug/core/cluster/instances.py
+++ b/cottonlug/core/cluster/instances.py
@@ -1,4 +1,11 @@
-"""Instances of upstreams as one leader sees them: clock, lease, runs and free capacity."""
+"""Instances of upstreams as one coordinator sees them: clock, lease, runs and free capacity.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). An upstream runs tasks only while it holds a lease,
+which the coordinator renews when it polls the upstream: a poll lists its runs and ended runs. Each
+poll and start carries the coordinator's fencing token; an upstream refuses those with a lower token
+than it has seen.
+"""
 
 from __future__ import annotations
 
@@ -25,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class LeaseTerms:
-    """Limits from which a leader derives when a lease has certainly ended."""
+    """Limits from which a coordinator derives when a lease has certainly ended."""
 
     longest: timedelta
-    """Longest lease, by the clock of the upstream."""
+    """How long a lease lasts at the most, by the clock of the upstream."""
     max_delivery_delay: timedelta = timedelta()
     """Longest delay between deciding on an order and its arrival at an upstream."""
 
@@ -41,11 +48,12 @@
 def choose_lease_terms(
     longest: timedelta, caller_retry: timedelta, silence_tolerated: timedelta
 ) -> LeaseTerms:
-    """Return terms of leases that end before a lost caller's job can be submitted again.
+    """Return terms of leases that end before a job whose gateway failed can be submitted again.
 
-    A caller that lost its gateway submits its job again after `caller_retry`. The coordinator
-    abandons the job once it has not heard that gateway for `silence_tolerated`. What still runs
-    then, at an unreachable upstream, has lost its lease by the time the job arrives again.
+    Its caller submits it again, through another gateway, no sooner than `caller_retry` after the
+    failure. The coordinator abandons the job once it has not heard that gateway for
+    `silence_tolerated`. What still runs then, at an unreachable upstream, has lost its lease by the
+    time the job arrives again.
     """
     ended_in_time = (caller_retry - silence_tolerated - LAPSE_MARGIN) * MIN_CLOCK_RATE
     return LeaseTerms(longest=min(longest, max(ended_in_time, MIN_LEASE)))
@@ -58,29 +66,33 @@
     info: UpstreamInfo
     lease_terms: LeaseTerms
     recorded_through: int
-    """Number of the last run end that is recorded, and so can be confirmed to the upstream."""
+    """Number of the last run end that is recorded, and so can be confirmed to the upstream, which
+    numbers its ended runs from 1 and lists them until then."""
     arrival_number: int = 0
-    """Position in the order in which this leader learned of instances; breaks ties."""
+    """Position in the order in which this coordinator learned of instances; breaks ties."""
     draining: bool = False
+    """Whether it is leaving: active runs continue, nothing is started."""
     is_evacuated: bool = False
-    """Whether its failure domain is evacuated: active runs continue, nothing is started."""
+    """Whether an operator has evacuated its failure domain: active runs continue, nothing is
+    started."""
     is_over: bool = False
-    """Whether it has ended or was forgotten, so that its removal is proposed."""
+    """Whether it has ended or was forgotten: its removal from the records has been proposed."""
     is_cordoned: bool = False
-    """Whether no run started by a leader can be active there, so that nothing may be started
-    either."""
+    """Whether the records say, or are about to say, that no leader has a run there, so that this
+    one may not start any before the cordon is lifted."""
     is_uncordoning: bool = False
-    """Whether a command to use it again has been proposed to the log."""
+    """Whether lifting the cordon has been proposed to the log."""
     is_managed_elsewhere: bool = False
-    """Whether the orders to it come from another host in this term."""
+    """Whether it is outside the failure domain to which this acting leader is limited."""
     is_fenced: bool = False
-    """Whether it has answered a poll of this leader's term, so that its runs are known."""
+    """Whether it has answered a poll in this term, so that its runs are known and it refuses orders
+    of earlier coordinators. False again once its lease has ended without an answer."""
     proposed_through: int = 0
     """Number of the last run end that was proposed to the log or recorded without it."""
     confirmed_through: int = 0
     """Number of the last run end whose recording was confirmed to the upstream."""
     sequence: int = 0
-    """Sequence number of the newest heartbeat: an older one that arrives later is ignored."""
+    """Sequence number of its newest heartbeat: an older one that arrives later is ignored."""
     reported_at: timedelta | None = None
     """The latest time at which its last capacity report can have been sent; None if unknown."""
     is_capacity_doubted: bool = False
@@ -90,34 +102,40 @@
     refusals: int = 0
     """Starts refused for lack of capacity since the last successful start or capacity report."""
     heard_at: timedelta | None = None
-    """When its last heartbeat was received, or when this leader learned of it."""
+    """When its last heartbeat was received, or when this coordinator learned of it."""
     contact_at: timedelta | None = None
     """When it last answered a poll."""
     failed_polls: int = 0
     """Polls that have failed since it last answered one."""
     is_poll_pending: bool = False
+    """Whether a poll awaits its answer."""
     is_probe_pending: bool = False
+    """Whether an extra poll beside that one awaits its answer."""
     listed_ms: int = -1
     """When its runs were last listed, on its own clock: an older list that arrives later is
     ignored."""
     poll_due: timedelta = timedelta()
+    """No poll is sent before then."""
     probe_due: timedelta = timedelta()
+    """No extra poll is sent before then."""
     is_on_probation: bool = False
     """Whether it gets one run at a time, after it was found failing, stalled or slow."""
     is_listening: bool = True
-    """Whether an order would reach it at once instead of with the answer to its next heartbeat."""
+    """Whether an order would reach it at once. False if it receives orders only with the answers to
+    its heartbeats, and none of these awaits its answer."""
     avoid_until: timedelta = timedelta()
     """Until then nothing is started there, after a refused or unanswered start."""
     cold_until: timedelta = timedelta()
-    """Until then tasks take longer there than usual, so that it is used last."""
+    """Until then tasks take longer there than usual, for instance after its start: it is used last.
+    """
     must_poll: bool = False
     """Whether it is to be polled soon although nothing runs there."""
     lost_at: timedelta | None = None
-    """When it was first found not to answer; None once it has answered again."""
+    """When it was first found not to answer; None while it answers."""
     lost_tasks: ActiveTasks = NO_ACTIVE_TASKS
-    """Tasks active when its lease lapsed or it ended, kept until it is known whether it crashed."""
+    """Tasks active there when its lease or it ended, kept until it is known whether it crashed."""
     lapse_at: timedelta = timedelta()
-    """When each lease that it may hold has certainly ended: from then on nothing can run there."""
+    """When every lease that it may hold has certainly ended: from then on nothing can run there."""
     response_timeout: ResponseTimeout = field(default_factory=ResponseTimeout)
     runs: dict[RunKey, Run] = field(default_factory=dict)
     _used_cpu: int = 0
@@ -130,14 +148,16 @@
     _clock_at: timedelta = timedelta()
 
     def record_clock(self, clock_ms: int, now: timedelta) -> None:
-        """Update the lower bound of the upstream's clock from an answer."""
+        """Update the lower bound of the upstream's clock from its answer or heartbeat."""
         known = self._estimate_clock(now)
         if known is None or clock_ms >= known:
             self._clock_ms = float(clock_ms)
             self._clock_at = now
 
     def record_capacity(self, capacity: Capacity, sequence: int, reported_at: timedelta) -> bool:
-        """Store the reported capacity; return whether it differs from the replicated state.
+        """Store the reported capacity; return whether the replicated state must be updated.
+
+        It must if the capacity differs, or was in doubt because a heartbeat was missed.
 
         Active runs stay even if they exceed a capacity that has shrunk; only starts may not exceed
         it.
@@ -159,7 +179,7 @@
         return timedelta(milliseconds=max(known - clock_ms, 0.0))
 
     def grant_lease(self, now: timedelta) -> int | None:
-        """Return a lease end on the upstream's clock, and count the lease as granted.
+        """Return a lease end in ms on the upstream's clock, and count the lease as granted.
 
         None if the upstream's clock is unknown.
         """
@@ -182,7 +202,7 @@
         return run
 
     def mark_disputed(self, key: RunKey) -> None:
-        """Renew no lease until a run is gone, because another host relies on that lease ending."""
+        """Renew no lease until a run is gone, because another host relies on the lease ending."""
         run = self.runs.get(key)
         if run is not None and not run.is_disputed:
             run.is_disputed = True
@@ -217,7 +237,7 @@
         )
 
     def accepts_work(self, now: timedelta) -> bool:
-        """Return whether a start may be sent at all."""
+        """Return whether a start may be sent at all, apart from the capacity that it needs."""
         return (
             self.is_fenced
             and not self.is_cordoned
--- a/cottonlug/core/cluster/orders.py
+++ b/cottonlug/core/cluster/orders.py
@@ -1,4 +1,11 @@
-"""Orders that a leader sends to upstreams, and the outcomes that it derives from their answers."""
+"""Orders that a coordinator sends to upstreams, and outcomes that it derives from their answers.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). It starts a task as a run, whose number is higher
+than those of the task's earlier runs. Every order is sent with the coordinator's fencing token,
+which rises from one coordinator to the next. An upstream runs tasks only while it holds a lease,
+and numbers its ended runs from 1. An instance is one run of an upstream's process.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartOrder:
-    """Starts a run; the upstream refuses it once its own clock has passed `expires_ms`."""
+    """Starts a run, from a checkpoint unless that is empty.
+
+    The upstream refuses it once its own clock has passed `expires_ms`.
+    """
 
     upstream: UpstreamInfo
     task: TaskRef
@@ -36,10 +46,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PollOrder:
-    """Lists all runs and run ends, renews the lease, and confirms ends up to `last_seen`.
+    """Lists all runs and ended runs, and renews the lease.
 
-    The upstream may hold the answer for up to `wait` until a run ends. Without `expires_ms` the
-    lease stays as it is.
+    The lease then ends at `expires_ms` on the upstream's clock; with None it stays as it is. Ended
+    runs up to the number `last_seen` are confirmed as recorded, so that the upstream need not list
+    them any more. It may delay the answer until a run ends, for up to `wait`.
     """
 
     upstream: UpstreamInfo
@@ -47,9 +58,9 @@
     expires_ms: int | None
     wait: timedelta
     first_end: timedelta = timedelta()
-    """Time until a run there is expected to end; zero if one should have ended already."""
+    """Time until the first run there is expected to end; zero if it should have ended already."""
     is_probe: bool = False
-    """Whether it is sent beside a long poll, to learn at once what became of a run."""
+    """Whether it is sent beside another poll that awaits its answer, to learn the state at once."""
     response_timeout: timedelta = MAX_RESPONSE_TIMEOUT
     """How long to wait for the answer, beyond `wait`."""
 
@@ -62,7 +73,7 @@
 
     STARTED = "started"
     FENCED = "fenced"
-    """Refused: the upstream has seen a higher token than ours."""
+    """Refused: the upstream has seen a higher fencing token than ours."""
     OUTDATED = "outdated"
     """Refused: this run of the task, or a later one, has already ended or been stopped there."""
     LATE = "late"
@@ -70,28 +81,32 @@
     NO_ROOM = "no_room"
     """Refused for lack of capacity."""
     UNHEALTHY = "unhealthy"
+    """Refused: the upstream is overloaded or unavailable (HTTP status 429 or 503)."""
     INVALID = "invalid"
+    """Refused as malformed, or for a reason that is not known here."""
     INSTANCE_ENDED = "life_ended"
-    """Another instance answered."""
+    """Another instance answered at the upstream's address, so that the intended one has ended."""
     IGNORED = "ignored"
-    """Received but not carried out, for an unknown reason."""
+    """Received with the answer to a heartbeat, but not carried out for an unknown reason."""
     NOT_SENT = "not_sent"
     UNKNOWN = "unknown"
+    """It was sent, but not answered, or not in a way that tells whether the run is active."""
 
 
 class CallFailure(Enum):
     """Reasons why a stop or a poll failed."""
 
     INSTANCE_ENDED = "life_ended"
-    """Another instance answered."""
+    """Another instance answered at the upstream's address, so that the intended one has ended."""
     NO_ANSWER = "no_answer"
     FENCED = "fenced"
-    """The upstream has seen a higher token than ours."""
+    """The upstream has seen a higher fencing token than ours."""
     REFUSED = "refused"
+    """Refused for another reason, or the answer could not be read."""
 
 
 class RunPhase(Enum):
-    """How certain the leader is that a run is active."""
+    """How certain the coordinator is that a run is active."""
 
     STARTING = "starting"
     """Its start is awaiting an answer."""
@@ -102,18 +117,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class Run:
-    """One run as the leader knows it."""
+    """One run as the coordinator knows it."""
 
     task: TaskRef
     run: RunNumber
     needs: Needs
     phase: RunPhase
     since: timedelta
-    """When this leader sent its start, or first saw it listed."""
+    """When this coordinator sent its start, or first saw it listed."""
     percent: int = 0
     """Progress reported by its upstream, as of `seen_at`."""
     first_percent: int = 0
-    """Progress when this leader first learned of the run."""
+    """Progress when this coordinator first learned of the run."""
     seen_at: timedelta | None = None
     """When its upstream last listed it as running."""
     advanced_at: timedelta = timedelta()
@@ -123,13 +138,17 @@
     is_exclusive: bool = False
     """Whether nothing else may be started beside it, because it may crash its upstream."""
     is_orphaned: bool = False
-    """Whether its job is unknown but may still be submitted again."""
+    """Whether its job is unknown here: an earlier coordinator started it, and its gateway may yet
+    submit the job again."""
     is_disputed: bool = False
-    """Whether, in addition, an unreachable host may rely on its lease running out."""
+    """Whether another coordinator may rely on the lease running out, so that it is not renewed."""
     unsure_at: timedelta = timedelta()
     """When its start was found to have no answer."""
     stop_requested: bool = False
+    """Whether it is to be stopped, or is being stopped."""
     stop_due: timedelta = timedelta()
+    """No stop is sent before then."""
     is_stop_pending: bool = False
+    """Whether a stop awaits its answer."""
     stopped_at: timedelta | None = None
     """When the upstream acknowledged the stop."""
--- a/cottonlug/core/cluster/term.py
+++ b/cottonlug/core/cluster/term.py
@@ -1,4 +1,10 @@
-"""State that the parts of one leader's scheduling share during its term."""
+"""State that the parts of a coordinator share during one term.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). Each has a fencing token, which rises from one
+coordinator to the next: an upstream refuses orders with a lower token than it has seen. A run is
+one try to carry out a task.
+"""
 
 from __future__ import annotations
 
@@ -20,27 +26,37 @@
 """Returns the wall-clock time in milliseconds."""
 
 TOKENS_PER_TERM = 1_000_000
-"""The token of a leader is its term times this; acting leaders use the tokens in between."""
+"""The token of a leader is its term in the replicated log times this; acting leaders use the tokens
+in between."""
 RUN_NUMBERS_PER_TOKEN = 4_096
-"""Run numbers per token, so that those under a higher token are all higher."""
+"""The runs of a task are numbered from the token times this, so that those under a higher token are
+all higher."""
 
 
 @dataclass(slots=True, kw_only=True)
 class DispatchCounts:
-    """What a leader has done, for metrics and the dump."""
+    """What a coordinator has done in this term, for metrics and the dump."""
 
     starts: int = 0
     started: int = 0
+    """Starts that upstreams have confirmed."""
     refused_starts: int = 0
     unknown_starts: int = 0
+    """Starts that were not answered, so that the run may be active."""
     stops: int = 0
     looks: int = 0
+    """Polls, which list the runs and ended runs of an upstream and renew its lease."""
     failed_looks: int = 0
+    """Polls without a usable answer."""
     lapsed_runs: int = 0
+    """Runs abandoned because the lease of their upstream, or the upstream itself, has ended."""
     ends: int = 0
+    """Run ends that upstreams have listed."""
     rejected_jobs: int = 0
     given_up_jobs: int = 0
+    """Jobs abandoned after they may have begun, since going on would be of no use."""
     moved_runs: int = 0
+    """Runs stopped as stalled or slow, so that their tasks start elsewhere."""
     crashed_upstreams: int = 0
     """Upstreams that ended without leaving while tasks were active there."""
     crashing_tasks: int = 0
@@ -51,33 +67,39 @@
     evacuated_rejections: int = 0
     """Jobs rejected because all upstreams of their service are in evacuated domains."""
     settled_after_ms: int = 0
-    """Time into the term until no unknown run of an earlier leader could be active."""
+    """Time from the start of the term until no unknown run of an earlier leader could be active; 0
+    before that."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Term:
-    """One term: its parameters, its pending orders and proposals, and its counts.
-
-    `token` is the fencing token of all orders, which rises from leader to leader.
-    """
+    """One term of a coordinator: its parameters, pending orders and proposals, and counts."""
 
     token: int
+    """The fencing token of all its orders."""
     began_at: timedelta
+    """On the host's monotonic clock, like all times here except `wall_ms`."""
     records: Records
+    """The replicated state; an acting leader has a copy, which it changes by itself."""
     lease: LeaseTerms
+    """How long upstreams may run tasks without hearing from this coordinator."""
     wall_ms: WallTime
     log_decision: DecisionLog
     on_job_end: Callable[[JobId], None]
+    """Called with each job that has ended or was abandoned."""
     domain: DomainName | None = None
     """The only failure domain whose upstreams this term may send orders to; None for all."""
     keeps_log: bool = True
     """Whether proposals reach later leaders through the log; those of an acting leader do not."""
     counts: DispatchCounts = field(default_factory=DispatchCounts)
     orders: list[Order] = field(default_factory=list)
+    """Orders that are yet to be sent to upstreams."""
     proposals: list[Command] = field(default_factory=list)
+    """Commands that are yet to be proposed to the log, or applied here without one."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
+    """How long the capacities that upstreams report can be relied on."""
     known_until: timedelta = timedelta()
-    """Until then the recorded capacities can be relied on without a report to this leader."""
+    """Until then the recorded capacities can be relied on without a report to this host."""
     is_superseded: bool = False
     """Whether an upstream is known to have accepted a higher token, which ends this term there."""
 
@@ -85,26 +107,27 @@
     def may_start(self) -> bool:
         """Whether tasks may be started at all.
 
-        An acting leader has been replaced once an upstream shows a higher token. A leader continues
-        at all other upstreams until its next term, because an acting leader coordinates its own
-        failure domain only.
+        An acting leader has been replaced once an upstream shows a higher token. A leader may have
+        met the token of an acting leader in a failure domain that is cut off: it goes on at all
+        other upstreams, until it has a later term.
         """
         return self.keeps_log or not self.is_superseded
 
     def may_be_coordinated_elsewhere(self, run: RunNumber) -> bool:
         """Return whether the host that started a run of another term may still coordinate its job.
 
-        An earlier leader does not, because it has lost its own lease. An acting leader may, in a
-        failure domain that is cut off, and so may the leader that an acting leader does not reach.
+        An earlier leader does not, because it has lost its own lease among the control hosts. An
+        acting leader may, in a failure domain that is cut off, and so may the leader that an acting
+        leader does not reach. The run number contains the token of the host that started the run.
         """
         return not self.keeps_log or (run // RUN_NUMBERS_PER_TOKEN) % TOKENS_PER_TERM != 0
 
     @property
     def earlier_leases_lapsed_at(self) -> timedelta:
-        """From then on no run of an earlier term is active at upstreams not heard from since."""
+        """When all leases of earlier terms have certainly ended that this one has not renewed."""
         return self.began_at + self.lease.lapse_after
 
     @property
     def first_run(self) -> RunNumber:
-        """The lowest run number of this term."""
+        """The lowest run number under this token."""
         return RunNumber(self.token * RUN_NUMBERS_PER_TOKEN)
