--- a/cottonlug/core/cluster/adoption.py
+++ b/cottonlug/core/cluster/adoption.py
@@ -1,4 +1,11 @@
-"""Adopts runs that the current leader did not start."""
+"""Adopts runs that the current coordinator did not start.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). When it takes over, runs of an earlier coordinator
+go on at their upstreams, which list them in their answers to polls. A run whose job is known is
+adopted: it goes on as if this coordinator had started it. One whose job is unknown is orphaned; its
+gateway may yet submit the job here.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +21,7 @@
 
 
 class RunAdopter:
-    """Lets runs that another leader or acting leader started continue if their jobs are known."""
+    """Lets runs that another coordinator started continue if their jobs are known."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
@@ -22,9 +29,11 @@
         self._jobs = jobs
 
     def handle_listed_run(self, instance: Instance, report: RunReport, now: timedelta) -> None:
-        """Record that a run is active.
+        """Record that an upstream lists a run as active.
 
-        A run that this leader did not start is adopted, tolerated for a while, or stopped.
+        A run that this coordinator did not start is adopted if its job is open. If its job is
+        unknown, it is tolerated for a short while at the beginning of the term. Otherwise it is
+        stopped.
         """
         key = (report.task, report.run)
         run = instance.runs.get(key)
@@ -46,14 +55,14 @@
             seen_at=now,
             advanced_at=now,
             is_orphaned=record is None,
-            # The host that has the job now, or gets it from its caller, relies on this lease
-            # running out.
+            # The host that has the job now, or gets it from its caller, may not be this one, and
+            # then relies on this lease running out.
             is_disputed=record is None,
         )
         instance.add_run(run)
         if run.is_orphaned:
             self._instances.may_have_orphaned_runs = True
-        # An earlier leader may have renewed the lease until this term began.
+        # An earlier coordinator may have renewed the lease until this answer was given.
         instance.lapse_at = max(instance.lapse_at, now + self._term.lease.lapse_after)
         if job is not None:
             self._adopt(job, instance, run)
@@ -71,19 +80,19 @@
         self._adopt(job, instance, run)
 
     def _adopt(self, job: OpenJob, instance: Instance, run: Run) -> None:
-        """Let a run continue that another host started, or stop it if its task does not need it."""
+        """Let a run continue that another host started, or stop it if its task awaits no run."""
         self._jobs.open_through(job, run.task.occurrence, run.since)
         task = job.tasks.get(run.task)
         unassigned_phases = (TaskPhase.UNKNOWN, TaskPhase.QUEUED)
         if task is None or task.phase not in unassigned_phases:
             run.stop_requested = True
             return
-        # A run that is being stopped occupies its task as well: no other run of the task may
-        # begin until this one has ended.
+        # Even a run that is being stopped is adopted: no other run of the task may begin until this
+        # one has ended.
         if task.phase is TaskPhase.QUEUED:
             self._jobs.unqueue(run.task)
-        # The host that began this run may begin the task again, at an upstream not seen yet, once
-        # this run has ended.
+        # Once this run has ended, the host that started it may start the task again, at an upstream
+        # that has not answered here yet.
         task.may_run_elsewhere = task.may_run_elsewhere or task.phase is TaskPhase.UNKNOWN
         task.phase = TaskPhase.RUNNING
         task.instance = instance.info.id
@@ -92,6 +101,7 @@
 
 
 def _update_progress(run: Run, report: RunReport, now: timedelta) -> None:
+    """Update a known run that its upstream lists as active."""
     if report.percent > run.percent or run.phase is not RunPhase.RUNNING:
         run.advanced_at = now
     run.percent = report.percent
--- a/cottonlug/core/cluster/reconciliation.py
+++ b/cottonlug/core/cluster/reconciliation.py
@@ -1,4 +1,11 @@
-"""Determines when no unknown run of an earlier leader can be active any more."""
+"""Determines when no unknown run of an earlier coordinator can be active any more.
+
+The coordinator is the host that schedules jobs: the elected leader, or an acting leader (a gateway
+that schedules where no leader can be reached). Runs that an earlier one started go on at their
+upstreams. The new one learns of them as the upstreams answer its polls; at those that cannot be
+reached, they end with the lease at the latest. Until then the tasks concerned are unknown: they are
+not started, since they would run twice.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +19,26 @@
 
 
 class Reconciliation:
-    """Tracks tasks that may be active at an unreachable upstream without this leader knowing."""
+    """Delays tasks that may be active at an unreachable upstream, unknown to this coordinator."""
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self.is_reconciled = False
-        """Whether all leases of earlier terms have ended, or all upstreams have answered."""
+        """Whether all leases of earlier terms have ended, or all upstreams have answered.
+
+        A job that comes later from another coordinator has a deadline of its own, see
+        `OpenJob.reconcile_at`.
+        """
         self._term = term
         self._instances = instances
         self._jobs = jobs
 
     @property
     def initial_phase(self) -> TaskPhase:
-        """The first phase of a task that comes up now and that another leader may have started."""
+        """The phase for tasks that fall due now, which an earlier coordinator may have started."""
         return TaskPhase.QUEUED if self.is_reconciled else TaskPhase.UNKNOWN
 
     def may_miss_runs(self, *, of_acting_leaders: bool) -> bool:
-        """Return whether a run of another leader may be active at an upstream not seen yet.
+        """Return whether another coordinator's run may be active where no poll was answered yet.
 
         With `of_acting_leaders`, runs of acting leaders count as well.
         """
@@ -38,7 +49,10 @@
         self._jobs.may_have_unknown_tasks = True
 
     def reconcile(self, now: timedelta) -> None:
-        """Queue unknown tasks once no run of them by another leader can be active."""
+        """Queue unknown tasks once no run of them by another coordinator can be active.
+
+        Those that an upstream has listed as active are not unknown any more.
+        """
         if not self.is_reconciled and (
             not self._instances.unseen or now >= self._term.earlier_leases_lapsed_at
         ):
--- a/cottonlug/core/cluster/watcher.py
+++ b/cottonlug/core/cluster/watcher.py
@@ -1,4 +1,13 @@
-"""Polls upstreams, stops runs, and handles lapsed leases and ended instances."""
+"""Polls upstreams, stops runs, and handles lapsed leases and ended instances.
+
+A poll lists the runs and ended runs of an upstream, confirms the ended runs that are recorded, and
+renews the lease without which the upstream may not run tasks. A long poll is answered only when a
+run ends, or after some time; a probe is an extra poll beside one that awaits its answer.
+
+The coordinator, which does all this, is the elected leader, or an acting leader (a gateway that
+schedules where no leader can be reached). It cordons upstreams in the replicated records: no leader
+has a run there, so that the next leader need not wait for them.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +28,16 @@
 from .term import Term
 
 LONG_POLL_WAIT = timedelta(milliseconds=200)
-"""Longest time that a long poll is held; a lease (0.92 s) then outlasts most changes of leader."""
+"""Longest time for which an upstream may delay the answer to a long poll. As the next poll renews
+its lease, a lease (0.92 s) then outlasts most changes of leader."""
 MIN_LONG_POLL_WAIT = timedelta(milliseconds=20)
-"""Shortest time that a long poll is held: with less, polls would cost more calls than their answers
-are worth."""
+"""Shortest such time: with less, polls would cost more calls than their answers are worth."""
 POLL_RETRY_STEP = timedelta(milliseconds=100)
-"""Increase of the delay before a failed poll is repeated, with each failure; also the interval of
-probes while an unanswered start is being resolved."""
+"""The delay before a failed poll is repeated grows by this with each failure. Also the interval of
+probes while it is unknown whether a run has started."""
 MAX_STRAGGLERS_SHARE = 0.1
-"""While at most this share of the upstreams has not answered a new leader, these stragglers are
-polled by several calls at once: all jobs wait for what runs there."""
+"""While at most this share of the upstreams has not answered a new coordinator, these stragglers
+are polled by two calls at once, and again without delay: all jobs wait for what runs there."""
 STRAGGLER_PROBE_AFTER = timedelta(milliseconds=30)
 """Time after which another poll is sent to a straggler beside an unanswered one."""
 PROBE_CHECK_INTERVAL = timedelta(milliseconds=20)
@@ -38,9 +47,9 @@
 MAX_RETRY_STEPS = 10
 """The delay before a failed poll is repeated stops growing after this many failures."""
 ORPHAN_TOLERATED_FOR = timedelta(milliseconds=300)
-"""How long a run of an earlier leader is tolerated before its job is submitted again. Gateways do
-that within this time as a rule. Meanwhile its upstream can accept no work, and its lease is not
-renewed."""
+"""How long a run of an earlier coordinator is tolerated although its job is not known here.
+Gateways submit the job again within this time as a rule. Meanwhile its upstream gets no work, and
+its lease is not renewed."""
 DISPUTED_TOLERATED_FOR = timedelta(milliseconds=100)
 """The same for a run whose job an acting leader, or a leader that an acting leader does not reach,
 may still coordinate."""
@@ -50,17 +59,20 @@
 """Silence, with nothing running, after which an instance is forgotten, unless an acting leader may
 use it beyond a network partition."""
 SILENT_POLL_INTERVAL = timedelta(seconds=5)
-"""Interval between polls of such an instance: a later instance at its address shows that it ended.
-"""
+"""Interval between polls of an instance that is as silent as that, but kept and cordoned: if a
+later instance answers at its address, it has ended."""
 FORGET_PARTITIONED_AFTER = timedelta(hours=1)
 """Silence after which an instance is forgotten even if it may be beyond a partition: longer than
 domains are usually cut off (minutes)."""
 MAX_MOVES = 2
-"""How often a task is moved to another upstream at most: one may make no progress anywhere."""
+"""How often a task is moved to another upstream at most: it may make no progress anywhere."""
 
 
 class Watcher:
-    """Renews leases, and detects runs that have stalled and instances that are lost."""
+    """Renews leases, and detects runs that have stalled and instances that are lost.
+
+    All times are on this host's monotonic clock, if not said otherwise.
+    """
 
     def __init__(self, *, term: Term, instances: InstanceTable, jobs: OpenJobs) -> None:
         self._term = term
@@ -81,10 +93,11 @@
             and not instance.is_probe_pending
             and now >= instance.probe_due
         ):
-            # The long poll answers only when a run ends.
+            # The pending poll may be lost, or a long poll, which is answered only when a run ends.
             instance.probe_due = now + (STRAGGLER_PROBE_AFTER if is_straggler else POLL_RETRY_STEP)
             self._send_poll(instance, timedelta(), now)
             return
+        # Once the proposed run ends are recorded, a poll is due at once, and confirms them.
         if (
             instance.is_poll_pending
             or now < instance.poll_due
@@ -149,8 +162,8 @@
         return self._find_tolerated_until(run) if run.is_orphaned else None
 
     def _send_poll(self, instance: Instance, wait: timedelta, now: timedelta) -> None:
-        # An unanswered poll may still renew the lease, which would then never lapse while polls are
-        # repeated: leases are renewed only at upstreams that answer.
+        # A poll whose answer is lost may still renew the lease. Repeated polls would then keep it
+        # from ever ending, so leases are renewed only at upstreams that answer.
         renews = (
             bool(instance.runs) and instance.failed_polls == 0 and not instance.has_disputed_runs
         )
@@ -168,7 +181,8 @@
             wait=wait,
             first_end=self._find_first_end(instance, now),
             is_probe=is_probe,
-            # Other polls renew leases: these are abandoned only when an answer is certainly lost.
+            # Other polls than probes renew leases, so they are abandoned only when an answer is
+            # certainly lost.
             response_timeout=(
                 instance.response_timeout.find_timeout() if is_probe else MAX_RESPONSE_TIMEOUT
             ),
@@ -176,7 +190,10 @@
         self._term.orders.append(order)
 
     def _find_poll_wait(self, instance: Instance, now: timedelta) -> timedelta:
-        """Return how long a poll may be held: until the progress of a run should be checked."""
+        """Return how long the answer to a poll may be delayed if no run ends.
+
+        That is until the progress of a run should be checked, within the limits above.
+        """
         wait = LONG_POLL_WAIT
         for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
@@ -201,7 +218,7 @@
         return self._jobs.forecast.predict(job.record.queue.key, step)
 
     def _is_straggler(self, instance: Instance) -> bool:
-        """Return whether an instance is one of the last that have not answered this leader."""
+        """Return whether an instance is one of the last that have not answered this coordinator."""
         unseen = self._instances.unseen
         if instance.info.id not in unseen or instance.failed_polls >= MAX_STRAGGLER_POLLS:
             return False
@@ -211,7 +228,7 @@
         return any(run.phase is RunPhase.UNSURE for run in instance.runs.values())
 
     def handle_failed_poll(self, instance: Instance, failure: CallFailure, now: timedelta) -> None:
-        """Handle a poll that brought no answer."""
+        """Handle a poll that brought no usable answer."""
         self._term.counts.failed_looks += 1
         if failure is CallFailure.FENCED:
             self._term.is_superseded = True
@@ -230,6 +247,7 @@
         self._unreachable[instance.info.id] = instance
         for run in instance.runs.values():
             if run.phase is RunPhase.UNSURE:
+                # No list has shown whether it runs, and it may still begin.
                 run.stop_requested = True
 
     def stop_runs(self, instance: Instance, now: timedelta) -> None:
@@ -264,7 +282,7 @@
         )
 
     def _is_tolerated(self, run: Run, now: timedelta) -> bool:
-        """Return whether the job of a run may still be submitted again."""
+        """Return whether the job of an orphaned run may still be submitted here."""
         return now < self._find_tolerated_until(run)
 
     def _find_tolerated_until(self, run: Run) -> timedelta:
@@ -274,7 +292,8 @@
     def evaluate_progress(self, instance: Instance, now: timedelta) -> None:
         """Stop runs that make no progress or are far too slow, so that they start elsewhere.
 
-        Called with the runs as an upstream has just listed them.
+        Called when an upstream has just listed its runs. How long a long-running task runs says
+        nothing about its upstream.
         """
         for run in instance.runs.values():
             job = self._jobs.jobs.get(run.task.job)
@@ -315,7 +334,7 @@
         """Abandon all runs of an instance whose lease has certainly ended without an answer."""
         if not instance.runs or now < instance.lapse_at:
             return
-        # No run outlives the lease, whatever the last polls reported.
+        # No run outlives the lease, even if the upstream listed it just before.
         self._term.log_decision(
             "lease_lapsed",
             {
@@ -328,18 +347,20 @@
                 "disputed": int(instance.has_disputed_runs),
             },
         )
+        # Nothing is started there until it answers a poll again.
         instance.is_fenced = False
         self._jobs.crash_tracker.record_lapse(instance, now)
         self._abandon_runs(instance)
 
     def _abandon_runs(self, instance: Instance) -> None:
+        """Drop all runs of an instance, and queue their tasks again."""
         for key, run in list(instance.runs.items()):
             self._term.counts.lapsed_runs += 1
             instance.remove_run(key)
             self._jobs.requeue(run.task, run.run, instance.info.id)
 
     def end_instance(self, instance: Instance, now: timedelta) -> None:
-        """Handle the end of an instance: another one holds its address, so all its runs ended."""
+        """Handle the end of an instance: another one answers at its address, so its runs ended."""
         if instance.is_over:
             return
         instance.is_over = True
@@ -355,7 +376,7 @@
             id: self._jobs.jobs[id].record.queue.key for id in job_ids if id in self._jobs.jobs
         }
         self._jobs.crash_tracker.record_instance_end(instance, queues, now)
-        # Until the log has counted the end, the tasks that ran there are suspects.
+        # Until the log has counted the crash, the tasks that ran there are suspected of it.
         self._jobs.crash_tracker.record_lapse(instance, now)
         self._abandon_runs(instance)
 
@@ -363,7 +384,7 @@
         """Propose to cordon unreachable upstreams that certainly run nothing.
 
         A leader knows at which upstreams it has started something. The next leader does not, and
-        without cordons would have to wait for the leases of all upstreams that it has not seen,
+        without cordons would have to wait for the leases of all upstreams that do not answer it,
         however long these have been gone.
         """
         if not (self._unreachable and self._term.keeps_log):
@@ -392,6 +413,7 @@
         self._term.proposals.append(CordonUpstreams(upstreams=cordoned, lost=lost))
 
     def _is_surely_idle(self, instance: Instance, now: timedelta) -> bool:
+        """Return whether an instance is unreachable and no run of any leader is active there."""
         is_unreachable = (
             not instance.is_fenced and instance.failed_polls >= FAILED_POLLS_BEFORE_CORDON
         )
@@ -401,13 +423,13 @@
         return is_unreachable and is_lapsed and not (instance.is_cordoned or instance.is_over)
 
     def request_uncordon(self, instance: Instance) -> None:
-        """Propose to use an upstream again; until that is committed it is not used."""
+        """Propose to lift the cordon of an upstream; nothing is started there before the commit."""
         if instance.is_cordoned and not instance.is_uncordoning:
             instance.is_uncordoning = True
             self._term.proposals.append(UncordonUpstream(upstream=instance.info.id))
 
     def uncordon(self, upstream: UpstreamId) -> None:
-        """Use an upstream again, now that the log records it for every later leader."""
+        """Use an upstream again: the log now tells every later leader that it may have runs."""
         instance = self._instances.by_id.get(upstream)
         if instance is not None:
             instance.is_cordoned = instance.is_uncordoning = False
@@ -417,13 +439,13 @@
     def forget_silent(self, now: timedelta, *, may_be_used: Callable[[], bool]) -> None:
         """Forget instances that have been silent while nothing ran there.
 
-        If `may_be_used` returns True, an acting leader beyond a network partition may send orders
-        to those that are not leaving. They stay in the replicated state for up to
+        `may_be_used` tells whether an acting leader beyond a network partition may send orders to
+        them. Those that are not leaving then stay in the replicated state for up to
         `FORGET_PARTITIONED_AFTER`, cordoned, so that jobs which an acting leader may have started
         wait for them.
         """
         if not self._term.keeps_log:
-            # Acting leaders get no heartbeats.
+            # An acting leader gets no heartbeats, so silence tells it nothing.
             return
         for instance in self._instances.by_id.values():
             if instance.is_over or instance.runs or not _is_silent(instance, now, SILENT_AFTER):
@@ -448,5 +470,6 @@
 
 
 def _is_silent(instance: Instance, now: timedelta, span: timedelta) -> bool:
+    """Return whether neither a heartbeat nor an answer to a poll has arrived for that long."""
     heard_at = max(instance.heard_at or timedelta(), instance.contact_at or timedelta())
     return now - heard_at >= span
