--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -1,4 +1,9 @@
-"""Commands of the replicated log: the state that must survive the loss of any leader."""
+"""Commands of the replicated log: changes to the state that must survive the loss of any leader.
+
+A leader proposes them; every control host applies them once they are committed. `at_ms` is the
+wall-clock time in milliseconds at which the leader proposed the command. An upstream in a command
+is always one instance: one run of its process.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +26,7 @@
 
 
 class AcceptJob(Value, frozen=True, tag="accept"):
-    """Store a durable job.
-
-    `queue` is its queue as configured at that moment, `at_ms` the wall-clock time.
-    """
+    """Store a durable job, with its queue as configured at that moment."""
 
     job: JobId
     queue: Queue
@@ -42,7 +44,8 @@
 class RecordRunEnds(Value, frozen=True, tag="ends"):
     """Record run ends that an upstream has listed, in its order, up to the number `through`.
 
-    Ends of best-effort jobs are left out.
+    The upstream numbers its ended runs from 1. Ends of best-effort jobs, which the log does not
+    contain, are left out of `ends`.
     """
 
     upstream: UpstreamId
@@ -91,10 +94,11 @@
 
 
 class RecordCrash(Value, frozen=True, tag="crash"):
-    """Remove an upstream that ended without leaving, and count the crash against its active tasks.
+    """Remove an upstream that ended without leaving, and count that against its active tasks.
 
-    Tasks in `blamed` may have caused the crash; those in `others` were active there as well. The
-    starts of those in `unanswered` may not have arrived before the upstream ended.
+    Tasks in `blamed` may have caused the end; those in `others` were active there as well. The
+    starts of those in `unanswered` may not have arrived before the upstream ended. An upstream that
+    was lost for good, without it being known why, is removed with nothing in `blamed`.
     """
 
     upstream: UpstreamId
@@ -111,10 +115,12 @@
 
 
 class CordonUpstreams(Value, frozen=True, tag="cordon"):
-    """Cordon idle upstreams; from the proposal on, nothing is started there.
+    """Cordon upstreams that do not answer and at which no leader has a run.
 
-    `lost` lists the tasks that were active when an upstream became unreachable. If it turns out to
-    have crashed, these tasks may have caused the crash, even under a later leader.
+    From the proposal on, no leader starts anything there before the cordon is lifted. So a later
+    leader need not wait for their leases to end. `lost` lists the tasks that were active when an
+    upstream became unreachable. If it turns out to have crashed, these tasks may have caused the
+    crash, even under a later leader.
     """
 
     upstreams: tuple[UpstreamId, ...]
@@ -134,7 +140,11 @@
 
 
 class SetEvacuation(Value, frozen=True, tag="evacuate"):
-    """Begin or end the evacuation of a domain, if its revision is still `base_revision`."""
+    """Begin or end the evacuation of a failure domain, if its revision is still `base_revision`.
+
+    The revision counts the orders about the domain that were carried out. `order` identifies the
+    operator's order.
+    """
 
     domain: DomainName
     is_evacuated: bool
--- a/cottonlug/core/cluster/crash_tracker.py
+++ b/cottonlug/core/cluster/crash_tracker.py
@@ -1,4 +1,12 @@
-"""Tracks which tasks a leader suspects of crashing upstreams, by what was active at lost ones."""
+"""Tracks which tasks may have crashed upstreams, by what was active at those that were lost.
+
+An upstream is lost when it no longer answers. Its process may have crashed, or it may be
+unreachable; that is known once it answers again, or another instance (the next run of its process)
+answers at its address. `crashes` has the rules by which tasks are suspected and quarantined, and
+what a crash, a loss and an unanswered start count. The coordinator, which applies them, is the host
+that schedules jobs: the elected leader, or an acting leader (a gateway that schedules where no
+leader can be reached).
+"""
 
 from __future__ import annotations
 
@@ -36,26 +44,31 @@
 LARGEST_RACK = 64
 """A label that more upstreams have than this does not name a rack."""
 MAX_REPORTED_SUSPECTS = 1_000
-"""Most suspects kept of those that gateways have reported; the oldest, which are dropped first,
-belong to jobs that ended long ago."""
+"""Most suspects kept of those that gateways have reported; those reported first are dropped first,
+as their jobs ended long ago."""
 
 
 class CrashTracker:
-    """Recent losses of upstreams and their possible causes; the log holds the counts."""
+    """Recent losses of upstreams and their possible causes.
+
+    The replicated records hold the counts of each task, apart from those that gateways report.
+    """
 
     def __init__(self, *, term: Term, instances: InstanceTable) -> None:
         self._term = term
         self._instances = instances
         self._losses: list[Loss] = []
+        """Those of the last `LOSS_RETENTION`, unless the upstream has answered since."""
         self.quarantined: Counter[QueueKey] = Counter()
         """How many tasks of each queue were quarantined in this term for crashing upstreams."""
         self._unresolved_losses: Counter[TaskRef] = Counter()
-        """For each task, the lost upstreams at which it was active and that may have crashed."""
+        """For each task, the number of lost upstreams that had confirmed a run of it, and of which
+        it is not known yet whether they crashed."""
         self._unresolved_starts: Counter[TaskRef] = Counter()
-        """For each task, the lost upstreams at which it may have been started."""
+        """The same, including upstreams that had not answered the start of a run."""
         self._reported: dict[TaskRef, CrashCounts] = {}
-        """Counts from earlier coordinators that gateways have reported and that the log does not
-        contain."""
+        """Counts from earlier coordinators that gateways have reported with their jobs, without
+        what the records already contained."""
         for instance in instances.by_id.values():
             self._unresolved_losses.update(instance.lost_tasks.confirmed)
             self._unresolved_starts.update(instance.lost_tasks.all_tasks)
@@ -94,7 +107,10 @@
                     self._instances.mark_changed(each)
 
     def record_answer(self, instance: Instance) -> tuple[TaskRef, ...]:
-        """Record that an upstream has not crashed; return what was active when it was lost."""
+        """Record that an upstream answers, and so has not crashed.
+
+        Return the tasks that were active when it was lost, which are no longer suspected of that.
+        """
         if instance.lost_at is None and instance.lost_tasks is NO_ACTIVE_TASKS:
             return ()
         cleared = self.forget_instance(instance)
@@ -106,7 +122,7 @@
     def record_lapse(self, instance: Instance, now: timedelta) -> None:
         """Remember the tasks that were active when the lease of an upstream lapsed or it ended.
 
-        They are suspects until it is known whether the upstream crashed.
+        Their starts are restricted until it is known, and recorded, whether the upstream crashed.
         """
         self._set_lost(instance, _find_active_tasks(instance, now))
 
@@ -125,7 +141,7 @@
             del self._reported[next(iter(self._reported))]
 
     def list_suspects(self, job: JobId) -> tuple[Suspect, ...]:
-        """Return the tasks of a job under which upstreams have ended."""
+        """Return the tasks of a job under which upstreams have ended, with their counts."""
         tasks = {*self._reported, *self._term.records.suspects}
         of_job = sorted(task for task in tasks if task.job == job)
         return tuple(Suspect(task=task, counts=self.get_counts(task)) for task in of_job)
@@ -138,7 +154,10 @@
     def record_instance_end(
         self, instance: Instance, queues: Mapping[JobId, QueueKey], now: timedelta
     ) -> None:
-        """Record that an upstream has ended; propose to count a crash if it was not leaving."""
+        """Propose to remove an ended upstream, and to count a crash if it was not leaving.
+
+        `queues` has the queue of each open job with a task that was active there.
+        """
         active_tasks = _find_active_tasks(instance, now)
         if instance.draining or active_tasks == NO_ACTIVE_TASKS:
             self._term.proposals.append(RemoveUpstreams(upstreams=(instance.info.id,)))
@@ -173,7 +192,7 @@
         )
 
     def record_removal(self, instance: Instance) -> None:
-        """Propose to remove an upstream that was lost for good; why it ended is unknown."""
+        """Propose to remove an upstream that stays lost; whether it has crashed is unknown."""
         at_ms = self._term.wall_ms()
         self._term.proposals.append(
             RecordCrash(
@@ -200,10 +219,11 @@
         return StartRestriction.ALONE_DELAYED if starts >= MAX_CRASHES else StartRestriction.ALONE
 
     def may_suspect_any(self) -> bool:
-        """Return whether the starts of any task may be restricted."""
+        """Return whether `find_restriction` may restrict any task at all."""
         return bool(self._unresolved_starts or self._reported or self._term.records.suspects)
 
     def _set_lost(self, instance: Instance, active_tasks: ActiveTasks) -> None:
+        """Replace the tasks that were lost with an upstream, and adjust the counts of all tasks."""
         self._unresolved_losses.subtract(instance.lost_tasks.confirmed)
         self._unresolved_losses.update(active_tasks.confirmed)
         self._unresolved_starts.subtract(instance.lost_tasks.all_tasks)
--- a/cottonlug/core/cluster/crashes.py
+++ b/cottonlug/core/cluster/crashes.py
@@ -1,5 +1,10 @@
 """Rules that tell tasks which crash their upstreams from tasks that were lost along with them.
 
+An upstream is lost when it no longer answers. It has ended if another instance (the next run of its
+process) answers at its address, and that is a crash unless it was leaving. A task is unconfirmed at
+an upstream that has not answered its start. A suspect is a task under which upstreams have ended;
+if it is quarantined, it is not started again, and its job fails.
+
 Failure pattern: a task crashes each upstream that starts it, the upstream is back after some
 seconds under another id, and everything else that ran there is lost as well. An upstream that ends
 with a task active is evidence against the task but no proof: a rack that goes down takes sound
@@ -21,15 +26,16 @@
 from .model import JobId, QueueKey, TaskRef, Value
 
 MAX_CRASHES = 2
-"""Unexplained upstream ends after which a task is quarantined; the platform's rules allow this from
-the second one on."""
+"""Upstream ends without another explanation after which a task is quarantined; the platform's rules
+allow this from the second one on."""
 MAX_LOSSES = 3
 """Upstream ends, explained or not, after which a task is quarantined."""
 MAX_STARTS = 5
-"""Starts at upstreams that have ended, answered or not, after which a task is quarantined: after
+"""Starts at upstreams that have ended, confirmed or not, after which a task is quarantined: after
 three crashes a task may be started at most twice more."""
 MAX_UNRESOLVED_STARTS = 4
-"""Starts at upstreams that may have crashed, after which further ones wait for the outcome."""
+"""Starts at upstreams that have or may have crashed, after which further ones wait until that is
+known."""
 SIMULTANEOUS_WITHIN = timedelta(milliseconds=150)
 """Upstreams lost within this time of each other may share a cause: the exit of a process is noticed
 at once, silence within 80 ms."""
@@ -58,20 +64,21 @@
 
     NONE = "none"
     ALONE = "alone"
-    """Only where nothing else runs, for up to `EXCLUSIVE_WAIT`: one upstream may have crashed with
-    it active."""
+    """Only where nothing else runs, until it has waited for `EXCLUSIVE_WAIT`: one upstream has, or
+    may have, crashed with it active."""
     ALONE_DELAYED = "held"
-    """The same, after `THIRD_START_DELAY`: two upstreams may have crashed with it active."""
+    """The same, after `THIRD_START_DELAY`: two upstreams have, or may have, crashed with it
+    active."""
     BARRED = "barred"
-    """Not until it is known whether upstreams crashed: three that had confirmed the run, or four in
-    all."""
+    """Not before it is known whether upstreams crashed: three that had confirmed a run of it, or
+    four in all."""
 
 
 class CrashCounts(Value, frozen=True):
     """Upstream ends counted against one task."""
 
     crashes: int = 0
-    """Ends that nothing else explains."""
+    """Ends that nothing else explains; each is counted as a loss, too."""
     losses: int = 0
     """Ends, explained or not, of upstreams that had confirmed that they run the task."""
     unanswered: int = 0
@@ -127,12 +134,12 @@
 
 
 SUSPECT_RETENTION_MS = 60_000
-"""How long suspects of best-effort jobs are remembered: their callers send them again within
-seconds, or not at all."""
+"""How long suspects are remembered whose jobs are not open in the records, as those of best-effort
+jobs: their callers send these again within seconds, or not at all."""
 
 
 class ActiveTasks(Value, frozen=True):
-    """Tasks that were active at an upstream, as far as its leader knew."""
+    """Tasks that were active at an upstream, as far as the host that started them knew."""
 
     confirmed: tuple[TaskRef, ...] = msgspec.field(name="tasks", default=())
     """Tasks that the upstream had confirmed to run."""
@@ -141,7 +148,7 @@
 
     @property
     def all_tasks(self) -> tuple[TaskRef, ...]:
-        """Return the confirmed and the unanswered tasks."""
+        """Return the confirmed and the unconfirmed tasks."""
         return (*self.confirmed, *self.unconfirmed)
 
     def join(self, other: ActiveTasks) -> ActiveTasks:
@@ -186,6 +193,7 @@
     ]
     if len(others) > MAX_COINCIDENT_LOSSES:
         return True
+    # `others` lacks the upstream itself, so one is subtracted from its group as well.
     return any(
         _count_in_group(name, others) >= max(LOST_GROUP_SHARE * sizes.get(name, 0) - 1, 1)
         for name in (loss.domain, *loss.labels)
@@ -204,8 +212,8 @@
 ) -> list[TaskRef]:
     """Return the tasks active at a crashed upstream that may have caused the crash.
 
-    These are the tasks with the most unexplained crashes so far; without any, the tasks of queues
-    that have quarantined tasks already; otherwise all.
+    These are the tasks with the most unexplained crashes so far. If no task has any, these are the
+    tasks of queues of which others are quarantined already; if there is none of these either, all.
     """
     worst = max((known.get(task, NO_CRASHES).crashes for task in tasks), default=0)
     if worst:
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -1,7 +1,9 @@
 """The replicated state: jobs, their run ends, the known upstreams and the configuration.
 
-Every host applies the same commands in the same order, so nothing here may depend on a clock or on
-randomness.
+Every control host applies the same commands in the same order, so nothing here may depend on a
+clock or on randomness. Times are those that the proposing host put into the commands: its
+wall-clock time in milliseconds. Only durable jobs are replicated. An acting leader (a gateway that
+schedules where no leader can be reached) applies commands to a state of its own, without the log.
 """
 
 from __future__ import annotations
@@ -63,10 +65,13 @@
     is_done: bool = False
     failed_runs: int = 0
     last_run: int = 0
+    """The highest number of a run whose end was recorded."""
     checkpoint: str = ""
+    """The last checkpoint that an ended run reported; the next run resumes from it."""
 
 
 _NEW_TASK = TaskRecord()
+"""Stands for tasks without a record; never changed."""
 
 
 class JobRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
@@ -74,12 +79,15 @@
 
     id: JobId
     queue: Queue
+    """Its queue as configured when the job was accepted."""
     spec: JobSpec
     accepted_ms: int
     state: JobState = JobState.QUEUED
     ended_ms: int = 0
     tasks: dict[str, TaskRecord] = {}
+    """Tasks with ended runs, by `OCCURRENCE.STEP.INDEX`."""
     done_count: int = 0
+    """Number of tasks that are done."""
 
     @property
     def is_open(self) -> bool:
@@ -113,18 +121,20 @@
 
 
 class UpstreamRecord(msgspec.Struct, kw_only=True, omit_defaults=True):
-    """A known instance of an upstream, and the number of its last recorded run end."""
+    """A known instance of an upstream: one run of its process."""
 
     info: UpstreamInfo
     recorded_through: int = msgspec.field(name="noted", default=0)
+    """Number of its last run end that is recorded; the upstream numbers them from 1."""
     draining: bool = False
+    """Whether it is leaving, so that nothing is started there."""
     is_cordoned: bool = False
-    """Whether no leader has anything active there, or may start anything."""
+    """Whether no leader has a run there, nor may start one before the cordon is lifted."""
     sequence: int = 0
     """Sequence number of the heartbeat that reported the capacity; older heartbeats do not change
     it."""
     is_capacity_doubted: bool = False
-    """Whether a heartbeat has been missed since then."""
+    """Whether it has missed a heartbeat since then, which may have reported a change."""
     lost_tasks: ActiveTasks = msgspec.field(name="lost", default=NO_ACTIVE_TASKS)
     """Tasks that were active when it became unreachable, kept until it answers again."""
 
@@ -151,6 +161,7 @@
         self.jobs: dict[JobId, JobRecord] = {}
         self.upstreams: dict[UpstreamId, UpstreamRecord] = {}
         self.suspects: dict[TaskRef, SuspectRecord] = {}
+        """Tasks under which upstreams have ended; also those of jobs that are not replicated."""
         self.evacuations = Evacuations()
 
     def apply(self, command: Command) -> None:
@@ -218,10 +229,10 @@
         self.evacuations = Evacuations(saved.evacuations)
 
     def find_leaving(self, id: UpstreamId) -> UpstreamRecord | None:
-        """Return the instance meant by a leave message, whose id may lack the start time.
+        """Return the instance meant by a leave message; None if it is not known.
 
-        Without a start time, an instance of that name that is already leaving is preferred, then
-        the newest.
+        The id in the message may lack the start time. An instance of that name that is already
+        leaving is then preferred, then the newest.
         """
         if id in self.upstreams:
             return self.upstreams[id]
@@ -282,7 +293,7 @@
 
     def _record_crash(self, command: RecordCrash) -> None:
         if self.upstreams.pop(command.upstream, None) is None:
-            # Two leaders may have seen the same crash.
+            # Already counted: two leaders may have seen the same crash.
             return
         for task in command.blamed:
             self._count_crash(task, ONE_CRASH, command.at_ms)
@@ -332,7 +343,7 @@
     if end.checkpoint:
         task.checkpoint = end.checkpoint
     if task.is_done or job.spec.long_running:
-        # A long-running task is started again however it ends.
+        # A long-running task is never done: it is started again however its run ends.
         return
     if end.how is RunEndKind.DONE:
         task.is_done = True
