--- a/cottonlug/core/cluster/commands.py
+++ b/cottonlug/core/cluster/commands.py
@@ -26,7 +26,10 @@
 
 
 class AcceptJob(Value, frozen=True, tag="accept"):
-    """Store a durable job, with its queue as configured at that moment."""
+    """Store a durable job, with its queue as configured at that moment.
+
+    Here `at_ms` is the time at which the job arrived at its gateway.
+    """
 
     job: JobId
     queue: Queue
--- a/cottonlug/core/cluster/evacuations.py
+++ b/cottonlug/core/cluster/evacuations.py
@@ -1,8 +1,9 @@
 """Failure domains that operators have evacuated, so that their upstreams get no new work.
 
-Orders carry no version, so each is decided by compare-and-set: it names the revision that the
-receiving host had in its log. A delayed order finds a later revision and changes nothing, and so
-cannot undo what was acknowledged in the meantime.
+An order begins or ends the evacuation of one domain. Operators give it no version, so it is decided
+by compare-and-set: the host that receives it adds the domain's revision in its copy of the log. A
+delayed order finds a later revision and changes nothing, and so cannot undo what was acknowledged
+in the meantime.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
     revision: int = 0
     """Number of orders about the domain that were carried out."""
     order: OrderId = OrderId("")
-    """The last order that was carried out."""
+    """The last order that was carried out, as numbered by the host that received it."""
     since_ms: int = 0
-    """Wall-clock time of that order."""
+    """Wall-clock time at which the leader proposed that order to the log."""
 
 
 class Evacuations:
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -1,10 +1,11 @@
-"""Failover state: what a gateway must know to act as leader.
+"""Failover state: what a gateway must know to act as leader, where no leader can be reached.
 
-A gateway gets the whole state once and then only changes, in parts of a bounded size. With 176
-upstreams and 44 gateways, sending the whole state of 35 KB for each change of one upstream would
-take 1.5 MB, on links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending
-that takes longer than the timeout of a keep-alive, so that a state sent whole was requested again
-and again and never arrived.
+A gateway requests it with its keep-alives to the leader, and names the version that it has. It gets
+the whole state once and then only changes, in parts of a bounded size. With 176 upstreams and 44
+gateways, sending the whole state of 35 KB for each change of one upstream would take 1.5 MB, on
+links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending that takes
+longer than the timeout of a keep-alive, so that a state sent whole was requested again and again
+and never arrived.
 """
 
 from __future__ import annotations
@@ -32,9 +33,9 @@
 from .records import Records
 
 MAX_KEPT_CHANGES = 512
-"""Changes that are kept; a gateway that has missed more gets the whole state again."""
+"""Number of changes that are kept; a gateway that lacks more gets the whole state again."""
 MAX_UPSTREAMS_PER_PART = 128
-"""Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
+"""Most upstreams in one part: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
 MAX_UPSTREAMS_IN_SMALL_PART = 16
 """With up to this many upstreams, an answer costs hardly more than one without any."""
@@ -42,31 +43,36 @@
 """Sorts before all ids of upstreams."""
 OWN_DOMAIN_QUERIED = 3
 OTHER_DOMAINS_QUERIED = 2
-"""Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
+"""How many gateways of its own failure domain, and of each other one, a gateway asks for a leader
+or an acting leader: two may be down at once."""
 MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER = 64
-"""Most upstreams that one acting leader manages for all domains: a gateway has half a core, and
-twice as many upstreams overload it."""
+"""With more upstreams, an acting leader manages only those of its own failure domain: a gateway
+has half a core, and twice as many upstreams overload it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Position:
-    """Position of a gateway in the state and its changes, as its version encodes it."""
+    """What a gateway has of the state and its changes.
+
+    Its version encodes it as TERM.NUMBER, or TERM.NUMBER>ID while initial upstreams are missing.
+    """
 
     number: int
-    """All changes up to this number are known."""
+    """The gateway has all changes up to this number."""
     after: UpstreamId | None = None
-    """Of the initial upstreams those up to this id are known; None if all of them are."""
+    """It has the initial upstreams up to this id, in the order of ids; None if it has all."""
 
 
 class FailoverStateLog:
-    """Changes of the failover state under one leader."""
+    """Changes of the failover state under one leader, which numbers them from 1."""
 
     def __init__(self, *, term: int, accepts_calls: bool) -> None:
         self._term = term
         self._accepts_calls = accepts_calls
         self._last_change = 0
+        """Number of the last change."""
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
-        """Number of each change, and the upstream that it concerns, if any."""
+        """Number of each of the last changes, and the upstream that it concerns, if any."""
         self._last_configuration_change = 0
         """Number of the last change of the configuration."""
         self._sorted_ids: tuple[int, list[UpstreamId]] = (-1, [])
@@ -89,7 +95,7 @@
         self._last_configuration_change = self._last_change
 
     def record_other_change(self) -> None:
-        """Count any other change."""
+        """Count a change of what every part contains in full."""
         self._last_change += 1
         self._changes.append((self._last_change, None))
 
@@ -115,7 +121,11 @@
         has_durable_jobs: bool,
         known: str,
     ) -> FailoverState | None:
-        """Return the next part for a gateway with version `known`, or None if that is current."""
+        """Return the next part for a gateway with version `known`, or None if that is current.
+
+        It contains changed upstreams, then the next initial ones, and all of the rest; but the
+        configuration only if it has changed.
+        """
         if known == self.version:
             return None
         position = self._find_position(known)
@@ -153,7 +163,7 @@
         return self._last_change - position.number > MAX_UPSTREAMS_IN_SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
-        """Return the upstreams in the next part of the changes, and its last change's number."""
+        """Return the upstreams of the next changes that fit into a part, and the last's number."""
         ids: dict[UpstreamId, None] = {}
         for number, upstream in self._changes:
             if number <= since or upstream is None or upstream in ids:
@@ -166,7 +176,7 @@
     def _list_next(
         self, records: Records, after: UpstreamId | None, count: int
     ) -> tuple[list[UpstreamId], UpstreamId | None]:
-        """Return the next upstreams after an id, and the last of them; None if no more follow."""
+        """Return the next upstreams after an id, and after which of them more follow, if any do."""
         if after is None:
             return [], None
         if self._sorted_ids[0] != self._last_change:
@@ -178,7 +188,10 @@
         return part, None if is_last else (part[-1] if part else after)
 
     def _find_position(self, version: str) -> _Position | None:
-        """Return the position that a version encodes; None if later changes are incomplete."""
+        """Return the position that a version encodes.
+
+        None if it is of another leader, or if not all changes since then are kept.
+        """
         version, has_cursor, after = version.partition(">")
         term, _, number = version.partition(".")
         if term != str(self._term) or not number.isdecimal():
@@ -190,7 +203,10 @@
 
 
 def find_acting_domain(state: FailoverState, own: str) -> DomainName | None:
-    """Return the domain that the acting leader at address `own` manages; None means all domains."""
+    """Return the failure domain that the gateway at address `own` may act as leader for.
+
+    None means all domains.
+    """
     if len(state.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
     return next((each.domain for each in state.gateways if each.address == own), None)
@@ -199,7 +215,10 @@
 def merge_failover_state(
     known: FailoverState | None, received: FailoverState
 ) -> FailoverState | None:
-    """Return the received state, or `known` with received changes if these follow it, or None."""
+    """Return the received state, or `known` with the received changes.
+
+    None if the changes do not follow the version that is known.
+    """
     if not received.base:
         return received
     if known is None or known.version != received.base:
@@ -219,7 +238,7 @@
 
 
 def choose_queried_gateways(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
-    """Return the gateways that the gateway at address `own` queries if it reaches no leader.
+    """Return the gateways that the gateway at address `own` asks for a leader if it reaches none.
 
     These have the lowest addresses of each domain, because the reachable gateway with the lowest
     address acts as leader. If each gateway queried all others, the number of calls would grow with
--- a/cottonlug/core/cluster/instance_ids.py
+++ b/cottonlug/core/cluster/instance_ids.py
@@ -1,9 +1,10 @@
-"""Ids of instances, which differ even if an upstream restarts under the id that it had before.
+"""Ids of instances: an instance is one run of an upstream's process.
 
-The id consists of the id that the upstream announces and, if the upstream reports it, the Unix
-millisecond of its start: `i-7f3a91c2#1790000000000`. Counters, run ends, clock, lease and runs
-belong to one instance, so that nothing of an earlier instance is ever attributed to the present
-one.
+They differ even if an upstream restarts under the id that it had before. An instance's id consists
+of the upstream's name (the id that it announces) and, if the upstream reports it, the Unix
+millisecond of its start: `i-7f3a91c2#1790000000000`. Sequence numbers, run ends, clock, lease and
+runs belong to one instance, so that nothing of an earlier instance is ever attributed to the
+present one.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from ..ids import UpstreamId
 
 SEPARATOR = "#"
-"""Separates both parts; never part of an upstream's own id."""
+"""Separates both parts; never part of an upstream's name."""
 
 
 def build_instance_id(name: str, started_ms: int | None) -> UpstreamId:
@@ -20,7 +21,7 @@
 
 
 def get_upstream_name(instance: UpstreamId) -> str:
-    """Return the id that the upstream of an instance announces."""
+    """Return the name of an instance's upstream: the id that it announces."""
     return instance.partition(SEPARATOR)[0]
 
 
@@ -31,7 +32,10 @@
 
 
 def is_earlier_instance(instance: UpstreamId, other: UpstreamId) -> bool:
-    """Return whether `other` is a later instance of the same upstream."""
+    """Return whether `other` is a later instance of the same upstream.
+
+    One whose start time is unknown counts as earlier than all others.
+    """
     start_ms, other_start_ms = find_start_ms(instance), find_start_ms(other)
     return (
         get_upstream_name(instance) == get_upstream_name(other)
--- a/cottonlug/core/cluster/records.py
+++ b/cottonlug/core/cluster/records.py
@@ -1,8 +1,8 @@
 """The replicated state: jobs, their run ends, the known upstreams and the configuration.
 
 Every control host applies the same commands in the same order, so nothing here may depend on a
-clock or on randomness. Times are those that the proposing host put into the commands: its
-wall-clock time in milliseconds. Only durable jobs are replicated. An acting leader (a gateway that
+clock or on randomness. Times come from the commands: wall-clock times in milliseconds that the
+proposing host has read. Only durable jobs are replicated. An acting leader (a gateway that
 schedules where no leader can be reached) applies commands to a state of its own, without the log.
 """
 
--- a/cottonlug/core/cluster/registry.py
+++ b/cottonlug/core/cluster/registry.py
@@ -1,4 +1,10 @@
-"""Processes heartbeats of upstreams, by which they join, report their capacity and leave."""
+"""Processes heartbeats of upstreams, by which they join, report their capacity and leave.
+
+Only a leader gets heartbeats; an acting leader (a gateway that schedules where no leader can be
+reached) knows the upstreams from its copy of the records. Heartbeats without news may be answered
+by another control host, which then reports them to the leader. An instance is one run of an
+upstream's process; it numbers its heartbeats in rising order.
+"""
 
 from __future__ import annotations
 
@@ -26,6 +32,7 @@
         instance = self._instances.by_id.get(heartbeat.info.id)
         later = self._instances.find_later(heartbeat.info.id) if instance is None else None
         if later is not None:
+            # The upstream has restarted since: the instance that sent this is over.
             self._log_overtaken(later, heartbeat)
             return
         if instance is None:
@@ -53,6 +60,7 @@
             instance.poll_due = now
 
     def _log_overtaken(self, instance: Instance, heartbeat: Heartbeat) -> None:
+        """Log that a heartbeat is ignored, since a newer one of its upstream has arrived."""
         self._term.log_decision(
             "heartbeat_overtaken",
             {
@@ -67,7 +75,10 @@
     def handle_reported_heartbeat(
         self, id: UpstreamId, sequence: int, clock_ms: int | None, at: timedelta
     ) -> None:
-        """Record a heartbeat without changes that another host has answered for the leader."""
+        """Record a heartbeat without changes that another host has answered for the leader.
+
+        It arrived there at the time `at`, by this host's clock.
+        """
         instance = self._instances.by_id.get(id)
         if instance is None or sequence < instance.sequence:
             return
@@ -127,7 +138,7 @@
     def doubt_capacities(self, now: timedelta) -> None:
         """Propose to mark upstreams that do not check their own capacity and missed a heartbeat.
 
-        The next coordinator then knows that their capacity may have changed.
+        The next host that schedules jobs then knows that their capacity may have changed.
         """
         doubted = self._instances.mark_newly_doubted(now)
         if doubted and self._term.keeps_log:
--- a/cottonlug/core/cluster/validation.py
+++ b/cottonlug/core/cluster/validation.py
@@ -7,9 +7,10 @@
 from .model import Configuration, JobSpec, QueueKey
 
 JOB_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
+"""Ids of jobs: the end of the path to which a job is submitted, after the queue's prefix."""
 MAX_PAYLOAD_BYTES = 4_000
 MAX_TASKS = 4_096
-"""Most tasks of a job; the design size is 1,100."""
+"""Most tasks of a job in one occurrence; jobs of up to 1,100 are what the design is made for."""
 MAX_TIMED_TASKS = 65_536
 """Most tasks of a job in all its occurrences together."""
 
