--- a/cottonlug/tests/fault_explorer.py
+++ b/cottonlug/tests/fault_explorer.py
@@ -3,8 +3,8 @@
 A play is one simulation, determined by its script: the fault that is injected when the order with a
 given number is sent. With an empty script nothing fails. The explorer plays all scripts of up to a
 number of faults. A fault changes only what comes after it, so each script is extended at later
-orders only, and not at all if no order follows its last fault. The wire model asserts the
-invariants.
+orders only, and not at all if no order follows its last fault. The wire model (`wire_site`) asserts
+the invariants, for instance that no task runs twice at a time; and each job must complete.
 """
 
 from __future__ import annotations
@@ -24,6 +24,7 @@
 from .wire_site import CallDelivery, WireHost, WireLeader, build_hosts, send_heartbeats
 
 TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
+"""Terms of leases of 0.92 s at the most, as on the users' platform."""
 JOB = JobId("a" * 16)
 OTHER = JobId("b" * 16)
 RUN = milliseconds(1_600)
@@ -39,6 +40,7 @@
 CUT_OFF_FOR = milliseconds(1_500)
 """Longer than any lease."""
 WITHOUT_LEADER = milliseconds(300)
+"""Time from the loss of a leader until the next one leads."""
 GATEWAY_RESUBMITS_AFTER = milliseconds(60)
 """Time from a change of leader until a gateway submits its jobs again."""
 CALLER_RESUBMITS_AFTER = milliseconds(1_300)
@@ -66,15 +68,15 @@
     """The result of a play."""
 
     problem: str = ""
-    """The violated invariant; empty if there is none."""
+    """The violated invariant, or the job that has not completed; empty if there is neither."""
     orders: int = 0
-    """Orders sent while faults could be injected."""
+    """Number of orders sent while faults could be injected."""
     timeline: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True, kw_only=True)
 class Play:
-    """One play of a script."""
+    """One play of a script, with two upstreams and two jobs of one task each."""
 
     script: dict[int, Fault]
     world: World = field(default_factory=lambda: World(random=random.Random(7)))
@@ -111,8 +113,8 @@
 
     def _may_have_crashed(self, ended: JobState | None) -> bool:
         """Return whether a job may have failed: two upstreams crashed under one of its tasks."""
-        starts = list(self.script.values()).count(Fault.UPSTREAM_RESTARTED)
-        return ended is JobState.FAILED and starts >= MAX_CRASHES
+        restarts = list(self.script.values()).count(Fault.UPSTREAM_RESTARTED)
+        return ended is JobState.FAILED and restarts >= MAX_CRASHES
 
     def _find_leader(self) -> WireLeader:
         return self.leaders[-1]
@@ -199,7 +201,11 @@
 
 
 def explore(max_faults: int, *, max_orders: int | None = None, stop_at: int = 1) -> Exploration:
-    """Play all scripts of up to `max_faults` faults, those with fewer faults first."""
+    """Play all scripts of up to `max_faults` faults, those with fewer faults first.
+
+    Faults are injected at the first `max_orders` orders only, if given. The exploration ends at
+    `stop_at` failing scripts.
+    """
     exploration = Exploration()
     first = Play(script={}).run()
     assert not first.problem, first
--- a/cottonlug/tests/test_cluster_crashes.py
+++ b/cottonlug/tests/test_cluster_crashes.py
@@ -1,4 +1,8 @@
-"""Tasks that crash whatever upstream starts them, next to racks that go down with sound tasks."""
+"""Tasks that crash whatever upstream starts them, next to racks that go down with sound tasks.
+
+A suspect is a task under which an upstream has ended. It is retried where nothing else runs, and
+quarantined (not started again, so that its job fails) at the second end without another cause.
+"""
 
 from __future__ import annotations
 
@@ -42,15 +46,18 @@
 """Upstreams of a rack."""
 ELECTION_SECONDS = 0.4
 CONNECTED_AFTER = timedelta(seconds=3)
-"""The platform counts starts of a host only once the control hosts were without faults this long.
-"""
+"""The platform's limit on starts after three crashes applies only to starts by a control host that
+has been connected to the others, without faults, for this long."""
 LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
 """For jobs that are useful for minutes, best-effort ones included."""
 
 
 @dataclass(slots=True, kw_only=True)
 class Site:
-    """Upstreams in racks that are back some seconds after a crash, and a succession of leaders."""
+    """Upstreams in racks that are back some seconds after a crash, and a succession of leaders.
+
+    Each instance of an upstream (a run of its process) is a model of its own.
+    """
 
     world: World
     upstreams: dict[UpstreamId, ModelUpstream] = field(default_factory=dict)
@@ -111,7 +118,7 @@
         self.leaders.append(leader)
 
     def submit(self, *, durable: bool, tasks: int = 1, poison: int = 0, run_ms: int = 60) -> JobId:
-        """Submit a job of which some tasks crash upstreams."""
+        """Submit a job whose first `poison` tasks crash each upstream that starts them."""
         id = JobId(f"{next(self.jobs):016x}")
         self.world.crashing_tasks |= {TaskRef(id, 0, 0, place) for place in range(poison)}
         self.leader.submit(
@@ -160,6 +167,7 @@
 
 
 def test_a_suspect_is_retried_alone() -> None:
+    """Guards against other tasks that are lost in the second crash."""
     site = build_site(2, racks=1, run_ms=300)
     suspect = site.submit(durable=True, poison=1)
     site.run_for(0.2)
@@ -187,7 +195,7 @@
 
 
 def test_a_task_is_not_quarantined_for_the_loss_of_racks() -> None:
-    """Each task is active in two racks when they go down, one after the other."""
+    """Guards against failed sound jobs: each is active in two racks as they go down in turn."""
     site = build_site(4, run_ms=3_000)
     jobs = [site.submit(durable=True, run_ms=3_000) for _ in range(8)]
     for rack in (0, 1):
@@ -202,6 +210,7 @@
 
 
 def test_crash_counts_outlive_their_leader() -> None:
+    """Guards against a new leader that grants a task two more crashes."""
     site = build_site(5)
     job = site.submit(durable=True, poison=1)
     site.run_for(2.6)
@@ -215,8 +224,8 @@
 def test_a_new_leader_counts_a_crash_of_which_its_predecessor_recorded_only_the_silence() -> None:
     """The leader is lost when it knows only that the upstream is silent; the log holds that.
 
-    Of the second crash, less than a lease earlier, it has recorded nothing: that one does not
-    count.
+    Of a second crash, less than a lease before the change of leader, it has recorded nothing: that
+    one does not count.
     """
     site = build_site(6, back_after=4.0)
     job = site.submit(durable=True, poison=1)
@@ -251,6 +260,7 @@
 
 
 def test_an_upstream_that_was_only_unreachable_counts_against_no_task() -> None:
+    """Guards against quarantine of sound tasks after network partitions."""
     site = build_site(8, run_ms=2_500)
     job = site.submit(durable=True, run_ms=2_500)
     site.run_for(0.2)
@@ -266,6 +276,7 @@
 
 
 def test_a_job_quarantined_for_crashes_is_known_to_the_next_leader() -> None:
+    """Guards against a best-effort job that is accepted anew, though one of its tasks crashes."""
     site = build_site(9)
     job = site.submit(durable=False, poison=1)
     site.run_for(20)
@@ -316,6 +327,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_sound_jobs_complete_even_if_racks_go_down(seed: int) -> None:
+    """Guards against tasks that are quarantined because their racks went down."""
     play_campaign(seed, racks_down=True)
 
 
@@ -332,6 +344,7 @@
 
 
 SIZES = {"d": 100, "a": 100, "r0": 4, "r1": 4}
+"""Number of upstreams in the domain, with the label of all upstreams, and in each rack."""
 
 
 @pytest.mark.parametrize(
--- a/cottonlug/tests/test_cluster_disputed.py
+++ b/cottonlug/tests/test_cluster_disputed.py
@@ -1,6 +1,8 @@
-"""Leases that must not be renewed, since another host starts their runs again once they have ended.
+"""Leases that must not be renewed, since another host starts the tasks again once they have ended.
 
-This happens to a leader and an acting leader that do not reach each other.
+This happens to a leader and an acting leader that do not reach each other. An acting leader is a
+gateway that schedules jobs where no leader can be reached. An upstream may run tasks only while it
+holds a lease, which is renewed for all its runs at once by whichever of the two polls it.
 """
 
 from __future__ import annotations
@@ -19,10 +21,14 @@
 
 JOB = "a" * 16
 ACTS_AS_LEADER_AFTER = milliseconds(670)
+"""Time from the loss of the leader until the gateway acts as leader."""
 
 
 def act_as_leader(first: Leader, upstreams: set[UpstreamId], level: int) -> Leader:
-    """Have an acting leader coordinate some upstreams, with a failover state of its own."""
+    """Have an acting leader coordinate some upstreams, with its own copy of the leader's records.
+
+    It reaches no others. Its fencing token is above that of the leader by `level`.
+    """
     records = Records()
     records.restore(first.records.encode())
     return Leader(
@@ -36,6 +42,7 @@
 
 
 def start_long_run(seed: int) -> tuple[Leader, UpstreamId]:
+    """Return a leader with one run of `JOB`, which outlasts any lease, and the run's upstream."""
     world, upstreams = build_world(seed)
     for upstream in upstreams.values():
         upstream.run_times = lambda job: milliseconds(2_600)
@@ -59,6 +66,7 @@
 
 
 def test_an_acting_leader_adopts_runs_whose_jobs_are_submitted_again() -> None:
+    """Guards against a second start of a run that goes on, or a stop of that run."""
     leader, where = start_long_run(2)
     leader.is_over = True
     leader.world.run_until(leader.world.now + ACTS_AS_LEADER_AFTER)
@@ -134,7 +142,7 @@
 def test_runs_of_a_silent_gateway_end_with_their_lease_even_if_no_stop_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a lease that stays alive through renewals for other runs there."""
+    """Guards against a lease that never ends since it is renewed for other runs there."""
     leader, where = start_long_run(4)
     world = leader.world
     for upstream in leader.upstreams.values():
--- a/cottonlug/tests/test_every_fault.py
+++ b/cottonlug/tests/test_every_fault.py
@@ -1,5 +1,6 @@
 """Explores every fault at every order of a small site, alone and in pairs.
 
+A fault strikes when the order with a given number is sent to an upstream, see `fault_explorer`.
 Past causes of duplicate runs are reintroduced one by one, to show that the exploration finds each.
 """
 
@@ -21,6 +22,7 @@
 
 
 def test_a_play_without_faults_has_enough_orders_for_faults_to_strike() -> None:
+    """Guards against an exploration that finds nothing because it injects hardly any faults."""
     outcome = Play(script={}).run()
     assert outcome.problem == ""
     assert outcome.orders >= PAIRS_UP_TO
@@ -39,13 +41,13 @@
 
 
 def reintroduce_shared_instance_ids(patch: pytest.MonkeyPatch) -> None:
-    """Identify an instance by the id of its upstream alone."""
+    """Identify an instance by the id of its upstream alone, without its start time."""
     patch.setattr(heartbeats, "build_instance_id", lambda name, started_ms: name)
     reintroduce_unchecked_lists(patch)
 
 
 def reintroduce_unchecked_lists(patch: pytest.MonkeyPatch) -> None:
-    """Accept a list of any instance as that of the instance that was asked."""
+    """Accept a list of runs by any instance as that of the instance that was polled."""
     patch.setattr(workers, "_is_same_instance", lambda upstream, read: True)
 
 
@@ -65,7 +67,7 @@
     patch.setattr(Reconciliation, "may_miss_runs", lambda self, *, of_acting_leaders: False)
 
 
-# Guards against a model in which the corrected faults could not show.
+# Guards against a model in which these causes of duplicate runs could not show.
 @pytest.mark.parametrize(
     ("reintroduce", "script"),
     [
--- a/cottonlug/tests/test_upstream_restarts.py
+++ b/cottonlug/tests/test_upstream_restarts.py
@@ -1,5 +1,8 @@
 """Upstreams that restart under the id that they had, with new counters and a new clock.
 
+Each run of an upstream's process is an instance of its own: its run ends are numbered from 1, its
+clock has another origin, and the lease and the runs of the earlier instance are gone.
+
 Load pattern: a third of a site's upstreams go down and come back every few seconds.
 """
 
@@ -21,10 +24,12 @@
 TERMS = choose_lease_terms(timedelta(seconds=1), timedelta(milliseconds=1_300), milliseconds(300))
 """As on the users' platform: leases of 0.92 s, where upstreams grant 1 s at most."""
 SEEDS = 20
+"""Number of plays of the tests that repeat one."""
 JOB = "a" * 16
 OTHER = "c" * 16
 EARLIER = "b" * 16
 LENIENT_QUEUE = build_queue(max_attempts=50, target_ms=60_000)
+"""For jobs that are useful for a minute, and whose tasks may fail often."""
 
 
 def build_leader(
@@ -41,7 +46,10 @@
 
 
 def play_abandoned_job(seed: int, *, starts_again: bool) -> WireLeader:
-    """Have two jobs active at one upstream, and abandon one of them."""
+    """Have two jobs active at one upstream, and abandon one of them.
+
+    With `starts_again`, the upstream has restarted before: its clock then reads about 4,000 s less.
+    """
     world = World(random=random.Random(seed))
     run_ms = [60.0]
     hosts = build_hosts(world, 2, run_ms=lambda: run_ms[0], rate=0.98)
@@ -70,6 +78,7 @@
 
 
 def test_a_job_continues_at_an_upstream_whose_other_job_was_abandoned() -> None:
+    """Guards against a job that never ends, or runs twice, since its lease is not renewed."""
     for seed in range(SEEDS):
         leader = play_abandoned_job(seed, starts_again=False)
         assert leader.dispatch.jobs.find_ended(JobId(JOB)) is JobState.COMPLETED
