--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -41,7 +41,7 @@
         self._own_address = str(own)
         self._seeds = sorted(str(seed) for seed in seeds)
         self._pools = pools
-        self._joiners: dict[str, MemberId] = {}
+        self._member_by_host: dict[str, MemberId] = {}
 
     def record_members(self, members: Members) -> None:
         """Record the hosts of a set of members, and the member of each host's current disk."""
@@ -49,12 +49,12 @@
         self.hosts.update(get_host(each) for each in everybody)
         # The member of a new disk is still a learner while the member of the lost disk is a voter;
         # learners come last, so they win.
-        self._joiners.update({get_host(each): each for each in everybody})
+        self._member_by_host.update({get_host(each): each for each in everybody})
 
     def record_join(self, request: JoinRequest) -> None:
         """Record a member that asks to join."""
         host = get_host(request.member)
-        self._joiners[host] = request.member
+        self._member_by_host[host] = request.member
         self.hosts.add(host)
 
     async def ask_to_join(self, member: MemberId) -> list[Hello]:
@@ -84,7 +84,9 @@
         """Return the next step towards a set of members that are all reachable, or None."""
         lost = leader.find_silent_members(now, LOST_AFTER)
         max_voters = compute_max_voters(leader.members, lost)
-        return plan_change(leader, self._joiners, lost, max_voters) or plan_removal(leader, lost)
+        return plan_change(leader, self._member_by_host, lost, max_voters) or plan_removal(
+            leader, lost
+        )
 
     async def _ask(self, host: str, request: bytes) -> Hello | None:
         address = parse_address(host)
