--- a/cottonlug/runtime/control_host.py
+++ b/cottonlug/runtime/control_host.py
@@ -1,4 +1,10 @@
-"""A control host: a replica of the log that answers calls itself or forwards them to the leader."""
+"""A control host: a replica of the log that answers calls itself or forwards them to the leader.
+
+Calls come from gateways, which pass callers' jobs on and send keep-alives, from upstreams
+(heartbeats) and from operators. The leader schedules only while it has a lease, that is, while a
+majority of the voters has answered it lately. Other control hosts may answer heartbeats for it
+(`HeartbeatResponder`).
+"""
 
 from __future__ import annotations
 
@@ -47,20 +53,27 @@
 FORWARDED_HEADER = "x-passed-on"
 """Header of a call forwarded by another control host; such a call is not forwarded again."""
 LEADERSHIP_CHECK_SECONDS = 0.025
+"""How often this host checks whether it leads, has a lease and is fit to lead."""
 HEARTBEAT_REPORT_TIMEOUT = timedelta(milliseconds=500)
-"""Longer than a busy leader takes to answer; a lost report is repeated by the next heartbeats."""
+"""How long the leader's answer to a report of answered heartbeats is waited for.
+
+Longer than a busy leader takes to answer; a lost report is made up for by the next heartbeats.
+"""
 KEEPALIVE_PARK_TIME = timedelta(milliseconds=70)
 """How long a keep-alive is parked without a leader; its gateway waits 100 ms for the answer."""
 LEADER_CHECK_SECONDS = 0.01
+"""How often a parked keep-alive checks whether there is a leader."""
 MAX_TIME_WITHOUT_LEASE = timedelta(seconds=1)
 """A leader without a lease for this long transfers leadership; an election takes 0.7 s."""
 LOG_CHECK_SECONDS = 0.04
-"""How often the local log is checked while the leader is asked.
+"""How often the local log is checked for the change that an unanswered idempotent call asks for.
 
 The leader's answer, which names the host for an upstream's next heartbeats, usually comes sooner.
 """
 _UNDECIDED = (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
+"""Outcomes after which a call may be committed all the same, for instance by an earlier attempt."""
 STEP_DOWN_RETRY_INTERVAL = timedelta(milliseconds=100)
+"""How often a leader that is unfit to lead tries to transfer leadership."""
 FIRST_ATTEMPT_TIMEOUT = timedelta(milliseconds=400)
 """How long the first attempt at forwarding an idempotent call may take.
 
@@ -70,7 +83,7 @@
 
 
 class ControlHost:
-    """State of one control host."""
+    """One control host: its replica, its connections and, while it leads, its leadership."""
 
     def __init__(
         self,
@@ -110,11 +123,13 @@
         )
         self._is_stopping = False
         self._had_lease = False
+        """Whether this leader had a lease when that was last checked, for the log."""
         self._leased_at = clock.monotonic()
         """When this host was last fit to lead, or did not lead."""
         self._step_down_tried_at = clock.monotonic()
         self._other_leader_seen_at: timedelta | None = None
-        """When this host last knew another leader, at most `MAX_ELECTION_TIME` after hearing it."""
+        """When this host last named another host as leader, which it does for at most
+        `MAX_TIME_WITHOUT_LEADER` after hearing it."""
         self._stepped_down_in = Term(0)
         """The last term in which this host stepped down; it schedules nothing more in that term."""
         self._tasks: list[asyncio.Task[None]] = []
@@ -142,7 +157,7 @@
         return error
 
     async def transfer_leadership(self) -> None:
-        """Stop leading, if this host is the leader, and transfer leadership to another voter."""
+        """Never lead again; if this host is the leader, transfer leadership to another voter."""
         self._is_stopping = True
         self._update_leadership()
         self._step_down_if_unfit()
@@ -168,6 +183,7 @@
             answer = await leadership.answer(call)
             return self._add_hosts(answer) if isinstance(call, KeepAlive) else answer
         leader = self.replica.leader_host
+        # A leader without a lease can neither answer the call nor forward it.
         is_own = leader == str(self._settings.listen.peers)
         if is_forwarded or leader is None or is_own:
             if self._idempotent_calls.is_committed(call):
@@ -188,9 +204,10 @@
         return await self._forward(leader, call, FORWARD_TIMEOUT, self._pools)
 
     def answer_at_once(self, request: HttpRequest) -> HttpResponse | None:
-        """Accept jobs and, as leader, answer keep-alives without a task; None for other requests.
+        """Accept jobs and, as leader, answer keep-alives; return None for other requests.
 
-        A gateway sends its jobs elsewhere after two keep-alives without an answer within 0.1 s.
+        This needs no asyncio task, which a busy event loop would start late: a gateway sends its
+        jobs elsewhere after two keep-alives without an answer within 0.1 s.
         """
         response = self._job_channels.handle_at_once(request)
         if response is not None:
@@ -232,7 +249,7 @@
         return await self._forward(leader, report, HEARTBEAT_REPORT_TIMEOUT, self._pools)
 
     def _find_slack(self, call: Submit) -> float:
-        """Return for how many seconds a job may wait and still be useful; 0 if unknown."""
+        """Return for how many more seconds a job may wait and still be useful; 0 if unknown."""
         queues = self.replicated.records.queues
         found = queues.find_queue(call.host, call.path) if queues is not None else None
         if found is None:
@@ -261,6 +278,7 @@
         )
 
     def _choose_lease_terms(self) -> LeaseTerms:
+        """Return the limits of the leases under which upstreams run tasks."""
         settings = self._settings
         terms = choose_lease_terms(settings.longest_lease, settings.caller_retry, GATEWAY_TIMEOUT)
         if settings.orders is OrderDelivery.HEARTBEAT:
@@ -354,7 +372,7 @@
         return reports.find_valid_until(self._other_leader_seen_at - MAX_TIME_WITHOUT_LEADER)
 
     def _update_leadership(self) -> None:
-        """Start or end leadership according to the replicated log."""
+        """End leadership with the replica's; start it once all earlier entries are applied."""
         replica = self.replica
         leads = (
             replica.is_leader
--- a/cottonlug/runtime/heartbeat_responder.py
+++ b/cottonlug/runtime/heartbeat_responder.py
@@ -1,4 +1,4 @@
-"""Routine heartbeats, answered by control hosts that are not the leader.
+"""Routine heartbeats of upstreams, answered by control hosts that are not the leader.
 
 Load pattern: thousands of upstreams, each with a heartbeat every second or two. Handled by the
 leader alone, they took two thirds of its file descriptors and a third of its time. With many
@@ -25,12 +25,13 @@
 REPORT_INTERVAL = timedelta(milliseconds=250)
 """How often a responder reports, and so how late the leader may learn of a heartbeat.
 
-The leader tolerates ten seconds of silence.
+The leader tolerates ten seconds of silence of an upstream.
 """
 RESPONDER_TRUST_PERIOD = timedelta(seconds=1)
-"""How long heartbeats are answered here after a report that the leader has acknowledged.
+"""How long a responder answers heartbeats after sending a report that the leader has acknowledged.
 
-After that they are forwarded to the leader.
+After that it forwards them to the leader. The leader assigns upstreams to a responder for as long
+after a report from it.
 """
 
 SendReport = Callable[[ReportHeartbeats], Awaitable[Answer]]
@@ -107,6 +108,7 @@
         ):
             return False
         if heartbeat.cold_left_ms:
+            # The log does not say how much longer tasks will run slower there than usual.
             return False
         is_alike = heartbeat.info == known.info and heartbeat.sequence >= known.sequence
         return is_alike and not known.is_capacity_doubted and self._rejects_overload(heartbeat)
@@ -139,7 +141,7 @@
         return sorted(responder for responder, at in self._reported_at.items() if at >= since)
 
     def choose(self, upstream: UpstreamId) -> str | None:
-        """Return where an upstream sends its heartbeats; changes only with the responders."""
+        """Return the address for an upstream's heartbeats; changes only with the responders."""
         responders = self.list_active()
         if not responders:
             return self._own_address
--- a/cottonlug/runtime/idempotent_calls.py
+++ b/cottonlug/runtime/idempotent_calls.py
@@ -1,4 +1,8 @@
-"""Idempotent calls of operators and upstreams, on the control host that receives them."""
+"""Idempotent calls of operators and upstreams, on the control host that receives them.
+
+Such a call may be sent to the leader twice, and counts as carried out once its change is committed
+in the local copy of the log.
+"""
 
 from __future__ import annotations
 
@@ -22,10 +26,10 @@
 from ..core.ids import HostId
 
 DISCONNECT_GRACE_SECONDS = 0.03
-"""How long an evacuation order is delayed before it counts as received.
+"""How long an evacuation order is delayed before it counts as received and gets an id.
 
-After a freeze or a network cut, the closing of its connection arrives just behind it; its sender
-has long since sent it to another host.
+If it arrives late, after a freeze of this host or a network cut, its sender has long since sent it
+to another host. The closing of its connection arrives just behind it, and cancels it in this time.
 """
 
 
@@ -46,7 +50,10 @@
         self._orders_by_heartbeat = orders_by_heartbeat
 
     async def assign_order_id(self, call: Evacuate) -> Evacuate:
-        """Return an order with a new id and the domain's revision at its receipt."""
+        """Return an order with a new id, and the revision of its failure domain at its receipt.
+
+        The leader refuses it if another order about this domain was carried out in the meantime.
+        """
         await asyncio.sleep(DISCONNECT_GRACE_SECONDS)
         revision = self._get_records().evacuations.get(call.domain).revision
         order = OrderId(f"{self._prefix}.{next(self._numbers)}")
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -1,4 +1,13 @@
-"""Leadership for one term: schedules through `Dispatch`, sends orders and answers calls."""
+"""The work of a coordinator, the host that schedules jobs now, in one term.
+
+The coordinator is the leader of the control hosts or, where no leader can be reached, a gateway
+that acts as leader. `Leadership` answers calls, has `Dispatch` choose which tasks to start and stop
+at the upstreams, and sends these orders. One round of this is called a decision.
+
+Gateways pass callers' jobs on. With keep-alives they confirm the jobs that they still wait for, and
+get the failover state, which they need to act as leader. A control host that answers upstreams'
+heartbeats for the leader is a responder. An instance is one run of an upstream's process.
+"""
 
 from __future__ import annotations
 
@@ -62,11 +71,14 @@
 from .replicated import ReplicatedRecords, Waiters
 
 TICK_SECONDS = 0.02
+"""Decisions are made at least this often; calls and answers of upstreams cause further ones."""
 FORGET_INTERVAL = timedelta(seconds=5)
+"""How often jobs that ended more than `keep_ended` ago are removed from the records."""
 USUAL_DECISION_GAP = timedelta(seconds=TICK_SECONDS) * 1.25
-"""Timers fire a little late; only longer gaps between decisions are recorded."""
+"""Only longer gaps between decisions are recorded, because timers fire a little late."""
 LONG_DECISION_GAP = timedelta(milliseconds=150)
-"""Decisions are made every 20 ms unless the process was delayed; longer gaps are logged."""
+"""Decisions are made every 20 ms unless the process was delayed. Longer gaps are logged, and the
+messages that arrived during them are processed before the next decision."""
 COMMIT_TIMEOUT = timedelta(seconds=2)
 """How long a call waits for its command to commit; after that its outcome is unknown."""
 
@@ -76,6 +88,7 @@
     """Settings of the leadership of one term."""
 
     lease_terms: LeaseTerms
+    """Limits of the leases under which upstreams run tasks; the leader's lease is another."""
     keep_ended: timedelta
     """How long ended jobs are kept in the records."""
     caller_retry: timedelta
@@ -83,18 +96,22 @@
     control_address: str | None
     """Address of this host for upstreams, or None if it does not serve them."""
     domains: frozenset[DomainName] = frozenset()
-    """Failure domains named in the settings; those of known upstreams are added to them."""
+    """Failure domains in the settings, which operators may name like those of known upstreams."""
     keeps_log: bool = True
-    """Whether commands are replicated; an acting leader refuses calls that need the log."""
+    """Whether commands are replicated. Not so for an acting leader: it refuses calls that need the
+    log."""
     orders_by_heartbeat: bool = False
     """Whether upstreams receive orders in the answers to their heartbeats rather than by calls."""
     domain: DomainName | None = None
     """The only failure domain whose upstreams receive orders; None for all domains."""
     level: int = 0
-    """Successive acting leaders of one term use rising levels, so that their tokens rise."""
+    """Added to the term's fencing token: 0 for the leader, and rising with each acting leader that
+    succeeds another in the same term."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
+    """How soon upstreams report a changed capacity, and what is tolerated until then."""
     known_until: timedelta = timedelta()
-    """Until then the recorded capacities can be relied on without a report to this host."""
+    """Until then (monotonic time) the recorded capacities can be relied on without a report to this
+    host."""
 
 
 class Leadership:
@@ -113,6 +130,7 @@
         self._on_failure = on_failure
         self.term = authority.term
         self.token = int(authority.term) * TOKENS_PER_TERM + settings.level
+        """Fencing token of all orders: upstreams refuse lower ones than they have accepted."""
         self._authority = authority
         self._records = replicated.records
         self._heartbeat_port: HeartbeatPort | None = None
@@ -139,7 +157,9 @@
         """Called with the milliseconds between two decisions if they are more than usual."""
         self._decided_at = clock.monotonic()
         self._has_skipped_decision = False
+        """Whether the last decision was put off because of a `LONG_DECISION_GAP`."""
         self._had_lease = True
+        """Whether there was a lease at the last decision; without one, gaps are no delays."""
         self.waiters = Waiters()
         self.dispatch = Dispatch(
             records=self._records,
@@ -194,7 +214,8 @@
     def stop(self) -> None:
         """End leadership: no more orders are sent, and waiting calls get an unknown outcome.
 
-        The host may keep its term and lease for a while, while the next leader already leads.
+        Term and lease alone would not prevent orders: the host may keep both for a while, while the
+        next leader already leads.
         """
         self._is_over = True
         self._timer.cancel()
@@ -269,7 +290,10 @@
         return Answer(outcome=Outcome.DONE)
 
     def answer_keepalive(self, call: KeepAlive) -> Answer:
-        """Record that a gateway is alive and return the failover state that it lacks."""
+        """Record that a gateway is alive and return the failover state that it lacks.
+
+        The contact in the answer proves with its next calls that it was answered lately.
+        """
         self._handle_abandoned(call)
         self.gateways.handle_keepalive(call)
         if not self._settings.keeps_log:
@@ -287,9 +311,9 @@
         )
 
     def _handle_abandoned(self, keepalive: KeepAlive) -> None:
-        """Abandon the jobs that a gateway no longer waits for, before it confirms all others.
+        """Abandon the jobs that a gateway no longer waits for, before all others are confirmed.
 
-        Its callers may have sent them again: see `JobAnswers.answer_submit`.
+        Their callers may have sent them again: see `JobAnswers.answer_submit`.
         """
         for each in keepalive.abandoned:
             if self._job_answers.abandon_submission(keepalive.gateway, each):
@@ -300,6 +324,7 @@
         self.dispatch.abandon_silent_gateways(lambda each: each != gateway, self._clock.monotonic())
 
     def _may_have_acting_leader(self) -> bool:
+        """Whether a gateway that is cut off from here may act as leader for known upstreams."""
         domains = {record.info.domain for record in self._records.upstreams.values()}
         return self.gateways.may_act_as_leader(domains)
 
@@ -339,7 +364,7 @@
         return Answer(outcome=Outcome.DONE)
 
     def _find_unlogged_changes(self, heartbeat: Heartbeat) -> list[Hashable]:
-        """Return the keys of the changes in a heartbeat that are not in the log yet."""
+        """Return the `Waiters` keys of the changes in a heartbeat that are not in the log yet."""
         id = heartbeat.info.id
         known = self._records.upstreams.get(id)
         changes: list[Hashable] = []
@@ -376,6 +401,7 @@
     # Decisions
 
     def _handle_applied(self, command: Command) -> None:
+        """Act on a command that was just applied to the records, and end the waits for it."""
         if self._is_over:
             return
         self.dispatch.handle_applied_command(command, self._clock.monotonic())
@@ -419,6 +445,7 @@
             self._on_failure(error)
 
     def _decide_now(self) -> None:
+        """Propose the pending commands; with a lease, also schedule tasks and send the orders."""
         if self._authority.term != self.term:
             return
         # Safe without a lease: proposals of a host that no longer leads are never committed.
@@ -439,6 +466,7 @@
             return
         self._has_skipped_decision = False
         if self.dispatch.is_superseded and self.gateways.is_any_connected():
+            # An upstream has accepted a higher token, which only a later term exceeds.
             self.dispatch.clear_superseded()
             self._authority.start_new_term()
             return
@@ -503,7 +531,7 @@
 
 
 def _needs_no_log(call: Call) -> bool:
-    """Whether a call is about a job that is not durable, or about no job at all."""
+    """Whether an acting leader, which has no log, can carry out a call."""
     if isinstance(call, Submit):
         return call.spec.best_effort
     return isinstance(call, Abandon | KeepAlive)
--- a/cottonlug/runtime/membership.py
+++ b/cottonlug/runtime/membership.py
@@ -1,4 +1,8 @@
-"""Membership of the replicated log: how hosts discover each other, join and are replaced."""
+"""Membership of the replicated log: how hosts discover each other, join and are replaced.
+
+A member is one host with one disk: a host whose disk was replaced joins as another member. Voters
+decide; learners only receive the log.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,7 @@
 
 
 class Membership:
-    """The known hosts, and the members that have asked to join."""
+    """The known hosts, and the member of each host's current disk."""
 
     def __init__(self, *, own: Address, seeds: tuple[Address, ...], pools: ConnectionPools) -> None:
         self.hosts: set[str] = {str(seed) for seed in seeds}
@@ -81,7 +85,7 @@
         return Members(voters=tuple(by_host[seed].member for seed in self._seeds))
 
     def plan_member_change(self, leader: Member, now: timedelta) -> Members | None:
-        """Return the next step towards a set of members that are all reachable, or None."""
+        """Return the next set of members on the way to one that is all reachable, or None."""
         lost = leader.find_silent_members(now, LOST_AFTER)
         max_voters = compute_max_voters(leader.members, lost)
         return plan_change(leader, self._member_by_host, lost, max_voters) or plan_removal(
--- a/cottonlug/runtime/messenger.py
+++ b/cottonlug/runtime/messenger.py
@@ -27,10 +27,13 @@
 
 MESSAGES_PATH = "/v1/consensus"
 CALL_TIMEOUT = timedelta(milliseconds=450)
-"""Longer than a slow sync of the peer (270 ms); then the connection counts as broken."""
+"""How long a peer's answer is waited for before the connection counts as broken; longer than a slow
+sync of the peer's disk (270 ms)."""
 SNAPSHOT_TIMEOUT = timedelta(seconds=5)
+"""The same for a batch with a snapshot, which is large."""
 
 GetSender = Callable[[], tuple[MemberId, Term]]
+"""Returns this host's member id and its current term."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -92,12 +95,15 @@
         return messages
 
     def find_acked_at(self, host: str) -> timedelta | None:
-        """Return when the last batch was sent that a peer has answered in the current term."""
+        """Return when the last batch was sent that a peer has answered in the current term.
+
+        The leader's lease counts from then.
+        """
         peer = self._peers.get(host)
         return peer.acked_at if peer is not None else None
 
     def forget_acks(self) -> None:
-        """Discard the answers of earlier terms."""
+        """Discard all acknowledgements, since those of an earlier term renew no lease."""
         for peer in self._peers.values():
             peer.acked_at = None
 
@@ -134,7 +140,7 @@
         pool = self._pools.get(peer.address)
         sent = await pool.call("POST", MESSAGES_PATH, msgspec.json.encode(batch), timeout=timeout)
         if isinstance(sent, Err) or sent.unwrap().status != 200:
-            # The next heartbeat makes up for lost messages.
+            # The leader's next heartbeat makes up for lost messages.
             peer.outbox = []
             return
         reply = _decoder.decode(sent.unwrap().body)
--- a/cottonlug/runtime/peer_calls.py
+++ b/cottonlug/runtime/peer_calls.py
@@ -33,12 +33,13 @@
 
 CALL_PATH = "/v1/call"
 FORWARD_TIMEOUT = timedelta(seconds=3)
+"""How long a host that forwards a call waits for the leader's answer."""
 KEEPALIVE_FORWARD_TIMEOUT = timedelta(milliseconds=60)
-"""How long a host that forwards a keep-alive waits, so that its own answer is not too late."""
+"""The same for a keep-alive, so that the host's own answer to the gateway is not too late."""
 MAX_CALL_CONNECTIONS = 8
-"""Enough for one keep-alive at a time and occasional queries or cancellations."""
+"""Per host. Enough for one keep-alive at a time and occasional queries or cancellations."""
 JOB_CHANNEL_CONNECTIONS = 4
-"""One for a batch of jobs, one for a poll for answers, and a spare for each of them."""
+"""Per host. One for a batch of jobs, one for a poll for answers, and a spare for each of them."""
 
 
 def decode_keepalive(request: HttpRequest) -> KeepAlive | None:
@@ -66,12 +67,13 @@
         self._job_pools = ConnectionPools(max_connections=JOB_CHANNEL_CONNECTIONS)
         self._job_channels: dict[str, JobChannel] = {}
         self.stamp: Callable[[Call], Call] = lambda call: call
-        """Called with each call right before it is sent; returns the call to send."""
+        """Called with each call right before it is sent, so that the confirmations which a gateway
+        adds are current; returns the call to send."""
         self._abandoned: dict[str, asyncio.Event] = {}
         """For each host, set when the calls that it has not answered are to be sent elsewhere."""
 
     async def ask(self, host: str, call: Call, timeout: timedelta) -> Answer:
-        """Send a call to a host; `UNAVAILABLE` only if it certainly did not receive the call."""
+        """Send a call to a host; answer `UNAVAILABLE` only if that certainly did not receive it."""
         address = parse_address(host)
         if address is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=f"{host} is not an address")
--- a/cottonlug/runtime/replicated.py
+++ b/cottonlug/runtime/replicated.py
@@ -1,4 +1,7 @@
-"""The records on top of the replicated log, and the futures of callers that await a command."""
+"""The records (jobs, upstreams, configuration) that the replicated log's commands build up.
+
+Also the futures of calls that wait until a command is applied to them.
+"""
 
 from __future__ import annotations
 
@@ -20,6 +23,7 @@
         self.ready_term = Term(0)
         """The newest term whose first entry was applied, and with it all entries before it."""
         self.listener: CommandListener | None = None
+        """Called with each command after it was applied."""
 
     def apply(self, entry: Entry) -> None:
         """Apply a committed entry."""
@@ -42,7 +46,10 @@
 
 
 class Waiters:
-    """Futures by the event that they wait for; their result is False if its outcome is unknown."""
+    """Futures by the event that they wait for.
+
+    The result is True once the event has happened, or False if that will not be known here.
+    """
 
     def __init__(self) -> None:
         self._futures: dict[Hashable, list[asyncio.Future[bool]]] = {}
