--- a/cottonlug/runtime/cluster_dump.py
+++ b/cottonlug/runtime/cluster_dump.py
@@ -1,4 +1,8 @@
-"""State dumps of control hosts and gateways."""
+"""State dumps of control hosts and gateways.
+
+Some keys use older words: a decider is the coordinator (the host that schedules jobs now, as leader
+or acting leader), a deputy is a gateway that acts as leader, and looks are polls of an upstream.
+"""
 
 from __future__ import annotations
 
--- a/cottonlug/runtime/cluster_metrics.py
+++ b/cottonlug/runtime/cluster_metrics.py
@@ -1,4 +1,11 @@
-"""Metrics of control hosts and gateways."""
+"""Metrics of control hosts and gateways.
+
+Some names use older words: a decider is the coordinator (the host that schedules jobs now, as
+leader or acting leader), a deputy is a gateway that acts as leader, a greeting is a gateway's
+keep-alive, looks are polls of upstreams, ends are ended runs, suspects are tasks under which
+upstreams have crashed, heartbeat desks are responders (control hosts that answer heartbeats for the
+leader), and a term is settled once no unknown run of an earlier leader can be active.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +31,7 @@
 def build_control_metrics(
     host: ControlHost, output: LogOutput, idle: IdleConnections, refused: RefusedHeartbeats
 ) -> Metrics:
-    """Return the metrics of a control host; `idle` are its connections to upstreams."""
+    """Return the metrics of a control host; `idle` are its idle connections to upstreams."""
 
     def read_counters() -> dict[str, float]:
         counts: dict[str, float] = dict.fromkeys(_DISPATCH_COUNTS, 0.0)
@@ -92,9 +99,11 @@
 
 CALL_BOUNDS_MS = (5.0, 20.0, 50.0, 100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0)
 DELAY_BOUNDS_MS = (5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 300.0, 500.0, 1_000.0)
-"""Up to 20 ms between decisions are usual; 300 ms of silence of a gateway are tolerated."""
+"""For the age of gateways' messages (300 ms of silence of a gateway are tolerated) and the time
+between two scheduling rounds (up to 20 ms are usual; only longer times are recorded)."""
 REFUSAL_BOUNDS = (0.1, 0.25, 0.5, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
-"""Fractions of the latency objective; within a quarter of it a caller can still react."""
+"""Fractions of the latency objective after which a job is refused; within a quarter of it a caller
+can still react."""
 _DISPATCH_COUNTS = (
     "starts", "started", "refused_starts", "unknown_starts", "stops", "looks", "failed_looks",
     "lapsed_runs", "ends", "rejected_jobs", "given_up_jobs", "moved_runs", "resized_upstreams",
@@ -144,4 +153,5 @@
 
 
 def _read_peak_memory() -> float:
+    """Return the most memory that this process has occupied so far, in MB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / _KB_PER_MB
--- a/cottonlug/runtime/control.py
+++ b/cottonlug/runtime/control.py
@@ -1,4 +1,8 @@
-"""The replicated configuration on an entry host: the parts shared by voters and other hosts."""
+"""The replicated configuration on an entry host: the parts shared by voters and other hosts.
+
+A voter (`voter`) takes part in its log; other hosts (`voter_client`) get it from a voter. `Control`
+has nothing to do with control hosts.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +45,10 @@
         ...
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
-        """Have a change decided; the outcome of a refusal is `unknown` unless nothing was done."""
+        """Have the voters decide on a change.
+
+        A refusal says `unknown` if the change may have been accepted, and `not_run` if it was not.
+        """
         ...
 
     async def wait_view(self, after: int, seconds: float) -> ConfigurationView:
@@ -50,13 +57,13 @@
 
 
 class ChangeNotifier:
-    """Notifies coroutines that wait for a newer version."""
+    """Notifies coroutines that wait for a newer version of the configuration."""
 
     def __init__(self) -> None:
         self._changed = asyncio.Event()
 
     def notify(self) -> None:
-        """Notify all waiting coroutines."""
+        """Notify all coroutines that are waiting now."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -69,7 +76,7 @@
 
 
 class LocalControl:
-    """Control of a host without voters: its settings name its rules until a restart."""
+    """Control of a host whose settings name no voters: its rules change only with a restart."""
 
     def __init__(self, *, rulebook: Rulebook) -> None:
         self._rulebook = rulebook
@@ -102,12 +109,12 @@
 
 
 def activate_rules(rulebook: Rulebook, version: int, text: str) -> None:
-    """Activate a version on this host if it is newer than the active one."""
+    """Activate a version of the rules on this host if it is newer than the active one."""
     if version <= rulebook.version:
         return
     document = read_rules(text).value
     if document is None:
-        # Every voter checked the document before it was accepted.
+        # Not expected: every voter checked the document before it was accepted.
         log_event(Event.CONFIGURATION_REFUSED, version=version)
         return
     rulebook.activate(version, text, document)
@@ -121,7 +128,7 @@
 
 
 def build_unknown_refusal(message: str) -> Refusal:
-    """Return the refusal of a change whose decision is unknown."""
+    """Return the refusal of a change that may have been accepted all the same."""
     return Refusal(
         code=RefusalCode.NO_QUORUM,
         message=f"{message}; ask again with the same request id",
--- a/cottonlug/runtime/decisions.py
+++ b/cottonlug/runtime/decisions.py
@@ -1,4 +1,4 @@
-"""Logging of scheduling decisions.
+"""Logging of scheduling decisions about single jobs, runs and upstreams.
 
 Decisions that refuse, fail or move work are always logged, routine ones only for a sample of the
 jobs. The sample depends on the job's id alone, so every process logs all decisions about a sampled
@@ -12,7 +12,8 @@
 from .events import Event, log_event
 
 SAMPLE_ONE_IN = 16
-"""At 70 jobs a second the leader writes about 40 routine lines (10 KB) a second."""
+"""One job in this many is sampled: at 70 jobs a second the leader writes about 40 routine lines
+(10 KB) a second."""
 ROUTINE_DECISIONS = frozenset({"job_taken", "run_started", "run_ended", "job_ended"})
 
 
--- a/cottonlug/runtime/events.py
+++ b/cottonlug/runtime/events.py
@@ -118,7 +118,7 @@
 
 
 def set_up_logging(settings: LogSettings) -> None:
-    """Send all logs through absl in the chosen format."""
+    """Send all logs through absl to standard error, in the chosen format."""
     absl_logging.use_absl_handler()
     absl_logging.get_absl_handler().python_handler.stream = sys.stderr
     absl_logging.set_verbosity(_LEVELS[settings.level])
@@ -129,7 +129,7 @@
 
 
 def set_up_output(settings: LogSettings, output: LogOutput) -> None:
-    """Send all logs through absl's logger to a non-blocking output."""
+    """Send all logs through absl's logger to a non-blocking output, in the chosen format."""
     set_up_logging(settings)
     formatter = _JsonFormatter() if settings.format is LogFormat.JSON else _TextFormatter()
     handler = LogHandler(output=output)
--- a/cottonlug/runtime/log_output.py
+++ b/cottonlug/runtime/log_output.py
@@ -13,7 +13,7 @@
 from collections import deque
 
 BUFFER_BYTES = 256 * 1024
-"""About 1,000 lines; a process has 300 MB."""
+"""About 1,000 lines; little beside the 300 MB of memory that a process has."""
 
 
 class LogOutput:
@@ -21,10 +21,12 @@
 
     def __init__(self, *, descriptor: int) -> None:
         self.dropped = 0
+        """Number of lines dropped so far; `_reported` of them have been reported."""
         self._descriptor = descriptor
         self._reported = 0
         self._waiting: deque[bytes] = deque()
         self._size = 0
+        """Number of bytes that are waiting."""
         os.set_blocking(descriptor, False)
 
     def write_record(self, line: str, level: int) -> None:
--- a/cottonlug/runtime/metrics.py
+++ b/cottonlug/runtime/metrics.py
@@ -1,8 +1,8 @@
 """Metrics of a process, rendered as text on request.
 
-The instruments are observable: each reads the state when the metrics are requested, so counting
-costs nothing on the paths that are counted. OpenTelemetry itself (`meters`) is imported on the
-first request for metrics, which cuts a tenth off the start-up time of a host.
+The instruments of counters and gauges are observable: each reads the state when the metrics are
+requested, so counting costs nothing on the paths that are counted. OpenTelemetry itself (`meters`)
+is imported on the first request for metrics, which cuts a tenth off the start-up time of a host.
 """
 
 from __future__ import annotations
@@ -16,6 +16,7 @@
     from .meters import Meters
 
 Values = Callable[[], dict[str, float]]
+"""Reads the current values of some metrics, by their names."""
 
 MAX_PENDING_VALUES = 100_000
 """Most recorded values that are kept until the metrics are requested; the oldest are dropped."""
--- a/cottonlug/runtime/voter.py
+++ b/cottonlug/runtime/voter.py
@@ -1,4 +1,9 @@
-"""A voter: an entry host with a disk that takes part in the replicated log of configurations."""
+"""A voter: an entry host with a disk that takes part in the replicated log of configurations.
+
+Entry hosts accept callers' jobs and schedule them by themselves; only their configuration is
+replicated. They are not control hosts, whose log is another one (`replica`). A member is one host
+with one disk: a host whose disk was replaced becomes another member.
+"""
 
 from __future__ import annotations
 
@@ -55,12 +60,17 @@
 from .rulebook import Rulebook
 
 TICK_SECONDS = 0.1
+"""How often the member checks whether an election or a heartbeat is due."""
 COMPACT_AFTER_ENTRIES = 500
 """Number of log entries at which a snapshot replaces them."""
 VOTER_DISCOVERY_SECONDS = 5.0
+"""How often the leader asks the other voters for their member ids, to find replaced disks."""
 _BOOTSTRAP_DISCOVERY_SECONDS = 0.5
+"""How often a voter without a log asks for them, to bootstrap it."""
 STALE_AFTER = timedelta(seconds=2)
+"""If no leader was known for longer, a newer configuration may be active elsewhere."""
 _RETRY_SECONDS = 0.1
+"""Pause after a batch of messages that could not be delivered."""
 _CALL_TIMEOUT_SECONDS = 2.0
 
 
@@ -90,6 +100,7 @@
         self._change_clients: dict[str, ApiClient] = {}
         self._tasks: list[asyncio.Task[None]] = []
         self._connected_at: timedelta | None = None
+        """When a leader was last known."""
         self._seen_leader: MemberId | None = None
 
     async def start(self) -> str | None:
@@ -134,6 +145,7 @@
         if self.member is not None and self.member.role is Role.LEADER and self._clients:
             self.member.transfer_leadership(self._clock.monotonic())
             self._process_output()
+            # Leave time for the messages to be sent.
             await asyncio.sleep(TICK_SECONDS)
         for task in self._tasks:
             task.cancel()
@@ -305,7 +317,7 @@
             client = self._clients[host]
             sent = await client.call("POST", "/v1/consensus", ConsensusBatch, batch)
             if isinstance(sent, Err):
-                # The next heartbeat makes up for lost messages.
+                # The leader's next heartbeat makes up for lost messages.
                 await asyncio.sleep(_RETRY_SECONDS)
                 continue
             self._receive_messages(sent.unwrap())
@@ -330,6 +342,7 @@
     # Timers
 
     async def _guard(self, work: Coroutine[None, None, None]) -> None:
+        """Run a background task; an exception in it stops the process."""
         try:
             await work
         except Exception as error:
@@ -366,7 +379,10 @@
         return hellos
 
     def _bootstrap(self, hellos: dict[HostId, Hello]) -> None:
-        """Create the first set of members once all voters answer and all their disks are new."""
+        """Create the first set of members once all voters answer and all their disks are new.
+
+        Only the first of the voters by name does so.
+        """
         voters = sorted(self._settings.voters)
         is_first = voters[0] == self._settings.host
         all_new = all(host in hellos and hellos[host].is_empty for host in voters)
@@ -378,6 +394,7 @@
             self._build_member()
 
     def _replace_members(self, hellos: dict[HostId, Hello]) -> None:
+        """As leader, take the next step towards the members that the voters' disks now have."""
         if self.member is None:
             return
         current = {str(host): hello.member for host, hello in hellos.items()}
