--- a/cottonlug/tests/model_hosts.py
+++ b/cottonlug/tests/model_hosts.py
@@ -1,4 +1,4 @@
-"""The real control hosts in simulated time, on a model of machines, links and disks.
+"""The real control hosts and gateways in simulated time, on a model of machines, links and disks.
 
 Each host has one thread, like a process: its callbacks run one after another and take time, a
 frozen host runs none until it is resumed, and a killed one never again. Links have delays, hold
@@ -63,8 +63,11 @@
 FIRST_RETRANSMIT_SECONDS = 0.2
 """Lost bytes are retransmitted after this time, and then after twice as long each time."""
 SYNC_SECONDS = 0.009
+"""How long a write to the disk, which is synced, blocks the thread."""
 CALLBACK_SECONDS = 0.00003
+"""How long a callback occupies the thread."""
 RESTART_SECONDS = 0.4
+"""From the end of a process to the start of the next one, at the least."""
 HAND_OVER_SECONDS = 1.5
 """From a request to stop, with which a process transfers leadership, to the end of the process."""
 CLIENT_TIMEOUT_SECONDS = 1.0
@@ -428,7 +431,10 @@
         self._cut.clear()
 
     def silence_connections(self, *, include_log: bool = True) -> None:
-        """Make open connections silent for good, all or only those for calls; new ones work."""
+        """Make open connections silent for good; new ones work.
+
+        Either all of them, or only those for calls and not those for the log's messages.
+        """
         for pools in self.pools:
             if pools.is_for_log and not include_log:
                 continue
--- a/cottonlug/tests/model_site.py
+++ b/cottonlug/tests/model_site.py
@@ -1,10 +1,11 @@
 """A model of a site: gateways, successive leaders, acting leaders by domain, network cuts.
 
-Gateways use the timeouts of `runtime.coordinator_link`: they leave a coordinator that has not
-answered for 0.35 s and follow an acting leader after 0.52 s (0.9 s if an election is possible). A
-caller submits a job again 1.3 s after its gateway was lost or has abandoned the job. A delayed host
-processes what has arrived, and schedules, only when it continues. `ModelUpstream` fails the test at
-a second run.
+Gateways pass callers' jobs to a coordinator, the host that schedules them: the leader or, where it
+cannot be reached, a gateway that acts as leader for its own failure domain. They use the timeouts
+of `runtime.coordinator_link`: they leave a coordinator that has not answered for 0.35 s and follow
+an acting leader after 0.52 s (0.9 s if an election is possible). A caller submits a job again 1.3 s
+after its gateway was lost or has abandoned the job. A delayed host processes what has arrived, and
+schedules, only when it continues. `ModelUpstream` fails the test if a task runs twice at a time.
 """
 
 from __future__ import annotations
@@ -42,11 +43,14 @@
 
 CALLER_RETRY = milliseconds(1_300)
 CALL_TIMEOUT = milliseconds(1_460)
+"""How long a caller waits for the end of its job before it disconnects, which abandons the job."""
 TERMS = choose_lease_terms(timedelta(seconds=1), CALLER_RETRY, GATEWAY_TIMEOUT)
 RECONCILE_AFTER = TERMS.lapse_after + GATEWAY_TIMEOUT
 LEADER_LEASE = milliseconds(280)
 HOP_DELAY = milliseconds(1)
+"""How long a message between a gateway and a coordinator takes."""
 TURN_INTERVAL = milliseconds(50)
+"""How often each gateway sends keep-alives and decides which coordinator to follow."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -161,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Contact:
-    """The coordinator to which a message was sent by a gateway it has answered, and when."""
+    """The coordinator (`decider`) to which a gateway it has answered sent a message, and when."""
 
     decider: ModelCoordinator
     sent_at: timedelta
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -1,5 +1,8 @@
 """Messages of gateways that are delayed on the network or at a busy coordinator.
 
+A gateway passes callers' jobs to the coordinator, the host that schedules them: the leader or,
+where none can be reached, a gateway that acts as leader.
+
 Failure: two simultaneous runs of one task after a failure domain was cut off. The leader outside
 started the first one for a gateway inside, 0.42 s after the cut; the acting leader inside started
 the second one. A coordinator abandons a gateway's jobs 0.3 s after it last heard from it, and the
@@ -55,6 +58,7 @@
 
 CALLER_RETRY = timedelta(milliseconds=1_300)
 KEEPALIVE_INTERVAL = milliseconds(80)
+"""Time between the keep-alives that these tests send."""
 
 
 @dataclass(slots=True, kw_only=True)
@@ -226,6 +230,7 @@
 
 
 def test_silence_is_checked_when_the_confirmation_by_a_submission_ends() -> None:
+    """Otherwise a job that only its own submission confirmed would not be abandoned."""
     clock = build_clock()
     gateways = GatewayRegistry(term=3, token=3_000_000, clock=clock)
     contact = gateways.build_contact()
@@ -264,6 +269,8 @@
 
 
 def test_submission_that_arrives_after_its_abandonment_starts_no_job() -> None:
+    """No caller waits for it any more, and its job may have been submitted again elsewhere."""
+
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         model_link.holds_submissions = True
         waiting = asyncio.create_task(gateway.call(build_submit(), CALL_TIMEOUT))
@@ -365,6 +372,8 @@
 
 
 def test_gateway_with_too_many_abandoned_jobs_to_report_confirms_nothing() -> None:
+    """Its keep-alives would confirm the abandoned jobs that they have no space to report."""
+
     async def script(gateway: Gateway, model_link: ModelLink, clock: ManualClock) -> None:
         waiting = await submit_by(gateway, model_link)
         waiting.cancel()
--- a/cottonlug/tests/test_heartbeat_orders.py
+++ b/cottonlug/tests/test_heartbeat_orders.py
@@ -1,4 +1,9 @@
-"""Orders that are sent in the answers to heartbeats, against a simulated upstream."""
+"""Orders that are sent in the answers to heartbeats, against a simulated upstream.
+
+On the deployment platform upstreams cannot be called. `HeartbeatPort` parks the answer to each
+heartbeat until there are orders to send; the next heartbeat resolves them, that is, shows what
+became of them. A start resolved wrongly would lead to a second run of its task, or to none.
+"""
 
 from __future__ import annotations
 
