--- a/cottonlug/core/consensus/log.py
+++ b/cottonlug/core/consensus/log.py
@@ -1,4 +1,4 @@
-"""The log of one member: a snapshot and the entries that follow it."""
+"""The log of one member: a snapshot of the state, and the entries that follow it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Log:
-    """Entries by index; entries up to the snapshot's index have been discarded."""
+    """Entries by index; the snapshot stands for all entries up to its index."""
 
     def __init__(self, *, snapshot: Snapshot, entries: Sequence[Entry]) -> None:
         self.snapshot = snapshot
@@ -28,7 +28,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def find_term(self, index: Index) -> Term | None:
-        """Return the term at an index, or None if it is discarded or after the last entry."""
+        """Return the term of the entry at an index; None if it is discarded or not yet appended."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if not self.snapshot.index < index <= self.last_index:
@@ -52,7 +52,7 @@
         del self._entries[first - self.snapshot.index - 1 :]
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace the entries that a snapshot of this log covers by the snapshot."""
+        """Replace the entries up to the index of a snapshot, taken of this log, by the snapshot."""
         require(self.find_term(snapshot.index) == snapshot.term, "a snapshot must be of this log")
         del self._entries[: snapshot.index - self.snapshot.index]
         self.snapshot = snapshot
@@ -63,7 +63,7 @@
         self._entries = []
 
     def find_members(self) -> Members:
-        """Return the newest set of members in the log; a set is effective once it is appended."""
+        """Return the newest set of members; a set is effective before it is committed."""
         for entry in reversed(self._entries):
             if entry.members is not None:
                 return entry.members
@@ -78,7 +78,7 @@
         return members
 
     def find_members_index(self) -> Index:
-        """Return the index at which the newest set of members was appended."""
+        """Return the index of the newest set of members, or of the snapshot that holds it."""
         for entry in reversed(self._entries):
             if entry.members is not None:
                 return entry.index
--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -45,14 +45,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class NotLeader:
-    """Why a proposal was not accepted; `leader` is the leader that this member knows, if any."""
+    """Why a member refused a command or a change of members; a leader may refuse a change too.
+
+    `leader` is the leader that the member knows, if any; it may be the member itself.
+    """
 
     leader: MemberId | None
     reason: str
 
 
 class Member:
-    """The state machine of one member."""
+    """The state machine of one member.
+
+    `commit` is the index of the last entry that it knows to be committed; `members` is the newest
+    set of members in its log.
+    """
 
     def __init__(
         self,
@@ -90,7 +97,7 @@
     # Calls of the embedding program
 
     def tick(self, now: timedelta) -> None:
-        """Run the timers: start an election, send heartbeats or check the quorum, as due."""
+        """Run the timers: start a pre-vote, send heartbeats or check the quorum, as due."""
         self._now = now
         if self.role is Role.LEADER:
             self._tick_leader()
@@ -119,10 +126,15 @@
         elif isinstance(message, SnapshotRequest):
             self._handle_snapshot_request(message)
         else:
+            # A transfer request: no pre-vote, which the others would refuse as they hear a leader.
             self._campaign(pre=False, transfer=True)
 
     def propose(self, data: str, now: timedelta) -> Result[tuple[Term, Index], NotLeader]:
-        """Append a command; it is accepted once it is committed at the returned term and index."""
+        """Append a command and return its entry's term and index.
+
+        It is accepted once an entry of this term is committed at this index; an entry of another
+        term there means that a later leader has overwritten it.
+        """
         self._now = now
         if self.role is not Role.LEADER:
             return Err(NotLeader(leader=self.leader, reason="not the leader"))
@@ -131,7 +143,7 @@
         return Success((entry.term, entry.index))
 
     def change_members(self, members: Members, now: timedelta) -> Result[Index, NotLeader]:
-        """Append a new set of members, which may differ by at most one voter."""
+        """Append a new set of members, with at most one voter added or removed."""
         self._now = now
         refusal = self._check_member_change(members)
         if refusal is not None:
@@ -198,7 +210,7 @@
             self._replicate_all()
 
     def get_matched_index(self, member: MemberId) -> Index:
-        """Return the index up to which this leader knows another member's log to match."""
+        """Return the index up to which this leader knows another member's log to match, or 0."""
         progress = self._progress.get(member)
         return progress.matched if progress is not None else Index(0)
 
@@ -208,6 +220,7 @@
         return message.term < self.term
 
     def _answer_older_term(self, message: ConsensusMessage) -> None:
+        """Refuse a request, so that its sender learns the newer term; drop any other message."""
         if isinstance(message, VoteRequest):
             self._send_vote(message, granted=False)
         elif isinstance(message, AppendRequest | SnapshotRequest):
@@ -217,9 +230,12 @@
         if message.term <= self.term:
             return
         if isinstance(message, VoteRequest):
+            # The term of a pre-vote has not begun, and a single voter must not disturb a leader
+            # that is still heard, unless that leader asked for the election.
             if message.pre or (self._has_leader() and not message.transfer):
                 return
         elif isinstance(message, VoteReply) and message.pre and message.granted:
+            # A granted pre-vote carries the term that was asked for, which has not begun.
             return
         self._become_follower(message.term, None)
 
@@ -236,6 +252,7 @@
         self._output.hard_state = HardState(term=self.term, voted_for=self._voted_for)
 
     def _reset_election_timer(self, span: timedelta | None = None) -> None:
+        """Set when to start a pre-vote; on a leader the same timer is when it checks its quorum."""
         span = span if span is not None else self._timing.election
         self._election_due = self._now + span * (1.0 + self._chance())
 
@@ -263,6 +280,7 @@
     # Elections
 
     def _campaign(self, *, pre: bool, transfer: bool = False) -> None:
+        """Start an election, or with `pre` a pre-vote, which starts one if it finds a majority."""
         if self.id not in self.members.voters:
             return
         self._votes = {self.id}
@@ -299,6 +317,7 @@
             self._send_vote(request, granted=granted)
             return
         if request.term != self.term:
+            # A newer term that was not adopted, because a leader is still heard.
             self._send_vote(request, granted=False)
             return
         granted = is_current and self._voted_for in (None, request.sender)
@@ -339,6 +358,7 @@
         self._progress = {}
         # Every vote and entry up to now was saved before it was acknowledged.
         self._saved_index = self.log.last_index
+        # Only an entry of its own term lets it commit those of older terms (see `_advance_commit`).
         self._append_own_entry(EntryKind.EMPTY, "", None)
         self._update_members()
         self._replicate_all()
@@ -352,7 +372,7 @@
             self._replicate_all()
 
     def _check_quorum(self) -> None:
-        """Step down unless a majority of voters was heard within the last election timeout."""
+        """Step down unless a majority of voters was heard within the base election timeout."""
         recently_heard = {
             member
             for member, progress in self._progress.items()
@@ -372,6 +392,11 @@
         return entry
 
     def _check_member_change(self, members: Members) -> str | None:
+        """Return why this change of members is refused now, or None if it is allowed.
+
+        The conditions ensure that the majorities of any two sets in effect share a voter. An
+        earlier leader's uncommitted change could break that until this term has a committed entry.
+        """
         if self.role is not Role.LEADER:
             return "not the leader"
         if self.log.find_term(self.commit) != self.term:
@@ -455,6 +480,7 @@
         if index <= self.commit or self.log.find_term(index) != self.term:
             return False
         self.commit = index
+        # A leader that is no voter any more leads only until the change that removed it commits.
         if self.id not in self.members.voters and self.log.find_members_index() <= index:
             self._become_follower(self.term, None)
         return True
@@ -502,6 +528,7 @@
             self._output.restore = True
             self._output.entries = []
             self._output.truncate_from = None
+        # Otherwise this member has committed all that the snapshot holds.
         self._send_append_reply(request.sender, accepted=True, matched=self.commit)
 
     def _follow_leader(self, leader: MemberId) -> None:
@@ -510,7 +537,10 @@
         self._become_follower(self.term, leader)
 
     def _find_hint(self, previous: Index) -> Index:
-        """Return the last index that may match, skipping all entries of the conflicting term."""
+        """Return the last index that may match the leader's log, for it to resume after.
+
+        All entries of the conflicting term are skipped; committed entries always match.
+        """
         if previous > self.log.last_index:
             return self.log.last_index
         first = self.log.find_first_of_term(previous)
--- a/cottonlug/core/consensus/progress.py
+++ b/cottonlug/core/consensus/progress.py
@@ -13,8 +13,9 @@
 class Progress:
     """Progress of one other member.
 
-    `next_index` is the next entry to send to it, `matched` the index up to which its log is known
-    to match, `heard_at` when it last replied.
+    `next_index` is the index of the next entry to send to it, `matched` the index up to which its
+    log is known to match the leader's, `heard_at` when it last replied or, until then, when the
+    leader began to track it.
     """
 
     next_index: Index
@@ -31,8 +32,9 @@
     def record_refusal(self, hint: Index, now: timedelta, repeated_within: timedelta) -> bool:
         """Resume after `hint`, the last index that may match, but never before the matched index.
 
-        False if a refusal with the same hint came within `repeated_within`: each message in flight
-        is refused with that hint, and the missing entries were sent at the first refusal.
+        Returns whether to send from there now. False, with nothing changed, if a refusal with the
+        same hint came within `repeated_within`: each message in flight is refused with that hint,
+        and the missing entries were sent at the first refusal.
         """
         if hint == self._refused_with and now - self._refused_at < repeated_within:
             return False
@@ -50,6 +52,6 @@
 
 
 def find_quorum_index(voters: Collection[MemberId], matched: Mapping[MemberId, Index]) -> Index:
-    """Return the highest index that a majority of the voters has reached."""
+    """Return the highest index that a majority of the voters has reached, going by `matched`."""
     indexes = sorted(matched.get(voter, Index(0)) for voter in voters)
     return indexes[(len(indexes) - 1) // 2]
--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -1,4 +1,8 @@
-"""Replaces the member of a host that has a new disk, one safe change of members at a time."""
+"""Plans changes of members one safe step at a time: new disks, joining hosts and lost voters.
+
+A member is one disk of a host; a host with a new disk is a new member. A voter is lost once the
+leader has not heard it for long; its caller says after which time.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +12,13 @@
 from .types import MemberId, Members
 
 DEFAULT_VOTERS = 3
-"""With more voters than this, a lost voter is removed without a replacement."""
+"""Least number of voters to aim for; while there are more, a lost one is not replaced first."""
 MAX_VOTERS = 7
 """Seven voters tolerate the loss of three; more would only make a majority slower."""
 
 
 def compute_max_voters(members: Members, lost: Collection[MemberId]) -> int:
-    """Return how many members should vote: an odd number, so that no split is into equal halves."""
+    """Return how many members may vote: an odd number, so that no split is into equal halves."""
     present = [member for member in (*members.voters, *members.learners) if member not in lost]
     odd = len(present) - (len(present) + 1) % 2
     return min(max(odd, DEFAULT_VOTERS), MAX_VOTERS)
@@ -26,12 +30,13 @@
     lost: Collection[MemberId] = (),
     max_voters: int | None = None,
 ) -> Members | None:
-    """Return the next set of members, or None if no change is needed.
+    """Return the next set of members, or None if no change is needed now.
 
-    `current` maps each host that should vote to the member id of its present disk. A host whose id
-    is not in the log is first added as a learner. Once it has everything that is committed, the id
-    of its old disk is removed, and then the new id becomes a voter. A new host replaces a lost
-    voter, if there is one; otherwise it stays a learner while there are `max_voters` voters.
+    `current` maps each host that should vote to the member id of its present disk. In steps of one
+    call each, an id that is no member is added as a learner; once it has everything that is
+    committed, the id of its host's old disk is removed; then the new id becomes a voter. A host
+    without an old disk replaces a lost voter, if there is one; otherwise it stays a learner while
+    there are `max_voters` voters (None: no limit).
     """
     members = leader.members
     for host, member in current.items():
@@ -55,9 +60,9 @@
 
 
 def plan_removal(leader: Member, lost: Collection[MemberId]) -> Members | None:
-    """Return the members without one lost voter.
+    """Return the members without one of the lost voters.
 
-    None if no voter is lost, or if there are no more than `DEFAULT_VOTERS`.
+    None if no voter is lost, or if there are no more than `DEFAULT_VOTERS` voters.
     """
     members = leader.members
     if len(members.voters) <= DEFAULT_VOTERS:
--- a/cottonlug/core/consensus/timing.py
+++ b/cottonlug/core/consensus/timing.py
@@ -12,12 +12,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timing:
-    """Intervals and timeouts; an election timeout is random, from one to two times `election`."""
+    """Interval of a leader's heartbeats, and base values of the timeouts of other members.
+
+    A timeout is drawn at random, from one to two times its base value. A member that has heard no
+    leader for `election` starts a pre-vote: it asks whether the others would vote for it. A leader
+    steps down if it has heard no majority for `election`.
+    """
 
     heartbeat: timedelta = timedelta(milliseconds=500)
     election: timedelta = timedelta(milliseconds=1_500)
     first_election: timedelta = timedelta(milliseconds=1_500)
-    """The election timeout for the first election after a start. It may be shorter: after all
+    """Base election timeout for the first election after a start. It may be shorter: after all
     members were down there is no leader, and if there is one the others refuse the pre-vote."""
     pre_vote_retry: timedelta = timedelta(milliseconds=1_500)
-    """Base interval between two pre-votes, which do not disturb a leader."""
+    """Base interval between two pre-votes; it may be short, since they do not disturb a leader."""
--- a/cottonlug/core/consensus/types.py
+++ b/cottonlug/core/consensus/types.py
@@ -8,8 +8,11 @@
 import msgspec
 
 MemberId = NewType("MemberId", str)
+"""One disk of a host, as `<host>/<id of the disk>`."""
 Term = NewType("Term", int)
+"""Number of an election and of the time until the next one; a term has at most one leader."""
 Index = NewType("Index", int)
+"""Position of an entry in the log, from 1; 0 is before the first entry."""
 
 
 class Role(Enum):
@@ -22,7 +25,7 @@
 
 
 class EntryKind(Enum):
-    """Content of an entry: nothing, a command, or a new set of members."""
+    """Content of an entry: nothing (a new leader's first entry), a command or a set of members."""
 
     EMPTY = "empty"
     COMMAND = "command"
@@ -34,7 +37,7 @@
 
 
 class Members(Record, frozen=True):
-    """The voters, and the learners, which only receive the log."""
+    """The voters, and the learners, which receive the log but neither vote nor lead."""
 
     voters: tuple[MemberId, ...]
     learners: tuple[MemberId, ...] = ()
@@ -55,7 +58,10 @@
 
 
 class Snapshot(Record, frozen=True):
-    """The state after the entry at `index`; replaces all entries up to it."""
+    """The embedding program's state after the entry at `index`, as `data`, and the members then.
+
+    It replaces all entries up to that one, whose term is `term`.
+    """
 
     index: Index
     term: Term
@@ -71,7 +77,11 @@
 
 
 class Stored(Record, frozen=True):
-    """Everything that a member has saved, from which it restarts."""
+    """Everything that a member has saved, from which it restarts.
+
+    The embedding program has applied the entries up to `applied` and applies them again itself
+    after a restart; the member returns only later ones as committed.
+    """
 
     hard_state: HardState
     snapshot: Snapshot
@@ -80,7 +90,11 @@
 
 
 class VoteRequest(Record, frozen=True, tag="vote_request"):
-    """Request a vote; with `pre`, only ask whether the vote would be granted."""
+    """Request a vote in `term`; with `pre`, only ask whether the vote would be granted.
+
+    `last_index` and `last_term` are those of the sender's log. With `transfer` the leader itself
+    asked for the election, so a member votes although it still hears that leader.
+    """
 
     term: Term
     sender: MemberId
@@ -91,7 +105,7 @@
 
 
 class VoteReply(Record, frozen=True, tag="vote_reply"):
-    """Reply to a vote request."""
+    """Reply to a vote request; a granted pre-vote has the term of the request."""
 
     term: Term
     sender: MemberId
@@ -100,7 +114,11 @@
 
 
 class AppendRequest(Record, frozen=True, tag="append_request"):
-    """Entries from the leader; a heartbeat if there are none."""
+    """Entries from the leader; a heartbeat if there are none.
+
+    They follow the entry at `previous_index`, which must be of `previous_term` at the receiver too.
+    `commit` is the index up to which the leader has committed.
+    """
 
     term: Term
     sender: MemberId
@@ -124,7 +142,7 @@
 
 
 class SnapshotRequest(Record, frozen=True, tag="snapshot_request"):
-    """The whole state, for a member that needs entries which the leader has discarded."""
+    """The leader's snapshot, for a member that needs entries which the leader has discarded."""
 
     term: Term
     sender: MemberId
@@ -154,7 +172,9 @@
     """What the embedding program must save, send and apply, in this order.
 
     `messages` are sent and `committed` is applied; everything else is saved. With `restore` the
-    snapshot came from the leader and replaces the whole log and the state.
+    snapshot came from the leader and replaces the whole log and the state; without, it only
+    replaces this member's entries up to its index. Saved entries from `truncate_from` on are
+    discarded before `entries` are appended.
     """
 
     hard_state: HardState | None = None
