--- a/cottonlug/core/configuration.py
+++ b/cottonlug/core/configuration.py
@@ -1,9 +1,9 @@
 """The replicated configuration: one versioned rules document, changed by compare-and-set.
 
-Every voter applies commands in log order, so all reach the same state. A change names the version
-that it is based on; of two changes based on the same version, at most one is accepted. The outcome
-of each request id is stored, so that an operator who lost the answer can repeat the request and
-gets the original outcome.
+Every voter (a host that keeps the replicated log) applies the commands in log order, so all reach
+the same state. A change names the version that it is based on; of two changes based on the
+same version, at most one is accepted. The outcome of each request id is stored, so that an operator
+who lost the answer can repeat the request and gets the original outcome.
 """
 
 from __future__ import annotations
@@ -16,11 +16,15 @@
 from .messages import Message
 
 MAX_REMEMBERED_OUTCOMES = 20_000
-"""Number of stored outcomes: more than one day of changes at the load designed for."""
+"""Number of outcomes stored, the oldest dropped first: more than one day of changes at the load
+designed for."""
 
 
 class Decision(Enum):
-    """Whether a change was accepted and, if not, why."""
+    """Whether a change was accepted and, if not, why.
+
+    CONFLICT: it is not based on the active version. INVALID: the document has an error.
+    """
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -28,7 +32,7 @@
 
 
 class ChangeCommand(Message):
-    """Replace the document if its version is still `base_version`."""
+    """Replace the document by `text` if the active version is still `base_version`."""
 
     request_id: str
     base_version: int
@@ -53,7 +57,8 @@
 class ConfigurationState(Message):
     """The whole replicated state, as a snapshot holds it.
 
-    `winner` is the request id of the change that created `version`.
+    `text` is the document, `winner` the request id of the change that created `version`, and
+    `outcomes` are by request id, oldest first.
     """
 
     version: int = 0
--- a/cottonlug/core/control_messages.py
+++ b/cottonlug/core/control_messages.py
@@ -11,8 +11,8 @@
     """What a host reports about itself and its log.
 
     `member` is the member id of its disk; `is_empty` says that the disk never took part in the
-    consensus. With `may_begin` the host may bootstrap a new log. `hosts` are the hosts that it
-    knows.
+    consensus. With `may_begin` the host may bootstrap a new log. `leader` is the leader's host as
+    far as it knows one, and `hosts` are the hosts that it knows.
     """
 
     host: HostId
@@ -24,14 +24,17 @@
 
 
 class ConsensusBatch(Message):
-    """Consensus messages from one member to another; the answer is a batch for the sender."""
+    """Consensus messages from one member to another; the answer to it is a batch the other way."""
 
     sender: types.MemberId
     messages: list[types.ConsensusMessage]
 
 
 class ConfigurationView(Message, omit_defaults=False):
-    """The active configuration at a voter; `is_stale` if it may have missed newer versions."""
+    """The active configuration at a host; `is_stale` if it may have missed newer versions.
+
+    `text` is the rules document of this `version`.
+    """
 
     version: int
     text: str
--- a/cottonlug/core/dispatcher.py
+++ b/cottonlug/core/dispatcher.py
@@ -1,8 +1,9 @@
-"""The dispatcher of one entry host: connects callers' jobs with upstream sessions.
+"""The dispatcher of one entry host: places the tasks of callers' jobs on upstreams.
 
-It performs no I/O. The embedding program passes in messages and the time, calls `dispatch` after
-each batch of messages, delivers the replies that it returns and calls `pop_ended_jobs` to learn
-which jobs ended.
+An entry host accepts jobs and exchanges messages with the upstreams of its failure domain, each in
+a session that the upstream opens (see `sessions`). The dispatcher performs no I/O. The embedding
+program passes in messages and the time, calls `dispatch` after each batch of messages, delivers the
+replies that it returns and calls `pop_ended_jobs` to learn which jobs ended.
 """
 
 from __future__ import annotations
@@ -49,7 +50,10 @@
 
 
 class Dispatcher:
-    """Accepts jobs, places their tasks on upstreams and records the results."""
+    """Accepts jobs, places their tasks on upstreams and records the results.
+
+    `draining` is set while the host shuts down: it refuses new jobs and finishes the others.
+    """
 
     def __init__(
         self,
@@ -81,7 +85,10 @@
     # Calls from callers
 
     def submit(self, job: Job, run_time: timedelta | None) -> Result[JobStatus, Refusal]:
-        """Accept a job, or attach to the existing job with the same id."""
+        """Accept a job, or attach to the existing job with the same id.
+
+        `run_time` is the run time of one task as declared by the caller.
+        """
         known = self.store.jobs.get(job.id)
         if known is not None:
             return self.attach(known, job.digest)
@@ -98,7 +105,7 @@
         return Success(build_status(job))
 
     def attach(self, known: Job, digest: bytes) -> Result[JobStatus, Refusal]:
-        """Answer a resend with the status of the known job if the content digests are equal."""
+        """Answer a resend with the status of the known job, if its content has the same digest."""
         if known.digest != digest:
             self.counters.refused += 1
             message = f"submission id {known.id} was used for other content"
@@ -119,7 +126,7 @@
         return ended
 
     def pop_notices(self) -> list[Notice]:
-        """Return the notices about upstreams since the previous call."""
+        """Return the notices about upstreams that arose since the previous call."""
         notices = self.session_table.notices
         self.session_table.notices = []
         return notices
@@ -163,7 +170,10 @@
     def handle_disconnect(
         self, upstream: UpstreamId, number: int, seq: int, now: timedelta
     ) -> None:
-        """Handle the loss of the connection on which an open request waited for its reply."""
+        """Handle the loss of the connection on which an open request waited for its reply.
+
+        `number` is the number of the request's session.
+        """
         self.session_table.handle_disconnect(upstream, number, seq, now)
 
     def dispatch(self, now: timedelta) -> list[Delivery]:
@@ -222,6 +232,7 @@
         require(job.ended, "only a job with a final state can be finished")
         self._active.pop(job.id)
         if job.spec.idempotent:
+            # It is answered in its own call, and a resend may run again.
             self.store.forget(job)
         else:
             self.store.start_retention(job)
@@ -233,6 +244,7 @@
         self._stop_outstanding(job)
 
     def _stop_outstanding(self, job: Job) -> None:
+        """Stop the sent tasks of an ended job at their upstreams."""
         for task, upstream in job.sent_to.items():
             self.session_table.stop_task(upstream, TaskKey(job.id, task, job.attempts[task]))
         job.sent_to.clear()
@@ -247,6 +259,7 @@
     def _fail_unrunnable_jobs(self, now: timedelta) -> None:
         announcements = [session.announcement for session in self.sessions.values()]
         if not announcements:
+            # Without any upstream nothing is known of those that may connect.
             return
         for job in list(self._active.values()):
             if job.succeeded or job.sent or now - job.accepted_at < self._limits.unrunnable_grace:
@@ -263,6 +276,7 @@
         self, session: Session, key: TaskKey, result: TaskResult, now: timedelta
     ) -> None:
         if not sessions.remove_outstanding(session, key):
+            # Reported before, or its outcome was already recorded as unknown.
             self.counters.stale_results += 1
             return
         self.counters.results += 1
@@ -270,6 +284,7 @@
         if result.status is ResultStatus.SUCCEEDED:
             self.session_table.guard.record_success(session.upstream)
         if job is None or not is_current_attempt(job, key):
+            # The job no longer waits for this attempt, usually since it has ended.
             return
         if result.status is ResultStatus.SUCCEEDED:
             ran = timedelta(microseconds=result.ran_us)
@@ -306,6 +321,7 @@
     def _end_tasks_as_unknown(
         self, keys: list[TaskKey], upstream: UpstreamId, cause: str, now: timedelta
     ) -> None:
+        """Record that the outcome of these attempts is unknown; their tasks may be retried."""
         for key in keys:
             job = self._find_job_awaiting(key)
             if job is not None:
@@ -313,7 +329,7 @@
                 self._retry_or_fail(job, key, TaskState.UNKNOWN, detail, now)
 
     def _stop_unwanted_tasks(self, session: Session, request: ExchangeRequest) -> None:
-        """Stop the held tasks whose result this host no longer waits for."""
+        """Stop the tasks that the upstream reports to hold and this host no longer waits for."""
         for name in request.held:
             key = TaskKey(name.submission, name.index, name.attempt)
             if self._find_job_awaiting(key) is None or key not in session.outstanding:
@@ -322,6 +338,7 @@
     def _retry_or_fail(
         self, job: Job, key: TaskKey, state: TaskState, detail: str, now: timedelta
     ) -> None:
+        """Queue a failed or unknown task again if that is allowed, or fail its job."""
         if state is TaskState.UNKNOWN:
             self.counters.unknown_tasks += 1
         may_retry = job.spec.idempotent and key.attempt < job.spec.max_attempts
@@ -341,6 +358,7 @@
         starts: dict[UpstreamId, list[Placement]] = {}
         if self.queued_tasks == 0 or self.session_table.ready.is_empty():
             return starts
+        # Closing the iterator puts the jobs that it skipped back into the queue.
         with closing(self.queue.iterate_turns()) as turns:
             for turn in turns:
                 self._place_job(turn, starts)
--- a/cottonlug/core/estimates.py
+++ b/cottonlug/core/estimates.py
@@ -1,4 +1,7 @@
-"""Expected run times per team and kind, learned so that wrong declarations matter only at first."""
+"""Expected run times of tasks per team and kind of work.
+
+They are learned, so that run times wrongly declared by callers matter only at first.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 from .ids import KindName, TeamName
 
 DEFAULT_RUN_TIME = timedelta(milliseconds=300)
+"""Expected run time of a task that nothing is known about."""
 _MIN_STEP_RATIO = 0.1
 """Smallest relative step by which one observation moves the median estimate."""
 _MIN_OBSERVATIONS = 8
--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -1,9 +1,10 @@
 """The upstream's side of the exchange protocol: links to entry hosts, credit and held tasks.
 
-An upstream keeps one link to each entry host of its failure domain and divides its slots among
-them as credit. It alone decides what runs, so no two hosts can compete for the same slot. Any
-transport error ends the link's session: later replies to that session are ignored, and the next
-session reports which tasks are held.
+An upstream keeps one link to each entry host (a host that accepts callers' jobs) of its failure
+domain and divides its slots among them as credit: the number of unfinished starts that it accepts
+from that host. It alone decides what runs, so no two hosts can compete for the same slot. A link
+has one session at a time. Any transport error ends it: later replies to it are ignored, and the
+next session reports which tasks are held, i.e. received and not finished: waiting or running.
 """
 
 from __future__ import annotations
@@ -37,12 +38,16 @@
 from .states import ResultStatus
 
 MAX_OPEN_REQUESTS = 2
+"""Per link: one that the host parks until there is a reply, and one for results and new credit."""
 NULL_VALUE = Raw(b"null")
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Assignment:
-    """A task that this upstream was told to start."""
+    """A task that this upstream was told to start.
+
+    Of the waiting tasks the one with the lowest `rank_ms`, on this upstream's clock, starts first.
+    """
 
     key: TaskKey
     host: HostId
@@ -56,9 +61,10 @@
 class Delays:
     """How long results are delayed to be sent together, and how many starts are prefetched.
 
-    `coalesce` is the delay while at least half of the slots are running. `hold` is the delay while
-    the host has no backlog and every pending result is a success of a submission with more tasks
-    held here: the submission's answer cannot be complete before those end.
+    `prefetch` is the credit that a host with a backlog gets beyond its slots. `coalesce` is the
+    delay while at least half of the slots are busy. `hold` is the delay while the host has no
+    backlog and every pending result is a success of a submission with more tasks held here: the
+    submission's answer cannot be complete before those end.
     """
 
     prefetch: int = 2
@@ -76,7 +82,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Link:
-    """State of the link to one entry host."""
+    """State of the link to one entry host.
+
+    `announced` says that the session has sent its first request. `backlog` and `draining` are from
+    the host's last reply, `reported_credit` and `reported_leaving` from the last request.
+    `closing_seq` is the request that closes the session, once it is sent; `closed` that it was
+    answered. `pending` results are still to be sent; `unacknowledged` are by the request with which
+    they were sent.
+    """
 
     host: HostId
     session: int = 0
@@ -122,10 +135,10 @@
         self._delays = delays
 
     def begin_session(self, link: Link) -> None:
-        """Begin a new session on a link; replies to the link's earlier session are then ignored.
+        """Begin a new session on a link; replies to the link's earlier sessions are then ignored.
 
-        The first request announces the upstream, reports the tasks that it holds and sends the
-        results again that the host has not acknowledged.
+        Its first request announces the upstream, reports the tasks that it holds for this host and
+        sends the results again that the host has not acknowledged.
         """
         link.session += 1
         link.next_seq = 1
@@ -139,7 +152,7 @@
     def get_credit(self, link: Link) -> int:
         """Return this link's credit: its share of the slots and, with a backlog, the prefetch.
 
-        Hosts with a backlog share all slots but one for each host without.
+        Hosts with a backlog share all slots but one for each host without, which gets that one.
         """
         if self.leaving or link.draining:
             return 0
@@ -156,7 +169,10 @@
         )
 
     def find_next_request_time(self, link: Link) -> timedelta | None:
-        """Return when to send the link's next request, or None if nothing calls for one yet."""
+        """Return when to send the link's next request, or None if nothing calls for one yet.
+
+        A time in the past, such as 0, means at once.
+        """
         if link.open_requests == 0:
             return timedelta()
         if link.open_requests >= MAX_OPEN_REQUESTS or not self.has_updates(link):
@@ -172,7 +188,7 @@
         return self.leaving and (not link.reported_leaving or self._may_close(link))
 
     def build_request(self, link: Link) -> ExchangeRequest:
-        """Return the link's next request, whose reply acknowledges the results that it carries."""
+        """Return the link's next request; the reply to it acknowledges the results in it."""
         require(link.open_requests < MAX_OPEN_REQUESTS, "too many open requests on one link")
         results = link.pending
         link.pending = []
@@ -228,7 +244,10 @@
             self._stop(TaskKey(name.submission, name.index, name.attempt))
 
     def start_next(self) -> Assignment | None:
-        """Start the waiting task of lowest rank; None if no task waits or no slot is free."""
+        """Mark the waiting task of lowest rank as running and return it, to be run by the caller.
+
+        None if no task waits or no slot is free.
+        """
         if not self.waiting or len(self.running) >= self.announcement.slots:
             return None
         key = min(self.waiting, key=lambda waiting: self.waiting[waiting].rank_ms)
@@ -239,7 +258,7 @@
     def finish(
         self, key: TaskKey, status: ResultStatus, value: Raw, ran_us: int, now: timedelta
     ) -> HostId:
-        """Record the end of a running task and return the host that its result goes to."""
+        """Record the end of a running task and return the host that its result is reported to."""
         assignment = self.running.pop(key)
         link = self.links[assignment.host]
         if not link.pending:
@@ -267,6 +286,7 @@
         )
 
     def _get_report_delay(self, link: Link) -> timedelta:
+        """Return how long pending results wait for others to be sent with them (see `Delays`)."""
         if link.backlog == 0 and all(self._may_hold(item) for item in link.pending):
             return self._delays.hold
         if 2 * len(self.running) >= self.announcement.slots:
@@ -274,7 +294,7 @@
         return timedelta()
 
     def _may_hold(self, item: AssignmentResult) -> bool:
-        """Whether this result may wait: a success of a submission with more tasks held here."""
+        """Whether a result may be delayed: a success of a submission with more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
         return self._held_counts[item.key.submission] > 0
@@ -309,6 +329,7 @@
 
 
 def _compute_share(slots: int, links: list[Link], link: Link) -> int:
+    """Return a link's equal share of the slots, at least 1; the first links get what remains."""
     position = next((at for at, other in enumerate(links) if other is link), 0)
     share, rest = divmod(slots, len(links))
     return max(1, share + (1 if position < rest else 0))
--- a/cottonlug/core/guards.py
+++ b/cottonlug/core/guards.py
@@ -1,9 +1,9 @@
 """Probation for upstreams that fail every task they start.
 
-An upstream whose last two results are failures is put on probation: after a pause it gets one start
-at a time. The pause doubles with each further failure; each success doubles the limit of concurrent
-starts. The share of upstreams on probation at once is bounded, so that one bad job cannot exclude
-all of them.
+An upstream whose last two results are failures is put on probation: after a pause without any
+start it gets one at a time. The pause doubles with each further failure; each success doubles the
+limit of concurrent starts. The share of upstreams on probation at once is bounded, so that one bad
+job cannot exclude all of them.
 """
 
 from __future__ import annotations
@@ -18,13 +18,15 @@
 FIRST_PAUSE = timedelta(seconds=2)
 LONGEST_PAUSE = timedelta(seconds=60)
 PROBATION_EXIT_LIMIT = 8
-"""Limit of concurrent starts at which probation ends."""
+"""Probation ends once the limit of concurrent starts has doubled to this."""
 MAX_PROBATION_SHARE = 0.34
 """Share of the connected upstreams that may be on probation; one always may."""
 
 
 @dataclass(slots=True, kw_only=True)
 class _FailureRecord:
+    """`failures` in a row; `start_limit` is None unless on probation; `pause` is the next one."""
+
     failures: int = 0
     start_limit: int | None = None
     pause: timedelta = FIRST_PAUSE
@@ -51,7 +53,10 @@
             record.pause = FIRST_PAUSE
 
     def record_failure(self, upstream: UpstreamId, now: timedelta) -> bool:
-        """Record a failure; True if it puts the upstream on probation."""
+        """Record a failure; True if it puts the upstream on probation.
+
+        On probation it restarts the pause, now doubled, and sets the limit back to one start.
+        """
         record = self._records.setdefault(upstream, _FailureRecord())
         record.failures += 1
         if record.start_limit is not None:
@@ -75,7 +80,7 @@
         return record is not None and record.start_limit is not None
 
     def add(self, upstream: UpstreamId) -> None:
-        """Count an upstream as connected."""
+        """Count an upstream as connected; a record that it has is kept."""
         self._records.setdefault(upstream, _FailureRecord())
 
     def remove(self, upstream: UpstreamId) -> None:
--- a/cottonlug/core/intake.py
+++ b/cottonlug/core/intake.py
@@ -1,4 +1,7 @@
-"""Turns a caller's request into a job: checks its bounds, applies a rule and computes a digest."""
+"""Turns a caller's request into a job: checks its bounds, applies a rule and computes a digest.
+
+The rule is the first one in the active configuration that matches the request, if any (`rules`).
+"""
 
 from __future__ import annotations
 
@@ -20,6 +23,8 @@
 MAX_LABELS = 32
 MAX_NAME_LENGTH = 63
 DEFAULT_ATTEMPTS = 3
+"""Attempts at a task of an idempotent request, retries included, unless a rule sets another number;
+other tasks are not retried."""
 _DIGEST_BYTES = 16
 
 
@@ -97,7 +102,10 @@
     idempotent: bool,
     now: timedelta,
 ) -> Result[Job, Refusal]:
-    """Return the job with the rule's settings applied, or the rule's rejection."""
+    """Return the job with the rule's settings applied, or the rule's rejection.
+
+    `now` is the time of acceptance, from which the request's deadline counts.
+    """
     if rule is not None and rule.then.reject is not None:
         return Err(
             Refusal(
--- a/cottonlug/core/jobs.py
+++ b/cottonlug/core/jobs.py
@@ -1,8 +1,8 @@
 """One job: its tasks, their states and its final state.
 
-A task moves QUEUED -> SENT -> SUCCEEDED, FAILED or UNKNOWN. It returns from SENT to QUEUED only on
-proof that it did not start; a task of an idempotent request may also be retried after it failed
-or its outcome became unknown.
+A task moves QUEUED -> SENT (to an upstream) -> SUCCEEDED, FAILED or UNKNOWN. It returns from SENT
+to QUEUED only on proof that it did not start; a task of an idempotent request, which its caller
+allows to run more than once, may also be retried after it failed or its outcome became unknown.
 """
 
 from __future__ import annotations
@@ -19,11 +19,16 @@
 from .states import FailureReason, JobState, TaskState
 
 _DISCARDED = Raw(b"null")
+"""Replaces the payload of a task that has succeeded, to free its memory."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobSpec:
-    """What the caller requested, with the rules applied."""
+    """What the caller requested, with the rules applied.
+
+    `timeout` is of one task. `pool` are the labels that an upstream must have to run the tasks;
+    `labels` describe the job itself. `max_attempts` matters only if it is `idempotent`.
+    """
 
     team: TeamName
     kind: KindName
@@ -40,8 +45,10 @@
 class Job:
     """State of one job; the states of its tasks change only through the functions of this module.
 
-    Lists and dictionaries by task use the index of the task. `sent_to` names the upstream of each
-    sent task. `rank` orders the jobs of a team in the queue, lowest first.
+    Lists and dictionaries by task use the index of the task. `queued` are the tasks to be sent,
+    `sent` is the number of tasks sent and not ended; `sent_to` names the upstream of each of them.
+    `digest` is that of the content, which a resend must repeat. `rank`, in seconds, orders the
+    jobs of a team in the queue and the tasks that wait at an upstream, lowest first.
     """
 
     id: SubmissionId
@@ -144,7 +151,10 @@
 def fail_job(
     job: Job, reason: FailureReason, detail: str, now: timedelta, task: int | None = None
 ) -> None:
-    """End the job as failed and list every task that may have run."""
+    """End the job as failed and list every task that may have run.
+
+    `task` is the one that the failure is due to, if any.
+    """
     require(not job.ended, "a job must not end twice")
     may_have_run = [
         index
@@ -189,4 +199,5 @@
 
 
 def _may_have_run_before(job: Job, index: int) -> bool:
+    """Whether an earlier attempt at a queued task may have run; without retries none has."""
     return job.spec.idempotent and job.attempts[index] > 0
--- a/cottonlug/core/limits.py
+++ b/cottonlug/core/limits.py
@@ -10,8 +10,9 @@
 class Limits:
     """Limits of one dispatcher; counts are in tasks.
 
-    `busy_lease` and `busy_park` apply to sessions with outstanding starts, `idle_lease` and
-    `idle_park` to others; a park time is how long a request may wait for its reply.
+    An upstream's session ends if the lease runs out before the upstream's next request. A park time
+    is how long a request may wait for its reply. `busy_lease` and `busy_park` apply to sessions
+    with outstanding starts (sent and without a result), `idle_lease` and `idle_park` to others.
     A lost connection shortens the lease to `suspect_grace`. A job of which no task was sent fails
     after `unrunnable_grace` if none of the connected upstreams could ever run one of its tasks.
     """
