--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -38,7 +38,7 @@
 from .states import ResultStatus
 
 MAX_OPEN_REQUESTS = 2
-"""Per link: one that the host parks until there is a reply, and one for results and new credit."""
+"""Per link: one that the host may park, and meanwhile one for results and new credit."""
 NULL_VALUE = Raw(b"null")
 
 
--- a/cottonlug/core/messages.py
+++ b/cottonlug/core/messages.py
@@ -1,7 +1,8 @@
 """Typed messages between callers, entry hosts and upstreams.
 
-Times are whole milliseconds. Payloads and results are passed through as the received JSON bytes.
-Unknown fields are errors, so that a misspelt field is never silently ignored.
+An entry host accepts callers' jobs and has them run by upstreams. Times are whole milliseconds.
+Payloads and results are passed through as the received JSON bytes. Unknown fields are errors, so
+that a misspelt field is never silently ignored.
 """
 
 from __future__ import annotations
@@ -30,7 +31,11 @@
 
 
 class SubmitRequest(Message):
-    """A job: one payload for each task, and attributes that apply to all of them."""
+    """A job: one payload for each task, and attributes that apply to all of them.
+
+    Priority 0 comes first. `deadline_ms` is for the whole job, from its acceptance; `timeout_ms`
+    and the expected `run_time_ms` are of one task.
+    """
 
     team: TeamName
     kind: KindName
@@ -45,7 +50,10 @@
 
 
 class SingleRequest(Message):
-    """One task, answered in the same call."""
+    """A job of one task, answered in the same call; see `SubmitRequest` for the times.
+
+    If it is `idempotent`, the task may run more than once and be retried.
+    """
 
     team: TeamName
     kind: KindName
@@ -87,7 +95,8 @@
 class Failure(Message):
     """Why a job failed; every task not in `may_have_run` is guaranteed not to have run.
 
-    With `all_may_have_run` no task is guaranteed not to have run.
+    With `all_may_have_run` no task is guaranteed not to have run. `task` is the index of the task
+    that failed, if one did.
     """
 
     reason: FailureReason
@@ -111,7 +120,10 @@
 
 
 class Refusal(Message):
-    """A typed error; `outcome` says whether the work may have run, and NOT_RUN is a guarantee."""
+    """A typed error; `outcome` says whether the work may have run, and NOT_RUN is a guarantee.
+
+    `path` is the field of the request that is wrong, as in `$.tasks[2]`.
+    """
 
     code: RefusalCode
     message: str
@@ -121,7 +133,10 @@
 
 
 class Announcement(Message):
-    """The slots and resources that an upstream offers; sent when a session opens."""
+    """What an upstream offers, sent when a session opens: slots for tasks, labels and resources.
+
+    `slots` is the number of tasks that run at the same time.
+    """
 
     slots: int
     labels: dict[str, str] = {}
@@ -143,6 +158,7 @@
     """Tasks of one submission to start together.
 
     `rank_ms` orders groups that wait for a slot, lowest first, relative to the time of sending.
+    `timeout_ms` is the timeout of each task.
     """
 
     submission: SubmissionId
@@ -153,7 +169,10 @@
 
 
 class TaskResult(msgspec.Struct, array_like=True):
-    """The result of one start; `ran_us` is its run time in microseconds."""
+    """The result of one start; `value` says what went wrong if it failed.
+
+    `ran_us` is its run time in microseconds.
+    """
 
     index: int
     attempt: int
@@ -181,8 +200,10 @@
     """An upstream's message to an entry host: renews the lease and carries credit and results.
 
     `credit` is the total number of unfinished starts that the upstream accepts in this session. A
-    new session number means that the upstream ignores all replies to older sessions. `leaving`
-    says that the upstream takes no new work, `closing` that it holds no task of this host any more.
+    new session number means that the upstream ignores all replies to older sessions; the first
+    request of a session has `announce`, and lists as `held` the tasks of this host that are waiting
+    or running. `seq` numbers the session's requests. `leaving` says that the upstream takes no new
+    work, `closing` that it holds no task of this host any more.
     """
 
     upstream: UpstreamId
@@ -198,7 +219,11 @@
 
 
 class ExchangeReply(Message):
-    """An entry host's reply: starts, stops, and its backlog, by which upstreams divide credit."""
+    """An entry host's reply: starts, stops, and its backlog, by which upstreams divide credit.
+
+    `seq` is that of the request, `backlog` the number of queued tasks. `draining` says that the
+    host shuts down and has none left.
+    """
 
     seq: int
     lease_ms: int
--- a/cottonlug/core/notices.py
+++ b/cottonlug/core/notices.py
@@ -9,7 +9,10 @@
 
 
 class NoticeKind(Enum):
-    """What happened to an upstream."""
+    """What happened to an upstream.
+
+    Its session opened, ended (GONE) or is about to end (LEAVING), or its probation began.
+    """
 
     OPENED = "opened"
     GONE = "gone"
@@ -28,7 +31,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class Counters:
-    """Counts since the dispatcher was created."""
+    """Counts since the dispatcher was created.
+
+    `jobs_attached` are resends of a known job, `refused` refused submissions. `starts` counts tasks
+    sent to an upstream, `exchanges` requests from upstreams, `stale_results` results of starts that
+    are no longer outstanding, `returned_unstarted` sent tasks that provably did not start, and
+    `unknown_tasks` those whose outcome became unknown.
+    """
 
     jobs_accepted: int = 0
     jobs_attached: int = 0
--- a/cottonlug/core/placement.py
+++ b/cottonlug/core/placement.py
@@ -1,7 +1,7 @@
 """Chooses the upstream for a task: in the order of the policy, the first that the task fits.
 
-Ready sessions are kept in a heap. Outdated entries are dropped only when they reach the top, so
-that a start costs O(log n) for n sessions rather than O(n).
+The sessions of upstreams that can take a start now are kept in a heap. Outdated entries are dropped
+only when they reach the top, so that a start costs O(log n) for n sessions rather than O(n).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A task placed on a session, to be sent in the session's next reply."""
+    """An attempt at a task of a job, to be sent in the next reply of the session chosen for it."""
 
     job: Job
     key: TaskKey
@@ -29,7 +29,7 @@
 class _Entry(NamedTuple):
     """Heap entry; a tuple, since tuples compare much faster than dataclasses.
 
-    Versions are unique, so sessions are never compared.
+    `rank` is lowest first. Versions are unique, so sessions are never compared.
     """
 
     rank: float
--- a/cottonlug/core/policy.py
+++ b/cottonlug/core/policy.py
@@ -7,7 +7,11 @@
 
 
 class PlacementOrder(Enum):
-    """Which of the upstreams with free capacity is chosen first."""
+    """Which of the upstreams with free capacity is chosen first.
+
+    LEAST_LOADED: the one with the lowest ratio of starts to credit. FULLEST: the one that can take
+    the fewest further starts. FIRST: the one whose session opened first.
+    """
 
     LEAST_LOADED = "least_loaded"
     FULLEST = "fullest"
@@ -20,7 +24,7 @@
 
     `work_factor` is by how many seconds of arrival time one second of expected work sets a job
     back: 0 is first in, first out. Without `fair_teams` all teams share one queue. Without `guards`
-    upstreams that fail every task are not limited.
+    upstreams that fail every task are not limited (see `guards`).
     """
 
     placement: PlacementOrder = PlacementOrder.LEAST_LOADED
--- a/cottonlug/core/queues.py
+++ b/cottonlug/core/queues.py
@@ -1,4 +1,4 @@
-"""Job queue: ordered by priority, then weighted fairness between teams, then short work first.
+"""Job queue: ordered by priority (0 first), then weighted fairness between teams, then short work.
 
 Fairness is start-time fair queueing: each team has a virtual time that grows by the work that it
 starts divided by its weight, and the team with the lowest virtual time is served next. Within a
@@ -22,6 +22,8 @@
 
 
 class _Entry(NamedTuple):
+    """A job in the heap of its team; jobs of equal rank are in the order in which they came."""
+
     rank: float
     order: int
     job: Job
@@ -62,7 +64,11 @@
                 teams[team].weight = weight
 
     def push(self, job: Job, expected_work: timedelta) -> None:
-        """Add a job with queued tasks, unless it is in the queue already."""
+        """Add a job with queued tasks, unless it is in the queue already.
+
+        A team without other jobs starts at the virtual time of the team served last, so that it
+        gets no credit for the time when it had none.
+        """
         if job.id in self._queued_ids:
             return
         self._queued_ids.add(job.id)
@@ -84,8 +90,8 @@
     def iterate_turns(self) -> Generator[Turn]:
         """Yield the next job to start tasks of, until no job is left.
 
-        Between two steps the caller starts tasks and reports them with `charge`. A job of which the
-        caller starts none is offered again only on the next call.
+        Between two steps the caller starts tasks of it and reports each with `charge`. A job of
+        which the caller starts none is offered again only on the next call.
         """
         for priority in sorted(self._teams_by_priority):
             skipped: list[tuple[_TeamQueue, _Entry]] = []
--- a/cottonlug/core/session_table.py
+++ b/cottonlug/core/session_table.py
@@ -1,7 +1,8 @@
 """All upstream sessions of one entry host: leases, parked requests, credit and replies.
 
-It does not change jobs. When a session ends, it returns the starts that provably did not happen
-and must be queued again, and the starts whose outcome is unknown.
+A session is described in `sessions`; a parked request is one whose reply waits until there is
+something to send. The table does not change jobs. When a session ends, it returns the starts (tasks
+sent) that provably did not happen and must be queued again, and those whose outcome is unknown.
 """
 
 from __future__ import annotations
@@ -32,13 +33,13 @@
 from .states import RefusalCode, SessionState
 
 PRIORITY_RANK_MS = 86_400_000
-"""Offset of rank between two priorities: one day, the longest deadline, so that it exceeds the
-difference of rank within one priority."""
+"""Offset of rank between two priorities: one day, the longest deadline of a job, so that it exceeds
+the difference of rank within one priority."""
 
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """A reply and where it goes: to the session's open request with the same `seq`."""
+    """A reply and where it goes: to the session's open (unanswered) request with its `seq`."""
 
     upstream: UpstreamId
     session: SessionNumber
@@ -69,7 +70,11 @@
 
 
 class SessionTable:
-    """The sessions of all connected upstreams, and the replies that are due to them."""
+    """The sessions of all connected upstreams, and the replies that are due to them.
+
+    `ready` are the sessions that can take a start now, `guard` limits failing upstreams, and `now`
+    is the time of the call being handled, set by the caller.
+    """
 
     def __init__(self, *, limits: Limits, policy: Policy, counters: Counters) -> None:
         self.by_upstream: dict[UpstreamId, Session] = {}
@@ -84,10 +89,15 @@
         self._counters = counters
         self._final_replies: list[Delivery] = []
         self._maybe_due: dict[UpstreamId, None] = {}
+        """Upstreams to which a reply may be due, as an ordered set."""
         self._ordinals = count()
 
     def open_session(self, request: ExchangeRequest, now: timedelta) -> OpenedSession | Refusal:
-        """Return the session of a request; a request with an announcement may open a new one."""
+        """Return the session of a request; a request with an announcement may open a new one.
+
+        Refused as stale are a request that is open already, one of an older session, and one of an
+        unknown session without an announcement.
+        """
         session = self.by_upstream.get(request.upstream)
         same_incarnation = session is not None and session.incarnation == request.incarnation
         if session is not None and same_incarnation and session.number == request.session:
@@ -164,7 +174,7 @@
         return expired
 
     def mark_reply_due(self, upstream: UpstreamId) -> None:
-        """Record that a reply to this upstream may be due."""
+        """Record that a reply to this upstream may be due; `build_due_replies` finds out."""
         self._maybe_due[upstream] = None
 
     def add_start(self, session: Session, placement: Placement) -> None:
@@ -207,6 +217,10 @@
     def _replace_session(
         self, old: Session, opened: OpenedSession, request: ExchangeRequest
     ) -> None:
+        """End the old session; the new one takes over the starts that its request names.
+
+        Of a restarted upstream none are left.
+        """
         new_session = opened.session
         if old.incarnation != new_session.incarnation:
             opened.lost = self.close_session(old, "the upstream restarted")
@@ -232,6 +246,7 @@
         return self._limits.busy_lease if session.outstanding else self._limits.idle_lease
 
     def _get_free_capacity(self, session: Session) -> int:
+        """Return how many more starts a session can take now, by its credit and its probation."""
         limit = (
             self.guard.get_start_limit(session.upstream, self.now) if self._policy.guards else None
         )
@@ -245,6 +260,7 @@
         limits = self._limits
         park = limits.busy_park if session.outstanding else limits.idle_park
         parked_too_long = self.now - session.last_heard >= park
+        # One parked request is enough; the upstream needs the other one for its next update.
         is_spare = len(session.open_requests) > 1
         leaves = session.state is SessionState.LEAVING
         due = placed or session.stops or parked_too_long or is_spare or leaves or queue.drained
--- a/cottonlug/core/sessions.py
+++ b/cottonlug/core/sessions.py
@@ -1,9 +1,11 @@
 """The entry host's side of one upstream's session.
 
-The upstream connects and numbers its sessions and requests; the host answers each request once. A
-start that was sent in a session stays outstanding until one of these: its result arrives; a newer
-session of the same incarnation neither holds nor reports it (proof that it did not start); or the
-lease ends (its outcome is then unknown).
+The upstream connects and numbers its sessions and requests; the host answers each request once, and
+may park it until there is something to send. Each request renews the session's lease. A start (a
+task that was sent) stays outstanding until one of these: its result arrives; a newer session of the
+same incarnation (run of the upstream's process) neither holds nor reports it (proof that it did not
+start); or the session ends because the lease ran out, the upstream left or it was restarted (its
+outcome is then unknown).
 """
 
 from __future__ import annotations
@@ -22,8 +24,11 @@
 class Session:
     """State of one upstream's session at one entry host.
 
-    `ordinal` counts the sessions in the order of opening. `entry_version` is the version of the
-    session's current entry among the ready sessions (see `placement`).
+    `expires_at` is when the lease runs out. `credit` is how many outstanding starts the upstream
+    accepts. `open_requests` are the numbers of requests not yet answered, oldest first, and `stops`
+    the tasks that the next reply stops. `ordinal` counts the sessions in the order of opening.
+    `entry_version` is the version of the session's current entry among the ready sessions (see
+    `placement`).
     """
 
     upstream: UpstreamId
@@ -90,7 +95,7 @@
 
 
 def remove_outstanding(session: Session, key: TaskKey) -> bool:
-    """Release the resources of a start; False if it was not outstanding in this session."""
+    """Remove a start and release its resources; False if it was not outstanding in this session."""
     needs = session.outstanding.pop(key, None)
     if needs is None:
         return False
--- a/cottonlug/core/states.py
+++ b/cottonlug/core/states.py
@@ -6,7 +6,11 @@
 
 
 class TaskState(Enum):
-    """State of one task of a job."""
+    """State of one task of a job.
+
+    SENT: sent to an upstream, where it may be waiting or running. UNKNOWN: it was sent,
+    and its outcome can no longer be learned.
+    """
 
     QUEUED = "queued"
     SENT = "sent"
@@ -24,7 +28,11 @@
 
 
 class FailureReason(Enum):
-    """Why a job failed."""
+    """Why a job failed.
+
+    NEVER_RUNNABLE: no upstream has what its tasks need. RECORD_LOST: the host that accepted it lost
+    its records.
+    """
 
     TASK_FAILED = "task_failed"
     TASK_UNKNOWN = "task_unknown"
@@ -36,7 +44,10 @@
 
 
 class ResultStatus(Enum):
-    """Outcome of one start as reported by the upstream."""
+    """Outcome of one start as reported by the upstream.
+
+    NOT_STARTED: it was returned before it ran. STOPPED: it was interrupted while it ran.
+    """
 
     SUCCEEDED = "succeeded"
     FAILED = "failed"
@@ -45,7 +56,12 @@
 
 
 class RefusalCode(Enum):
-    """Why a call was refused."""
+    """Why a call was refused.
+
+    The home is the entry host that holds the record of a submission. EXPIRED_ID: the submission id
+    is too old, and its answer, if there was one, is gone. ID_CONFLICT: it was used for other
+    content. STALE_SESSION: the upstream has to open a new session.
+    """
 
     INVALID = "invalid"
     TOO_LARGE = "too_large"
@@ -66,14 +82,18 @@
 
 
 class RunOutcome(Enum):
-    """What a refusal says about whether the work has run."""
+    """What a refusal says about whether the work has run; NOT_RUN is a guarantee."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class SessionState(Enum):
-    """State of an upstream's session at an entry host."""
+    """State of an upstream's session at an entry host.
+
+    SUSPECT: a connection was lost, so it gets no starts until its next request. LEAVING: the
+    upstream is shutting down and takes no more starts.
+    """
 
     ACTIVE = "active"
     SUSPECT = "suspect"
--- a/cottonlug/core/submissions.py
+++ b/cottonlug/core/submissions.py
@@ -1,9 +1,11 @@
 """Submission records of one home: the accepted submission ids and their jobs.
 
-An id may start a job only while it is younger than `id_lifetime`. The answer is kept for
-`retention` after the job's end, and a tombstone until the id is too old to be used. A resend
-therefore either finds a record or is refused; it never starts a second job. Ages are measured on
-the monotonic clock of one generation; a store that lost its records begins a new generation.
+The home of a submission is the entry host that minted its id and holds its record. An id may start
+a job only while it is younger than `id_lifetime`. The answer is kept for `retention` after the
+job's end, and then a tombstone (the id alone) until the id is too old to be used. A resend
+therefore either finds a record or is refused; it never starts a second job, except of an idempotent
+request, whose record is dropped at its end. Ages are measured on the monotonic clock of one
+generation; a store that lost its records begins a new generation.
 """
 
 from __future__ import annotations
@@ -68,7 +70,10 @@
         )
 
     def find_submission(self, id: SubmissionId, now: timedelta) -> Result[Job | JobAnswer, Refusal]:
-        """Return the job of an id; an id of another generation gets the answer `record_lost`."""
+        """Return the job of an id; an id of another generation gets the answer `record_lost`.
+
+        Refused are ids that have no record, and those whose answer was dropped after `retention`.
+        """
         job = self.jobs.get(id)
         if job is not None:
             return Success(job)
@@ -87,6 +92,7 @@
         if parsed is None or not self._is_home_of(parsed):
             return _refuse_unknown(id)
         age = now - self._started_at - parsed.minted
+        # An id from the future, beyond any rounding, was not minted here.
         if parsed.generation != self.generation or age < timedelta(seconds=-1):
             return _refuse_unknown(id)
         if age > self.id_lifetime or id in self._tombstones:
@@ -110,6 +116,7 @@
         while self._ended and now > (self._ended[0].ended_at or now) + self._retention:
             job = self._ended.popleft()
             del self.jobs[job.id]
+            # The id was minted before the job was accepted, so it is too old by then.
             self._tombstones[job.id] = max(now, job.accepted_at + self.id_lifetime)
         while self._tombstones:
             id, until = next(iter(self._tombstones.items()))
--- a/cottonlug/unused_imports.py
+++ b/cottonlug/unused_imports.py
@@ -1,8 +1,8 @@
 """Keeps libraries from importing optional modules that cottonlug never uses, to save memory.
 
 Litestar imports pydantic if it is installed (9 MB); httpx and typer import rich (3 MB). This module
-has to be imported first. Only the entry points of the command line and of the daemons import it, so
-programs that embed the core are not affected.
+has to be imported before them. Only the entry points of the command line and of the daemons import
+it, so programs that embed the core are not affected.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import sys
 
 UNUSED_MODULES = ("pydantic", "httpx._main", "rich")
+"""`httpx._main` is the command line of httpx, which imports rich."""
 
 
 def block_unused_imports() -> None:
