--- a/cottonlug/core/execution.py
+++ b/cottonlug/core/execution.py
@@ -287,13 +287,13 @@
 
     def _get_report_delay(self, link: Link) -> timedelta:
         """Return how long pending results wait for others to be sent with them (see `Delays`)."""
-        if link.backlog == 0 and all(self._may_hold(item) for item in link.pending):
+        if link.backlog == 0 and all(self._may_delay(item) for item in link.pending):
             return self._delays.hold
         if 2 * len(self.running) >= self.announcement.slots:
             return self._delays.coalesce
         return timedelta()
 
-    def _may_hold(self, item: AssignmentResult) -> bool:
+    def _may_delay(self, item: AssignmentResult) -> bool:
         """Whether a result may be delayed: a success of a submission with more tasks held here."""
         if item.result.status is not ResultStatus.SUCCEEDED:
             return False
