--- a/cottonlug/core/consensus/replacement.py
+++ b/cottonlug/core/consensus/replacement.py
@@ -12,7 +12,7 @@
 from .types import MemberId, Members
 
 DEFAULT_VOTERS = 3
-"""Least number of voters to aim for; while there are more, a lost one is not replaced first."""
+"""Least number of voters to aim for; with more, a lost voter is removed without a replacement."""
 MAX_VOTERS = 7
 """Seven voters tolerate the loss of three; more would only make a majority slower."""
 
--- a/cottonlug/tests/model_disk.py
+++ b/cottonlug/tests/model_disk.py
@@ -24,6 +24,8 @@
 
 @dataclass(slots=True)
 class _Inode:
+    """Content of a file: as of its last sync, and the writes since then."""
+
     durable: bytes = b""
     pending: list[Callable[[bytes], bytes]] = field(default_factory=list)
     """Writes since the last sync, each as a function from the old content to the new."""
@@ -69,6 +71,7 @@
         """Share of the writes and syncs that fail; a failed write may have written a part."""
         self._names: dict[str, _Inode] = {}
         self._durable_names: dict[str, _Inode] = {}
+        """The files in the folder as they are found after a power failure."""
         self._open: dict[int, _Inode] = {}
         self._next = 3
 
@@ -84,6 +87,7 @@
         }
         for inode in inodes.values():
             inode.lose_power(self.chance)
+        # Names changed since the last sync of the folder are lost or kept, all of them.
         if self.chance.random() < 0.5:
             self._names = dict(self._durable_names)
         else:
--- a/cottonlug/tests/test_consensus.py
+++ b/cottonlug/tests/test_consensus.py
@@ -43,6 +43,7 @@
 from .test_consensus_faults import FakeFiles
 
 A, B, C = MemberId("a/1"), MemberId("b/1"), MemberId("c/1")
+"""The three voters; where a test has one member, it is A and the test plays the others."""
 SNAPSHOT = Snapshot(index=Index(1), term=Term(0), members=Members(voters=(A, B, C)), data="")
 
 
@@ -65,12 +66,14 @@
 
 
 def read_last_vote(member: Member) -> bool:
+    """Return whether the member granted the vote in its newest message."""
     message = member.take_output().messages[-1].message
     assert isinstance(message, VoteReply)
     return message.granted
 
 
 def elect_leader(member: Member) -> None:
+    """Let A's election timeout pass, at 10 s, and B vote for it."""
     late = timedelta(seconds=10)
     member.tick(late)
     term = Term(member.term + 1)
@@ -82,6 +85,7 @@
 FAST_TIMING = Timing(
     first_election=timedelta(milliseconds=60), pre_vote_retry=timedelta(milliseconds=100)
 )
+"""With the intervals that control hosts use for their first election (`runtime.replica`)."""
 
 
 def build_fast_member(id: MemberId, now: timedelta) -> Member:
@@ -89,7 +93,7 @@
 
 
 def deliver_messages(members: dict[MemberId, Member], now: timedelta) -> None:
-    """Deliver messages until there are none."""
+    """Deliver messages between these members until there are none; others are unreachable."""
     waiting = True
     while waiting:
         waiting = False
@@ -234,6 +238,7 @@
 
 
 def build_full_journal() -> tuple[FakeFiles, Journal]:
+    """Return a journal with a vote and two entries, and the files that hold it."""
     files = FakeFiles(random.Random(1))
     journal = open_journal(files, A).unwrap()
     hard_state = HardState(term=Term(3), voted_for=B)
@@ -302,6 +307,7 @@
 
 
 def test_leader_election_appends_an_empty_entry() -> None:
+    """Without an entry of its own term a new leader could not commit those of older terms."""
     member = build_member(build_stored(2))
     elect_leader(member)
     assert [entry.kind for entry in member.take_output().entries] == [EntryKind.EMPTY]
--- a/cottonlug/tests/test_consensus_faults.py
+++ b/cottonlug/tests/test_consensus_faults.py
@@ -45,7 +45,9 @@
 
 HOSTS = ("a", "b", "c")
 STEPS = 6_000
+"""Random actions in one run."""
 COMPACT_AFTER = 20
+"""Number of entries after which a member replaces them by a snapshot."""
 
 
 class CrashError(Exception):
@@ -53,7 +55,10 @@
 
 
 class FakeFiles:
-    """A folder in memory that may crash during a write and keep only a part of it."""
+    """A folder in memory; the process may crash during a write, of which a part is then kept.
+
+    `crash_rate` is the share of writes with a crash; with `full` every write fails.
+    """
 
     def __init__(self, chance: random.Random) -> None:
         self.content: dict[str, bytes] = {}
@@ -93,7 +98,10 @@
 
 @dataclass(slots=True)
 class Node:
-    """One host: its disk, and its process while that runs."""
+    """One host: its disk, and its process while that runs.
+
+    `seen_version` is the newest configuration that it has applied from its present disk.
+    """
 
     host: str
     files: FakeFiles
@@ -104,7 +112,11 @@
 
 
 class Cluster:
-    """Three hosts, the messages between them, and all outcomes that operators may know so far."""
+    """Three hosts, the messages between them, and all outcomes that operators may know so far.
+
+    `isolated` hosts reach no host outside that set. `committed` and `leaders` are what any member
+    was ever seen to commit at an index, and to lead in a term.
+    """
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
@@ -257,7 +269,10 @@
         node.member.propose(encode_command(command), self.now)
 
     def lose_disk(self, node: Node) -> None:
-        """Lose one disk if the two others run and hold everything that was committed."""
+        """Lose one disk if the two others run and hold everything that was committed.
+
+        The log does not promise to survive more.
+        """
         others = [each for each in self.nodes.values() if each is not node]
         if node.member is None or any(each.member is None for each in others):
             return
--- a/cottonlug/tests/test_dispatcher.py
+++ b/cottonlug/tests/test_dispatcher.py
@@ -38,6 +38,7 @@
     (delivery,) = dispatcher.dispatch(timedelta())
     executor.handle_reply(link, delivery.session, delivery.reply, timedelta())
     assert link.open_requests == 1
+    # Later than the busy lease (4 s) and earlier than the idle lease (45 s) would end.
     dispatcher.tick(20 * SECOND)
     assert executor.upstream in dispatcher.sessions
 
@@ -50,6 +51,7 @@
     dispatcher.exchange(executor.build_request(link), timedelta())
     job = submit(dispatcher, 1)
     assert len(dispatcher.dispatch(timedelta())) == 1
+    # The busy lease is 4 s.
     dispatcher.tick(3 * SECOND)
     assert not job.ended
     dispatcher.tick(5 * SECOND)
@@ -73,12 +75,14 @@
             assert assignment is not None
             executor.finish(assignment.key, ResultStatus.FAILED, Raw(b"1"), 10, timedelta())
             dispatcher.exchange(executor.build_request(link), timedelta())
+    # The last of the upstreams, w2, has had no failure.
     assert dispatcher.get_probation_limit(executor.upstream) is None
     assert dispatcher.counters.probations == 1
     submit(dispatcher, 20)
     names = [each.upstream for each in dispatcher.dispatch(timedelta()) if each.reply.starts]
     assert sorted(names) == ["w1", "w2"]
     submit(dispatcher, 1)
+    # The first pause of a probation is 2 s.
     dispatcher.tick(2 * SECOND)
     (delivery,) = [each for each in dispatcher.dispatch(2 * SECOND) if each.upstream == "w0"]
     assert len(list_started([delivery.reply])) == 1
@@ -122,6 +126,7 @@
     object.__setattr__(job.spec, "needs", Needs(accelerators=1))
     dispatcher.submit(job, None).unwrap()
     assert dispatcher.dispatch(timedelta()) == []
+    # `unrunnable_grace` is 10 s.
     dispatcher.tick(11 * SECOND)
     assert job.state is JobState.FAILED and job.failure is not None
     assert job.failure.reason is FailureReason.NEVER_RUNNABLE
--- a/cottonlug/tests/test_exchange_faults.py
+++ b/cottonlug/tests/test_exchange_faults.py
@@ -29,7 +29,10 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request and its reply, both possibly still in flight."""
+    """One request and its reply, both possibly still in flight.
+
+    `delivered`: the request has reached the host. `reply`: the host has sent it.
+    """
 
     executor: Executor
     request: ExchangeRequest
@@ -38,7 +41,10 @@
 
 
 class ExchangeScenario:
-    """Random actions and faults of one entry host, its upstreams and the network between them."""
+    """Random actions and faults of one entry host, its upstreams and the network between them.
+
+    `starts` counts by submission and task how often an upstream really started it.
+    """
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
