--- a/cottonlug/core/consensus/member.py
+++ b/cottonlug/core/consensus/member.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class NotLeader:
+class ProposalRefusal:
     """Why a member refused a command or a change of members; a leader may refuse a change too.
 
     `leader` is the leader that the member knows, if any; it may be the member itself.
@@ -129,7 +129,7 @@
             # A transfer request: no pre-vote, which the others would refuse as they hear a leader.
             self._campaign(pre=False, transfer=True)
 
-    def propose(self, data: str, now: timedelta) -> Result[tuple[Term, Index], NotLeader]:
+    def propose(self, data: str, now: timedelta) -> Result[tuple[Term, Index], ProposalRefusal]:
         """Append a command and return its entry's term and index.
 
         It is accepted once an entry of this term is committed at this index; an entry of another
@@ -137,17 +137,17 @@
         """
         self._now = now
         if self.role is not Role.LEADER:
-            return Err(NotLeader(leader=self.leader, reason="not the leader"))
+            return Err(ProposalRefusal(leader=self.leader, reason="not the leader"))
         entry = self._append_own_entry(EntryKind.COMMAND, data, None)
         self._replicate_all()
         return Success((entry.term, entry.index))
 
-    def change_members(self, members: Members, now: timedelta) -> Result[Index, NotLeader]:
+    def change_members(self, members: Members, now: timedelta) -> Result[Index, ProposalRefusal]:
         """Append a new set of members, with at most one voter added or removed."""
         self._now = now
         refusal = self._check_member_change(members)
         if refusal is not None:
-            return Err(NotLeader(leader=self.leader, reason=refusal))
+            return Err(ProposalRefusal(leader=self.leader, reason=refusal))
         entry = self._append_own_entry(EntryKind.MEMBERS, "", members)
         self._update_members()
         self._replicate_all()
