--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -35,7 +35,7 @@
         self._listening = listening
         self._build_protocol = build_protocol
         self._loop = asyncio.get_running_loop()
-        self._open_tasks: set[asyncio.Task[Any]] = set()
+        self._opening_tasks: set[asyncio.Task[Any]] = set()
         self._is_closed = False
         listening.setblocking(False)
         self._start_accepting()
@@ -49,7 +49,7 @@
 
     async def wait_closed(self) -> None:
         """Wait until all accepted connections have been opened."""
-        await asyncio.gather(*self._open_tasks, return_exceptions=True)
+        await asyncio.gather(*self._opening_tasks, return_exceptions=True)
 
     def _start_accepting(self) -> None:
         if not self._is_closed:
@@ -70,8 +70,8 @@
             accepted.setblocking(False)
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             opening = self._loop.create_task(self._open(accepted))
-            self._open_tasks.add(opening)
-            opening.add_done_callback(self._open_tasks.discard)
+            self._opening_tasks.add(opening)
+            opening.add_done_callback(self._opening_tasks.discard)
 
     async def _open(self, accepted: socket.socket) -> None:
         try:
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -41,7 +41,7 @@
 ) -> Handler:
     """Return the handler of the platform's API for callers."""
 
-    async def _answer(call: Call, timeout: timedelta) -> Answer:
+    async def answer_or_abandon(call: Call, timeout: timedelta) -> Answer:
         try:
             return await answer(call, timeout)
         except asyncio.CancelledError:
@@ -55,7 +55,7 @@
         if isinstance(call, HttpResponse):
             response = call
         else:
-            response = _encode_answer(await _answer(call, _read_wait_timeout(request)))
+            response = _encode_answer(await answer_or_abandon(call, _read_wait_timeout(request)))
         response.close = is_stopping()
         return response
 
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -42,7 +42,7 @@
 """Two intervals of this length fit into `GATEWAY_TIMEOUT`, so that one keep-alive may be lost."""
 KEEPALIVE_SECONDS_WITHOUT_LEADER = 0.05
 """Interval of keep-alives while the leader does not answer, or is not called directly; also the
-shortest pause between failover checks (`replace_leader`) unless the next is due at once."""
+shortest pause between failover checks (`check_failover`) unless the next is due at once."""
 MIN_KEEPALIVE_PAUSE_SECONDS = 0.025
 """Control hosts hold a keep-alive for up to 70 ms until a leader is elected. A gateway learns of a
 leader that is elected between two keep-alives only with the next one, so this pause is short."""
@@ -70,7 +70,7 @@
 LEVELS_PER_ACTING_PERIOD = 1_000
 """The fencing token of an acting leader is that of the last leader plus a level. Each gateway has a
 level of its own in each period in which it acts as leader, so there may be this many gateways."""
-STEP_DOWN_DELAY = timedelta(milliseconds=400)
+MAX_CHECK_DELAY = timedelta(milliseconds=400)
 """Not a pause: if more time than this has passed since the last failover check, this process was
 delayed. Another coordinator may have replaced this acting leader, which therefore steps down."""
 ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
@@ -138,7 +138,7 @@
         self._was_ready = False
         self._was_silent = False
         self._checked_at = clock.monotonic()
-        """When `replace_leader` was last called, or this gateway began to act as leader."""
+        """When `check_failover` was last called, or this gateway began to act as leader."""
         self._fenced_off_at: timedelta | None = None
         """When upstreams last fenced this gateway off as acting leader."""
         self._changed = asyncio.Event()
@@ -148,7 +148,7 @@
     def start(self) -> None:
         """Start the background tasks that find and follow the coordinator."""
         self._tasks.append(asyncio.create_task(self._send_keepalives_forever()))
-        self._tasks.append(asyncio.create_task(self._replace_leader_forever()))
+        self._tasks.append(asyncio.create_task(self._check_failover_forever()))
 
     def stop(self) -> None:
         """Cancel the background tasks and step down as acting leader."""
@@ -356,9 +356,9 @@
 
     # Failover
 
-    async def _replace_leader_forever(self) -> None:
+    async def _check_failover_forever(self) -> None:
         while True:
-            is_due = await self.replace_leader()
+            is_due = await self.check_failover()
             await asyncio.sleep(
                 KEEPALIVE_RETRY_SECONDS if is_due else self._choose_failover_check_pause()
             )
@@ -368,14 +368,14 @@
         by_count = self.failover_store.count_gateways() * FAILOVER_CHECK_SECONDS_PER_GATEWAY
         return min(max(by_count, KEEPALIVE_SECONDS_WITHOUT_LEADER), MAX_FAILOVER_CHECK_SECONDS)
 
-    async def replace_leader(self) -> bool:
+    async def check_failover(self) -> bool:
         """Do one failover check; while a leader can be reached directly, there is nothing to do.
 
         Otherwise check the acting leader or relay in use. If there is none, find one or, where none
         is found, act as leader here. Return whether the next check is due at once.
         """
         now = self._clock.monotonic()
-        was_delayed = now - self._checked_at > STEP_DOWN_DELAY
+        was_delayed = now - self._checked_at > MAX_CHECK_DELAY
         self._checked_at = now
         if self.acting_leader is not None:
             if was_delayed or self.acting_leader.authority.is_over:
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -219,7 +219,7 @@
         began_at = self._clock.monotonic()
         deadline = began_at + timeout
         unavailable_since: timedelta | None = None
-        is_unknown = False
+        may_have_run = False
         while True:
             now = self._clock.monotonic()
             left = deadline - now
@@ -238,14 +238,14 @@
             answer = await self._try_once(call, left)
             is_undecided = answer.outcome in (Outcome.UNKNOWN, Outcome.UNAVAILABLE)
             if answer.outcome is Outcome.UNKNOWN:
-                is_unknown = True
+                may_have_run = True
                 unavailable_since = None
                 if isinstance(call, Submit):
                     call = _mark_begun(call, acting_leader_term, via)
                     call = _add_suspects(call, answer)
             elif answer.outcome is Outcome.UNAVAILABLE:
                 unavailable_since = now if unavailable_since is None else unavailable_since
-            elif answer.outcome is Outcome.REJECTED and is_unknown:
+            elif answer.outcome is Outcome.REJECTED and may_have_run:
                 # An earlier try may have run, so the job can no longer be reported as not run.
                 break
             else:
@@ -254,7 +254,7 @@
             if is_undecided and isinstance(call, Submit) and self._is_hopeless(call, waited):
                 break
             await self.link.wait_for_change(RETRY_SECONDS)
-        outcome = Outcome.UNKNOWN if is_unknown else Outcome.UNAVAILABLE
+        outcome = Outcome.UNKNOWN if may_have_run else Outcome.UNAVAILABLE
         return Answer(outcome=outcome, detail="no coordinator could be reached in time")
 
     def _get_coordinator_wait(self, call: Call) -> timedelta:
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -21,11 +21,11 @@
 Each submission confirms its own job alone, for a span of its own. The interval is half of the time
 between two scheduling rounds.
 """
-MAX_PARTS_PER_SECOND = 600
+MAX_LARGE_PARTS_PER_SECOND = 600
 """Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
 CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
-LATE_KEEPALIVE_AGE = timedelta(milliseconds=150)
+LATE_MESSAGE_AGE = timedelta(milliseconds=150)
 """A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
 LATE_LOG_INTERVAL = timedelta(seconds=1)
 """Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
@@ -55,8 +55,8 @@
         self._domains: dict[str, DomainName] = {}
         self._instances: dict[str, int] = {}
         self._has_durable_jobs = False
-        self._parts_left = float(MAX_PARTS_PER_SECOND)
-        self._parts_at = clock.monotonic()
+        self._large_parts_left = float(MAX_LARGE_PARTS_PER_SECOND)
+        self._large_parts_updated_at = clock.monotonic()
 
     def record_durable_jobs(self, are_open: bool) -> None:
         """Record whether any durable jobs are open."""
@@ -115,7 +115,7 @@
 
     def _record_message_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
-        if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
+        if age >= LATE_MESSAGE_AGE and now >= self._late_log_due:
             self._late_log_due = now + LATE_LOG_INTERVAL
             log_event(Event.KEEPALIVE_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
@@ -167,7 +167,7 @@
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.failover_log.is_next_part_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_next_part_large(records, known) and not self._claim_large_part():
             return None
         return self.failover_log.build(
             records, gateways, has_durable_jobs=self._has_durable_jobs, known=known
@@ -177,13 +177,15 @@
         """Return whether this is the latest version of the failover state."""
         return known == self.failover_log.version
 
-    def _may_send_part(self) -> bool:
+    def _claim_large_part(self) -> bool:
         """Return whether another large part may be sent now, and count it if so."""
         now = self._clock.monotonic()
-        earned = (now - self._parts_at).total_seconds() * MAX_PARTS_PER_SECOND
-        self._parts_at = now
-        self._parts_left = min(self._parts_left + earned, float(MAX_PARTS_PER_SECOND))
-        if self._parts_left < 1.0:
+        earned = (now - self._large_parts_updated_at).total_seconds() * MAX_LARGE_PARTS_PER_SECOND
+        self._large_parts_updated_at = now
+        self._large_parts_left = min(
+            self._large_parts_left + earned, float(MAX_LARGE_PARTS_PER_SECOND)
+        )
+        if self._large_parts_left < 1.0:
             return False
-        self._parts_left -= 1.0
+        self._large_parts_left -= 1.0
         return True
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -53,7 +53,7 @@
         gateways: GatewayRegistry,
         waiters: Waiters,
         clock: Clock,
-        terms: LeaseTerms,
+        lease_terms: LeaseTerms,
         caller_retry: timedelta,
         propose: Callable[[Command, Hashable], Awaitable[Answer]],
         wait_for_commit: Callable[[Hashable], Awaitable[Answer]],
@@ -66,7 +66,7 @@
         self._gateways = gateways
         self._waiters = waiters
         self._clock = clock
-        self._terms = terms
+        self._lease_terms = lease_terms
         self._caller_retry = caller_retry
         self._propose = propose
         self._wait_for_commit = wait_for_commit
@@ -202,8 +202,8 @@
         return await self._wait_for_end(job)
 
     def _build_submission(self, call: Submit, sent_at: timedelta) -> Submission:
-        longest = self._terms.lapse_after + GATEWAY_TIMEOUT
-        after_retry = max(longest - self._caller_retry, timedelta())
+        until_lapsed = self._lease_terms.lapse_after + GATEWAY_TIMEOUT
+        until_lapsed_after_retry = max(until_lapsed - self._caller_retry, timedelta())
         return Submission(
             gateway=call.gateway,
             home=self._gateways.find_domain(call.gateway),
@@ -211,7 +211,7 @@
             may_have_begun=call.may_have_begun,
             may_be_of_acting_leader=call.may_be_of_acting_leader or bool(call.acting_leader_term),
             # A caller that lost its gateway sends its job again only after `caller_retry`.
-            reconcile_after=longest if call.may_have_begun else after_retry,
+            reconcile_after=until_lapsed if call.may_have_begun else until_lapsed_after_retry,
             waited=timedelta(milliseconds=call.waited_ms),
         )
 
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -37,7 +37,7 @@
 CHANNEL_RETENTION = timedelta(seconds=30)
 """How long an unused channel is kept; a live host polls every 0.3 s."""
 
-_MAX_NUMBERING = 1 << 52
+_MAX_FIRST_NUMBERING = 1 << 52
 """Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
 
 AnswerCall = Callable[[Call], Awaitable[Answer]]
@@ -55,8 +55,8 @@
     answer_count: int = 0
     """Number of answers so far, and thus the number of the last one."""
     answers: list[tuple[int, NumberedAnswer]] = field(default_factory=list)
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
-    running_count: int = 0
+    answer_added: asyncio.Event = field(default_factory=asyncio.Event)
+    unanswered_count: int = 0
 
 
 class JobChannelServer:
@@ -74,9 +74,9 @@
         self._clock = clock
         self._find_slack = find_slack
         self._channels: dict[tuple[str, int], _Channel] = {}
-        self._waiting: list[tuple[float, int, int, _Channel, Submit]] = []
-        self._order = itertools.count()
-        self._numbering = random.randrange(_MAX_NUMBERING)
+        self._queued: list[tuple[float, int, int, _Channel, Submit]] = []
+        self._arrival_numbers = itertools.count()
+        self._last_numbering = random.randrange(_MAX_FIRST_NUMBERING)
         self._is_start_scheduled = False
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -107,11 +107,11 @@
             if job.number <= channel.received_through:
                 continue
             channel.received_through = job.number
-            channel.running_count += 1
+            channel.unanswered_count += 1
             latest_start = now + self._find_slack(job.submit)
-            entry = (latest_start, next(self._order), job.number, channel, job.submit)
-            heapq.heappush(self._waiting, entry)
-        if self._waiting and not self._is_start_scheduled:
+            entry = (latest_start, next(self._arrival_numbers), job.number, channel, job.submit)
+            heapq.heappush(self._queued, entry)
+        if self._queued and not self._is_start_scheduled:
             self._is_start_scheduled = True
             asyncio.get_running_loop().call_soon(self._start_next)
 
@@ -124,10 +124,10 @@
         if ask.numbering == channel.numbering:
             channel.answers = [each for each in channel.answers if each[0] > ask.have]
         if not channel.answers:
-            channel.changed.clear()
+            channel.answer_added.clear()
             try:
                 async with asyncio.timeout(ANSWER_POLL_WAIT.total_seconds()):
-                    await channel.changed.wait()
+                    await channel.answer_added.wait()
             except TimeoutError:
                 pass
         answers = tuple(answer for _, answer in channel.answers)
@@ -137,12 +137,12 @@
 
     def _start_next(self) -> None:
         """Start the most urgent queued jobs, and continue in the next iteration of the loop."""
-        for _ in range(min(MAX_STARTS_PER_TURN, len(self._waiting))):
-            _, _, number, channel, submit = heapq.heappop(self._waiting)
+        for _ in range(min(MAX_STARTS_PER_TURN, len(self._queued))):
+            _, _, number, channel, submit = heapq.heappop(self._queued)
             task = asyncio.create_task(self._run_job(channel, number, submit))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-        self._is_start_scheduled = bool(self._waiting)
+        self._is_start_scheduled = bool(self._queued)
         if self._is_start_scheduled:
             asyncio.get_running_loop().call_soon(self._start_next)
 
@@ -155,19 +155,19 @@
             log_event(Event.CALL_FAILED, call="Submit", path=submit.path, detail=detail)
             answer = Answer(outcome=Outcome.UNKNOWN, detail=detail)
         finally:
-            channel.running_count -= 1
+            channel.unanswered_count -= 1
         channel.answer_count += 1
         channel.answers.append((channel.answer_count, NumberedAnswer(number=number, answer=answer)))
-        channel.changed.set()
+        channel.answer_added.set()
 
     def _get_channel(self, caller: str, channel_id: int) -> _Channel:
         now = self._clock.monotonic()
         channel = self._channels.get((caller, channel_id))
         if channel is None:
             self._drop_idle(now)
-            self._numbering += 1
+            self._last_numbering += 1
             channel = self._channels[(caller, channel_id)] = _Channel(
-                used_at=now, numbering=self._numbering
+                used_at=now, numbering=self._last_numbering
             )
         channel.used_at = now
         return channel
@@ -176,5 +176,5 @@
         self._channels = {
             key: channel
             for key, channel in self._channels.items()
-            if channel.running_count or now - channel.used_at < CHANNEL_RETENTION
+            if channel.unanswered_count or now - channel.used_at < CHANNEL_RETENTION
         }
--- a/cottonlug/runtime/leadership.py
+++ b/cottonlug/runtime/leadership.py
@@ -161,7 +161,7 @@
             gateways=self.gateways,
             waiters=self.waiters,
             clock=clock,
-            terms=settings.lease_terms,
+            lease_terms=settings.lease_terms,
             caller_retry=settings.caller_retry,
             propose=self._propose_and_wait,
             wait_for_commit=self._wait_for_commit,
--- a/cottonlug/runtime/voter_client.py
+++ b/cottonlug/runtime/voter_client.py
@@ -32,8 +32,8 @@
         self._clock = clock
         self._rulebook = rulebook
         self._change_notifier = ChangeNotifier()
-        self._polled_at: timedelta | None = None
-        self._voter_is_stale = False
+        self._answered_at: timedelta | None = None
+        self._is_voter_stale = False
         poll_seconds = POLL_MS / 1000 + _TIMEOUT_MARGIN_SECONDS
         change_seconds = CHANGE_TIMEOUT.total_seconds() + _TIMEOUT_MARGIN_SECONDS
         self._poll_clients = _build_clients(settings, poll_seconds)
@@ -54,13 +54,13 @@
 
     def is_ready(self) -> bool:
         """Return whether a voter has sent the active configuration."""
-        return self._polled_at is not None
+        return self._answered_at is not None
 
     def is_stale(self) -> bool:
         """Return whether no voter that is itself up to date has answered within `STALE_AFTER`."""
-        if self._polled_at is None or self._voter_is_stale:
+        if self._answered_at is None or self._is_voter_stale:
             return True
-        return self._clock.monotonic() - self._polled_at > STALE_AFTER
+        return self._clock.monotonic() - self._answered_at > STALE_AFTER
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
         """Forward a change to the voters, those in this failure domain first."""
@@ -94,8 +94,8 @@
         if isinstance(reply, Err):
             return False
         view: ConfigurationView = reply.unwrap()
-        self._voter_is_stale = view.is_stale
-        self._polled_at = self._clock.monotonic()
+        self._is_voter_stale = view.is_stale
+        self._answered_at = self._clock.monotonic()
         activate_rules(self._rulebook, view.version, view.text)
         self._change_notifier.notify()
         return not view.is_stale
--- a/cottonlug/tests/gateway_builders.py
+++ b/cottonlug/tests/gateway_builders.py
@@ -157,7 +157,7 @@
     """Return a gateway that is due to act as leader, and its clock.
 
     Must be called while an event loop is running. The gateway acts as leader after its next
-    `replace_leader`.
+    `check_failover`.
     """
     clock = build_clock()
     gateway = build_gateways(1, clock)[0]
--- a/cottonlug/tests/test_cluster_acting_leader.py
+++ b/cottonlug/tests/test_cluster_acting_leader.py
@@ -52,10 +52,10 @@
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
         assert [gateway.acting_leader is not None for gateway in gateways] == [True, False, False]
         for gateway in gateways[1:]:
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
             assert gateway.coordinator == gateways[0].link.own_address
             assert gateway.is_ready()
         gateways[0].stop()
@@ -69,11 +69,11 @@
         gateways = build_gateways(2, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE - milliseconds(1))
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         assert gateways[0].acting_leader is None
         gateways[1].link.follow("10.0.1.1:7000", Via.LEADER)
         clock.advance(milliseconds(2))
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         assert gateways[0].acting_leader is None
 
     asyncio.run(play())
@@ -101,13 +101,13 @@
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         for gateway in reversed(gateways):
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
         domains = [
             gateway.acting_leader.domain if gateway.acting_leader else None for gateway in gateways
         ]
         assert domains == ["north", None, "south", None]
         for gateway in gateways:
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
         followed = [gateway.coordinator for gateway in gateways]
         assert followed == [infos[0].address] * 2 + [infos[2].address] * 2
         for gateway in gateways:
@@ -122,7 +122,7 @@
         gateways = build_gateways(1, clock, keeps_jobs=True)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         assert gateways[0].acting_leader is None
 
     asyncio.run(play())
@@ -136,7 +136,7 @@
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         tokens = []
         for gateway in (gateways[0], gateways[1], gateways[0]):
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
             assert gateway.acting_leader is not None
             tokens.append(gateway.acting_leader.leadership.token)
             gateway.link.step_down()
@@ -153,10 +153,10 @@
         gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         assert gateways[0].acting_leader is not None
         clock.advance(timedelta(seconds=3))
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         assert gateways[0].acting_leader is None
 
     asyncio.run(play())
@@ -173,15 +173,15 @@
         (gateway,) = build_gateways(1, clock)
         connect([gateway], lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         gateway.acting_leader.authority.start_new_term()
         for _ in range(10):
             clock.advance(milliseconds(180))
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
             assert gateway.acting_leader is None
         clock.advance(ACT_AS_LEADER_AGAIN_AFTER)
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         gateway.stop()
 
@@ -199,7 +199,7 @@
         gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         acting_leader = gateways[0].acting_leader
         assert acting_leader is not None
         # The acting leader represents a leader here: it has the same term as the one before it.
@@ -218,7 +218,7 @@
         gateways = build_gateways(1, clock)
         connect(gateways, lambda asking, host: False)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateways[0].link.replace_leader()
+        await gateways[0].link.check_failover()
         acting_leader = gateways[0].acting_leader
         assert acting_leader is not None
         leadership = acting_leader.leadership
@@ -284,9 +284,9 @@
         down = {gateway.link.own_address for gateway in gateways[:4]}
         connect(gateways, lambda asking, host: host in down)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateways[5].link.replace_leader()
+        await gateways[5].link.check_failover()
         assert gateways[5].acting_leader is None
-        await gateways[4].link.replace_leader()
+        await gateways[4].link.check_failover()
         assert gateways[4].acting_leader is not None
         gateways[4].stop()
 
@@ -308,7 +308,7 @@
 
     async def play() -> Outcome:
         gateway, _ = build_acting_gateway()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         answer = await gateway.acting_leader.leadership.answer(call)
         gateway.stop()
@@ -364,11 +364,11 @@
         gateway.calls.ask = ask  # type: ignore[method-assign]
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.send_keepalive()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is None
         clock.advance(ACT_AS_LEADER_AFTER - ACT_AS_LEADER_AFTER_SILENCE)
         await gateway.link.send_keepalive()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         gateway.stop()
 
@@ -380,7 +380,7 @@
 
     async def play() -> None:
         gateway, _ = build_acting_gateway()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         answering = asyncio.create_task(gateway.answer_peer(build_submit()))
         await asyncio.sleep(0.05)
         gateway.link.step_down()
@@ -409,11 +409,11 @@
         follower.calls.ask = ask  # type: ignore[method-assign]
         follower.link.follow(acting_leader, Via.ACTING_LEADER)
         # The next keep-alive is due at once, so that it arrives before the jobs are abandoned.
-        assert await follower.link.replace_leader()
+        assert await follower.link.check_failover()
         assert follower.coordinator == acting_leader
-        await follower.link.replace_leader()
+        await follower.link.check_failover()
         clock.advance(CALLS_LOST_AFTER)
-        await follower.link.replace_leader()
+        await follower.link.check_failover()
         assert follower.coordinator is None
 
     asyncio.run(play())
@@ -428,7 +428,7 @@
 
         follower.calls.ask = ask  # type: ignore[method-assign]
         follower.link.follow("10.0.0.1:7000", Via.ACTING_LEADER)
-        assert not await follower.link.replace_leader()
+        assert not await follower.link.check_failover()
         assert follower.coordinator is None
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_contact.py
+++ b/cottonlug/tests/test_cluster_contact.py
@@ -152,7 +152,7 @@
         model_link.is_cut = True
         await gateway.link.send_keepalive()
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None, "from now on its jobs are scheduled here"
         assert model_link.held
         for call in model_link.held:
@@ -167,7 +167,7 @@
         model_link.is_cut = True
         await gateway._try_once(submit_from(gateway), CALL_TIMEOUT)
         clock.advance(ACT_AS_LEADER_AFTER_SILENCE)
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         model_link.is_cut = False
         late = asyncio.create_task(model_link.leadership.answer(model_link.held[0]))
@@ -317,7 +317,7 @@
         while gateway.coordinator is not None:
             clock.advance(milliseconds(50))
             await gateway.link.send_keepalive()
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
         left_at = clock.monotonic()
         while clock.monotonic() < left_at + GATEWAY_TIMEOUT:
             clock.advance(milliseconds(50))
--- a/cottonlug/tests/test_cluster_events.py
+++ b/cottonlug/tests/test_cluster_events.py
@@ -76,8 +76,8 @@
         gateway.calls.ask = ask  # type: ignore[method-assign]
         gateway.link.follow(LEADER, Via.LEADER)
         clock.advance(RELAY_AFTER)
-        await gateway.link.replace_leader()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
+        await gateway.link.check_failover()
 
     asyncio.run(play())
     silent = [rest for event, rest in logged if event is Event.COORDINATOR_SILENT]
--- a/cottonlug/tests/test_cluster_gateway.py
+++ b/cottonlug/tests/test_cluster_gateway.py
@@ -204,12 +204,12 @@
         clock.advance(RELAY_AFTER)
         await other.link.send_keepalive()
         await cut_off.link.send_keepalive()
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert (cut_off.coordinator, cut_off.link.via) == (other.link.own_address, Via.RELAY)
         assert (await cut_off.call(build_submit(), CALL_TIMEOUT)).detail == "led"
         clock.advance(timedelta(seconds=1))
         await other.link.send_keepalive()
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert cut_off.is_ready()
         assert cut_off.acting_leader is None
 
@@ -225,10 +225,10 @@
         connect_with_leader([gateway], lambda asking, host: True, answer_as_leader)
         gateway.link.follow(LEADER, Via.LEADER)
         clock.advance(CALLS_LOST_AFTER - milliseconds(1))
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.coordinator == LEADER
         clock.advance(milliseconds(1))
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.coordinator is None
         assert (
             await gateway._try_once(build_submit(), CALL_TIMEOUT)
@@ -249,11 +249,11 @@
         )
         await other.link.send_keepalive()
         clock.advance(RELAY_AFTER - milliseconds(1))
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert cut_off.coordinator is None
         clock.advance(milliseconds(1))
         await other.link.send_keepalive()
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert cut_off.link.via is Via.RELAY
         is_cut[0] = False
         await cut_off.link.send_keepalive()
@@ -272,10 +272,10 @@
         )
         clock.advance(RELAY_AFTER)
         await other.link.send_keepalive()
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert cut_off.link.via is Via.RELAY
         other.link.unfollow(LEADER)
-        await cut_off.link.replace_leader()
+        await cut_off.link.check_failover()
         assert cut_off.coordinator is None
 
     asyncio.run(play())
@@ -297,10 +297,10 @@
         gateway.calls.ask = ask  # type: ignore[method-assign]
         gateway.link.follow(other, via)
         clock.advance(CALLS_LOST_AFTER - milliseconds(1))
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert (gateway.coordinator, gateway.link.via) == (other, via)
         clock.advance(milliseconds(1))
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.coordinator is None
 
     asyncio.run(play())
@@ -317,7 +317,7 @@
 
         gateway.calls.ask = ask  # type: ignore[method-assign]
         gateway.link.follow(other, via)
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.coordinator is None
 
     asyncio.run(play())
--- a/cottonlug/tests/test_cluster_measures.py
+++ b/cottonlug/tests/test_cluster_measures.py
@@ -148,7 +148,7 @@
 ) -> None:
     async def play() -> None:
         gateway, clock = build_acting_gateway()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         leadership = gateway.acting_leader.leadership
         spans: list[float] = []
--- a/cottonlug/tests/test_cluster_spread.py
+++ b/cottonlug/tests/test_cluster_spread.py
@@ -27,7 +27,7 @@
 from ..net.connections import IdleConnections
 from ..runtime import heartbeat_responder
 from ..runtime.coordinator_link import MAX_KEEPALIVE_SECONDS
-from ..runtime.gateway_registry import GATEWAY_TIMEOUT, MAX_PARTS_PER_SECOND, GatewayRegistry
+from ..runtime.gateway_registry import GATEWAY_TIMEOUT, MAX_LARGE_PARTS_PER_SECOND, GatewayRegistry
 from ..runtime.heartbeat_responder import (
     RESPONDER_TRUST_PERIOD,
     SPREAD_MIN_UPSTREAMS,
@@ -199,12 +199,14 @@
     records = Records()
     for number in range(999):
         add_upstream(gateways, records, f"u{number}")
-    sent = [gateways.build_failover_state(records, "") for _ in range(3 * MAX_PARTS_PER_SECOND)]
-    assert sum(part is not None for part in sent) == MAX_PARTS_PER_SECOND
+    sent = [
+        gateways.build_failover_state(records, "") for _ in range(3 * MAX_LARGE_PARTS_PER_SECOND)
+    ]
+    assert sum(part is not None for part in sent) == MAX_LARGE_PARTS_PER_SECOND
     assert not gateways.is_current("")
     clock.advance(timedelta(milliseconds=100))
-    sent = [gateways.build_failover_state(records, "") for _ in range(MAX_PARTS_PER_SECOND)]
-    assert sum(part is not None for part in sent) == MAX_PARTS_PER_SECOND // 10
+    sent = [gateways.build_failover_state(records, "") for _ in range(MAX_LARGE_PARTS_PER_SECOND)]
+    assert sum(part is not None for part in sent) == MAX_LARGE_PARTS_PER_SECOND // 10
     version = gateways.failover_log.version
     add_upstream(gateways, records, "new")
     assert (
--- a/cottonlug/tests/test_cluster_waiting.py
+++ b/cottonlug/tests/test_cluster_waiting.py
@@ -112,13 +112,13 @@
 
     async def play() -> None:
         gateway, clock = build_acting_gateway()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         call = msgspec.structs.replace(build_submit(), spec=LONG)
         waiting = asyncio.create_task(gateway.call(call, milliseconds(200)))
         for _ in range(30):
             clock.advance(milliseconds(50))
-            await gateway.link.replace_leader()
+            await gateway.link.check_failover()
             await asyncio.sleep(0.02)
         acting = gateway.acting_leader
         assert waiting.done() and waiting.result().outcome is Outcome.UNKNOWN
--- a/cottonlug/tests/test_failover_state.py
+++ b/cottonlug/tests/test_failover_state.py
@@ -236,7 +236,7 @@
 
     async def play() -> Answer:
         gateway, _ = build_acting_gateway()
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         assert gateway.acting_leader is not None
         answer = await gateway.answer_peer(build_keepalive("10.0.0.9:7000"))
         gateway.stop()
--- a/cottonlug/tests/test_peer_calls.py
+++ b/cottonlug/tests/test_peer_calls.py
@@ -136,7 +136,7 @@
         gateway, _ = build_acting_gateway()
         request = build_request(build_keepalive("10.0.0.2:7000"))
         assert gateway.answer_at_once(request) is None
-        await gateway.link.replace_leader()
+        await gateway.link.check_failover()
         reply = gateway.answer_at_once(request)
         assert reply is not None
         answer = answer_decoder.decode(reply.body)
