--- a/cottonlug/runtime/acting_leader.py
+++ b/cottonlug/runtime/acting_leader.py
@@ -4,15 +4,15 @@
 its gateways and upstreams. Best-effort jobs need no log, so any single host may schedule them, as
 long as no task can run twice:
 
-- upstreams accept only orders with the highest fencing token, and the token of an acting leader
-  lies between those of two leaders;
+- upstreams accept only orders with the highest fencing token that they have seen, and the token of
+  an acting leader (that of the last leader plus a level) lies between those of two leaders;
 - the coordinator abandons the jobs of a gateway after `GATEWAY_TIMEOUT` without contact, and a
   gateway moves its jobs to another coordinator only after the longer `ACT_AS_LEADER_AFTER_SILENCE`;
 - a job that may have started waits until every upstream was polled or its leases have expired.
 
 Among the gateways that reach no leader, the one with the lowest address acts as leader. It knows
-the upstreams and the configuration from the failover state of the last leader. It accepts no new
-configuration and stores nothing.
+the upstreams and the configuration from the failover state, which the last leader has sent to all
+gateways. It accepts no new configuration and stores nothing.
 
 A gateway is a small host: with many upstreams, the lowest gateway of each failure domain acts as
 leader for that domain only. Upstreams of other domains then count as unreachable: jobs that may
@@ -36,7 +36,7 @@
 from .replicated import ReplicatedRecords
 
 ACT_AS_LEADER_AFTER = timedelta(milliseconds=900)
-"""How long no leader must be reached before a gateway acts as leader, if control hosts answer.
+"""A gateway acts as leader after this time without a leader, if control hosts answer.
 
 Longer than an election takes (0.35 to 0.7 s).
 """
@@ -61,7 +61,7 @@
         return self._term
 
     def has_lease(self) -> bool:
-        """Return whether no other coordinator is known to have taken over."""
+        """Return whether orders may be sent: no other coordinator is known to have taken over."""
         return not self.is_over
 
     def propose(self, data: str) -> bool:
@@ -75,12 +75,16 @@
         return True
 
     def start_new_term(self) -> None:
-        """End this authority, since another host has a higher token."""
+        """End this authority: an acting leader cannot begin a later term."""
         self.is_over = True
 
 
 class ActingLeader:
-    """One period in which this gateway acts as leader."""
+    """One period in which this gateway acts as leader.
+
+    Its fencing token is that of the last leader plus `level`. `reports` are the terms of upstreams'
+    capacity reports. `confirmed_at` is when a leader last sent or confirmed the failover state.
+    """
 
     def __init__(
         self,
--- a/cottonlug/runtime/confirmations.py
+++ b/cottonlug/runtime/confirmations.py
@@ -1,8 +1,9 @@
 """Confirmations that a gateway adds to the calls that it sends to the coordinator.
 
-The coordinator continues a gateway's jobs only while they are confirmed (`Contact`). A gateway no
-longer confirms anything to a coordinator that it has stopped following, nor any job that it no
-longer waits for.
+The coordinator continues a gateway's jobs only while the gateway confirms that it still waits for
+them: it sends back its contact, the time of the coordinator's last answer (`Contact`). A gateway no
+longer confirms anything to a coordinator that it has stopped following, nor any submission that it
+no longer waits for (an abandoned one).
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 
 ABANDONED_REPORT_PERIOD = timedelta(seconds=1)
 """How long keep-alives report an abandoned submission. A coordinator that gets no keep-alive for a
-third of this time abandons all jobs of the gateway."""
+third of this time (`GATEWAY_TIMEOUT`) abandons all jobs of the gateway."""
 MAX_ABANDONED = 256
-"""Most abandoned submissions that a keep-alive reports; they take 20 KB of it."""
+"""Maximum number of abandoned submissions that a keep-alive reports; they take 20 KB of it."""
 
 
 class Confirmations:
@@ -57,7 +58,11 @@
         self._abandoned.append((now, submission))
 
     def stamp(self, call: Call) -> Call:
-        """Return a call of this gateway with its current contact; other calls are unchanged."""
+        """Return a keep-alive or submission of this gateway with its current contact.
+
+        A keep-alive also reports the abandoned submissions. Other calls are returned unchanged, for
+        instance those that are relayed for another gateway.
+        """
         if not isinstance(call, KeepAlive | Submit) or call.gateway != self._own_address:
             return call
         if isinstance(call, KeepAlive):
--- a/cottonlug/runtime/coordinator_link.py
+++ b/cottonlug/runtime/coordinator_link.py
@@ -71,8 +71,8 @@
 """The fencing token of an acting leader is that of the last leader plus a level. Each gateway has a
 level of its own in each period in which it acts as leader, so there may be this many gateways."""
 MAX_CHECK_DELAY = timedelta(milliseconds=400)
-"""Not a pause: if more time than this has passed since the last failover check, this process was
-delayed. Another coordinator may have replaced this acting leader, which therefore steps down."""
+"""If more time than this has passed since the last failover check, this process was delayed.
+Another coordinator may have replaced this acting leader, which therefore steps down."""
 ACT_AS_LEADER_AGAIN_AFTER = timedelta(seconds=2)
 """Pause after this gateway was fenced off as acting leader: an upstream has refused its orders for
 the higher fencing token of a coordinator that this gateway cannot reach. With the same failover
--- a/cottonlug/runtime/dump.py
+++ b/cottonlug/runtime/dump.py
@@ -12,10 +12,15 @@
 from .voter import Voter
 
 MAX_DUMPED_JOBS = 200
+"""Maximum number of active jobs in the dump of an entry host."""
 
 
 class SessionDump(Message, omit_defaults=False):
-    """The session of one upstream at an entry host."""
+    """The session of one upstream at an entry host.
+
+    `outstanding` counts the starts that were sent and may be active; `credit` is their maximum.
+    `open_requests` counts the upstream's exchange requests that are parked here.
+    """
 
     upstream: UpstreamId
     state: SessionState
--- a/cottonlug/runtime/failover_store.py
+++ b/cottonlug/runtime/failover_store.py
@@ -1,4 +1,7 @@
-"""The failover state that a gateway has received, so that it can act as leader."""
+"""The failover state that a gateway has received: what it must know to act as leader.
+
+The leader sends it with its answers to keep-alives, a large one in several parts.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
         self.confirmed_at = clock.monotonic()
         """When a leader last sent or confirmed the complete failover state."""
         self.queues: QueueIndex | None = None
-        """The queues of the last leader's configuration."""
+        """The queues of the newest configuration received."""
         self._clock = clock
         self._incoming: FailoverState | None = None
 
@@ -35,6 +38,7 @@
         if answer.failover_state is not None:
             return self.receive(answer.failover_state)
         if not answer.has_more_failover_state:
+            # The leader has nothing newer than what this gateway has.
             self.confirmed_at = self._clock.monotonic()
         return False
 
--- a/cottonlug/runtime/gateway.py
+++ b/cottonlug/runtime/gateway.py
@@ -1,4 +1,11 @@
-"""An entry host of the cluster: sends callers' requests to the coordinator, and answers them."""
+"""A gateway: sends callers' requests to the coordinator, and answers the callers.
+
+The coordinator is the host that schedules jobs now: the leader of the control hosts or, where no
+leader can be reached, a gateway that acts as leader (`acting_leader`). A gateway that is connected
+to the leader also relays the calls of gateways that are not.
+
+A best-effort job is kept in the coordinator's memory only, a durable one in the replicated log.
+"""
 
 from __future__ import annotations
 
@@ -42,19 +49,25 @@
 from .ports import OnFailure, UpstreamPort
 
 RETRY_SECONDS = 0.05
+"""Pause before a call is tried again, unless the coordinator changes or answers earlier."""
 ABANDON_TIMEOUT = timedelta(milliseconds=500)
+"""How long this gateway tries to tell the coordinator that a caller has disconnected."""
 MIN_TRY_TIME = timedelta(milliseconds=20)
 """A call is not tried again with less time left than this."""
 COORDINATOR_WAIT = timedelta(milliseconds=2_000)
 """How long a call waits for a coordinator before its caller is told to retry later."""
 NO_LEADER = "neither an acting leader nor connected to a leader"
+"""Detail of the answer to another gateway's call that this gateway can neither answer nor relay."""
 COORDINATOR_OVERDUE = "the coordinator has not answered lately"
+"""Detail of the answer for a job that was withheld from the coordinator (`keepalive_tracker`)."""
 DURABLE_COORDINATOR_WAIT = timedelta(milliseconds=800)
 """How long a durable job waits for a coordinator: an acting leader cannot accept it, and an
-election takes 0.7 s. If no majority of control hosts answers, no leader can be elected, and its
+election takes 0.7 s. If no majority of control hosts answers, no leader can be elected, and the
 caller is told at once."""
 DEFAULT_MAX_BODY_BYTES = 262_144
+"""Limit of request bodies until the configuration is known."""
 _EXPECTED_OUTCOMES = (Outcome.DONE, Outcome.NO_QUEUE, Outcome.NO_JOB)
+"""Outcomes that are no failures of the service, such as that a caller names an unknown queue."""
 
 
 class Gateway:
@@ -73,7 +86,8 @@
         self.record_call: Callable[[float], object] = lambda took_ms: None
         """Called with the duration of each call in milliseconds."""
         self.record_refusal: Callable[[float], object] = lambda share: None
-        """Called for each job that was not served, with the time taken divided by its objective."""
+        """Called for each job that was not served, with the time taken divided by its objective,
+        the time in which it should end."""
         self.timeout_failure_count = 0
         """Number of failed calls that were answered only when their callers' wait timed out."""
         self.withheld_count = 0
@@ -93,7 +107,8 @@
             on_failure=on_failure,
         )
         self._last_number = self.link.confirmations.instance
-        """Number of the last submission; no earlier process at this address has used it."""
+        """Number of the last submission. It starts at the start time of this process in ms, so that
+        no number of an earlier process at this address is used again."""
         self.calls.stamp = self.link.confirmations.stamp
         self._background: set[asyncio.Task[Answer]] = set()
 
@@ -153,7 +168,7 @@
         task.add_done_callback(self._background.discard)
 
     async def call(self, call: Call, timeout: timedelta) -> Answer:
-        """Have a call carried out, and log it if it was not.
+        """Have a call of a caller carried out, and log it if it was not.
 
         Returns an answer within `timeout`.
         """
@@ -203,6 +218,7 @@
         self.record_call(took / timedelta(milliseconds=1))
         if answer.outcome in _EXPECTED_OUTCOMES:
             return
+        # Tries end `MIN_TRY_TIME` before the timeout.
         self.timeout_failure_count += took >= timeout - MIN_TRY_TIME
         queue = self._find_queue(call) if isinstance(call, Submit) else None
         if isinstance(call, Submit) and queue is not None:
@@ -215,7 +231,10 @@
         return found[0] if found is not None else None
 
     async def _call(self, call: Call, timeout: timedelta) -> Answer:
-        """Retry a call until it has a final answer; every call is safe to send twice."""
+        """Retry a call until it has a final answer; every call is safe to send twice.
+
+        `UNKNOWN` says that a try may have been carried out, `UNAVAILABLE` that none was.
+        """
         began_at = self._clock.monotonic()
         deadline = began_at + timeout
         unavailable_since: timedelta | None = None
@@ -264,7 +283,10 @@
         return timedelta() if self.link.is_control_majority_silent() else DURABLE_COORDINATOR_WAIT
 
     def _is_hopeless(self, call: Submit, waited: timedelta) -> bool:
-        """Return whether a job that has waited this long would end too late to be useful."""
+        """Return whether a job that has waited this long would end too late to be useful.
+
+        Durable, timed and long-running jobs have no such limit.
+        """
         queue = self._find_queue(call)
         spec = call.spec
         if queue is None or not spec.best_effort or spec.is_timed or spec.long_running:
@@ -279,6 +301,7 @@
         return find_max_useful_wait(queue, call.spec).total_seconds() - call.waited_ms / 1000
 
     async def _try_once(self, call: Call, timeout: timedelta) -> Answer:
+        """Send a call to the acting leader in this process, or else to the coordinator."""
         if self.acting_leader is not None:
             return await _call_own_acting_leader(self.acting_leader, call, timeout)
         host = self.link.coordinator
@@ -289,6 +312,7 @@
             return Answer(outcome=Outcome.UNAVAILABLE, detail=COORDINATOR_OVERDUE)
         sent_call = _clear_acting_leader_term(call) if self.link.via is Via.ACTING_LEADER else call
         answer = await self.calls.ask(host, sent_call, timeout)
+        # With these details the host is still the coordinator, or was not even asked.
         is_still_coordinator = answer.detail in (
             NO_CONFIGURATION,
             NO_LOG,
@@ -346,7 +370,7 @@
 
 
 def _mark_begun(call: Submit, acting_leader_term: int, via: Via) -> Submit:
-    """Return a submission marked as possibly started, by an acting leader of that term if any."""
+    """Return a submission marked as possibly started, by an acting leader if the term is not 0."""
     return msgspec.structs.replace(
         call,
         may_have_begun=True,
@@ -357,7 +381,7 @@
 
 
 def _add_suspects(call: Submit, answer: Answer) -> Submit:
-    """Return a submission that tells the next coordinator which tasks the last one suspects."""
+    """Return a submission that names the tasks which may have crashed upstreams, if known."""
     return msgspec.structs.replace(call, suspects=answer.suspects or call.suspects)
 
 
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -1,4 +1,9 @@
-"""The gateways that the coordinator knows, and the failover state that it sends them."""
+"""The gateways that the coordinator knows, and the failover state that it sends them.
+
+The coordinator is the host that schedules jobs now, a leader or acting leader. The failover state
+is what a gateway must know to act as leader. By the contact in a keep-alive or submission
+(`Contact`) the coordinator knows when a gateway can have sent it at the earliest.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +18,8 @@
 from .events import Event, log_event
 
 GATEWAY_TIMEOUT = timedelta(milliseconds=300)
-"""Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
-move them to another coordinator any sooner."""
+"""The coordinator abandons a gateway's jobs after this time without contact; the gateway itself
+does not move them to another coordinator any sooner."""
 SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
 """How often timeouts are checked while submissions confirm jobs.
 
@@ -22,18 +27,24 @@
 between two scheduling rounds.
 """
 MAX_LARGE_PARTS_PER_SECOND = 600
-"""Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
-CPU time. A gateway that gets no part now asks again with its next keep-alive."""
+"""Limit of large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the
+leader's CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
+"""A time on the monotonic clock that is never reached."""
 LATE_MESSAGE_AGE = timedelta(milliseconds=150)
-"""A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
+"""Age at which a keep-alive or submission is logged as late: it takes some milliseconds, so it was
+delayed in the network or here."""
 LATE_LOG_INTERVAL = timedelta(seconds=1)
-"""Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
-gateways' keep-alives are late."""
+"""Minimum time between log lines about late messages: if the leader itself is delayed, those of all
+gateways are late."""
 
 
 class GatewayRegistry:
-    """Known gateways by the address that they send in keep-alives."""
+    """Known gateways by the address that they send in keep-alives.
+
+    `token` is the fencing token of this coordinator; `accepts_calls` says whether upstreams accept
+    calls, on which an acting leader depends.
+    """
 
     def __init__(self, *, term: int, token: int, clock: Clock, accepts_calls: bool = True) -> None:
         self.failover_log = FailoverStateLog(term=term, accepts_calls=accepts_calls)
@@ -44,18 +55,21 @@
         self._check_at = NEVER
         """Until then no gateway can exceed the contact timeout."""
         self.on_reconnect: Callable[[str], object] = lambda gateway: None
-        """Called when a gateway is connected again after a timeout."""
+        """Called with the address of a gateway that is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
-        """Called when a keep-alive comes from a new process at the address of a gateway."""
+        """Called with the address of a gateway when a new process there has sent a keep-alive."""
         self._token = token
         self._clock = clock
         self._late_log_due = timedelta()
         self._sent_at: dict[str, timedelta] = {}
         """Earliest time at which each gateway can have sent its last message, by its contacts."""
         self._domains: dict[str, DomainName] = {}
+        """The failure domain of each known gateway."""
         self._instances: dict[str, int] = {}
+        """Identifies the process at the address of each gateway."""
         self._has_durable_jobs = False
         self._large_parts_left = float(MAX_LARGE_PARTS_PER_SECOND)
+        """How many large parts may be sent at `_large_parts_updated_at`."""
         self._large_parts_updated_at = clock.monotonic()
 
     def record_durable_jobs(self, are_open: bool) -> None:
--- a/cottonlug/runtime/job_answers.py
+++ b/cottonlug/runtime/job_answers.py
@@ -1,4 +1,8 @@
-"""Answers of the coordinator to calls about jobs."""
+"""Answers of the coordinator (leader or acting leader) to calls about jobs.
+
+A best-effort job is kept in memory only and answered when it has ended. A durable job is written to
+the replicated log and answered as soon as it is committed; its state is asked for later.
+"""
 
 from __future__ import annotations
 
@@ -75,7 +79,7 @@
         self._schedule_decision = schedule_decision
 
     async def answer_submit(self, call: Submit) -> Answer:
-        """Accept a job; a best-effort job is answered when it has ended."""
+        """Accept a job; answer when a best-effort job has ended, or a durable one is committed."""
         found = self._find_queue(call.host, call.path)
         if isinstance(found, Answer):
             return found
@@ -84,7 +88,7 @@
             return Answer(outcome=Outcome.UNKNOWN, detail="the gateway abandoned this submission")
         sent_at = self._gateways.find_send_time(call.gateway, call.contact)
         if call.gateway and sent_at is None:
-            # Delayed: by now its gateway may have submitted the job to another coordinator.
+            # The call is late: its gateway may have submitted the job to another coordinator.
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_RECENT_CONTACT)
         if call.acting_leader_term >= self._term:
             # The token of the acting leader is higher than ours: a later term is needed first.
@@ -114,6 +118,7 @@
         waited = timedelta(milliseconds=call.waited_ms)
         now = self._clock.monotonic()
         rejection = self._dispatch.find_rejection(queue, call.spec, waited, now)
+        # A job that may have begun cannot be rejected, since that says that it has not run.
         if rejection is not None and not call.may_have_begun:
             return _reject(job, rejection)
         if call.spec.best_effort:
@@ -184,6 +189,7 @@
         return await self._propose(command, ("cancel", job))
 
     def _find_queue(self, host: str, path: str) -> tuple[Queue, JobId] | Answer:
+        """Return the queue and the job id that a path names, or the answer if it names none."""
         queues = self._records.queues
         if queues is None:
             return Answer(outcome=Outcome.UNAVAILABLE, detail=NO_CONFIGURATION)
@@ -202,6 +208,8 @@
         return await self._wait_for_end(job)
 
     def _build_submission(self, call: Submit, sent_at: timedelta) -> Submission:
+        # A coordinator of an earlier try abandons the job after `GATEWAY_TIMEOUT` without contact;
+        # then the leases of its runs lapse.
         until_lapsed = self._lease_terms.lapse_after + GATEWAY_TIMEOUT
         until_lapsed_after_retry = max(until_lapsed - self._caller_retry, timedelta())
         return Submission(
@@ -216,6 +224,7 @@
         )
 
     async def _wait_for_end(self, job: JobId) -> Answer:
+        """Answer when a best-effort job has ended, or this host is no longer the coordinator."""
         if self._dispatch.jobs.is_open(job) and not await self._waiters.wait_for(("end", job)):
             suspects = self._dispatch.jobs.crash_tracker.list_suspects(job)
             detail = "this host is no longer the leader"
@@ -235,6 +244,7 @@
 
 
 def _reject(job: JobId, rejection: Rejection) -> Answer:
+    """Log that a job was rejected, and return its answer."""
     retry_after_ms = to_milliseconds(rejection.retry_after)
     log_event(
         Event.SUBMISSION_REFUSED, job=job, reason=rejection.reason, retry_after_ms=retry_after_ms
--- a/cottonlug/runtime/job_channel_server.py
+++ b/cottonlug/runtime/job_channel_server.py
@@ -1,4 +1,7 @@
-"""Server end of job channels: receives batches of jobs, and holds answers until they have arrived.
+"""Server end of job channels: receives batches of jobs, and keeps answers until they have arrived.
+
+A job channel carries the jobs of a gateway to another host, with `job_channel` at the gateway's
+end. This host is the coordinator (which schedules jobs now) or a relay to it.
 
 Load pattern: all jobs that waited for a coordinator arrive at once. Started together, they would
 block the event loop for longer than a gateway tolerates an unanswered keep-alive. So only some are
@@ -38,7 +41,8 @@
 """How long an unused channel is kept; a live host polls every 0.3 s."""
 
 _MAX_FIRST_NUMBERING = 1 << 52
-"""Bound of the random first id of a numbering, so that no process reuses that of an earlier one."""
+"""Upper bound of the id of this process's first numbering of answers. The id is random, so that it
+differs from those of earlier processes at this address."""
 
 AnswerCall = Callable[[Call], Awaitable[Answer]]
 
@@ -55,8 +59,10 @@
     answer_count: int = 0
     """Number of answers so far, and thus the number of the last one."""
     answers: list[tuple[int, NumberedAnswer]] = field(default_factory=list)
+    """Answers that the client is not known to have, each with its own number."""
     answer_added: asyncio.Event = field(default_factory=asyncio.Event)
     unanswered_count: int = 0
+    """Number of jobs received that have no answer yet."""
 
 
 class JobChannelServer:
@@ -74,7 +80,10 @@
         self._clock = clock
         self._find_slack = find_slack
         self._channels: dict[tuple[str, int], _Channel] = {}
+        """Channels by the client's address and the channel's id."""
         self._queued: list[tuple[float, int, int, _Channel, Submit]] = []
+        """Heap of jobs not started yet: latest useful start in s, order of arrival, number, channel
+        and submission."""
         self._arrival_numbers = itertools.count()
         self._last_numbering = random.randrange(_MAX_FIRST_NUMBERING)
         self._is_start_scheduled = False
@@ -118,10 +127,11 @@
     async def poll_answers(self, ask: AskAnswers) -> AnswerBatch:
         """Return the answers that the client lacks, as soon as there are any.
 
-        Returns none after `ANSWER_POLL_WAIT`.
+        Returns an empty batch after `ANSWER_POLL_WAIT`.
         """
         channel = self._get_channel(ask.caller, ask.channel)
         if ask.numbering == channel.numbering:
+            # Up to the number `have` the client has received them.
             channel.answers = [each for each in channel.answers if each[0] > ask.have]
         if not channel.answers:
             channel.answer_added.clear()
--- a/cottonlug/runtime/keepalive_tracker.py
+++ b/cottonlug/runtime/keepalive_tracker.py
@@ -1,6 +1,6 @@
 """Tracks unanswered keep-alives, so that no jobs are sent to a coordinator whose answer is overdue.
 
-A leader may have failed, be frozen or be cut off. Until a gateway unfollows it, 0.35 s pass, and a
+A leader may have failed, be frozen or be cut off. A gateway follows it for another 0.35 s. A
 job that is sent to it meanwhile may have started: another coordinator can start it only after all
 upstreams were polled, and its caller can never be told that it has not run. A job that is withheld
 instead starts at once with the next leader, or is truthfully refused as not run. A leader that is
@@ -14,8 +14,9 @@
 from ..core.clock import Clock
 
 OVERDUE_AFTER = timedelta(milliseconds=40)
-"""A keep-alive is answered within some milliseconds, and within 30 ms by a leader that handles
-hundreds of answers in one iteration of its event loop, or waits for its disk (9 ms per sync)."""
+"""After this time the answer to a keep-alive is overdue. It arrives within some milliseconds, and
+within 30 ms if the leader handles hundreds of answers in one iteration of its event loop, or waits
+for its disk (9 ms per sync)."""
 
 
 class KeepAliveTracker:
--- a/cottonlug/runtime/node.py
+++ b/cottonlug/runtime/node.py
@@ -1,4 +1,8 @@
-"""A running entry host: core, timers and one listener for each kind of client."""
+"""A running entry host: its core, its replicated configuration and a listener per kind of client.
+
+An entry host accepts callers' jobs and schedules them by itself. It is the home of these jobs, to
+which other entry hosts forward the calls about them.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 
 class EntryNode:
-    """One entry host with its control, listeners and connections to homes."""
+    """One entry host with its configuration (`control`), listeners and connections to homes."""
 
     def __init__(
         self, *, settings: EntrySettings, clock: Clock, on_failure: Callable[[BaseException], None]
@@ -74,6 +78,7 @@
         tokens = settings.tokens
         listen = settings.listen
         peer_handlers = [
+            # Without `homes`: these calls have been forwarded to this home and go no further.
             *build_caller_handlers(self.host, None, tokens.peers),
             *build_peer_control_handlers(self.control, tokens.peers),
         ]
--- a/cottonlug/runtime/ports.py
+++ b/cottonlug/runtime/ports.py
@@ -1,4 +1,7 @@
-"""Interfaces that a coordinator depends on: calls to upstreams, and its authority to schedule."""
+"""Interfaces that a coordinator depends on: calls to upstreams, and its authority to schedule.
+
+The coordinator is the host that schedules jobs now: a leader, or a gateway that acts as leader.
+"""
 
 from __future__ import annotations
 
@@ -15,10 +18,11 @@
 )
 
 OnFailure = Callable[[BaseException], None]
+"""Called with an unexpected error, after which the process has to stop."""
 
 
 class UpstreamPort(Protocol):
-    """Sends orders to upstreams."""
+    """Sends orders to upstreams, with the coordinator's fencing token."""
 
     async def start(self, order: StartOrder, token: int) -> tuple[StartOutcome, int | None]:
         """Send a start; return its outcome, and the upstream's clock in ms if it was reported."""
@@ -46,7 +50,10 @@
         ...
 
     def propose(self, data: str) -> bool:
-        """Append commands to the log; return whether they were accepted."""
+        """Append encoded commands to the log; return whether they were accepted.
+
+        An acting leader has no log and applies them at once.
+        """
         ...
 
     def start_new_term(self) -> None:
--- a/cottonlug/runtime/process.py
+++ b/cottonlug/runtime/process.py
@@ -20,6 +20,7 @@
     def __init__(self) -> None:
         self._stop = asyncio.Event()
         self.failure: BaseException | None = None
+        """The error because of which the process stops, if any."""
 
     def watch_signals(self, build_dump: Callable[[], Any]) -> None:
         """Begin a graceful stop on SIGTERM or SIGINT, and dump the state on SIGUSR1."""
@@ -33,7 +34,7 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
     def fail(self, error: BaseException) -> None:
-        """Begin to stop because an invariant is broken."""
+        """Begin to stop because of an unexpected error."""
         self.failure = error
         self._stop.set()
 
@@ -50,7 +51,7 @@
 
 
 def run_loop(main: Any) -> int:
-    """Run a coroutine that returns an exit code on the only event loop of the process."""
+    """Run a coroutine on the only event loop of the process, and return its exit code."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         code: int = runner.run(main)
         return code
--- a/cottonlug/runtime/rulebook.py
+++ b/cottonlug/runtime/rulebook.py
@@ -1,4 +1,4 @@
-"""The active rules of this process, compiled for matching."""
+"""The operators' rules that are active in this process, compiled for matching jobs."""
 
 from __future__ import annotations
 
--- a/cottonlug/runtime/voter_client.py
+++ b/cottonlug/runtime/voter_client.py
@@ -1,4 +1,4 @@
-"""An entry host without a vote, which gets the configuration from a voter by long polling."""
+"""The configuration of an entry host without a vote, which gets it from a voter by long polling."""
 
 from __future__ import annotations
 
@@ -18,10 +18,14 @@
 from .rulebook import Rulebook
 
 POLL_MS = 1_500
+"""How long a voter waits for a newer configuration before it answers a poll."""
 STALE_AFTER = timedelta(seconds=4)
-"""Longer than two polls take."""
+"""After this time without an answer, a newer configuration may be active elsewhere. Longer than two
+polls take."""
 _RETRY_SECONDS = 0.25
+"""Pause after all voters were polled and none that is up to date has answered."""
 _TIMEOUT_MARGIN_SECONDS = 1.0
+"""How much longer this host waits for an answer than the voter may take for it."""
 
 
 class VoterClient:
@@ -33,7 +37,9 @@
         self._rulebook = rulebook
         self._change_notifier = ChangeNotifier()
         self._answered_at: timedelta | None = None
+        """When a voter last answered a poll."""
         self._is_voter_stale = False
+        """Whether that voter itself might have lacked a newer configuration."""
         poll_seconds = POLL_MS / 1000 + _TIMEOUT_MARGIN_SECONDS
         change_seconds = CHANGE_TIMEOUT.total_seconds() + _TIMEOUT_MARGIN_SECONDS
         self._poll_clients = _build_clients(settings, poll_seconds)
@@ -69,6 +75,7 @@
             sent = await client.call("POST", "/v1/control/change", ChangeOutcome, command)
             if isinstance(sent, Success):
                 return Success(sent.unwrap())
+            # Only a refusal with an outcome says what has become of the change.
             if sent.failure().outcome is not None:
                 refusal = sent.failure()
         return Err(refusal)
