--- a/cottonlug/net/apps.py
+++ b/cottonlug/net/apps.py
@@ -51,6 +51,7 @@
 def _handle_http_error(_: Request[Any, Any, Any], error: HTTPException) -> Response[bytes]:
     code = _CODE_BY_STATUS.get(error.status_code, RefusalCode.INVALID)
     refusal = Refusal(code=code, message=error.detail or str(error.status_code))
+    # Any other status is kept, with the code `INVALID`.
     if error.status_code in (401, 404, 413):
         return reply_refusal(refusal)
     return reply_json(refusal, error.status_code)
--- a/cottonlug/net/asgi.py
+++ b/cottonlug/net/asgi.py
@@ -35,7 +35,7 @@
     headers: dict[str, str] = field(default_factory=dict)
     content_type: str = "application/json"
     close: bool = False
-    """Close the connection after this response."""
+    """Whether the connection is closed after this response."""
 
 
 class _RequestAborted(Exception):  # noqa: N818 - not an error of this server
--- a/cottonlug/net/caller_app.py
+++ b/cottonlug/net/caller_app.py
@@ -1,4 +1,7 @@
-"""HTTP API for callers; other entry hosts use it to forward calls to a submission's home."""
+"""HTTP API for callers; other entry hosts use it to forward calls to a submission's home.
+
+The home of a submission is the entry host that its id names, and which has accepted the job.
+"""
 
 from __future__ import annotations
 
@@ -48,6 +51,7 @@
     guards = [build_guard(token)]
 
     async def forward(id: SubmissionId | None, request: _Request) -> Response[bytes] | None:
+        """Return the reply of a remote home; None if the call is to be answered here."""
         home = homes.find_remote_home(id) if homes is not None else None
         if homes is None or home is None:
             return None
--- a/cottonlug/net/connections.py
+++ b/cottonlug/net/connections.py
@@ -24,11 +24,13 @@
 """Long enough to open a connection over an idle link on which the opening packet is lost once, but
 shorter than a caller waits."""
 DEFAULT_MAX_CONNECTIONS = 32
+"""Connections to one address; further calls wait until one is free."""
 MAX_IDLE_CONNECTIONS = 1_500
 """Idle connections kept open to all addresses together. A host has 4,096 file descriptors and needs
 the others for incoming connections."""
 OK = 200
 MAX_REPLY_BYTES = 32 * 1024 * 1024
+"""Limit of a reply's body: a connection on which more arrives is closed."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -175,6 +177,7 @@
         self.counts = ConnectionCounts()
         self._connect_timeout_seconds = connect_timeout.total_seconds()
         self._idle: list[_Connection] = []
+        """Idle connections to this address, the last used one at the end."""
         self._busy: set[_Connection] = set()
         self._slots = asyncio.Semaphore(max_connections)
 
@@ -296,7 +299,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class ConnectionPools:
-    """One pool per address, created on first use; `port` replaces the port of each address."""
+    """One pool per address, created on first use; `port`, if given, replaces that of each address.
+
+    `max_connections` applies to each address, the limit of `idle` to all together.
+    """
 
     max_connections: int = DEFAULT_MAX_CONNECTIONS
     port: int | None = None
@@ -330,6 +336,7 @@
 
 
 def _record_identity(connection: _Connection, handshake: Handshake, reply: HttpReply) -> None:
+    """Record the identity of the process at the other end if a reply confirms it."""
     is_new = connection.identity != handshake.identity
     if is_new and reply.status == OK and handshake.confirms(reply):
         connection.identity = handshake.identity
--- a/cottonlug/net/control_handlers.py
+++ b/cottonlug/net/control_handlers.py
@@ -1,4 +1,4 @@
-"""HTTP API of the replicated configuration, for other entry hosts and operators."""
+"""HTTP API of the replicated configuration (the rules), for other entry hosts and operators."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
     @get("/v1/control/hello", guards=guards)
     async def greet() -> Response[bytes]:
-        """Return the member id on this voter's disk, and whether this voter ever took part."""
+        """Return the member id on this voter's disk, and whether it ever took part."""
         return reply_json(voter.build_hello())
 
     @post("/v1/consensus", guards=guards)
--- a/cottonlug/net/homes.py
+++ b/cottonlug/net/homes.py
@@ -14,7 +14,9 @@
 from .transport import HttpReply
 
 HOME_RETRY_AFTER_MS = 1000
+"""After this time a caller whose home does not answer may ask again."""
 _TIMEOUT_SECONDS = 90.0
+"""Longer than a caller can have its home wait for an answer (60 s)."""
 
 
 class Homes:
--- a/cottonlug/net/servers.py
+++ b/cottonlug/net/servers.py
@@ -18,6 +18,7 @@
 _START_CHECK_SECONDS = 0.005
 _MAX_ACCEPTS_PER_ITERATION = 256
 _DESCRIPTOR_RETRY_SECONDS = 0.1
+"""Pause before accepting again after the process has run out of file descriptors."""
 
 
 class Acceptor:
@@ -48,7 +49,7 @@
             self._listening.close()
 
     async def wait_closed(self) -> None:
-        """Wait until all accepted connections have been opened."""
+        """Wait until all accepted connections have their protocol."""
         await asyncio.gather(*self._opening_tasks, return_exceptions=True)
 
     def _start_accepting(self) -> None:
@@ -81,6 +82,8 @@
 
 
 class _EmbeddedServer(uvicorn.Server):
+    """Server that is stopped by a call instead of a signal; see `Listener` for `accepts_all`."""
+
     def __init__(self, config: uvicorn.Config, *, accepts_all: bool) -> None:
         super().__init__(config)
         self._accepts_all = accepts_all
@@ -102,6 +105,7 @@
         try:
             listening = socket.create_server(address, family=family, backlog=config.backlog)
         except OSError as error:
+            # As uvicorn does itself; `Listener.start` then returns an error message.
             raise SystemExit(1) from error
         self.servers = [Acceptor(listening=listening, build_protocol=build_protocol)]  # type: ignore[list-item]
         self.started = True
--- a/cottonlug/net/transport.py
+++ b/cottonlug/net/transport.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TransportError:
-    """No reply arrived; `unsent` is True only if no byte can have reached the other side."""
+    """No reply arrived; `unsent` is True only if no byte of the call can have been received."""
 
     message: str
     unsent: bool
--- a/cottonlug/net/upstream_app.py
+++ b/cottonlug/net/upstream_app.py
@@ -1,4 +1,4 @@
-"""HTTP API for upstreams: a single call, which is parked until there is something to report.
+"""HTTP API for upstreams: a single call, which is parked until there is something to send back.
 
 It is a plain ASGI handler within the litestar application: this call carries nearly all traffic,
 and litestar's request handling would account for most of its cost (docs/design/exchange.md).
--- a/cottonlug/platform/configurations.py
+++ b/cottonlug/platform/configurations.py
@@ -1,4 +1,4 @@
-"""Decoding of configurations in the format of the platform's operators."""
+"""Decoding of configurations in the format of the platform's operators, whose routes are queues."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 )
 
 DEFAULT_MAX_BODY_BYTES = 262_144
+"""Limit of callers' request bodies where a configuration names none."""
 
 
 class _RouteBody(msgspec.Struct):
--- a/cottonlug/platform/control.py
+++ b/cottonlug/platform/control.py
@@ -1,4 +1,7 @@
-"""HTTP API for workers and operators: heartbeats, leaving, configurations and evacuations."""
+"""HTTP API for workers and operators: heartbeats, leaving, configurations and evacuations.
+
+The platform's words are worker for an upstream, zone for a failure domain and hold for a lease.
+"""
 
 from __future__ import annotations
 
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -17,9 +17,11 @@
 READINESS_PATH = "/ready"
 TIMEOUT_HEADER = "x-timeout-ms"
 DEFAULT_WAIT_TIMEOUT = timedelta(milliseconds=1_500)
+"""How long a caller waits for an answer if it does not send `TIMEOUT_HEADER`."""
 ANSWER_MARGIN = timedelta(milliseconds=40)
 """Time for an answer to reach the caller, with a reserve for a busy host."""
 RETRY_AFTER_SECONDS = "1"
+"""Value of `retry-after` where an answer names no time."""
 
 STATUS_OF_OUTCOME = {
     Outcome.DONE: 200,
@@ -92,6 +94,7 @@
 
 
 def _read_wait_timeout(request: HttpRequest) -> timedelta:
+    """Return within which time an answer must be ready so that the caller still gets it."""
     text = request.headers.get(TIMEOUT_HEADER, "")
     given = timedelta(milliseconds=int(text)) if text.isdecimal() else DEFAULT_WAIT_TIMEOUT
     return given - ANSWER_MARGIN
--- a/cottonlug/platform/heartbeats.py
+++ b/cottonlug/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""Decoding and validation of workers' heartbeats and leave messages.
+"""Decoding and validation of the heartbeats and leave messages of workers (upstreams).
 
 A heartbeat may be sent or forwarded by other software: fields may be missing or of the wrong type,
 the state unknown or the body undecodable. All of that is checked here, so later code need not.
--- a/cottonlug/platform/operators.py
+++ b/cottonlug/platform/operators.py
@@ -33,7 +33,7 @@
 
 
 class EvacuatedDomain(msgspec.Struct):
-    """An evacuated failure domain; `since_ms` is a wall-clock time."""
+    """An evacuated failure domain; `since_ms` is a wall-clock time in Unix ms."""
 
     domain: str = msgspec.field(name="zone")
     since_ms: int
--- a/cottonlug/platform/workers.py
+++ b/cottonlug/platform/workers.py
@@ -1,4 +1,7 @@
-"""Client for the platform's workers: starts, stops and polls."""
+"""Client for the platform's workers (upstreams): starts, stops and polls.
+
+The platform's word for a lease is hold; the path of polls, which renew leases, is named after it.
+"""
 
 from __future__ import annotations
 
@@ -34,10 +37,12 @@
 STOP_PATH = "/run-stop"
 POLL_PATH = "/hold"
 INSTANCE_HEADER = "X-Expect-Instance"
+"""Names the worker that a call is intended for, by its id without the start time."""
 WRONG_INSTANCE_STATUS = 421
+"""Status of the reply if another worker has received the call."""
 
 FENCED_REASON = "fence"
-_OUTCOME_BY_REASON = {
+_OUTCOME_BY_REASON = {  # reasons that come with status 409
     FENCED_REASON: StartOutcome.FENCED,
     "old": StartOutcome.OUTDATED,
     "late": StartOutcome.LATE,
@@ -139,6 +144,7 @@
         data = msgspec.json.encode(body)
         handshake = None
         if find_start_ms(upstream.id) is not None:
+            # Such a poll changes nothing at the worker, so it needs no handshake before it.
             is_read_only = path == POLL_PATH and not body["last_seen"] and "expires_ms" not in body
             handshake = _build_handshake(upstream, body["fencing_token"], is_read_only)
         return await pool.call(
--- a/cottonlug/storage/files.py
+++ b/cottonlug/storage/files.py
@@ -39,6 +39,7 @@
     def __init__(self, *, folder: Path) -> None:
         self._folder = folder
         self._open: dict[str, int] = {}
+        """Descriptors of the files that were appended to, by name."""
         folder.mkdir(parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
--- a/cottonlug/storage/journal.py
+++ b/cottonlug/storage/journal.py
@@ -71,7 +71,7 @@
 
 
 class AppliedRecord(Record, frozen=True, tag="applied"):
-    """Everything up to `index` has been applied here and must be applied again after a restart."""
+    """Everything up to `index` was applied here and must be applied to memory after a restart."""
 
     index: Index
 
@@ -93,6 +93,8 @@
 
 @dataclass(slots=True)
 class _JournalContent:
+    """What the records of a journal add up to."""
+
     member: MemberId | None = None
     hard_state: HardState = _NO_HARD_STATE
     snapshot: Snapshot = EMPTY_SNAPSHOT
@@ -184,7 +186,10 @@
     def _rewrite(
         self, snapshot: Snapshot, restore: bool, records: list[JournalRecord]
     ) -> Result[None, StorageError]:
-        """Replace the file by the snapshot and the records that follow it."""
+        """Replace the file by the snapshot and the records that follow it.
+
+        With `restore`, for a snapshot from the leader, no entry of the old log is kept.
+        """
         if self._failure is not None:
             return Err(self._failure)
         content = self._content
@@ -250,6 +255,7 @@
 
 
 def _replay(data: bytes) -> Result[tuple[_JournalContent, int], StorageError]:
+    """Return the content of a journal file and the size of its valid part, without a torn tail."""
     content = _JournalContent()
     offset = 0
     while offset < len(data):
