--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -47,7 +47,7 @@
 from ..runtime.node import EntryNode
 from ..upstream.daemon import StandInUpstream
 from ..upstream.work import choose_alert_recipients, compute_ticket
-from .workloads import ExampleWorkload, build_example_job, sum_run_times
+from .workloads import ExampleWorkload, build_example_job, list_run_times
 
 HOST = HostId("e1")
 DOMAIN = DomainName("town-hall-basement")
@@ -135,7 +135,7 @@
         tasks=TASKS,
         starts=starts,
         response_seconds=seconds,
-        ideal_seconds=_compute_ideal_seconds(sum_run_times(request)),
+        ideal_seconds=_compute_ideal_seconds(list_run_times(request)),
         messages=2 * (counters.exchanges - exchanges),
         empty_replies=counters.empty_replies - empty,
         violations=violations,
--- a/cottonlug/commands/workloads.py
+++ b/cottonlug/commands/workloads.py
@@ -45,8 +45,8 @@
     )
 
 
-def sum_run_times(request: SubmitRequest) -> list[int]:
-    """Return the run time of each task in milliseconds, as its payload states; not their sum."""
+def list_run_times(request: SubmitRequest) -> list[int]:
+    """Return the run time of each task in milliseconds, as its payload states."""
     return [int(json.loads(bytes(task)).get("ms", 0)) for task in request.tasks]
 
 
