--- a/cottonlug/commands/control.py
+++ b/cottonlug/commands/control.py
@@ -31,6 +31,7 @@
 from .exits import ExitCode
 
 MAX_CONTROL_BODY_BYTES = 8 * 1024 * 1024
+"""Limit of the listener for upstreams and operators: a configuration may be large."""
 FORWARDING_GRACE_SECONDS = 1.5
 """How long a stopping host still forwards calls, so that callers can find the new leader."""
 
--- a/cottonlug/commands/daemons.py
+++ b/cottonlug/commands/daemons.py
@@ -1,4 +1,4 @@
-"""Code that the cluster daemons share: logging, listeners and shutdown."""
+"""Code that the daemons of control hosts and gateways share: logging, listeners and shutdown."""
 
 from __future__ import annotations
 
--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -53,13 +53,19 @@
 DOMAIN = DomainName("town-hall-basement")
 UPSTREAMS = 5
 SLOTS = 16
+"""Number of tasks that an upstream runs at a time."""
 TASKS = 1_100
+"""Number of tasks of each example job."""
 SEED = 7
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoRow:
-    """Figures of one job, and the guarantees that were violated."""
+    """Figures of one job, and the guarantees that were violated.
+
+    `ideal_seconds` is how long it takes without overhead. `messages` counts the upstreams' exchange
+    requests and their replies; `empty_replies` are those without starts or stops.
+    """
 
     name: str
     tasks: int
--- a/cottonlug/commands/evacuations.py
+++ b/cottonlug/commands/evacuations.py
@@ -25,8 +25,10 @@
 RESPONSE_TIMEOUT = timedelta(seconds=1)
 """A control host that does not answer within this time is skipped, and the next one is called."""
 RETRY_PERIOD = timedelta(seconds=20)
-"""Longer than an election, and than a restart of all control hosts."""
+"""How long the hosts are called in turn: longer than an election, and than a restart of all control
+hosts."""
 RETRY_PAUSE = timedelta(milliseconds=200)
+"""Pause after all hosts have been called."""
 
 
 def set_evacuation(hosts: list[Address], domain: str, *, begin: bool) -> ExitCode:
--- a/cottonlug/commands/jobs.py
+++ b/cottonlug/commands/jobs.py
@@ -30,9 +30,11 @@
 from .output import print_json, print_refusal, print_view
 
 ANSWER_WAIT_MS = 1_000
+"""How long each request for the answer of a job waits; then the progress is printed."""
 RETRY_CODES = {RefusalCode.HOME_UNREACHABLE, RefusalCode.OVERLOADED}
 MAX_CALL_ATTEMPTS = 30
 _DEFAULT_RETRY_MS = 500
+"""Pause before a retry if the refusal names none."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/cottonlug/commands/serve.py
+++ b/cottonlug/commands/serve.py
@@ -24,6 +24,7 @@
 from .exits import ExitCode
 
 _LEAVE_TIMEOUT = timedelta(minutes=5)
+"""How long a stopping upstream waits for its running tasks."""
 _MAX_STATE_BODY_BYTES = 65_536
 
 
--- a/cottonlug/config/cluster.py
+++ b/cottonlug/config/cluster.py
@@ -1,4 +1,7 @@
-"""Settings of cluster hosts: control hosts, which hold the replicated log, and gateways."""
+"""Settings of cluster hosts: control hosts, which keep the replicated log, and gateways.
+
+A gateway passes callers' requests on to the leader of the control hosts.
+"""
 
 from __future__ import annotations
 
@@ -71,9 +74,11 @@
     keep_ended: timedelta
     """How long the records of ended jobs are kept."""
     orders: OrderDelivery
+    """How upstreams receive orders."""
     domains: list[DomainName] = field(default_factory=list)
     """All failure domains, so that one that has no upstreams at present can be evacuated too."""
     drain_limit: timedelta
+    """Time allowed for the whole shutdown."""
     urgent_port: int | None = None
     """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
@@ -93,6 +98,7 @@
     caller_retry: timedelta
     """Time after which a caller that lost its gateway submits its job again."""
     drain_limit: timedelta
+    """Time allowed for the whole shutdown."""
     urgent_port: int | None = None
     """Port on all hosts, including this one, for calls that must not wait behind jobs."""
     reports: ReportTerms = DEFAULT_REPORT_TERMS
--- a/cottonlug/config/defaults.py
+++ b/cottonlug/config/defaults.py
@@ -96,7 +96,9 @@
     tokens: Tokens
     peers: list[PeerSettings]
     rules: Path | None
+    """File of the rules; only without voters, which otherwise keep the rules."""
     data_folder: Path | None
+    """Folder of the replicated log; required for a voter."""
     voters: list[HostId]
     limits: Limits
     policy: Policy
@@ -120,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class UpstreamSettings:
-    """Settings of a stand-in upstream."""
+    """Settings of a stand-in upstream, a program that simulates one for examples and tests."""
 
     upstream: UpstreamId
     domain: DomainName
--- a/cottonlug/config/deployments.py
+++ b/cottonlug/config/deployments.py
@@ -25,6 +25,7 @@
 class Deployment:
     """Sizes of one deployment; `hosts` is the number of entry hosts in each failure domain.
 
+    `upstreams` is the number in all failure domains together, `slots` that of each upstream.
     `prefetch` is how many starts an upstream accepts in advance, which saves messages but increases
     response times; see docs/design/policy.md.
     """
--- a/cottonlug/config/files.py
+++ b/cottonlug/config/files.py
@@ -14,6 +14,7 @@
 from .options import Problem
 
 _TOKEN_COUNT = 4
+"""Number of kinds of clients, each of which needs a token of its own."""
 
 
 def load_entry_settings(file: Path) -> EntrySettings:
