--- a/cottonlug/commands/demo.py
+++ b/cottonlug/commands/demo.py
@@ -47,19 +47,25 @@
 from ..runtime.node import EntryNode
 from ..upstream.daemon import StandInUpstream
 from ..upstream.work import choose_alert_recipients, compute_ticket
-from .workloads import ExampleWorkload, build_example_job, sum_run_times
+from .workloads import ExampleWorkload, build_example_job, list_run_times
 
 HOST = HostId("e1")
 DOMAIN = DomainName("town-hall-basement")
 UPSTREAMS = 5
 SLOTS = 16
+"""Number of tasks that an upstream runs at a time."""
 TASKS = 1_100
+"""Number of tasks of each example job."""
 SEED = 7
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DemoRow:
-    """Figures of one job, and the guarantees that were violated."""
+    """Figures of one job, and the guarantees that were violated.
+
+    `ideal_seconds` is how long it takes without overhead. `messages` counts the upstreams' exchange
+    requests and their replies; `empty_replies` are those without starts or stops.
+    """
 
     name: str
     tasks: int
@@ -135,7 +141,7 @@
         tasks=TASKS,
         starts=starts,
         response_seconds=seconds,
-        ideal_seconds=_compute_ideal_seconds(sum_run_times(request)),
+        ideal_seconds=_compute_ideal_seconds(list_run_times(request)),
         messages=2 * (counters.exchanges - exchanges),
         empty_replies=counters.empty_replies - empty,
         violations=violations,
--- a/cottonlug/core/cluster/failover_state.py
+++ b/cottonlug/core/cluster/failover_state.py
@@ -1,10 +1,11 @@
-"""Failover state: what a gateway must know to act as leader.
+"""Failover state: what a gateway must know to act as leader, where no leader can be reached.
 
-A gateway gets the whole state once and then only changes, in parts of a bounded size. With 176
-upstreams and 44 gateways, sending the whole state of 35 KB for each change of one upstream would
-take 1.5 MB, on links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending
-that takes longer than the timeout of a keep-alive, so that a state sent whole was requested again
-and again and never arrived.
+A gateway requests it with its keep-alives to the leader, and names the version that it has. It gets
+the whole state once and then only changes, in parts of a bounded size. With 176 upstreams and 44
+gateways, sending the whole state of 35 KB for each change of one upstream would take 1.5 MB, on
+links of 1.5 MB/s. With 999 upstreams the state has 225 KB: on such a link, sending that takes
+longer than the timeout of a keep-alive, so that a state sent whole was requested again and again
+and never arrived.
 """
 
 from __future__ import annotations
@@ -32,66 +33,71 @@
 from .records import Records
 
 MAX_KEPT_CHANGES = 512
-"""Changes that are kept; a gateway that has missed more gets the whole state again."""
+"""Number of changes that are kept; a gateway that lacks more gets the whole state again."""
 MAX_UPSTREAMS_PER_PART = 128
-"""Upstreams in one answer: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
+"""Most upstreams in one part: 29 KB, which take 23 ms on a link of 10 Mbit/s; keep-alives time out
 after 100 ms."""
 MAX_UPSTREAMS_IN_SMALL_PART = 16
 """With up to this many upstreams, an answer costs hardly more than one without any."""
-_FIRST = UpstreamId("")
+_BEFORE_ALL_IDS = UpstreamId("")
 """Sorts before all ids of upstreams."""
 OWN_DOMAIN_QUERIED = 3
 OTHER_DOMAINS_QUERIED = 2
-"""Gateways queried in each domain for a leader or an acting leader: two may be down at once."""
+"""How many gateways of its own failure domain, and of each other one, a gateway asks for a leader
+or an acting leader: two may be down at once."""
 MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER = 64
-"""Most upstreams that one acting leader manages for all domains: a gateway has half a core, and
-twice as many upstreams overload it."""
+"""With more upstreams, an acting leader manages only those of its own failure domain: a gateway
+has half a core, and twice as many upstreams overload it."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _Position:
-    """Position of a gateway in the state and its changes, as its version encodes it."""
+    """What a gateway has of the state and its changes.
+
+    Its version encodes it as TERM.NUMBER, or TERM.NUMBER>ID while initial upstreams are missing.
+    """
 
     number: int
-    """All changes up to this number are known."""
+    """The gateway has all changes up to this number."""
     after: UpstreamId | None = None
-    """Of the initial upstreams those up to this id are known; None if all of them are."""
+    """It has the initial upstreams up to this id, in the order of ids; None if it has all."""
 
 
 class FailoverStateLog:
-    """Changes of the failover state under one leader."""
+    """Changes of the failover state under one leader, which numbers them from 1."""
 
     def __init__(self, *, term: int, accepts_calls: bool) -> None:
         self._term = term
         self._accepts_calls = accepts_calls
-        self._number = 0
+        self._last_change = 0
+        """Number of the last change."""
         self._changes: deque[tuple[int, UpstreamId | None]] = deque(maxlen=MAX_KEPT_CHANGES)
-        """Number of each change, and the upstream that it concerns, if any."""
+        """Number of each of the last changes, and the upstream that it concerns, if any."""
         self._last_configuration_change = 0
         """Number of the last change of the configuration."""
-        self._sorted: tuple[int, list[UpstreamId]] = (-1, [])
+        self._sorted_ids: tuple[int, list[UpstreamId]] = (-1, [])
         """All upstream ids in order, as of the change with this number."""
 
     @property
     def version(self) -> str:
         """Version of the current state."""
-        return f"{self._term}.{self._number}"
+        return f"{self._term}.{self._last_change}"
 
     def record_upstream_change(self, upstream: UpstreamId) -> None:
         """Count that an upstream has joined, changed or left."""
-        self._number += 1
-        self._changes.append((self._number, upstream))
+        self._last_change += 1
+        self._changes.append((self._last_change, upstream))
 
     def record_configuration_change(self) -> None:
         """Count that another configuration is active."""
-        self._number += 1
-        self._changes.append((self._number, None))
-        self._last_configuration_change = self._number
+        self._last_change += 1
+        self._changes.append((self._last_change, None))
+        self._last_configuration_change = self._last_change
 
     def record_other_change(self) -> None:
-        """Count any other change."""
-        self._number += 1
-        self._changes.append((self._number, None))
+        """Count a change of what every part contains in full."""
+        self._last_change += 1
+        self._changes.append((self._last_change, None))
 
     def record_command(self, command: Command) -> None:
         """Count what a command of the log has changed, if the failover state contains it."""
@@ -115,11 +121,15 @@
         has_durable_jobs: bool,
         known: str,
     ) -> FailoverState | None:
-        """Return the next part for a gateway with version `known`, or None if that is current."""
+        """Return the next part for a gateway with version `known`, or None if that is current.
+
+        It contains changed upstreams, then the next initial ones, and all of the rest; but the
+        configuration only if it has changed.
+        """
         if known == self.version:
             return None
         position = self._find_position(known)
-        start = position or _Position(number=self._number, after=_FIRST)
+        start = position or _Position(number=self._last_change, after=_BEFORE_ALL_IDS)
         changed, number = self._list_changed(start.number)
         initial, after = self._list_next(
             records, start.after, MAX_UPSTREAMS_PER_PART - len(changed)
@@ -133,7 +143,7 @@
         return FailoverState(
             version=f"{self._term}.{number}" + (f">{after}" if after is not None else ""),
             base="" if position is None else known,
-            is_partial=after is not None or number < self._number,
+            is_partial=after is not None or number < self._last_change,
             term=self._term,
             configuration=configuration,
             upstreams=tuple(records.upstreams[id] for id in ids if id in records.upstreams),
@@ -150,10 +160,10 @@
         position = self._find_position(known)
         if position is None or position.after is not None:
             return len(records.upstreams) > MAX_UPSTREAMS_IN_SMALL_PART
-        return self._number - position.number > MAX_UPSTREAMS_IN_SMALL_PART
+        return self._last_change - position.number > MAX_UPSTREAMS_IN_SMALL_PART
 
     def _list_changed(self, since: int) -> tuple[list[UpstreamId], int]:
-        """Return the upstreams in the next part of the changes, and its last change's number."""
+        """Return the upstreams of the next changes that fit into a part, and the last's number."""
         ids: dict[UpstreamId, None] = {}
         for number, upstream in self._changes:
             if number <= since or upstream is None or upstream in ids:
@@ -161,36 +171,42 @@
             if len(ids) == MAX_UPSTREAMS_PER_PART:
                 return list(ids), number - 1
             ids[upstream] = None
-        return list(ids), self._number
+        return list(ids), self._last_change
 
     def _list_next(
         self, records: Records, after: UpstreamId | None, count: int
     ) -> tuple[list[UpstreamId], UpstreamId | None]:
-        """Return the next upstreams after an id, and the last of them; None if no more follow."""
+        """Return the next upstreams after an id, and after which of them more follow, if any do."""
         if after is None:
             return [], None
-        if self._sorted[0] != self._number:
-            self._sorted = (self._number, sorted(records.upstreams))
-        ids = self._sorted[1]
+        if self._sorted_ids[0] != self._last_change:
+            self._sorted_ids = (self._last_change, sorted(records.upstreams))
+        ids = self._sorted_ids[1]
         begin = bisect.bisect_right(ids, after)
         part = ids[begin : begin + count]
         is_last = begin + count >= len(ids)
         return part, None if is_last else (part[-1] if part else after)
 
     def _find_position(self, version: str) -> _Position | None:
-        """Return the position that a version encodes; None if later changes are incomplete."""
+        """Return the position that a version encodes.
+
+        None if it is of another leader, or if not all changes since then are kept.
+        """
         version, has_cursor, after = version.partition(">")
         term, _, number = version.partition(".")
         if term != str(self._term) or not number.isdecimal():
             return None
-        first_known = self._changes[0][0] if self._changes else self._number + 1
+        first_known = self._changes[0][0] if self._changes else self._last_change + 1
         if int(number) < first_known - 1:
             return None
         return _Position(number=int(number), after=UpstreamId(after) if has_cursor else None)
 
 
 def find_acting_domain(state: FailoverState, own: str) -> DomainName | None:
-    """Return the domain that the acting leader at address `own` manages; None means all domains."""
+    """Return the failure domain that the gateway at address `own` may act as leader for.
+
+    None means all domains.
+    """
     if len(state.upstreams) <= MAX_UPSTREAMS_FOR_ONE_ACTING_LEADER:
         return None
     return next((each.domain for each in state.gateways if each.address == own), None)
@@ -199,7 +215,10 @@
 def merge_failover_state(
     known: FailoverState | None, received: FailoverState
 ) -> FailoverState | None:
-    """Return the received state, or `known` with received changes if these follow it, or None."""
+    """Return the received state, or `known` with the received changes.
+
+    None if the changes do not follow the version that is known.
+    """
     if not received.base:
         return received
     if known is None or known.version != received.base:
@@ -219,7 +238,7 @@
 
 
 def choose_queried_gateways(gateways: Sequence[GatewayInfo], own: str) -> list[str]:
-    """Return the gateways that the gateway at address `own` queries if it reaches no leader.
+    """Return the gateways that the gateway at address `own` asks for a leader if it reaches none.
 
     These have the lowest addresses of each domain, because the reachable gateway with the lowest
     address acts as leader. If each gateway queried all others, the number of calls would grow with
--- a/cottonlug/platform/front.py
+++ b/cottonlug/platform/front.py
@@ -17,9 +17,11 @@
 READINESS_PATH = "/ready"
 TIMEOUT_HEADER = "x-timeout-ms"
 DEFAULT_WAIT_TIMEOUT = timedelta(milliseconds=1_500)
+"""How long a caller waits for an answer if it does not send `TIMEOUT_HEADER`."""
 ANSWER_MARGIN = timedelta(milliseconds=40)
 """Time for an answer to reach the caller, with a reserve for a busy host."""
 RETRY_AFTER_SECONDS = "1"
+"""Value of `retry-after` where an answer names no time."""
 
 STATUS_OF_OUTCOME = {
     Outcome.DONE: 200,
@@ -41,7 +43,7 @@
 ) -> Handler:
     """Return the handler of the platform's API for callers."""
 
-    async def _answer(call: Call, timeout: timedelta) -> Answer:
+    async def answer_or_abandon(call: Call, timeout: timedelta) -> Answer:
         try:
             return await answer(call, timeout)
         except asyncio.CancelledError:
@@ -55,7 +57,7 @@
         if isinstance(call, HttpResponse):
             response = call
         else:
-            response = _encode_answer(await _answer(call, _read_wait_timeout(request)))
+            response = _encode_answer(await answer_or_abandon(call, _read_wait_timeout(request)))
         response.close = is_stopping()
         return response
 
@@ -92,6 +94,7 @@
 
 
 def _read_wait_timeout(request: HttpRequest) -> timedelta:
+    """Return within which time an answer must be ready so that the caller still gets it."""
     text = request.headers.get(TIMEOUT_HEADER, "")
     given = timedelta(milliseconds=int(text)) if text.isdecimal() else DEFAULT_WAIT_TIMEOUT
     return given - ANSWER_MARGIN
--- a/cottonlug/runtime/gateway_registry.py
+++ b/cottonlug/runtime/gateway_registry.py
@@ -1,4 +1,9 @@
-"""The gateways that the coordinator knows, and the failover state that it sends them."""
+"""The gateways that the coordinator knows, and the failover state that it sends them.
+
+The coordinator is the host that schedules jobs now, a leader or acting leader. The failover state
+is what a gateway must know to act as leader. By the contact in a keep-alive or submission
+(`Contact`) the coordinator knows when a gateway can have sent it at the earliest.
+"""
 
 from __future__ import annotations
 
@@ -13,27 +18,33 @@
 from .events import Event, log_event
 
 GATEWAY_TIMEOUT = timedelta(milliseconds=300)
-"""Without contact for this long, the jobs of a gateway are abandoned; the gateway itself does not
-move them to another coordinator any sooner."""
+"""The coordinator abandons a gateway's jobs after this time without contact; the gateway itself
+does not move them to another coordinator any sooner."""
 SUBMISSION_CHECK_INTERVAL = timedelta(milliseconds=10)
 """How often timeouts are checked while submissions confirm jobs.
 
 Each submission confirms its own job alone, for a span of its own. The interval is half of the time
 between two scheduling rounds.
 """
-MAX_PARTS_PER_SECOND = 600
-"""Large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the leader's
-CPU time. A gateway that gets no part now asks again with its next keep-alive."""
+MAX_LARGE_PARTS_PER_SECOND = 600
+"""Limit of large parts of failover state, for all gateways together: 140 Mbit/s and a tenth of the
+leader's CPU time. A gateway that gets no part now asks again with its next keep-alive."""
 NEVER = timedelta.max
-LATE_KEEPALIVE_AGE = timedelta(milliseconds=150)
-"""A keep-alive takes some milliseconds; at this age it was delayed in the network or here."""
+"""A time on the monotonic clock that is never reached."""
+LATE_MESSAGE_AGE = timedelta(milliseconds=150)
+"""Age at which a keep-alive or submission is logged as late: it takes some milliseconds, so it was
+delayed in the network or here."""
 LATE_LOG_INTERVAL = timedelta(seconds=1)
-"""Minimum time between log lines about late keep-alives: if the leader itself is delayed, all
-gateways' keep-alives are late."""
+"""Minimum time between log lines about late messages: if the leader itself is delayed, those of all
+gateways are late."""
 
 
 class GatewayRegistry:
-    """Known gateways by the address that they send in keep-alives."""
+    """Known gateways by the address that they send in keep-alives.
+
+    `token` is the fencing token of this coordinator; `accepts_calls` says whether upstreams accept
+    calls, on which an acting leader depends.
+    """
 
     def __init__(self, *, term: int, token: int, clock: Clock, accepts_calls: bool = True) -> None:
         self.failover_log = FailoverStateLog(term=term, accepts_calls=accepts_calls)
@@ -44,19 +55,22 @@
         self._check_at = NEVER
         """Until then no gateway can exceed the contact timeout."""
         self.on_reconnect: Callable[[str], object] = lambda gateway: None
-        """Called when a gateway is connected again after a timeout."""
+        """Called with the address of a gateway that is connected again after a timeout."""
         self.on_restart: Callable[[str], object] = lambda gateway: None
-        """Called when a keep-alive comes from a new process at the address of a gateway."""
+        """Called with the address of a gateway when a new process there has sent a keep-alive."""
         self._token = token
         self._clock = clock
         self._late_log_due = timedelta()
         self._sent_at: dict[str, timedelta] = {}
         """Earliest time at which each gateway can have sent its last message, by its contacts."""
         self._domains: dict[str, DomainName] = {}
+        """The failure domain of each known gateway."""
         self._instances: dict[str, int] = {}
+        """Identifies the process at the address of each gateway."""
         self._has_durable_jobs = False
-        self._parts_left = float(MAX_PARTS_PER_SECOND)
-        self._parts_at = clock.monotonic()
+        self._large_parts_left = float(MAX_LARGE_PARTS_PER_SECOND)
+        """How many large parts may be sent at `_large_parts_updated_at`."""
+        self._large_parts_updated_at = clock.monotonic()
 
     def record_durable_jobs(self, are_open: bool) -> None:
         """Record whether any durable jobs are open."""
@@ -115,7 +129,7 @@
 
     def _record_message_age(self, gateway: str, age: timedelta, now: timedelta) -> None:
         self.record_age(age / timedelta(milliseconds=1))
-        if age >= LATE_KEEPALIVE_AGE and now >= self._late_log_due:
+        if age >= LATE_MESSAGE_AGE and now >= self._late_log_due:
             self._late_log_due = now + LATE_LOG_INTERVAL
             log_event(Event.KEEPALIVE_LATE, gateway=gateway, age_ms=to_milliseconds(age))
 
@@ -167,7 +181,7 @@
             GatewayInfo(address=address, domain=domain)
             for address, domain in sorted(self._domains.items())
         )
-        if self.failover_log.is_next_part_large(records, known) and not self._may_send_part():
+        if self.failover_log.is_next_part_large(records, known) and not self._claim_large_part():
             return None
         return self.failover_log.build(
             records, gateways, has_durable_jobs=self._has_durable_jobs, known=known
@@ -177,13 +191,15 @@
         """Return whether this is the latest version of the failover state."""
         return known == self.failover_log.version
 
-    def _may_send_part(self) -> bool:
+    def _claim_large_part(self) -> bool:
         """Return whether another large part may be sent now, and count it if so."""
         now = self._clock.monotonic()
-        earned = (now - self._parts_at).total_seconds() * MAX_PARTS_PER_SECOND
-        self._parts_at = now
-        self._parts_left = min(self._parts_left + earned, float(MAX_PARTS_PER_SECOND))
-        if self._parts_left < 1.0:
+        earned = (now - self._large_parts_updated_at).total_seconds() * MAX_LARGE_PARTS_PER_SECOND
+        self._large_parts_updated_at = now
+        self._large_parts_left = min(
+            self._large_parts_left + earned, float(MAX_LARGE_PARTS_PER_SECOND)
+        )
+        if self._large_parts_left < 1.0:
             return False
-        self._parts_left -= 1.0
+        self._large_parts_left -= 1.0
         return True
--- a/cottonlug/runtime/voter_client.py
+++ b/cottonlug/runtime/voter_client.py
@@ -1,4 +1,4 @@
-"""An entry host without a vote, which gets the configuration from a voter by long polling."""
+"""The configuration of an entry host without a vote, which gets it from a voter by long polling."""
 
 from __future__ import annotations
 
@@ -18,10 +18,14 @@
 from .rulebook import Rulebook
 
 POLL_MS = 1_500
+"""How long a voter waits for a newer configuration before it answers a poll."""
 STALE_AFTER = timedelta(seconds=4)
-"""Longer than two polls take."""
+"""After this time without an answer, a newer configuration may be active elsewhere. Longer than two
+polls take."""
 _RETRY_SECONDS = 0.25
+"""Pause after all voters were polled and none that is up to date has answered."""
 _TIMEOUT_MARGIN_SECONDS = 1.0
+"""How much longer this host waits for an answer than the voter may take for it."""
 
 
 class VoterClient:
@@ -32,8 +36,10 @@
         self._clock = clock
         self._rulebook = rulebook
         self._change_notifier = ChangeNotifier()
-        self._polled_at: timedelta | None = None
-        self._voter_is_stale = False
+        self._answered_at: timedelta | None = None
+        """When a voter last answered a poll."""
+        self._is_voter_stale = False
+        """Whether that voter itself might have lacked a newer configuration."""
         poll_seconds = POLL_MS / 1000 + _TIMEOUT_MARGIN_SECONDS
         change_seconds = CHANGE_TIMEOUT.total_seconds() + _TIMEOUT_MARGIN_SECONDS
         self._poll_clients = _build_clients(settings, poll_seconds)
@@ -54,13 +60,13 @@
 
     def is_ready(self) -> bool:
         """Return whether a voter has sent the active configuration."""
-        return self._polled_at is not None
+        return self._answered_at is not None
 
     def is_stale(self) -> bool:
         """Return whether no voter that is itself up to date has answered within `STALE_AFTER`."""
-        if self._polled_at is None or self._voter_is_stale:
+        if self._answered_at is None or self._is_voter_stale:
             return True
-        return self._clock.monotonic() - self._polled_at > STALE_AFTER
+        return self._clock.monotonic() - self._answered_at > STALE_AFTER
 
     async def change(self, command: ChangeCommand) -> Result[ChangeOutcome, Refusal]:
         """Forward a change to the voters, those in this failure domain first."""
@@ -69,6 +75,7 @@
             sent = await client.call("POST", "/v1/control/change", ChangeOutcome, command)
             if isinstance(sent, Success):
                 return Success(sent.unwrap())
+            # Only a refusal with an outcome says what has become of the change.
             if sent.failure().outcome is not None:
                 refusal = sent.failure()
         return Err(refusal)
@@ -94,8 +101,8 @@
         if isinstance(reply, Err):
             return False
         view: ConfigurationView = reply.unwrap()
-        self._voter_is_stale = view.is_stale
-        self._polled_at = self._clock.monotonic()
+        self._is_voter_stale = view.is_stale
+        self._answered_at = self._clock.monotonic()
         activate_rules(self._rulebook, view.version, view.text)
         self._change_notifier.notify()
         return not view.is_stale
